--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -128,17 +128,17 @@
 		if err != nil {
 			return nil, err
 		}
-		return policy.Result{
+		return policy.LegResult{
 			ID: m.ID, Node: m.Node, Outcome: outcome, Final: m.Final, Load: inst.conf.Load(m.Report),
 		}, nil
 	case simwire.HintUpdate:
-		return policy.Note{
-			ID: m.ID, Node: m.Node, Kind: policy.NoteKind(m.Sort), Value: m.Value,
+		return policy.Measurement{
+			ID: m.ID, Node: m.Node, Kind: policy.MeasurementKind(m.Sort), Value: m.Value,
 		}, nil
 	case simwire.GoneEvent:
-		return policy.Gone{ID: m.ID}, nil
+		return policy.ClientGone{ID: m.ID}, nil
 	case simwire.RingEvent:
-		return policy.Ring{}, nil
+		return policy.TimerFired{}, nil
 	}
 	return nil, nil
 }
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -37,8 +37,8 @@
 	Machines  []string // kinds, in the order of Ramp.Places
 	Ramp      policy.Ramp
 	Grace     time.Duration // drain grace
-	Legs      policy.Legs
-	Tidings   policy.Tidings
+	Legs      policy.RetryPolicy
+	Tidings   policy.ReportTiming
 	Manners   director.Manners
 	Pace      reach.Pace
 	Term      closing.Term
@@ -103,7 +103,7 @@
 	h.tariffs(r, o.Object("tariffs", true))
 	h.fleet(r, o.Object("fleet", true))
 	h.ramp(o.Object("ramp", true))
-	h.Ramp.AskWithin = askWithin
+	h.Ramp.PollWithin = askWithin
 	h.legs(r, o.Object("legs", false))
 	h.tidings(o.Object("tidings", false))
 	h.manners(r, o.Object("manners", false))
@@ -136,11 +136,11 @@
 	h.Name = o.Text("name", "", true)
 	h.Peers = policy.Peers{
 		Directors: o.Whole("directors", 1, 1, 10_000, true),
-		Me:        o.Whole("me", 0, 0, 9_999, true),
+		Index:     o.Whole("me", 0, 0, 9_999, true),
 		Zone:      o.Text("zone", "", false),
 	}
-	if h.Peers.Me >= h.Peers.Directors {
-		r.Wrong(o.Where("me"), "me is %d, but there are %d directors, counted from 0", h.Peers.Me, h.Peers.Directors)
+	if h.Peers.Index >= h.Peers.Directors {
+		r.Wrong(o.Where("me"), "me is %d, but there are %d directors, counted from 0", h.Peers.Index, h.Peers.Directors)
 	}
 	if len(h.Name) > 64 {
 		r.Wrong(o.Where("name"), "the name is longer than 64 bytes")
@@ -162,7 +162,7 @@
 	h.Ladder = policy.Ladder{
 		Rates:    o.Rates("rates", true),
 		Worth:    o.Numbers("worth", 0, 1),
-		JoinAdds: o.Number("join_adds", 1, 0, 1, false),
+		JoinCost: o.Number("join_adds", 1, 0, 1, false),
 	}
 	for i := 1; i < len(h.Ladder.Rates); i++ {
 		if h.Ladder.Rates[i] <= h.Ladder.Rates[i-1] && h.Ladder.Rates[i] > 0 {
@@ -186,15 +186,15 @@
 	for _, name := range o.Names() {
 		t := o.Object(name, true)
 		x := policy.Tariff{
-			GoalTime: t.Span("goal_time", 0, time.Millisecond, time.Hour, true),
-			HardStop: t.Span("hard_stop", 0, time.Millisecond, time.Hour, true),
-			Credit:   t.Number("credit", 1, 0, 1e6, false),
-			Paid:     t.Flag("paid", false),
-			Scale:    t.Number("scale", 1, 0.01, 100, false),
-			Floor:    t.Whole("floor", 0, 0, last, false),
-			Top:      t.Whole("top", last, 0, last, false),
-			Seats:    t.Whole("seats", 0, 0, 1e6, false),
-			Live:     t.Flag("live", false),
+			GoalTime:   t.Span("goal_time", 0, time.Millisecond, time.Hour, true),
+			HardStop:   t.Span("hard_stop", 0, time.Millisecond, time.Hour, true),
+			Credit:     t.Number("credit", 1, 0, 1e6, false),
+			AtMostOnce: t.Flag("paid", false),
+			Scale:      t.Number("scale", 1, 0.01, 100, false),
+			Floor:      t.Whole("floor", 0, 0, last, false),
+			Top:        t.Whole("top", last, 0, last, false),
+			Seats:      t.Whole("seats", 0, 0, 1e6, false),
+			Live:       t.Flag("live", false),
 		}
 		if x.GoalTime > x.HardStop && x.HardStop > 0 {
 			r.Wrong(t.Where("goal_time"), "goal_time is %v, later than hard_stop (line %d), which is %v", x.GoalTime,
@@ -214,12 +214,12 @@
 
 func (h *House) fleet(r *Reader, o *Object) {
 	h.Fleet = policy.Fleet{
-		Cells:       o.Whole("cells", 0, 1, 1e6, true),
-		Racks:       o.Whole("racks", 0, 1, 1e6, true),
-		LinkUnit:    o.Rate("link_unit", 0, true),
-		Uplink:      o.Rate("uplink", 0, true),
-		Crossing:    o.Number("crossing", 0, 0, 1, false),
-		RefusesFrom: o.Number("refuses_from", 0, 0, 10, false),
+		Cells:            o.Whole("cells", 0, 1, 1e6, true),
+		Racks:            o.Whole("racks", 0, 1, 1e6, true),
+		LinkUnit:         o.Rate("link_unit", 0, true),
+		Uplink:           o.Rate("uplink", 0, true),
+		CrossZoneCost:    o.Number("crossing", 0, 0, 1, false),
+		RefusalThreshold: o.Number("refuses_from", 0, 0, 10, false),
 	}
 	if h.Fleet.Racks > h.Fleet.Cells && h.Fleet.Cells > 0 {
 		r.Wrong(o.Where("racks"), "there are %d racks, but only %d cells: a cell lies in one rack", h.Fleet.Racks, h.Fleet.Cells)
@@ -227,7 +227,7 @@
 	m := o.Object("machines", true)
 	for _, kind := range m.Names() {
 		h.Machines = append(h.Machines, kind)
-		h.Ramp.Places = append(h.Ramp.Places, m.Number(kind, 1, 1, 1e6, true))
+		h.Ramp.MaxStreams = append(h.Ramp.MaxStreams, m.Number(kind, 1, 1, 1e6, true))
 	}
 	if len(h.Machines) == 0 && !m.absent {
 		r.Wrong(m.At, "there is no kind of machine")
@@ -290,31 +290,31 @@
 
 func (h *House) ramp(o *Object) {
 	h.Ramp.Warmup = o.Span("warmup", 0, 0, time.Hour, true)
-	h.Ramp.ColdFrom = o.Number("cold_from", 0.5, 0.001, 1, true)
-	h.Ramp.Multiple = o.Number("multiple", 1, 0.1, 1000, true)
-	h.Ramp.TipAfter = o.Span("tip_after", 0, time.Millisecond, time.Hour, true)
+	h.Ramp.InitialShare = o.Number("cold_from", 0.5, 0.001, 1, true)
+	h.Ramp.OverloadMultiple = o.Number("multiple", 1, 0.1, 1000, true)
+	h.Ramp.OverloadWindow = o.Span("tip_after", 0, time.Millisecond, time.Hour, true)
 	h.Grace = o.Span("drain_grace", 250*time.Millisecond, time.Millisecond, time.Hour, false)
 	o.Done()
 }
 
 func (h *House) legs(r *Reader, o *Object) {
-	h.Legs = policy.Legs{
-		Most:  o.Whole("most", 4, 1, 16, false),
-		Spare: o.Number("spare", 0, 0, 1e6, false),
-		Share: o.Number("share", 0, 0, 1, false),
-		Span:  o.Span("span", 0, time.Millisecond, time.Hour, false),
+	h.Legs = policy.RetryPolicy{
+		MaxLegs:    o.Whole("most", 4, 1, 16, false),
+		MinRetries: o.Number("spare", 0, 0, 1e6, false),
+		RetryRatio: o.Number("share", 0, 0, 1, false),
+		Window:     o.Span("span", 0, time.Millisecond, time.Hour, false),
 	}
-	if h.Legs.Span == 0 && (o.Has("spare") || o.Has("share")) {
+	if h.Legs.Window == 0 && (o.Has("spare") || o.Has("share")) {
 		r.Wrong(o.At, "spare and share ration further legs within a span; \"span\" is missing")
 	}
 	o.Done()
 }
 
 func (h *House) tidings(o *Object) {
-	h.Tidings = policy.Tidings{
-		Late:    o.Span("late", time.Second, 0, time.Minute, false),
-		Every:   o.Span("every", 4*time.Second, 0, time.Hour, false),
-		Backoff: o.Span("backoff", 0, 0, time.Hour, false),
+	h.Tidings = policy.ReportTiming{
+		Delay:      o.Span("late", time.Second, 0, time.Minute, false),
+		Interval:   o.Span("every", 4*time.Second, 0, time.Hour, false),
+		MaxBackoff: o.Span("backoff", 0, 0, time.Hour, false),
 	}
 	o.Done()
 }
@@ -381,6 +381,6 @@
 
 // Describe is a line on what a house is, for logs.
 func (h *House) Describe() string {
-	return fmt.Sprintf("director %s, %d of %d, %d tariffs, %d rungs, %d cells in %d racks", h.Name, h.Peers.Me,
+	return fmt.Sprintf("director %s, %d of %d, %d tariffs, %d rungs, %d cells in %d racks", h.Name, h.Peers.Index,
 		h.Peers.Directors, len(h.Tariffs), len(h.Ladder.Rates), h.Fleet.Cells, h.Fleet.Racks)
 }
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -28,8 +28,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if h.Ladder.Rates[1] != 200 || h.Ladder.Rates[2] != 400 || h.Tariffs[1].Name != "exam" || !h.Tariffs[1].Paid ||
-		h.Tariffs[1].HardStop != 2*time.Second || h.Tariffs[0].Top != 2 || h.Ramp.Places[0] != 18 ||
+	if h.Ladder.Rates[1] != 200 || h.Ladder.Rates[2] != 400 || h.Tariffs[1].Name != "exam" || !h.Tariffs[1].AtMostOnce ||
+		h.Tariffs[1].HardStop != 2*time.Second || h.Tariffs[0].Top != 2 || h.Ramp.MaxStreams[0] != 18 ||
 		h.Grace != 250*time.Millisecond || h.Door.Nodes.Queue != 64<<10 || h.Door.Nodes.Write != 100*time.Millisecond {
 		t.Fatalf("%+v", h)
 	}
--- a/internal/day/baseline.go
+++ b/internal/day/baseline.go
@@ -32,29 +32,29 @@
 	chance   *rand.Rand
 	how      choice
 	turn     int
-	nodes    map[string]policy.Entry
+	nodes    map[string]policy.NodeEntry
 	order    []string
 	streams  map[string]float64
 	sessions map[uint64]*plain // emptied as sessions end
 }
 
 type plain struct {
-	policy.Demand
+	policy.Request
 	legs int
 	node string
 	ran  bool
 }
 
 func newBaseline(h *conf.House, seed uint64, how choice) *baseline {
-	return &baseline{house: h, chance: rand.New(rand.NewPCG(seed, 5)), how: how, nodes: map[string]policy.Entry{},
+	return &baseline{house: h, chance: rand.New(rand.NewPCG(seed, 5)), how: how, nodes: map[string]policy.NodeEntry{},
 		streams: map[string]float64{}, sessions: map[uint64]*plain{}}
 }
 
 // Step takes what happened and returns what is to be done.
 func (b *baseline) Step(now time.Duration, e policy.Event) []policy.Action {
 	switch e := e.(type) {
-	case policy.Roster:
-		if e.Kind != policy.Update {
+	case policy.ServerList:
+		if e.Kind != policy.ListUpdate {
 			clear(b.nodes)
 			b.order = nil
 		}
@@ -64,11 +64,11 @@
 			}
 			b.nodes[x.Node] = x
 		}
-	case policy.Demand:
-		s := &plain{Demand: e}
+	case policy.Request:
+		s := &plain{Request: e}
 		b.sessions[e.ID] = s
 		return b.place(now, s)
-	case policy.Result:
+	case policy.LegResult:
 		s := b.sessions[e.ID]
 		if s == nil {
 			return nil
@@ -84,9 +84,9 @@
 			delete(b.sessions, e.ID)
 			return nil
 		}
-		s.ran = s.ran || e.Outcome != policy.Full && e.Outcome != policy.Unconnected && e.Outcome != policy.Moot
+		s.ran = s.ran || e.Outcome != policy.Full && e.Outcome != policy.ConnectFailed && e.Outcome != policy.NeverStarted
 		return b.place(now, s)
-	case policy.Gone:
+	case policy.ClientGone:
 		if s := b.sessions[e.ID]; s != nil && s.node == "" {
 			delete(b.sessions, e.ID)
 		}
@@ -99,16 +99,16 @@
 	cells := b.house.Fleet.Cells
 	var holders []string
 	for _, name := range b.order {
-		if n := b.nodes[name]; n.State == policy.Up && (n.Cell-s.Base+cells)%cells < s.Copies {
+		if n := b.nodes[name]; n.State == policy.Up && (n.Cell-s.FirstCell+cells)%cells < s.Copies {
 			holders = append(holders, name)
 		}
 	}
-	if s.ran && t.Paid || len(holders) == 0 || s.legs >= b.house.Legs.Most || now >= s.HardStop {
+	if s.ran && t.AtMostOnce || len(holders) == 0 || s.legs >= b.house.Legs.MaxLegs || now >= s.Deadline {
 		delete(b.sessions, s.ID)
-		if s.ran && t.Paid {
+		if s.ran && t.AtMostOnce {
 			return []policy.Action{policy.Fail{ID: s.ID}}
 		}
-		return []policy.Action{policy.Nack{ID: s.ID, Backoff: b.house.Tidings.Backoff}}
+		return []policy.Action{policy.Nack{ID: s.ID, Backoff: b.house.Tidings.MaxBackoff}}
 	}
 	at, rung := holders[b.chance.IntN(len(holders))], t.Floor
 	if b.how == inTurn {
@@ -116,7 +116,7 @@
 		at = holders[b.turn%len(holders)]
 	}
 	if b.how != atRandom {
-		rung = max(t.Floor, min(len(b.house.Ladder.Rates)/2, t.Top, s.Top))
+		rung = max(t.Floor, min(len(b.house.Ladder.Rates)/2, t.Top, s.MaxRung))
 	}
 	if b.how == leastFirst {
 		for _, name := range holders {
@@ -129,8 +129,8 @@
 	s.node = at
 	b.streams[at]++
 	var within time.Duration
-	if !t.Paid {
-		within = min(t.GoalTime*2/5, s.HardStop-now)
+	if !t.AtMostOnce {
+		within = min(t.GoalTime*2/5, s.Deadline-now)
 	}
-	return []policy.Action{policy.Rate{ID: s.ID, Rung: rung}, policy.Dispatch{ID: s.ID, Node: at, Within: within}}
+	return []policy.Action{policy.SetRung{ID: s.ID, Rung: rung}, policy.Dispatch{ID: s.ID, Node: at, Timeout: within}}
 }
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -98,15 +98,15 @@
 		// A floor is ignored, in the module's own words.
 		witness.RuleTerms: func(_ policy.Event, out []policy.Action) []policy.Action {
 			for i, a := range out {
-				if r, ok := a.(policy.Rate); ok {
-					out[i] = policy.Rate{ID: r.ID, Rung: 0}
+				if r, ok := a.(policy.SetRung); ok {
+					out[i] = policy.SetRung{ID: r.ID, Rung: 0}
 				}
 			}
 			return out
 		},
 		// Whoever drains is sent to on purpose.
 		witness.RuleDrain: func(e policy.Event, out []policy.Action) []policy.Action {
-			if r, ok := e.(policy.Roster); ok {
+			if r, ok := e.(policy.ServerList); ok {
 				for _, x := range r.Entries {
 					if x.State == policy.Draining {
 						drained[x.Node] = true
@@ -124,7 +124,7 @@
 		},
 		// Whoever failed is tried again, paid or not.
 		witness.RuleOnce: func(e policy.Event, out []policy.Action) []policy.Action {
-			if r, ok := e.(policy.Result); ok && r.Outcome == policy.Errored && !r.Final {
+			if r, ok := e.(policy.LegResult); ok && r.Outcome == policy.Errored && !r.Final {
 				return []policy.Action{policy.Dispatch{ID: r.ID, Node: r.Node}}
 			}
 			return out
--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -122,10 +122,10 @@
 		if kind < 0 {
 			return nil, fmt.Errorf("node %s is of kind %q, which fleet.machines does not have", e.Node, e.Kind)
 		}
-		y.machine(e, h.Fleet.Racks, int(h.Ramp.Places[kind]), h.Fleet.LinkUnit*e.Weight)
+		y.machine(e, h.Fleet.Racks, int(h.Ramp.MaxStreams[kind]), h.Fleet.LinkUnit*e.Weight)
 	}
-	y.Site = node.Site{Warmup: h.Ramp.Warmup, ColdFrom: h.Ramp.ColdFrom, Multiple: h.Ramp.Multiple, TipAfter: h.Ramp.TipAfter,
-		Late: h.Tidings.Late, Every: h.Tidings.Every, Refresh: 300 * time.Millisecond, Worth: y.Worth, StallCost: stallCost}
+	y.Site = node.Site{Warmup: h.Ramp.Warmup, ColdFrom: h.Ramp.InitialShare, Multiple: h.Ramp.OverloadMultiple, TipAfter: h.Ramp.OverloadWindow,
+		Late: h.Tidings.Delay, Every: h.Tidings.Interval, Refresh: 300 * time.Millisecond, Worth: y.Worth, StallCost: stallCost}
 	for range h.Fleet.Racks {
 		y.Site.Uplinks = append(y.Site.Uplinks, h.Fleet.Uplink*(0.85+0.3*y.chance.Float64()))
 	}
@@ -140,7 +140,7 @@
 	name := DirectorName(i)
 	if y.house != nil {
 		h := *y.house
-		h.Name, h.Peers.Me, h.Peers.Directors, h.Listen, h.List, h.Metrics = name, i, y.Script.Directors, "127.0.0.1:0", list, ""
+		h.Name, h.Peers.Index, h.Peers.Directors, h.Listen, h.List, h.Metrics = name, i, y.Script.Directors, "127.0.0.1:0", list, ""
 		h.Nodes, h.Titles = nil, nil // the list has them
 		return &h, nil, nil
 	}
@@ -165,7 +165,7 @@
 		i = 2
 	}
 	t := h.Tariffs[i%len(h.Tariffs)]
-	v.Tariff, v.Paid, v.Wait, v.Goal = t.Name, t.Paid, t.HardStop, t.GoalTime
+	v.Tariff, v.Paid, v.Wait, v.Goal = t.Name, t.AtMostOnce, t.HardStop, t.GoalTime
 	// Some titles are wanted far more than others.
 	x := r.Float64()
 	title := int(x * x * float64(len(y.Titles)))
@@ -197,12 +197,12 @@
 // Terms are the figures of the rules, as directors of a house were told them.
 func Terms(h *conf.House, slack time.Duration) witness.Terms {
 	t := witness.Terms{
-		Tariffs: map[string]witness.Tariff{}, Grace: h.Grace, Warmup: h.Ramp.Warmup, ColdFrom: h.Ramp.ColdFrom,
-		Multiple: h.Ramp.Multiple, TipAfter: h.Ramp.TipAfter, Most: h.Legs.Most, Spare: h.Legs.Spare, Share: h.Legs.Share,
-		Span: h.Legs.Span, Slack: slack,
+		Tariffs: map[string]witness.Tariff{}, Grace: h.Grace, Warmup: h.Ramp.Warmup, ColdFrom: h.Ramp.InitialShare,
+		Multiple: h.Ramp.OverloadMultiple, TipAfter: h.Ramp.OverloadWindow, Most: h.Legs.MaxLegs, Spare: h.Legs.MinRetries, Share: h.Legs.RetryRatio,
+		Span: h.Legs.Window, Slack: slack,
 	}
 	for _, x := range h.Tariffs {
-		t.Tariffs[x.Name] = witness.Tariff{Paid: x.Paid, Floor: x.Floor, Seats: x.Seats, Credit: x.Credit, Goal: x.GoalTime}
+		t.Tariffs[x.Name] = witness.Tariff{Paid: x.AtMostOnce, Floor: x.Floor, Seats: x.Seats, Credit: x.Credit, Goal: x.GoalTime}
 	}
 	return t
 }
--- a/internal/director/attempt.go
+++ b/internal/director/attempt.go
@@ -51,13 +51,13 @@
 	if s == nil || s.answered || s.leg != nil || n == nil {
 		// What can't be carried out comes back as what is true of it: it was never sent.
 		l.counts.Stray++
-		l.tell(policy.Result{ID: a.ID, Node: a.Node, Outcome: policy.Moot, Final: s == nil || s.answered, Load: policy.NoLoad})
+		l.tell(policy.LegResult{ID: a.ID, Node: a.Node, Outcome: policy.NeverStarted, Final: s == nil || s.answered, Load: policy.NoLoad})
 		return
 	}
 	l.lastLeg++
 	g := &leg{id: l.lastLeg, session: s, node: n, stop: s.stop, began: l.now}
-	if a.Within > 0 {
-		g.stop = min(g.stop, l.now+a.Within)
+	if a.Timeout > 0 {
+		g.stop = min(g.stop, l.now+a.Timeout)
 	}
 	s.leg = g
 	s.legs++
@@ -100,7 +100,7 @@
 	return l.ladder.Rates[min(s.rung, len(l.ladder.Rates)-1)] * l.tariffs[s.tariff].Scale
 }
 
-func (l *Loop) rate(a policy.Rate) {
+func (l *Loop) rate(a policy.SetRung) {
 	s := l.sessions[a.ID]
 	if s == nil || s.phase == over {
 		return
@@ -168,10 +168,10 @@
 	l.tell(policy.Accepted{ID: s.id})
 	// A node that reports tells with the answer what is asked of its link and uplink now.
 	if load != nil && load.Link != nil {
-		l.tell(policy.Note{ID: s.id, Node: g.node.name, Kind: policy.LinkNote, Value: *load.Link})
+		l.tell(policy.Measurement{ID: s.id, Node: g.node.name, Kind: policy.LinkLoad, Value: *load.Link})
 	}
 	if load != nil && load.Uplink != nil {
-		l.tell(policy.Note{ID: s.id, Node: g.node.name, Kind: policy.UplinkNote, Value: *load.Uplink})
+		l.tell(policy.Measurement{ID: s.id, Node: g.node.name, Kind: policy.UplinkLoad, Value: *load.Uplink})
 	}
 }
 
@@ -210,7 +210,7 @@
 	if final {
 		l.closeSession(s)
 	}
-	l.tell(policy.Result{ID: s.id, Node: n.name, Outcome: outcome, Final: final, Load: loadOf(load)})
+	l.tell(policy.LegResult{ID: s.id, Node: n.name, Outcome: outcome, Final: final, Load: loadOf(load)})
 	l.dropLink(n)
 	l.needed(n)
 	l.dropNode(n)
--- a/internal/director/deadlines.go
+++ b/internal/director/deadlines.go
@@ -56,7 +56,7 @@
 func (l *Loop) fire(t due) {
 	switch t.kind {
 	case timerRing:
-		l.tell(policy.Ring{})
+		l.tell(policy.TimerFired{})
 	case timerLeg:
 		if g := l.legs[t.id]; g != nil {
 			l.legOverdue(g)
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -271,7 +271,7 @@
 	switch a := a.(type) {
 	case policy.Dispatch:
 		l.dispatch(a)
-	case policy.Rate:
+	case policy.SetRung:
 		l.rate(a)
 	case policy.Nack:
 		if s := l.sessions[a.ID]; s != nil && !s.answered {
@@ -283,12 +283,12 @@
 			l.errored(s, "set-up did not succeed")
 			l.closeSession(s)
 		}
-	case policy.Schedule:
+	case policy.SetTimer:
 		l.timers.Add(a.At, due{timerRing, 0})
-	case policy.Listen:
+	case policy.PollServerList:
 		l.do(SendDiscovery{wire.List{Type: wire.Listen, Director: l.name}})
 	case policy.Log:
-		l.do(Log{a.Words})
+		l.do(Log{a.Message})
 	}
 }
 
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -486,7 +486,7 @@
 	odd := &oddModule{}
 	s.loop.module = odd
 	s.want("1", "clip")
-	if len(odd.results) != 1 || odd.results[0].Outcome != policy.Moot || odd.results[0].Final {
+	if len(odd.results) != 1 || odd.results[0].Outcome != policy.NeverStarted || odd.results[0].Final {
 		t.Fatal(odd.results)
 	}
 	s.pass(3 * time.Second) // it never answers: the loop does
@@ -497,13 +497,13 @@
 	s.empty()
 }
 
-type oddModule struct{ results []policy.Result }
+type oddModule struct{ results []policy.LegResult }
 
 func (o *oddModule) Step(_ time.Duration, e policy.Event) []policy.Action {
 	switch e := e.(type) {
-	case policy.Demand:
+	case policy.Request:
 		return []policy.Action{policy.Dispatch{ID: e.ID, Node: "nowhere"}, policy.Nack{ID: 999}}
-	case policy.Result:
+	case policy.LegResult:
 		o.results = append(o.results, e)
 	}
 	return nil
@@ -513,7 +513,7 @@
 	for f, proven := range map[fate]bool{fateFull: true, fateUnmade: true, fateWithdrawn: true, fateUnsent: true, fateFailed: false,
 		fateTimedOut: false, fateReset: false, fateCalledOff: false, fateServed: false, fateBroken: false} {
 		outcome, proof := neverRan(f)
-		module := outcome == policy.Full || outcome == policy.Unconnected || outcome == policy.Moot
+		module := outcome == policy.Full || outcome == policy.ConnectFailed || outcome == policy.NeverStarted
 		if proven != (proof > 0) || proven != module {
 			t.Error(f, outcome, proof)
 		}
@@ -668,8 +668,8 @@
 			greeting.Age = 10
 		}
 		s.do(LinkReceived{Link: s.links[name(0)], Message: greeting})
-		if n := s.loop.nodes[name(0)]; n.entry.Born < s.now-50*ms {
-			t.Fatalf("by the list %t: taken for started at %v at %v", byList, n.entry.Born, s.now)
+		if n := s.loop.nodes[name(0)]; n.entry.StartedAt < s.now-50*ms {
+			t.Fatalf("by the list %t: taken for started at %v at %v", byList, n.entry.StartedAt, s.now)
 		}
 	}
 }
--- a/internal/director/guard.go
+++ b/internal/director/guard.go
@@ -81,7 +81,7 @@
 		rule = RuleNoSendAfterEnd
 	case s.leg != g:
 		rule = RuleOneAttempt
-	case s.ran && l.tariffs[s.tariff].Paid:
+	case s.ran && l.tariffs[s.tariff].AtMostOnce:
 		rule = RulePaidOnce
 	case !g.node.open:
 		rule = RuleNoSendToDraining
--- a/internal/director/list.go
+++ b/internal/director/list.go
@@ -20,10 +20,10 @@
 }
 
 func (l *Loop) listSaid(m wire.List) {
-	kind := policy.Update
+	kind := policy.ListUpdate
 	switch m.Type {
 	case wire.Whole:
-		kind = policy.Replace
+		kind = policy.ListReplaced
 		named := map[string]bool{}
 		for _, e := range m.Nodes {
 			named[e.Node] = true
@@ -47,7 +47,7 @@
 		}
 		l.titles[t.Title] = title{titleID(t.Title), t.Base, t.Copies}
 	}
-	roster := policy.Roster{Kind: kind}
+	roster := policy.ServerList{Kind: kind}
 	for _, e := range m.Nodes {
 		roster.Entries = append(roster.Entries, l.entry(e))
 	}
@@ -83,12 +83,12 @@
 }
 
 // entry takes a node's line of the list into the books and puts it into the module's words.
-func (l *Loop) entry(e wire.Entry) policy.Entry {
+func (l *Loop) entry(e wire.Entry) policy.NodeEntry {
 	n := l.nodes[e.Node]
 	born := l.bornBy(e.Age)
 	if n == nil && e.State != wire.Removed {
-		n = &node{name: e.Node, born: policy.LongAgo, legs: map[uint64]*leg{}}
-		if born == policy.LongAgo && l.listed { // it was not on the list before: who knows better says so
+		n = &node{name: e.Node, born: policy.UnknownStart, legs: map[uint64]*leg{}}
+		if born == policy.UnknownStart && l.listed { // it was not on the list before: who knows better says so
 			born = l.now
 		}
 		if k := len(l.free); k > 0 {
@@ -104,8 +104,8 @@
 	if !known {
 		kind = len(l.kind) // no such machine is known: the module takes the least for granted
 	}
-	out := policy.Entry{
-		Node: e.Node, State: states[e.State], Kind: kind, Zone: e.Zone, Born: policy.LongAgo, Weight: e.Weight, Cell: e.Cell,
+	out := policy.NodeEntry{
+		Node: e.Node, State: states[e.State], MachineKind: kind, Zone: e.Zone, StartedAt: policy.UnknownStart, Weight: e.Weight, Cell: e.Cell,
 	}
 	if n == nil {
 		return out
@@ -114,22 +114,22 @@
 	if n.up && n.reached != 0 && e.Start != n.reached && e.State != wire.Removed && l.behind(n, e, born, moved) {
 		// The list is behind: it tells of a start before the one that the node itself has told of. To hang up
 		// for that would break what plays there.
-		out.Born = n.born
+		out.StartedAt = n.born
 		n.open, n.entry = e.State == wire.Up, out
 		return out
 	}
 	changed := e.Start != n.start
-	if changed && born == policy.LongAgo && n.start != 0 && e.Start != 0 {
+	if changed && born == policy.UnknownStart && n.start != 0 && e.Start != 0 {
 		born = l.now // another start of it was known: this one can't be from long ago
 	}
 	anew := !n.listed || changed || moved
-	if born != policy.LongAgo && (anew || born > n.born+sameStart) {
+	if born != policy.UnknownStart && (anew || born > n.born+sameStart) {
 		n.born = born
 	}
 	if l.manners.Loose && changed && n.listed && n.start != 0 {
 		l.restarted(n)
 	}
-	out.Born = n.born
+	out.StartedAt = n.born
 	n.begin(e.Start)
 	n.open, n.entry = e.State == wire.Up, out
 	switch {
--- a/internal/director/loose.go
+++ b/internal/director/loose.go
@@ -130,9 +130,9 @@
 	if m.Top != nil {
 		top = min(top, *m.Top)
 	}
-	l.tell(policy.Demand{
-		ID: s.id, Tariff: tariff, Title: titleID(m.Title), Base: b.Base, Copies: b.Copies, Top: top, HardStop: l.now,
-		Playing: n.name,
+	l.tell(policy.Request{
+		ID: s.id, Tariff: tariff, Title: titleID(m.Title), FirstCell: b.Base, Copies: b.Copies, MaxRung: top, Deadline: l.now,
+		PlayingOn: n.name,
 	})
 }
 
--- a/internal/director/nodes.go
+++ b/internal/director/nodes.go
@@ -26,13 +26,13 @@
 	up      bool // connected
 	greeted bool // and the node has said since which start it is in
 	link    uint64
-	reached uint64        // the start that the connection was made to; 0: not told yet
-	since   time.Duration // when that was, by the node's own word
-	entry   policy.Entry  // as the module last heard it
-	made    time.Duration // when the connection was
-	check   uint64        // loose: the connection that is being made beside a doubted one
-	old     uint64        // loose: the connection before, until the set-ups sent on it have ended
-	ends    []wire.Node   // loose: what is still to be called off there; emptied by the next connection
+	reached uint64           // the start that the connection was made to; 0: not told yet
+	since   time.Duration    // when that was, by the node's own word
+	entry   policy.NodeEntry // as the module last heard it
+	made    time.Duration    // when the connection was
+	check   uint64           // loose: the connection that is being made beside a doubted one
+	old     uint64           // loose: the connection before, until the set-ups sent on it have ended
+	ends    []wire.Node      // loose: what is still to be called off there; emptied by the next connection
 	ping    alarm.Handle
 	idle    alarm.Handle    // looks whether the connection has been idle for too long
 	used    time.Duration   // when anything last went either way
@@ -115,7 +115,7 @@
 			l.legEnds(g, fateServed, m.Load)
 		}
 	case wire.Note:
-		l.tell(policy.Note{ID: g.session.id, Node: n.name, Kind: policy.NoteKind(m.Kind), Value: m.Value})
+		l.tell(policy.Measurement{ID: g.session.id, Node: n.name, Kind: policy.MeasurementKind(m.Kind), Value: m.Value})
 	default:
 		l.counts.BadWord++
 	}
@@ -134,15 +134,15 @@
 	n.greeted = true
 	anew := false
 	if m.Start != 0 && n.listed {
-		if n.since == policy.LongAgo && n.start != 0 && m.Start != n.start {
+		if n.since == policy.UnknownStart && n.start != 0 && m.Start != n.start {
 			n.since = l.now // another start of it was known: this one can't be from long ago
 		}
-		anew = n.since != policy.LongAgo && (m.Start != n.start || n.since > n.born+sameStart)
+		anew = n.since != policy.UnknownStart && (m.Start != n.start || n.since > n.born+sameStart)
 		n.begin(m.Start)
 		if anew {
 			n.born = n.since
-			n.entry.Born = n.born
-			l.tell(policy.Roster{Kind: policy.Update, Entries: []policy.Entry{n.entry}})
+			n.entry.StartedAt = n.born
+			l.tell(policy.ServerList{Kind: policy.ListUpdate, Entries: []policy.NodeEntry{n.entry}})
 		}
 	}
 	for _, g := range sorted(n.legs) {
@@ -170,7 +170,7 @@
 // that it is no time any more.
 func (l *Loop) bornBy(age int64) time.Duration {
 	if age <= 0 || age > forgotten.Milliseconds() {
-		return policy.LongAgo
+		return policy.UnknownStart
 	}
 	return l.now - time.Duration(age)*time.Millisecond
 }
@@ -179,7 +179,7 @@
 // list tells no age, that is a start known before; of one that was never heard of, the connection knows best as long
 // as the node is still where it leads to.
 func (l *Loop) behind(n *node, e wire.Entry, born time.Duration, moved bool) bool {
-	if born != policy.LongAgo {
+	if born != policy.UnknownStart {
 		return born < n.since
 	}
 	return e.Start == n.former || !moved
--- a/internal/director/proof.go
+++ b/internal/director/proof.go
@@ -48,15 +48,15 @@
 	case fateFull:
 		return policy.Full, 1
 	case fateUnmade:
-		return policy.Unconnected, 2
+		return policy.ConnectFailed, 2
 	case fateMissed:
-		return policy.Moot, 2
+		return policy.NeverStarted, 2
 	case fateWithdrawn:
-		return policy.Unconnected, 3
+		return policy.ConnectFailed, 3
 	case fateUnsent:
-		return policy.Unconnected, 4
+		return policy.ConnectFailed, 4
 	case fateNew: // nothing against the node: the module decides again, knowing that it is cold
-		return policy.Moot, 3
+		return policy.NeverStarted, 3
 	case fateFailed:
 		return policy.Errored, 0
 	case fateTimedOut:
--- a/internal/director/properties_test.go
+++ b/internal/director/properties_test.go
@@ -15,8 +15,8 @@
 // usual is a town in which nothing is scarce.
 func usual(rule string) charter {
 	return charter{rule: rule, directors: 2, nodes: 3, steps: 60, crowd: 3, ages: true, says: []string{wire.Accepted, wire.Accepted, wire.Full, wire.Failed, wire.Ended, wire.Note, wire.Note}, tariffs: tariffs,
-		ramp: policy.Ramp{Places: []float64{100}, Warmup: 2 * time.Second, ColdFrom: 0.5, Multiple: 4, TipAfter: 500 * ms},
-		legs: policy.Legs{Most: 4}}
+		ramp: policy.Ramp{MaxStreams: []float64{100}, Warmup: 2 * time.Second, InitialShare: 0.5, OverloadMultiple: 4, OverloadWindow: 500 * ms},
+		legs: policy.RetryPolicy{MaxLegs: 4}}
 }
 
 // runs is how many seeds each property is held to.
@@ -92,8 +92,8 @@
 func TestRule2PaidSetUpOnce(t *testing.T) {
 	holds(t, usual(witness.RuleOnce), func(c *charter) {
 		c.lie = func(e policy.Event) policy.Event {
-			if r, ok := e.(policy.Result); ok && r.Outcome == policy.Errored {
-				r.Outcome = policy.Unconnected
+			if r, ok := e.(policy.LegResult); ok && r.Outcome == policy.Errored {
+				r.Outcome = policy.ConnectFailed
 				return r
 			}
 			return e
@@ -104,7 +104,7 @@
 // Rule 3: from the moment a director was told that a node drains or is gone, nothing new reaches it from there.
 func TestRule3NothingToADrainingNode(t *testing.T) {
 	holds(t, usual(witness.RuleDrain), func(c *charter) {
-		c.lie = roster(func(e *policy.Entry) { e.State = policy.Up })
+		c.lie = roster(func(e *policy.NodeEntry) { e.State = policy.Up })
 		c.unguarded = true
 	})
 }
@@ -114,7 +114,7 @@
 	refused := uint64(0)
 	for seed := range uint64(20) {
 		c := usual(witness.RuleDrain)
-		c.lie = roster(func(e *policy.Entry) { e.State = policy.Up })
+		c.lie = roster(func(e *policy.NodeEntry) { e.State = policy.Up })
 		w := newTown(t, seed, c)
 		if v := w.play(); !v.Kept() {
 			t.Fatalf("seed %d: %s", seed, breaches(v))
@@ -129,9 +129,9 @@
 }
 
 // roster is a lie about the list.
-func roster(change func(*policy.Entry)) func(policy.Event) policy.Event {
+func roster(change func(*policy.NodeEntry)) func(policy.Event) policy.Event {
 	return func(e policy.Event) policy.Event {
-		r, ok := e.(policy.Roster)
+		r, ok := e.(policy.ServerList)
 		if !ok {
 			return e
 		}
@@ -148,7 +148,7 @@
 	c := usual(witness.RuleCold)
 	c.directors, c.nodes, c.steps, c.crowd = 4, 2, 120, 8
 	c.tariffs = tariffs[:1]
-	c.ramp = policy.Ramp{Places: []float64{20}, Warmup: 4 * time.Second, ColdFrom: 0.4, Multiple: 2, TipAfter: time.Second}
+	c.ramp = policy.Ramp{MaxStreams: []float64{20}, Warmup: 4 * time.Second, InitialShare: 0.4, OverloadMultiple: 2, OverloadWindow: time.Second}
 	return c
 }
 
@@ -159,7 +159,7 @@
 			c := scarce()
 			c.ages = ages
 			holds(t, c, func(c *charter) {
-				c.module = func(g *given) { g.ramp.Multiple *= 10 }
+				c.module = func(g *given) { g.ramp.OverloadMultiple *= 10 }
 			})
 		})
 	}
@@ -189,9 +189,9 @@
 func TestRule6FurtherLegsAreRationed(t *testing.T) {
 	c := usual(witness.RuleBudget)
 	c.nodes, c.steps, c.crowd, c.tariffs, c.says = 4, 120, 6, tariffs[:1], []string{wire.Accepted, wire.Full, wire.Full, wire.Ended}
-	c.legs = policy.Legs{Most: 4, Spare: 2, Share: 0.02, Span: 3 * time.Second}
+	c.legs = policy.RetryPolicy{MaxLegs: 4, MinRetries: 2, RetryRatio: 0.02, Window: 3 * time.Second}
 	holds(t, c, func(c *charter) {
-		c.module = func(g *given) { g.legs.Span = 0 }
+		c.module = func(g *given) { g.legs.Window = 0 }
 	})
 }
 
--- a/internal/director/replaced_test.go
+++ b/internal/director/replaced_test.go
@@ -51,7 +51,7 @@
 	e.Age = absurd
 	s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
 	s.do(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Hello, Start: 1, Age: absurd}})
-	if born := s.loop.nodes["n0"].born; born != policy.LongAgo {
+	if born := s.loop.nodes["n0"].born; born != policy.UnknownStart {
 		t.Fatal("started at", born)
 	}
 }
--- a/internal/director/session.go
+++ b/internal/director/session.go
@@ -157,8 +157,8 @@
 	if m.Top != nil {
 		top = min(top, *m.Top)
 	}
-	l.tell(policy.Demand{
-		ID: s.id, Tariff: tariff, Title: t.id, Base: t.base, Copies: t.copies, Top: top, HardStop: stop,
+	l.tell(policy.Request{
+		ID: s.id, Tariff: tariff, Title: t.id, FirstCell: t.base, Copies: t.copies, MaxRung: top, Deadline: stop,
 	})
 }
 
@@ -213,7 +213,7 @@
 		l.requestEvent(RequestAbandoned, s, reason)
 		l.settleAnswer(s, nil)
 	}
-	l.tell(policy.Gone{ID: s.id})
+	l.tell(policy.ClientGone{ID: s.id})
 	if s.leg != nil {
 		l.callOff(s.leg)
 		l.legEnds(s.leg, fateCalledOff, nil)
--- a/internal/director/stage_test.go
+++ b/internal/director/stage_test.go
@@ -33,22 +33,22 @@
 
 var tariffs = []Tariff{
 	{"clip", policy.Tariff{GoalTime: time.Second, HardStop: 3 * time.Second, Credit: 1, Scale: 1, Top: 2}},
-	{"exam", policy.Tariff{GoalTime: time.Second, HardStop: 2 * time.Second, Credit: 3, Scale: 1, Top: 2, Floor: 1, Paid: true, Seats: 2}},
+	{"exam", policy.Tariff{GoalTime: time.Second, HardStop: 2 * time.Second, Credit: 3, Scale: 1, Top: 2, Floor: 1, AtMostOnce: true, Seats: 2}},
 }
 
 func newStage(t failer, nodes int) *stage { return newStageWith(t, nodes, func(*Loop) {}) }
 
 // newStageWith changes the loop before it hears of anything.
 func newStageWith(t failer, nodes int, change func(l *Loop)) *stage {
-	ladder := policy.Ladder{Rates: []float64{100, 200, 400}, JoinAdds: 1}
+	ladder := policy.Ladder{Rates: []float64{100, 200, 400}, JoinCost: 1}
 	fleet := policy.Fleet{Cells: 8, Racks: 2, LinkUnit: 10_000, Uplink: 100_000}
-	ramp := policy.Ramp{Places: []float64{100}, Warmup: time.Second, ColdFrom: 0.5, Multiple: 4, TipAfter: 500 * ms}
+	ramp := policy.Ramp{MaxStreams: []float64{100}, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4, OverloadWindow: 500 * ms}
 	plain := make([]policy.Tariff, len(tariffs))
 	for i, x := range tariffs {
 		plain[i] = x.Tariff
 	}
-	module := policy.New(1, policy.Peers{Directors: 1}, plain, ladder, fleet, ramp, policy.Legs{Most: 4},
-		policy.Tidings{Late: 500 * ms, Every: 2 * time.Second, Backoff: time.Second})
+	module := policy.New(1, policy.Peers{Directors: 1}, plain, ladder, fleet, ramp, policy.RetryPolicy{MaxLegs: 4},
+		policy.ReportTiming{Delay: 500 * ms, Interval: 2 * time.Second, MaxBackoff: time.Second})
 	s := &stage{t: t, links: map[string]uint64{}}
 	s.loop = New("d", "b", 1, module, tariffs, []string{"box"}, ladder,
 		Manners{AnswerAhead: 50 * ms, Linger: time.Second, Connect: 250 * ms, PerConnection: 4},
--- a/internal/director/town_test.go
+++ b/internal/director/town_test.go
@@ -39,7 +39,7 @@
 	crowd     int // requests that come together at most
 	tariffs   []Tariff
 	ramp      policy.Ramp
-	legs      policy.Legs
+	legs      policy.RetryPolicy
 	says      []string // what nodes say of a leg
 	ages      bool     // nodes and list tell ages
 	lie       func(policy.Event) policy.Event
@@ -52,7 +52,7 @@
 type given struct {
 	tariffs []policy.Tariff
 	ramp    policy.Ramp
-	legs    policy.Legs
+	legs    policy.RetryPolicy
 }
 
 // A liar is a module that is told something else than what happened.
@@ -152,11 +152,11 @@
 	if c.module != nil {
 		c.module(&g)
 	}
-	ladder := policy.Ladder{Rates: []float64{100, 200, 400}, JoinAdds: 1}
+	ladder := policy.Ladder{Rates: []float64{100, 200, 400}, JoinCost: 1}
 	seed := p.Uint64()
-	var module Decider = policy.New(seed, policy.Peers{Me: p.number, Directors: c.directors}, g.tariffs, ladder,
+	var module Decider = policy.New(seed, policy.Peers{Index: p.number, Directors: c.directors}, g.tariffs, ladder,
 		policy.Fleet{Cells: 8, Racks: 2, LinkUnit: 10_000, Uplink: 100_000}, g.ramp, g.legs,
-		policy.Tidings{Late: 500 * ms, Every: 2 * time.Second, Backoff: time.Second})
+		policy.ReportTiming{Delay: 500 * ms, Interval: 2 * time.Second, MaxBackoff: time.Second})
 	if c.lie != nil {
 		module = liar{module, c.lie}
 	}
@@ -596,7 +596,7 @@
 	if m.start += uint64(1 + w.IntN(3)); w.odds(4) { // another number, not a higher one
 		m.start = w.Uint64N(50) + 100
 	}
-	w.note(witness.Record{What: witness.Started, Node: m.name, Places: w.charter.ramp.Places[0]})
+	w.note(witness.Record{What: witness.Started, Node: m.name, Places: w.charter.ramp.MaxStreams[0]})
 }
 
 // listTurns lets the list say something new of a node, to some directors now and to the others later.
@@ -630,10 +630,10 @@
 	}
 	w.pass(5 * time.Second)
 	c := w.charter
-	terms := witness.Terms{Tariffs: map[string]witness.Tariff{}, Grace: 0, Warmup: c.ramp.Warmup, ColdFrom: c.ramp.ColdFrom, Multiple: c.ramp.Multiple,
-		TipAfter: c.ramp.TipAfter, Most: c.legs.Most, Spare: c.legs.Spare, Share: c.legs.Share, Span: c.legs.Span}
+	terms := witness.Terms{Tariffs: map[string]witness.Tariff{}, Grace: 0, Warmup: c.ramp.Warmup, ColdFrom: c.ramp.InitialShare, Multiple: c.ramp.OverloadMultiple,
+		TipAfter: c.ramp.OverloadWindow, Most: c.legs.MaxLegs, Spare: c.legs.MinRetries, Share: c.legs.RetryRatio, Span: c.legs.Window}
 	for _, t := range c.tariffs {
-		terms.Tariffs[t.Name] = witness.Tariff{Paid: t.Paid, Floor: t.Floor, Seats: t.Seats}
+		terms.Tariffs[t.Name] = witness.Tariff{Paid: t.AtMostOnce, Floor: t.Floor, Seats: t.Seats}
 	}
 	witness.Sort(w.records)
 	return witness.Check(terms, w.records)
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -25,7 +25,7 @@
 }
 
 func (g *gate) Step(now time.Duration, happened policy.Event) []policy.Action {
-	if d, ok := happened.(policy.Demand); ok && d.Playing == "" {
+	if d, ok := happened.(policy.Request); ok && d.PlayingOn == "" {
 		g.once.Do(func() {
 			close(g.entered)
 			<-g.open
@@ -153,7 +153,7 @@
 
 func (w drainWatch) Step(now time.Duration, happened policy.Event) []policy.Action {
 	out := w.Decider.Step(now, happened)
-	if list, ok := happened.(policy.Roster); ok && slices.ContainsFunc(list.Entries, func(e policy.Entry) bool { return e.State == policy.Draining }) {
+	if list, ok := happened.(policy.ServerList); ok && slices.ContainsFunc(list.Entries, func(e policy.NodeEntry) bool { return e.State == policy.Draining }) {
 		select {
 		case w.drains <- struct{}{}:
 		default:
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -112,8 +112,8 @@
 }
 
 // noteKinds are the module's notes, by their causes.
-var noteKinds = map[string]policy.NoteKind{
-	"quality": policy.ShareNote, "profile": policy.RungNote, "nic": policy.LinkNote, "tor": policy.UplinkNote,
+var noteKinds = map[string]policy.MeasurementKind{
+	"quality": policy.DeliveredShare, "profile": policy.CurrentRung, "nic": policy.LinkLoad, "tor": policy.UplinkLoad,
 }
 
 // FromNode reads a media node's message.
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -141,7 +141,7 @@
 			switch o.Message.Type {
 			case wire.Setup:
 				w.legs++
-				if w.left || w.answered || w.out || w.ran && w.class.Paid {
+				if w.left || w.answered || w.out || w.ran && w.class.AtMostOnce {
 					c.Fatalf("%s is set up: %+v", w.name, *w)
 				}
 				if !c.open[o.Link] || c.drains[c.links[o.Link]] {
@@ -167,7 +167,7 @@
 				if w.answered || w.left || c.now > w.by {
 					c.Fatalf("%s is answered %s at %v: %+v", w.name, o.Message.Type, c.now, *w)
 				}
-				if o.Message.Type == wire.Nack && w.class.Paid && w.ran {
+				if o.Message.Type == wire.Nack && w.class.AtMostOnce && w.ran {
 					c.Fatalf("%s may have run and coming again is called harmless", w.name)
 				}
 				w.answered = true
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -188,7 +188,7 @@
 		h.Tariffs = append(h.Tariffs, director.Tariff{Name: t.Classes[i].Name, Tariff: x})
 		goals[i] = x.GoalTime
 	}
-	h.Peers.Me, h.Peers.Directors, h.Peers.Zone = t.Me, t.Directors, t.Zone
+	h.Peers.Index, h.Peers.Directors, h.Peers.Zone = t.Me, t.Directors, t.Zone
 	h.Fleet.Cells, h.Fleet.Racks = t.Family.Cells, t.Family.Racks
 	connect := simwire.Span(t.Permissions.Connect)
 	if connect <= 0 {
--- a/internal/simwire/conf.go
+++ b/internal/simwire/conf.go
@@ -98,9 +98,9 @@
 // Ladder is the rungs.
 func (c *Conf) Ladder() policy.Ladder {
 	f := &c.Family
-	ladder := policy.Ladder{Rates: f.Ladder, Worth: f.Worth, JoinAdds: 1}
+	ladder := policy.Ladder{Rates: f.Ladder, Worth: f.Worth, JoinCost: 1}
 	if f.Join != nil {
-		ladder.JoinAdds = *f.Join
+		ladder.JoinCost = *f.Join
 	}
 	return ladder
 }
@@ -175,7 +175,7 @@
 	for i, class := range c.Classes {
 		t := policy.Tariff{
 			GoalTime: Span(class.Target), HardStop: Span(class.GiveUp), Credit: class.Credit,
-			Paid: class.Semantics != "free", Scale: at(f.Scale, i, 1), Floor: at(f.Floor, i, 0),
+			AtMostOnce: class.Semantics != "free", Scale: at(f.Scale, i, 1), Floor: at(f.Floor, i, 0),
 			Top: at(f.Top, i, len(f.Ladder)-1), Seats: at(f.Seats, i, 0), Live: at(f.Live, i, false),
 		}
 		t.HardStop = cmp.Or(t.HardStop, Unhurried)
@@ -190,26 +190,26 @@
 func (c *Conf) Director(seed uint64) *policy.Director {
 	f := &c.Family
 	ramp := policy.Ramp{
-		Places: f.Places, Warmup: Span(c.Rules.Ramp), ColdFrom: c.Rules.ColdFrom,
-		Multiple: c.Rules.Multiple, TipAfter: Span(c.Rules.TipAfter),
+		MaxStreams: f.Places, Warmup: Span(c.Rules.Ramp), InitialShare: c.Rules.ColdFrom,
+		OverloadMultiple: c.Rules.Multiple, OverloadWindow: Span(c.Rules.TipAfter),
 	}
 	if c.Mode == "ask" {
-		ramp.AskWithin = max(Span(c.Rules.AskWithin), time.Millisecond)
+		ramp.PollWithin = max(Span(c.Rules.AskWithin), time.Millisecond)
 	}
 	var backoff time.Duration
 	if c.Permissions.RetryAfter {
 		backoff = Span(c.Permissions.MaxBackoff)
 	}
-	return policy.New(seed, policy.Peers{Me: c.Me, Directors: c.Directors, Zone: c.Zone}, c.Tariffs(), c.Ladder(),
+	return policy.New(seed, policy.Peers{Index: c.Me, Directors: c.Directors, Zone: c.Zone}, c.Tariffs(), c.Ladder(),
 		policy.Fleet{
 			Cells: f.Cells, Racks: f.Racks, LinkUnit: f.LinkUnit, Uplink: f.Uplink,
-			Crossing: c.Prices.Crossing, RefusesFrom: f.RefusesFrom,
+			CrossZoneCost: c.Prices.Crossing, RefusalThreshold: f.RefusesFrom,
 		}, ramp,
-		policy.Legs{
-			Most: max(1, c.Permissions.MaxAttempts), Spare: c.Rules.Spare, Share: c.Rules.Extra,
-			Span: Span(c.Rules.Span),
+		policy.RetryPolicy{
+			MaxLegs: max(1, c.Permissions.MaxAttempts), MinRetries: c.Rules.Spare, RetryRatio: c.Rules.Extra,
+			Window: Span(c.Rules.Span),
 		},
-		policy.Tidings{Late: Span(f.Late), Every: Span(f.Every), Backoff: backoff})
+		policy.ReportTiming{Delay: Span(f.Late), Interval: Span(f.Every), MaxBackoff: backoff})
 }
 
 // Load reads a report by the order of its fields.
@@ -237,9 +237,9 @@
 	}
 }
 
-var rosterKinds = map[string]policy.RosterKind{
-	"update": policy.Update, "replace": policy.Replace, "restored": policy.Restored,
-	"unavailable": policy.Unavailable,
+var rosterKinds = map[string]policy.ServerListKind{
+	"update": policy.ListUpdate, "replace": policy.ListReplaced, "restored": policy.ListRestored,
+	"unavailable": policy.ListUnavailable,
 }
 
 var nodeStates = map[string]policy.NodeState{
@@ -247,23 +247,23 @@
 }
 
 // Roster reads a change of the list for an instance that started at the given clock.
-func (c *Conf) Roster(kind string, entries []Entry, start time.Duration) (policy.Roster, error) {
+func (c *Conf) Roster(kind string, entries []Entry, start time.Duration) (policy.ServerList, error) {
 	k, ok := rosterKinds[kind]
 	if !ok {
-		return policy.Roster{}, fmt.Errorf("unknown list kind %q", kind)
+		return policy.ServerList{}, fmt.Errorf("unknown list kind %q", kind)
 	}
-	r := policy.Roster{Kind: k, Entries: make([]policy.Entry, len(entries))}
+	r := policy.ServerList{Kind: k, Entries: make([]policy.NodeEntry, len(entries))}
 	for i, e := range entries {
 		state, ok := nodeStates[e.State]
 		if !ok {
 			return r, fmt.Errorf("unknown state %q of node %s", e.State, e.Node)
 		}
-		born := policy.LongAgo
+		born := policy.UnknownStart
 		if e.Born != 0 {
 			born = Span(e.Born) - start
 		}
-		r.Entries[i] = policy.Entry{
-			Node: e.Node, State: state, Kind: c.kinds[e.Kind], Zone: e.Zone, Born: born,
+		r.Entries[i] = policy.NodeEntry{
+			Node: e.Node, State: state, MachineKind: c.kinds[e.Kind], Zone: e.Zone, StartedAt: born,
 			Weight: e.Weight, Cell: e.Cell,
 		}
 	}
@@ -271,13 +271,13 @@
 }
 
 // Demand reads a request, or a session handed over while it plays.
-func (c *Conf) Demand(m *Message, start time.Duration) (policy.Demand, error) {
+func (c *Conf) Demand(m *Message, start time.Duration) (policy.Request, error) {
 	tariff, ok := c.tariffs[m.Tariff]
 	if !ok {
-		return policy.Demand{}, fmt.Errorf("unknown class %q", m.Tariff)
+		return policy.Request{}, fmt.Errorf("unknown class %q", m.Tariff)
 	}
-	return policy.Demand{
-		ID: m.ID, Tariff: tariff, Title: m.Title, Base: int(m.Base), Copies: int(m.Copies),
-		Top: int(m.Top), HardStop: Span(m.Stop) - start, Playing: m.Node,
+	return policy.Request{
+		ID: m.ID, Tariff: tariff, Title: m.Title, FirstCell: int(m.Base), Copies: int(m.Copies),
+		MaxRung: int(m.Top), Deadline: Span(m.Stop) - start, PlayingOn: m.Node,
 	}, nil
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -86,7 +86,7 @@
 
 var outcomes = map[int]policy.Outcome{
 	0: policy.Served, 255: policy.Errored, 254: policy.Full, 253: policy.TimedOut,
-	252: policy.Unconnected, 251: policy.Reset, 250: policy.Cancelled, 249: policy.Moot,
+	252: policy.ConnectFailed, 251: policy.Reset, 250: policy.Cancelled, 249: policy.NeverStarted,
 }
 
 // Outcome reads an outcome code.
@@ -218,10 +218,10 @@
 		w.begin("dispatch", instance)
 		w.txn(a.ID)
 		w.key("within_s")
-		w.buf = appendSeconds(w.buf, a.Within)
+		w.buf = appendSeconds(w.buf, a.Timeout)
 		w.key("node")
 		w.text(a.Node)
-	case policy.Rate:
+	case policy.SetRung:
 		w.begin("rate", instance)
 		w.txn(a.ID)
 		w.key("grade")
@@ -236,20 +236,20 @@
 	case policy.Fail:
 		w.begin("fail", instance)
 		w.txn(a.ID)
-	case policy.Schedule:
+	case policy.SetTimer:
 		w.begin("schedule", instance)
 		w.key("time_s")
 		w.buf = appendSeconds(w.buf, start+a.At)
 		w.key("token")
 		w.buf = append(w.buf, '0')
-	case policy.Listen:
+	case policy.PollServerList:
 		w.begin("listen", instance)
 		w.key("enable")
 		w.buf = append(w.buf, "true"...)
 	case policy.Log:
 		w.begin("log", instance)
 		w.key("words")
-		w.text(a.Words)
+		w.text(a.Message)
 	}
 	w.buf = append(w.buf, "}\n"...)
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -30,8 +30,8 @@
 	}
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	w.Action("director-3", time.Second, policy.Schedule{At: 1500 * time.Millisecond})
-	w.Action("director-3", time.Second, policy.Dispatch{ID: 1<<52 - 1, Node: "n", Within: 80 * time.Millisecond})
+	w.Action("director-3", time.Second, policy.SetTimer{At: 1500 * time.Millisecond})
+	w.Action("director-3", time.Second, policy.Dispatch{ID: 1<<52 - 1, Node: "n", Timeout: 80 * time.Millisecond})
 	if out.Len() > 0 {
 		t.Fatal("a reply went out before its end")
 	}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -12,17 +12,17 @@
 	for _, held := range []int{0, 5_000, 20_000} {
 		b.Run(fmt.Sprint("held=", held), func(b *testing.B) {
 			tariffs := []Tariff{{GoalTime: time.Second, HardStop: 2 * time.Second, Credit: 1, Scale: 1, Top: 3, Seats: 1 << 20}}
-			d := New(1, Peers{Directors: 1}, tariffs, Ladder{Rates: []float64{100, 200, 400, 800}, JoinAdds: 1},
-				Fleet{Cells: 250, Racks: 36, LinkUnit: 1e9, Uplink: 1e10}, Ramp{Places: []float64{1e6}}, Legs{Most: 4}, Tidings{Late: time.Second})
-			list := Roster{Kind: Replace}
+			d := New(1, Peers{Directors: 1}, tariffs, Ladder{Rates: []float64{100, 200, 400, 800}, JoinCost: 1},
+				Fleet{Cells: 250, Racks: 36, LinkUnit: 1e9, Uplink: 1e10}, Ramp{MaxStreams: []float64{1e6}}, RetryPolicy{MaxLegs: 4}, ReportTiming{Delay: time.Second})
+			list := ServerList{Kind: ListReplaced}
 			for i := range 250 {
-				list.Entries = append(list.Entries, Entry{Node: fmt.Sprint(i), Born: LongAgo, Weight: 1, Cell: i})
+				list.Entries = append(list.Entries, NodeEntry{Node: fmt.Sprint(i), StartedAt: UnknownStart, Weight: 1, Cell: i})
 			}
 			d.Step(0, list)
 			id := uint64(0)
 			request := func() {
 				id++
-				d.Step(0, Demand{ID: id, Title: id % 500, Base: int(id) % 250, Copies: 6, Top: 3, HardStop: 2 * time.Second})
+				d.Step(0, Request{ID: id, Title: id % 500, FirstCell: int(id) % 250, Copies: 6, MaxRung: 3, Deadline: 2 * time.Second})
 				d.Step(0, Accepted{ID: id})
 			}
 			for range held {
@@ -30,7 +30,7 @@
 			}
 			for b.Loop() {
 				request()
-				d.Step(0, Result{ID: id, Final: true, Load: NoLoad})
+				d.Step(0, LegResult{ID: id, Final: true, Load: NoLoad})
 			}
 		})
 	}
@@ -39,28 +39,28 @@
 // What one event costs among so many nodes, each title being held by four of them.
 func BenchmarkEvents(b *testing.B) {
 	for _, nodes := range []int{200, 800, 3200} {
-		start := func() (*Director, Roster) {
+		start := func() (*Director, ServerList) {
 			tariffs := []Tariff{{GoalTime: time.Second, HardStop: 2 * time.Second, Credit: 1, Scale: 1, Top: 3}}
-			d := New(1, Peers{Directors: 300}, tariffs, Ladder{Rates: []float64{100, 200, 400, 800}, JoinAdds: 1},
-				Fleet{Cells: nodes, Racks: nodes / 7, LinkUnit: 1e9, Uplink: 1e10}, Ramp{Places: []float64{1e6}, Warmup: 10 * time.Second},
-				Legs{Most: 4}, Tidings{Late: time.Second, Every: 4 * time.Second})
-			list := Roster{Kind: Replace}
+			d := New(1, Peers{Directors: 300}, tariffs, Ladder{Rates: []float64{100, 200, 400, 800}, JoinCost: 1},
+				Fleet{Cells: nodes, Racks: nodes / 7, LinkUnit: 1e9, Uplink: 1e10}, Ramp{MaxStreams: []float64{1e6}, Warmup: 10 * time.Second},
+				RetryPolicy{MaxLegs: 4}, ReportTiming{Delay: time.Second, Interval: 4 * time.Second})
+			list := ServerList{Kind: ListReplaced}
 			for i := range nodes {
-				list.Entries = append(list.Entries, Entry{Node: fmt.Sprint(i), Born: LongAgo, Weight: 1, Cell: i})
+				list.Entries = append(list.Entries, NodeEntry{Node: fmt.Sprint(i), StartedAt: UnknownStart, Weight: 1, Cell: i})
 			}
 			d.Step(0, list)
 			return d, list
 		}
 		now := 20 * time.Second
 		ask := func(d *Director, id uint64) {
-			d.Step(now, Demand{ID: id, Title: id % 500, Base: int(id) % nodes, Copies: 4, Top: 3, HardStop: now + 2*time.Second})
+			d.Step(now, Request{ID: id, Title: id % 500, FirstCell: int(id) % nodes, Copies: 4, MaxRung: 3, Deadline: now + 2*time.Second})
 			d.Step(now, Accepted{ID: id})
 		}
 		b.Run(fmt.Sprintf("request/nodes=%d", nodes), func(b *testing.B) {
 			d, _ := start()
 			for id := uint64(1); b.Loop(); id++ {
 				ask(d, id)
-				d.Step(now, Result{ID: id, Final: true, Load: NoLoad})
+				d.Step(now, LegResult{ID: id, Final: true, Load: NoLoad})
 			}
 		})
 		b.Run(fmt.Sprintf("note/nodes=%d", nodes), func(b *testing.B) {
@@ -68,19 +68,19 @@
 			ask(d, 1)
 			s := &d.sessions[0]
 			for b.Loop() {
-				d.Step(now, Note{ID: 1, Node: d.nodes[s.node].name, Kind: LinkNote, Value: 0.5})
+				d.Step(now, Measurement{ID: 1, Node: d.nodes[s.node].name, Kind: LinkLoad, Value: 0.5})
 			}
 		})
 		b.Run(fmt.Sprintf("look/nodes=%d", nodes), func(b *testing.B) {
 			d, _ := start()
-			for at := now; b.Loop(); at += pulse {
-				d.Step(at, Ring{})
+			for at := now; b.Loop(); at += tickInterval {
+				d.Step(at, TimerFired{})
 			}
 		})
 		b.Run(fmt.Sprintf("change/nodes=%d", nodes), func(b *testing.B) {
 			d, list := start()
 			for b.Loop() {
-				d.Step(now, Roster{Kind: Update, Entries: list.Entries[:1]})
+				d.Step(now, ServerList{Kind: ListUpdate, Entries: list.Entries[:1]})
 			}
 		})
 	}
--- a/policy/fair.go
+++ b/policy/fair.go
@@ -8,8 +8,8 @@
 // fairRates computes the fair rate of every node of a rack. A stream's usual rate is that of this
 // director's own sessions, of which the middle rung's counts as one.
 func (d *Director) fairRates(r int) {
-	g := &d.gauge
-	g.usual = (g.middle + g.own) / float64(1+g.legs)
+	g := &d.load
+	g.usual = (g.middle + g.ownLoad) / float64(1+g.legs)
 	members, total := d.index.inRack(r, d.nodes), 0.0
 	for _, n := range members {
 		n.streams = g.streams(n)
--- a/policy/health.go
+++ b/policy/health.go
@@ -15,10 +15,10 @@
 	untried   = 8
 )
 
-// may tells whether a leg may go to a node. One that was set aside gets a trickle of free ones first, and of
+// allows tells whether a leg may go to a node. One that was set aside gets a trickle of free ones first, and of
 // paid ones only once no free one has come for long: it guards a fleet of paid tariffs against losing node
 // after node for good.
-func (h *health) may(outs int, paid bool, now time.Duration) bool {
+func (h *health) allows(outs int, paid bool, now time.Duration) bool {
 	if h.trickle == 0 {
 		return true
 	}
@@ -47,9 +47,9 @@
 func (d *Director) errored(n *node, s *session) {
 	switch {
 	case s.phase == playing:
-		d.symptom(n, s, Errored)
-	case d.rungs.tariffs[s.Tariff].Paid:
-		d.alone(n, s)
+		d.recordFailure(n, s, Errored)
+	case d.rungs.tariffs[s.Tariff].AtMostOnce:
+		d.unconfirmedError(n, s)
 	case !s.erred:
 		s.errorAt = n.name
 	default:
@@ -58,22 +58,22 @@
 	s.erred = true
 }
 
-// alone holds an error that no other node has a word on against its node if the last such one was there too.
-func (d *Director) alone(n *node, s *session) {
+// unconfirmedError holds an error that no other node has a word on against its node if the last such one was there too.
+func (d *Director) unconfirmedError(n *node, s *session) {
 	if n.errors++; n.errors > 1 {
-		d.symptom(n, s, Errored)
+		d.recordFailure(n, s, Errored)
 	}
 }
 
-// symptom holds a leg's end, or its long silence, against the node.
-func (d *Director) symptom(n *node, s *session, o Outcome) {
+// recordFailure holds a leg's end, or its long silence, against the node.
+func (d *Director) recordFailure(n *node, s *session, o Outcome) {
 	s.suspected = true
 	if o == Full { // it runs, but has no room: its figure must be out of date
-		n.use.hear(max(d.gauge.link(n), cmp.Or(d.gauge.fleet.RefusesFrom, 1)), n.size, 1, d.now)
+		n.use.observe(max(d.load.link(n), cmp.Or(d.load.fleet.RefusalThreshold, 1)), n.size, 1, d.now)
 		return
 	}
 	if o != Errored {
-		n.doubted = d.now
+		n.suspectedAt = d.now
 	}
 	if n.health.trickle == 0 {
 		d.log("node %s set aside: outcome %d after %v", n.name, o, d.now-s.sent)
--- a/policy/index.go
+++ b/policy/index.go
@@ -66,8 +66,8 @@
 	return x.members
 }
 
-// left notes that a node was taken off the list.
-func (x *index) left(place int, n *node) {
+// unlisted notes that a node was taken off the list.
+func (x *index) unlisted(place int, n *node) {
 	if !n.leaving {
 		n.leaving = true
 		x.leaving = append(x.leaving, place)
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -19,13 +19,13 @@
 func (d *Director) place(i int) {
 	s := &d.sessions[i]
 	t := &d.rungs.tariffs[s.Tariff]
-	left := s.HardStop - d.now
-	late := d.now - s.came
-	if left <= 2*pulse || late >= t.GoalTime || len(s.tried) >= d.ration.legs.Most {
+	left := s.Deadline - d.now
+	late := d.now - s.receivedAt
+	if left <= 2*tickInterval || late >= t.GoalTime || len(s.tried) >= d.retries.legs.MaxLegs {
 		d.giveUp(i)
 		return
 	}
-	if t.Seats > 0 && d.seated(s) >= t.Seats || len(s.tried) > 0 && !d.ration.may(d.now) {
+	if t.Seats > 0 && d.seated(s) >= t.Seats || len(s.tried) > 0 && !d.retries.allows(d.now) {
 		return
 	}
 	at := d.choose(s, t)
@@ -33,26 +33,26 @@
 		return
 	}
 	if len(s.tried) > 0 {
-		d.ration.spend(d.now)
+		d.retries.recordRetry(d.now)
 	}
 	n := &d.nodes[at]
 	s.node = at
 	reference := d.rungs.reference(s, n.fair)
 	rung := payoff(t.Floor, d.fitting(s, n, reference), reference, reference)
 	if rung != s.rung {
-		d.do(Rate{s.ID, rung})
+		d.emit(SetRung{s.ID, rung})
 	}
 	var within time.Duration
-	if !t.Paid {
+	if !t.AtMostOnce {
 		within = min(legTime(t.GoalTime), left)
 	}
-	d.do(Dispatch{s.ID, n.name, within})
-	s.phase, s.sent, s.suspected = setting, d.now, false
-	d.sit(s)
+	d.emit(Dispatch{s.ID, n.name, within})
+	s.phase, s.sent, s.suspected = settingUp, d.now, false
+	d.takeSeat(s)
 	d.countLeg(n, 1)
-	n.outs++
-	d.warmth.sent(n, d.now)
-	d.carry(s, rung)
+	n.setups++
+	d.slowStart.sent(n, d.now)
+	d.book(s, rung)
 }
 
 // choose picks the lower link share of two random holders that may take the session and have room for
@@ -62,46 +62,46 @@
 func (d *Director) choose(s *session, t *Tariff) int {
 	var roomy, aside []int
 	well, least := 0, d.rungs.rate(s, t.Floor)
-	for _, i := range d.index.holders(s.Base, s.Copies) {
+	for _, i := range d.index.holders(s.FirstCell, s.Copies) {
 		n := &d.nodes[i]
 		if n.listed != Up {
 			continue
 		}
-		may := n.health.may(n.outs, t.Paid, d.now)
+		may := n.health.allows(n.setups, t.AtMostOnce, d.now)
 		if may {
 			well++
 		}
-		link, uplink := d.gauge.counts(n, least, least)
+		link, uplink := d.load.projected(n, least, least)
 		switch {
-		case max(link, uplink) > fullAt || slices.Contains(s.tried, i) || !d.warmth.may(n, d.now) ||
-			!may && n.outs > 0:
+		case max(link, uplink) > fullThreshold || slices.Contains(s.tried, i) || !d.slowStart.allows(n, d.now) ||
+			!may && n.setups > 0:
 		case may:
 			roomy = append(roomy, i)
 		default:
 			aside = append(aside, i)
 		}
 	}
-	if len(roomy) == 0 && (well == 0 || !t.Paid) {
+	if len(roomy) == 0 && (well == 0 || !t.AtMostOnce) {
 		roomy = aside
 	}
 	if len(roomy) == 0 {
 		return -1
 	}
-	k := d.chance.below(len(roomy))
+	k := d.random.below(len(roomy))
 	a := roomy[k]
 	if roomy = slices.Delete(roomy, k, k+1); len(roomy) > 0 {
-		if b := roomy[d.chance.below(len(roomy))]; d.weighed(&d.nodes[b]) < d.weighed(&d.nodes[a]) {
+		if b := roomy[d.random.below(len(roomy))]; d.placementCost(&d.nodes[b]) < d.placementCost(&d.nodes[a]) {
 			return b
 		}
 	}
 	return a
 }
 
-// weighed is a node's link share, and what crossing to its zone costs set against it.
-func (d *Director) weighed(n *node) float64 {
-	share := d.gauge.link(n)
+// placementCost is a node's link share, and what crossing to its zone costs set against it.
+func (d *Director) placementCost(n *node) float64 {
+	share := d.load.link(n)
 	if n.zone != d.zone {
-		share += crossingWeight * d.gauge.fleet.Crossing
+		share += crossingWeight * d.load.fleet.CrossZoneCost
 	}
 	return share
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -50,17 +50,17 @@
 }
 
 // still is a director of one rack of three nodes, all with a link of 1000 kB a second.
-func still(paid bool, directors int) (*Director, []Entry) {
+func still(paid bool, directors int) (*Director, []NodeEntry) {
 	d := New(1, Peers{Directors: directors}, []Tariff{{GoalTime: time.Second, HardStop: 4 * time.Second,
-		Credit: 1, Paid: paid, Scale: 1, Top: 2}}, Ladder{Rates: []float64{50, 100, 200}, JoinAdds: 1},
+		Credit: 1, AtMostOnce: paid, Scale: 1, Top: 2}}, Ladder{Rates: []float64{50, 100, 200}, JoinCost: 1},
 		Fleet{Cells: 3, Racks: 1, LinkUnit: 1000, Uplink: 2000},
-		Ramp{Places: []float64{20}, Warmup: 10 * time.Second, ColdFrom: .5, Multiple: 4, TipAfter: time.Second},
-		Legs{Most: 4}, Tidings{Late: time.Second})
-	var list []Entry
+		Ramp{MaxStreams: []float64{20}, Warmup: 10 * time.Second, InitialShare: .5, OverloadMultiple: 4, OverloadWindow: time.Second},
+		RetryPolicy{MaxLegs: 4}, ReportTiming{Delay: time.Second})
+	var list []NodeEntry
 	for i, name := range []string{"a", "b", "c"} {
-		list = append(list, Entry{Node: name, Born: LongAgo, Weight: 1, Cell: i})
+		list = append(list, NodeEntry{Node: name, StartedAt: UnknownStart, Weight: 1, Cell: i})
 	}
-	d.Step(0, Roster{Kind: Restored, Entries: list})
+	d.Step(0, ServerList{Kind: ListRestored, Entries: list})
 	return d, list
 }
 
@@ -77,14 +77,14 @@
 func TestPeersCorrectAlike(t *testing.T) {
 	d, _ := still(false, 2)
 	for id := uint64(1); id <= 3; id++ {
-		d.Step(0, Demand{ID: id, Copies: 3, Top: 2, HardStop: time.Hour, Playing: "a"})
-		d.Step(0, Note{ID: id, Node: "a", Kind: RungNote, Value: 2})
+		d.Step(0, Request{ID: id, Copies: 3, MaxRung: 2, Deadline: time.Hour, PlayingOn: "a"})
+		d.Step(0, Measurement{ID: id, Node: "a", Kind: CurrentRung, Value: 2})
 	}
-	d.Step(5*time.Second, Note{ID: 1, Node: "a", Kind: LinkNote, Value: 1.2})
+	d.Step(5*time.Second, Measurement{ID: 1, Node: "a", Kind: LinkLoad, Value: 1.2})
 	downs := 0
-	for at := 5 * time.Second; at < 8*time.Second; at += pulse {
-		for _, a := range d.Step(at, Ring{}) {
-			if r, ok := a.(Rate); ok && r.Rung < 2 {
+	for at := 5 * time.Second; at < 8*time.Second; at += tickInterval {
+		for _, a := range d.Step(at, TimerFired{}) {
+			if r, ok := a.(SetRung); ok && r.Rung < 2 {
 				downs++
 			}
 		}
@@ -99,11 +99,11 @@
 	rung := func(own uint64) int {
 		d, _ := still(false, 2)
 		for id := uint64(1); id <= own; id++ {
-			d.Step(0, Demand{ID: id, Copies: 3, Top: 2, HardStop: time.Hour, Playing: "a"})
-			d.Step(0, Note{ID: id, Node: "a", Kind: RungNote, Value: 2})
+			d.Step(0, Request{ID: id, Copies: 3, MaxRung: 2, Deadline: time.Hour, PlayingOn: "a"})
+			d.Step(0, Measurement{ID: id, Node: "a", Kind: CurrentRung, Value: 2})
 		}
-		d.Step(2*time.Second, Note{ID: 1, Node: "a", Kind: LinkNote, Value: 0.8}) // four sessions' worth
-		return d.fitting(&session{Demand: Demand{Top: 2}, node: 0}, &d.nodes[0], 2)
+		d.Step(2*time.Second, Measurement{ID: 1, Node: "a", Kind: LinkLoad, Value: 0.8}) // four sessions' worth
+		return d.fitting(&session{Request: Request{MaxRung: 2}, node: 0}, &d.nodes[0], 2)
 	}
 	if all, some := rung(4), rung(1); all <= some {
 		t.Fatalf("who holds all raises up to rung %d, who holds a quarter up to %d", all, some)
@@ -117,14 +117,14 @@
 func TestWhatIsHandedOverClimbsAsASetUpWould(t *testing.T) {
 	for handed, want := range map[bool]int{true: 2, false: 1} {
 		d, _ := still(false, 1)
-		d.Step(0, Demand{ID: 1, Copies: 1, Top: 2, HardStop: time.Hour, Playing: "a"})
-		d.Step(0, Note{ID: 1, Node: "a", Kind: RungNote, Value: 1})
-		d.Step(0, Note{ID: 1, Node: "a", Kind: LinkNote, Value: 0.3})
+		d.Step(0, Request{ID: 1, Copies: 1, MaxRung: 2, Deadline: time.Hour, PlayingOn: "a"})
+		d.Step(0, Measurement{ID: 1, Node: "a", Kind: CurrentRung, Value: 1})
+		d.Step(0, Measurement{ID: 1, Node: "a", Kind: LinkLoad, Value: 0.3})
 		i, _ := d.ids.find(1)
 		s := &d.sessions[i]
-		s.strange = handed
+		s.adopted = handed
 		d.nodes[s.node].fair = 140 // a reference of 1.4: nearer to 1, the mean
-		d.now, d.gauge.now = rescoreEvery, rescoreEvery
+		d.now, d.load.now = rescoreEvery, rescoreEvery
 		d.rescore(s)
 		if s.rung != want {
 			t.Fatalf("handed over %v: rung %d, wanted %d", handed, s.rung, want)
@@ -135,15 +135,15 @@
 // Sessions handed over waited for two seconds, and for two more where no figure had come by then.
 func TestWhatIsHandedOverIsScoredOnceItsNodeIsHeard(t *testing.T) {
 	d, _ := still(false, 1)
-	d.Step(0, Demand{ID: 1, Copies: 1, Top: 2, HardStop: time.Hour, Playing: "a"})
-	at := pulse
-	for ; at < rescoreEvery+rescoreEvery/2; at += pulse {
-		if _, ok := find[Rate](d.Step(at, Ring{})); ok {
+	d.Step(0, Request{ID: 1, Copies: 1, MaxRung: 2, Deadline: time.Hour, PlayingOn: "a"})
+	at := tickInterval
+	for ; at < rescoreEvery+rescoreEvery/2; at += tickInterval {
+		if _, ok := find[SetRung](d.Step(at, TimerFired{})); ok {
 			t.Fatal("stepped without a figure")
 		}
 	}
-	d.Step(at, Note{ID: 1, Node: "a", Kind: LinkNote, Value: 0.1})
-	if _, ok := find[Rate](d.Step(at+pulse, Ring{})); !ok {
+	d.Step(at, Measurement{ID: 1, Node: "a", Kind: LinkLoad, Value: 0.1})
+	if _, ok := find[SetRung](d.Step(at+tickInterval, TimerFired{})); !ok {
 		t.Fatal("not scored at the next look")
 	}
 }
@@ -151,10 +151,10 @@
 // What was short was taken from all tariffs alike, whatever they earned.
 func TestCreditLeans(t *testing.T) {
 	r := rungs{tariffs: []Tariff{{Credit: 1}, {Credit: 3}, {Credit: 1}}}
-	if low, high := r.lean(0), r.lean(1); low >= 0 || high <= 0 || low != r.lean(2) || low != -high {
+	if low, high := r.bias(0), r.bias(1); low >= 0 || high <= 0 || low != r.bias(2) || low != -high {
 		t.Fatalf("credit 1 leans %v, credit 3 %v", low, high)
 	}
-	if r.tariffs = r.tariffs[:1]; r.lean(0) != 0 {
+	if r.tariffs = r.tariffs[:1]; r.bias(0) != 0 {
 		t.Fatal("one tariff alone leans")
 	}
 }
@@ -163,21 +163,21 @@
 func TestNoStepWithoutAFigure(t *testing.T) {
 	d, _ := still(false, 3)
 	for id := uint64(1); id <= 4; id++ {
-		d.Step(0, Demand{ID: id, Copies: 3, Top: 2, HardStop: time.Hour, Playing: "a"})
-		d.Step(0, Note{ID: id, Node: "a", Kind: RungNote, Value: 2})
+		d.Step(0, Request{ID: id, Copies: 3, MaxRung: 2, Deadline: time.Hour, PlayingOn: "a"})
+		d.Step(0, Measurement{ID: id, Node: "a", Kind: CurrentRung, Value: 2})
 	}
-	if _, ok := find[Rate](d.Step(3*time.Second, Ring{})); ok {
+	if _, ok := find[SetRung](d.Step(3*time.Second, TimerFired{})); ok {
 		t.Fatal("stepped without a figure")
 	}
 }
 
 func TestPaidLegThatMayHaveRunFails(t *testing.T) {
 	for outcome, freed := range map[Outcome]bool{
-		Errored: false, TimedOut: false, Reset: false, Cancelled: false, Full: true, Unconnected: true,
+		Errored: false, TimedOut: false, Reset: false, Cancelled: false, Full: true, ConnectFailed: true,
 	} {
 		d, _ := still(true, 1)
-		out, _ := find[Dispatch](d.Step(0, Demand{ID: 9, Copies: 3, HardStop: 4 * time.Second}))
-		acts := d.Step(time.Millisecond, Result{ID: 9, Node: out.Node, Outcome: outcome, Load: NoLoad})
+		out, _ := find[Dispatch](d.Step(0, Request{ID: 9, Copies: 3, Deadline: 4 * time.Second}))
+		acts := d.Step(time.Millisecond, LegResult{ID: 9, Node: out.Node, Outcome: outcome, Load: NoLoad})
 		_, again := find[Dispatch](acts)
 		_, failed := find[Fail](acts)
 		if again != freed || failed == freed {
@@ -189,11 +189,11 @@
 // A node whose set-ups fail quickly looks idle; it must not attract more.
 func TestErrorsSetANodeAside(t *testing.T) {
 	d, _ := still(false, 1)
-	out, _ := find[Dispatch](d.Step(0, Demand{ID: 1, Copies: 3, HardStop: 4 * time.Second}))
-	d.Step(0, Result{ID: 1, Node: out.Node, Outcome: Errored, Load: NoLoad})
+	out, _ := find[Dispatch](d.Step(0, Request{ID: 1, Copies: 3, Deadline: 4 * time.Second}))
+	d.Step(0, LegResult{ID: 1, Node: out.Node, Outcome: Errored, Load: NoLoad})
 	d.Step(0, Accepted{ID: 1}) // elsewhere: it was the node
 	for id := uint64(2); id < 8; id++ {
-		next, ok := find[Dispatch](d.Step(0, Demand{ID: id, Copies: 3, HardStop: 4 * time.Second}))
+		next, ok := find[Dispatch](d.Step(0, Request{ID: id, Copies: 3, Deadline: 4 * time.Second}))
 		if ok && next.Node == out.Node {
 			t.Fatal("sent to a node set aside")
 		}
@@ -204,8 +204,8 @@
 func TestRequestsThatNoNodeCanServeAreHeldAgainstNone(t *testing.T) {
 	d, _ := still(false, 1)
 	for id := uint64(1); id <= 3; id++ {
-		out, ok := find[Dispatch](d.Step(0, Demand{ID: id, Copies: 3, HardStop: 4 * time.Second}))
-		for ; ok; out, ok = find[Dispatch](d.Step(0, Result{ID: id, Node: out.Node, Outcome: Errored, Load: NoLoad})) {
+		out, ok := find[Dispatch](d.Step(0, Request{ID: id, Copies: 3, Deadline: 4 * time.Second}))
+		for ; ok; out, ok = find[Dispatch](d.Step(0, LegResult{ID: id, Node: out.Node, Outcome: Errored, Load: NoLoad})) {
 		}
 	}
 	for i := range d.nodes {
@@ -220,10 +220,10 @@
 	for _, paid := range []bool{true, false} {
 		d, _ := still(paid, 1)
 		err := func(id uint64) {
-			out, _ := find[Dispatch](d.Step(0, Demand{ID: id, Copies: 1, HardStop: 4 * time.Second}))
-			d.Step(0, Result{ID: id, Node: out.Node, Outcome: Errored, Load: NoLoad})
-			for at := time.Duration(0); at < 1200*time.Millisecond; at += pulse { // a free one is held until it is given up
-				d.Step(at, Ring{})
+			out, _ := find[Dispatch](d.Step(0, Request{ID: id, Copies: 1, Deadline: 4 * time.Second}))
+			d.Step(0, LegResult{ID: id, Node: out.Node, Outcome: Errored, Load: NoLoad})
+			for at := time.Duration(0); at < 1200*time.Millisecond; at += tickInterval { // a free one is held until it is given up
+				d.Step(at, TimerFired{})
 			}
 		}
 		err(1)
@@ -240,17 +240,17 @@
 
 // hear gives a director a session on node a at the top rung and a link figure of a at a time.
 func hear(d *Director, id uint64, at time.Duration, figure float64) {
-	d.Step(0, Demand{ID: id, Copies: 3, Top: 2, HardStop: time.Hour, Playing: "a"})
-	d.Step(0, Note{ID: id, Node: "a", Kind: RungNote, Value: 2})
-	d.Step(at, Note{ID: id, Node: "a", Kind: LinkNote, Value: figure})
+	d.Step(0, Request{ID: id, Copies: 3, MaxRung: 2, Deadline: time.Hour, PlayingOn: "a"})
+	d.Step(0, Measurement{ID: id, Node: "a", Kind: CurrentRung, Value: 2})
+	d.Step(at, Measurement{ID: id, Node: "a", Kind: LinkLoad, Value: figure})
 }
 
 // Among hundreds of directors one session read as a flooded link and none as an empty one.
 func TestOneSessionIsNoFlood(t *testing.T) {
 	d, _ := still(false, 300)
-	d.Step(0, Demand{ID: 1, Copies: 3, Top: 2, HardStop: time.Hour, Playing: "a"})
-	d.Step(0, Note{ID: 1, Node: "a", Kind: RungNote, Value: 2})
-	if own, none := d.gauge.link(&d.nodes[0]), d.gauge.link(&d.nodes[1]); own <= none || own > 1.5 || none < 0.3 {
+	d.Step(0, Request{ID: 1, Copies: 3, MaxRung: 2, Deadline: time.Hour, PlayingOn: "a"})
+	d.Step(0, Measurement{ID: 1, Node: "a", Kind: CurrentRung, Value: 2})
+	if own, none := d.load.link(&d.nodes[0]), d.load.link(&d.nodes[1]); own <= none || own > 1.5 || none < 0.3 {
 		t.Fatalf("one session reads as %.2f, none as %.2f", own, none)
 	}
 }
@@ -259,17 +259,17 @@
 func TestWhatIsHeardFades(t *testing.T) {
 	d, _ := still(false, 300)
 	hear(d, 1, time.Second, 1.4)
-	d.Step(0, Demand{ID: 4, Copies: 3, Top: 2, HardStop: time.Hour, Playing: "b"})
+	d.Step(0, Request{ID: 4, Copies: 3, MaxRung: 2, Deadline: time.Hour, PlayingOn: "b"})
 	for range 50 { // two nodes of the rack agree
-		d.Step(time.Second, Note{ID: 1, Node: "a", Kind: UplinkNote, Value: 1.1})
-		d.Step(time.Second, Note{ID: 4, Node: "b", Kind: UplinkNote, Value: 1.1})
+		d.Step(time.Second, Measurement{ID: 1, Node: "a", Kind: UplinkLoad, Value: 1.1})
+		d.Step(time.Second, Measurement{ID: 4, Node: "b", Kind: UplinkLoad, Value: 1.1})
 	}
-	if out, ok := find[Dispatch](d.Step(2*time.Second, Demand{ID: 2, Copies: 3, HardStop: time.Hour})); ok {
+	if out, ok := find[Dispatch](d.Step(2*time.Second, Request{ID: 2, Copies: 3, Deadline: time.Hour})); ok {
 		t.Fatalf("sent to %s over a full uplink", out.Node)
 	}
-	d.Step(3*time.Second, Result{ID: 1, Node: "a", Outcome: Served, Final: true, Load: NoLoad})
-	d.Step(3*time.Second, Result{ID: 4, Node: "b", Outcome: Served, Final: true, Load: NoLoad})
-	if _, ok := find[Dispatch](d.Step(time.Minute, Demand{ID: 3, Copies: 3, HardStop: time.Hour})); !ok {
+	d.Step(3*time.Second, LegResult{ID: 1, Node: "a", Outcome: Served, Final: true, Load: NoLoad})
+	d.Step(3*time.Second, LegResult{ID: 4, Node: "b", Outcome: Served, Final: true, Load: NoLoad})
+	if _, ok := find[Dispatch](d.Step(time.Minute, Request{ID: 3, Copies: 3, Deadline: time.Hour})); !ok {
 		t.Fatal("a minute of silence, and the uplink is still held to be full")
 	}
 }
@@ -280,14 +280,14 @@
 		steps := 0
 		for me := range uint64(200) {
 			d, _ := still(false, 200)
-			d.chance = newPCG(me)
+			d.random = newPCG(me)
 			hear(d, 1, 5*time.Second, figure)
 			if up { // from the lowest rung, with figures to raise it on
-				d.carry(&d.sessions[0], 0)
+				d.book(&d.sessions[0], 0)
 				d.sessions[0].mean = 0
-				d.Step(5*time.Second, Note{ID: 1, Node: "a", Kind: LinkNote, Value: figure})
+				d.Step(5*time.Second, Measurement{ID: 1, Node: "a", Kind: LinkLoad, Value: figure})
 			}
-			if _, ok := find[Rate](d.Step(7*time.Second, Ring{})); ok {
+			if _, ok := find[SetRung](d.Step(7*time.Second, TimerFired{})); ok {
 				steps++
 			}
 		}
@@ -302,10 +302,10 @@
 	d, _ := still(false, 3)
 	hear(d, 1, time.Second, 1.1)
 	at := slices.IndexFunc(d.nodes, func(n node) bool { return n.name == "a" })
-	if out, ok := find[Dispatch](d.Step(time.Second, Demand{ID: 2, Base: at, Copies: 1, HardStop: time.Hour})); ok {
+	if out, ok := find[Dispatch](d.Step(time.Second, Request{ID: 2, FirstCell: at, Copies: 1, Deadline: time.Hour})); ok {
 		t.Fatalf("sent to %s", out.Node)
 	}
-	if _, ok := find[Nack](d.Step(2*time.Second, Ring{})); !ok {
+	if _, ok := find[Nack](d.Step(2*time.Second, TimerFired{})); !ok {
 		t.Fatal("not answered at its goal time")
 	}
 }
@@ -314,15 +314,15 @@
 func TestShareNotesTellWhatIsAsked(t *testing.T) {
 	d, _ := still(false, 3)
 	hear(d, 1, time.Second, 0.6)
-	for kind, value := range map[NoteKind]float64{UplinkNote: 0.7, ShareNote: 0.05} {
-		d.Step(time.Second, Note{ID: 1, Node: "a", Kind: kind, Value: value})
+	for kind, value := range map[MeasurementKind]float64{UplinkLoad: 0.7, DeliveredShare: 0.05} {
+		d.Step(time.Second, Measurement{ID: 1, Node: "a", Kind: kind, Value: value})
 	}
-	d.Step(2*time.Second, Note{ID: 1, Node: "a", Kind: ShareNote, Value: 0.05})
-	if link, uplink := d.gauge.link(&d.nodes[0]), d.gauge.uplink(0); link < 1 || uplink > 0.8 {
+	d.Step(2*time.Second, Measurement{ID: 1, Node: "a", Kind: DeliveredShare, Value: 0.05})
+	if link, uplink := d.load.link(&d.nodes[0]), d.load.uplink(0); link < 1 || uplink > 0.8 {
 		t.Fatalf("link %.2f, uplink %.2f", link, uplink)
 	}
-	d.Step(3*time.Second, Note{ID: 1, Node: "a", Kind: ShareNote, Value: 1})
-	if link := d.gauge.link(&d.nodes[0]); link > raiseTo {
+	d.Step(3*time.Second, Measurement{ID: 1, Node: "a", Kind: DeliveredShare, Value: 1})
+	if link := d.load.link(&d.nodes[0]); link > raiseThreshold {
 		t.Fatalf("short delivery is over, link still at %.2f", link)
 	}
 }
@@ -332,13 +332,13 @@
 func TestDoubtLeavesAPace(t *testing.T) {
 	d, _ := still(false, 300)
 	send := func(id uint64, at time.Duration) bool {
-		_, ok := find[Dispatch](d.Step(at, Demand{ID: id, Copies: 1, HardStop: at + time.Hour}))
+		_, ok := find[Dispatch](d.Step(at, Request{ID: id, Copies: 1, Deadline: at + time.Hour}))
 		return ok
 	}
 	if !send(1, time.Second) || send(2, time.Second) {
 		t.Fatal("a director that has just started sends each node one set-up in the tipping time")
 	}
-	d.Step(12*time.Second, Result{ID: 1, Node: d.nodes[0].name, Outcome: Reset, Final: true, Load: NoLoad})
+	d.Step(12*time.Second, LegResult{ID: 1, Node: d.nodes[0].name, Outcome: Reset, Final: true, Load: NoLoad})
 	d.nodes[0].health, d.nodes[0].sends = health{}, nil
 	if !send(3, 20*time.Second) || send(4, 22*time.Second) || !send(5, 26*time.Second) {
 		t.Fatal("one set-up in five seconds (a warm-up over the multiple of the least warmth) was due")
@@ -348,16 +348,16 @@
 // Lost answers set all holders aside, and paid sessions had nowhere to go.
 func TestWhereAllAreSuspectNoneIs(t *testing.T) {
 	d, _ := still(true, 300)
-	d.warmth.handed = true
+	d.slowStart.adopted = true
 	for i := range d.nodes {
 		d.nodes[i].health = health{1, time.Hour, time.Hour}
 	}
-	if _, ok := find[Dispatch](d.Step(0, Demand{ID: 1, Copies: 3, HardStop: time.Hour})); !ok {
+	if _, ok := find[Dispatch](d.Step(0, Request{ID: 1, Copies: 3, Deadline: time.Hour})); !ok {
 		t.Fatal("all three are set aside, and none is tried")
 	}
 	d.nodes[1].health = health{}
 	for id := uint64(2); id < 5; id++ {
-		out, _ := find[Dispatch](d.Step(0, Demand{ID: id, Copies: 3, HardStop: time.Hour}))
+		out, _ := find[Dispatch](d.Step(0, Request{ID: id, Copies: 3, Deadline: time.Hour}))
 		if out.Node != "" && out.Node != d.nodes[1].name {
 			t.Fatalf("one of three is well, and %s is tried", out.Node)
 		}
@@ -368,33 +368,33 @@
 func TestOddNotesDoNoHarm(t *testing.T) {
 	d, _ := still(false, 3)
 	hear(d, 1, time.Second, 0.5)
-	for _, e := range []Event{Note{ID: 1, Node: "a", Kind: RungNote, Value: 99}, Note{ID: 1, Node: "a", Kind: RungNote, Value: -3},
-		Note{ID: 1, Node: "x", Kind: LinkNote, Value: 1}, Note{ID: 7, Node: "a", Kind: ShareNote}, Accepted{7}, Gone{7}} {
+	for _, e := range []Event{Measurement{ID: 1, Node: "a", Kind: CurrentRung, Value: 99}, Measurement{ID: 1, Node: "a", Kind: CurrentRung, Value: -3},
+		Measurement{ID: 1, Node: "x", Kind: LinkLoad, Value: 1}, Measurement{ID: 7, Node: "a", Kind: DeliveredShare}, Accepted{7}, ClientGone{7}} {
 		d.Step(time.Second, e)
 	}
-	if s := d.sessions[0]; s.rung != 0 || d.nodes[s.node].own != d.rungs.rate(&s, 0) {
-		t.Fatalf("rung %d, %v booked", s.rung, d.nodes[s.node].own)
+	if s := d.sessions[0]; s.rung != 0 || d.nodes[s.node].ownLoad != d.rungs.rate(&s, 0) {
+		t.Fatalf("rung %d, %v booked", s.rung, d.nodes[s.node].ownLoad)
 	}
 }
 
-func TestRulesHold(t *testing.T) { rapid.Check(t, func(t *rapid.T) { newWorld(t).run() }) }
+func TestRulesHold(t *testing.T) { rapid.Check(t, func(t *rapid.T) { newSimulation(t).run() }) }
 
 func TestDoorGivesIndicesBack(t *testing.T) {
-	d := newDoor[uint64]()
+	d := newIndexMap[uint64]()
 	rapid.Check(t, func(t *rapid.T) {
 		inside := rapid.SliceOfNDistinct(rapid.Uint64(), 1, 20, rapid.ID).Draw(t, "ids")
 		var seen []int
 		for _, id := range inside {
-			i, _ := d.enter(id)
+			i, _ := d.assign(id)
 			if slices.Contains(seen, i) {
 				t.Fatal("an index given twice")
 			}
 			seen = append(seen, i)
 		}
 		for _, id := range inside {
-			d.leave(id)
+			d.release(id)
 		}
-		if d.size > 20 || len(d.in) > 0 {
+		if d.size > 20 || len(d.indices) > 0 {
 			t.Fatal("the door keeps what has left")
 		}
 	})
@@ -403,17 +403,17 @@
 // The list put a node into another rack under the same name, and what its sessions carry stayed booked at the old one.
 func TestMovedNodeTakesItsBookingsAlong(t *testing.T) {
 	d, list := still(false, 3)
-	d.gauge.racks = make([]rack, 3)
+	d.load.racks = make([]rack, 3)
 	hear(d, 1, time.Second, 0.5)
 	list[0].Cell = 2
-	d.Step(2*time.Second, Roster{Kind: Update, Entries: list[:1]})
-	if own := d.gauge.racks[2].own; own != 200 {
+	d.Step(2*time.Second, ServerList{Kind: ListUpdate, Entries: list[:1]})
+	if own := d.load.racks[2].ownLoad; own != 200 {
 		t.Fatalf("%v kB/s booked at the new rack", own)
 	}
-	d.Step(3*time.Second, Result{ID: 1, Node: "a", Outcome: Served, Final: true, Load: NoLoad})
-	for i, r := range d.gauge.racks {
-		if r.own != 0 {
-			t.Fatalf("%v kB/s left at rack %d", r.own, i)
+	d.Step(3*time.Second, LegResult{ID: 1, Node: "a", Outcome: Served, Final: true, Load: NoLoad})
+	for i, r := range d.load.racks {
+		if r.ownLoad != 0 {
+			t.Fatalf("%v kB/s left at rack %d", r.ownLoad, i)
 		}
 	}
 }
@@ -421,7 +421,7 @@
 // A title whose first cell the list counted past the last one was set up on nodes that do not hold it.
 func TestCellsAreCountedRound(t *testing.T) {
 	d, _ := still(false, 1) // three cells, a node in each
-	out, ok := find[Dispatch](d.Step(0, Demand{ID: 1, Base: 3*7 + 1, Copies: 1, HardStop: time.Hour}))
+	out, ok := find[Dispatch](d.Step(0, Request{ID: 1, FirstCell: 3*7 + 1, Copies: 1, Deadline: time.Hour}))
 	if !ok || out.Node != "b" {
 		t.Fatalf("sent to %q", out.Node)
 	}
@@ -431,29 +431,29 @@
 func TestSuccessorStartsWithoutFigures(t *testing.T) {
 	d, list := still(false, 3)
 	hear(d, 1, time.Second, 1.4)
-	d.Step(time.Second, Result{ID: 1, Node: "a", Outcome: Reset, Final: true, Load: Load{19, -1, -1}})
-	list[0].Born = 1500 * time.Millisecond
-	d.Step(2*time.Second, Roster{Kind: Update, Entries: list[:1]})
-	if n := &d.nodes[0]; n.use.known || n.reported >= 0 || d.gauge.link(n) > unheard {
-		t.Fatalf("link %.2f, streams %v", d.gauge.link(n), n.reported)
+	d.Step(time.Second, LegResult{ID: 1, Node: "a", Outcome: Reset, Final: true, Load: Load{19, -1, -1}})
+	list[0].StartedAt = 1500 * time.Millisecond
+	d.Step(2*time.Second, ServerList{Kind: ListUpdate, Entries: list[:1]})
+	if n := &d.nodes[0]; n.use.known || n.reported >= 0 || d.load.link(n) > defaultLoad {
+		t.Fatalf("link %.2f, streams %v", d.load.link(n), n.reported)
 	}
 }
 
 // it fail: it sent its whole part of the fall budget twice.
 func TestFlappingListIsNoFreshStart(t *testing.T) {
 	d, list := still(false, 1)
-	d.warmth.handed = true
-	list[0].Born = time.Second
+	d.slowStart.adopted = true
+	list[0].StartedAt = time.Second
 	sent := 0
 	for id := uint64(1); id <= 40; id++ {
 		now := 2*time.Second + time.Duration(id)*time.Millisecond
-		for _, word := range [][]Entry{list[1:], list} {
-			d.Step(now, Roster{Kind: Replace, Entries: word})
+		for _, word := range [][]NodeEntry{list[1:], list} {
+			d.Step(now, ServerList{Kind: ListReplaced, Entries: word})
 		}
-		if _, ok := find[Dispatch](d.Step(now, Demand{ID: id, Copies: 1, HardStop: now + time.Hour})); ok {
+		if _, ok := find[Dispatch](d.Step(now, Request{ID: id, Copies: 1, Deadline: now + time.Hour})); ok {
 			sent++
-			d.Step(now, Result{ID: id, Node: "a", Outcome: Full, Final: true, Load: NoLoad})
-			d.nodes[0].use = meter{}
+			d.Step(now, LegResult{ID: id, Node: "a", Outcome: Full, Final: true, Load: NoLoad})
+			d.nodes[0].use = resourceLoad{}
 		}
 	}
 	if sent > 4 { // 4 x 20 places x 0.5 over 10 s, for the tipping time of one
@@ -465,9 +465,9 @@
 func TestGoneNodesAreForgotten(t *testing.T) {
 	d, list := still(false, 1)
 	hear(d, 1, time.Second, 1)
-	d.Step(time.Second, Result{ID: 1, Node: "a", Outcome: Reset, Final: true, Load: NoLoad})
-	d.Step(2*time.Second, Roster{Kind: Replace, Entries: list[1:]})
-	d.Step(30*time.Second, Ring{})
+	d.Step(time.Second, LegResult{ID: 1, Node: "a", Outcome: Reset, Final: true, Load: NoLoad})
+	d.Step(2*time.Second, ServerList{Kind: ListReplaced, Entries: list[1:]})
+	d.Step(30*time.Second, TimerFired{})
 	if _, there := d.names.find("a"); there {
 		t.Fatal("still known 28 s after it left the list")
 	}
@@ -476,18 +476,18 @@
 // be that one full.
 func TestPaidFleetComesBackToANode(t *testing.T) {
 	d, _ := still(true, 1)
-	d.warmth.handed = true
-	d.Step(0, Demand{ID: 1, Copies: 1, HardStop: 4 * time.Second})
-	d.Step(0, Result{ID: 1, Node: "a", Outcome: Errored, Load: NoLoad})
+	d.slowStart.adopted = true
+	d.Step(0, Request{ID: 1, Copies: 1, Deadline: 4 * time.Second})
+	d.Step(0, LegResult{ID: 1, Node: "a", Outcome: Errored, Load: NoLoad})
 	sent := 0
 	for id := uint64(2); id < 40; id++ {
 		now := time.Hour + time.Duration(id)*time.Second
-		if out, ok := find[Dispatch](d.Step(now, Demand{ID: id, Copies: 3, HardStop: now + time.Second})); ok {
+		if out, ok := find[Dispatch](d.Step(now, Request{ID: id, Copies: 3, Deadline: now + time.Second})); ok {
 			if out.Node == "a" {
 				sent++
 			}
 			d.Step(now, Accepted{id})
-			d.Step(now, Result{ID: id, Node: out.Node, Outcome: Served, Final: true, Load: NoLoad})
+			d.Step(now, LegResult{ID: id, Node: out.Node, Outcome: Served, Final: true, Load: NoLoad})
 		}
 	}
 	if sent == 0 {
@@ -499,14 +499,14 @@
 func TestImpossibleFiguresStayWhereTheyAre(t *testing.T) {
 	d, _ := still(false, 100)
 	hear(d, 1, time.Second, 0.5)
-	before, fair := d.gauge.link(&d.nodes[1]), d.nodes[1].fair
+	before, fair := d.load.link(&d.nodes[1]), d.nodes[1].fair
 	for i := range time.Duration(20) {
-		d.Step(time.Second+i, Note{ID: 1, Node: "a", Kind: LinkNote, Value: 1e6})
-		d.Step(time.Second+i, Note{ID: 1, Node: "a", Kind: UplinkNote, Value: 1e6})
+		d.Step(time.Second+i, Measurement{ID: 1, Node: "a", Kind: LinkLoad, Value: 1e6})
+		d.Step(time.Second+i, Measurement{ID: 1, Node: "a", Kind: UplinkLoad, Value: 1e6})
 	}
-	d.Step(2*time.Second, Result{ID: 1, Node: "a", Outcome: Served, Final: true, Load: Load{1e6, 1e6, 1e6}})
-	d.Step(2*time.Second, Roster{Kind: Update})
-	if after := d.gauge.link(&d.nodes[1]); after > fullAt || d.nodes[1].fair < fair/4 {
+	d.Step(2*time.Second, LegResult{ID: 1, Node: "a", Outcome: Served, Final: true, Load: Load{1e6, 1e6, 1e6}})
+	d.Step(2*time.Second, ServerList{Kind: ListUpdate})
+	if after := d.load.link(&d.nodes[1]); after > fullThreshold || d.nodes[1].fair < fair/4 {
 		t.Fatalf("another node's link went from %.2f to %.2f, its fair rate from %.0f to %.0f", before, after, fair, d.nodes[1].fair)
 	}
 }
@@ -517,10 +517,10 @@
 	d, _ := still(false, 3)
 	hear(d, 1, time.Second, 0.5)
 	for i := range time.Duration(20) {
-		d.Step(time.Second+i, Note{ID: 1, Node: "a", Kind: UplinkNote, Value: 1.5})
+		d.Step(time.Second+i, Measurement{ID: 1, Node: "a", Kind: UplinkLoad, Value: 1.5})
 	}
 	for base := 1; base < 3; base++ { // the others of its rack
-		if _, ok := find[Dispatch](d.Step(2*time.Second, Demand{ID: uint64(10 + base), Base: base, Copies: 1, HardStop: time.Hour})); !ok {
+		if _, ok := find[Dispatch](d.Step(2*time.Second, Request{ID: uint64(10 + base), FirstCell: base, Copies: 1, Deadline: time.Hour})); !ok {
 			t.Errorf("node %d takes nothing by the word of node 0", base)
 		}
 	}
@@ -530,10 +530,10 @@
 func TestTwoNodesCloseTheirRack(t *testing.T) {
 	d, _ := still(false, 3)
 	hear(d, 1, time.Second, 0.5)
-	d.Step(0, Demand{ID: 2, Copies: 3, Top: 2, HardStop: time.Hour, Playing: "b"})
-	d.Step(time.Second, Note{ID: 1, Node: "a", Kind: UplinkNote, Value: 1.5})
-	d.Step(time.Second, Note{ID: 2, Node: "b", Kind: UplinkNote, Value: 1.5})
-	if out, ok := find[Dispatch](d.Step(2*time.Second, Demand{ID: 3, Copies: 3, HardStop: time.Hour})); ok {
+	d.Step(0, Request{ID: 2, Copies: 3, MaxRung: 2, Deadline: time.Hour, PlayingOn: "b"})
+	d.Step(time.Second, Measurement{ID: 1, Node: "a", Kind: UplinkLoad, Value: 1.5})
+	d.Step(time.Second, Measurement{ID: 2, Node: "b", Kind: UplinkLoad, Value: 1.5})
+	if out, ok := find[Dispatch](d.Step(2*time.Second, Request{ID: 3, Copies: 3, Deadline: time.Hour})); ok {
 		t.Fatalf("sent to %s over an uplink that two nodes call full", out.Node)
 	}
 }
@@ -542,14 +542,14 @@
 // taken for its successor and trusted again.
 func TestSameBirthReadTwiceIsNoSuccessor(t *testing.T) {
 	d, list := still(false, 1)
-	d.warmth.handed = true
-	list[0].Born = 0
-	d.Step(0, Roster{Kind: Update, Entries: list[:1]})
-	d.Step(time.Second, Demand{ID: 1, Copies: 1, HardStop: time.Hour})
-	d.Step(time.Second, Result{ID: 1, Node: "a", Outcome: Reset, Final: true, Load: NoLoad})
+	d.slowStart.adopted = true
+	list[0].StartedAt = 0
+	d.Step(0, ServerList{Kind: ListUpdate, Entries: list[:1]})
+	d.Step(time.Second, Request{ID: 1, Copies: 1, Deadline: time.Hour})
+	d.Step(time.Second, LegResult{ID: 1, Node: "a", Outcome: Reset, Final: true, Load: NoLoad})
 	for _, later := range []time.Duration{time.Millisecond, 200 * time.Millisecond} {
-		list[0].Born = later
-		d.Step(2*time.Second, Roster{Kind: Update, Entries: list[:1]})
+		list[0].StartedAt = later
+		d.Step(2*time.Second, ServerList{Kind: ListUpdate, Entries: list[:1]})
 		if aside, same := d.nodes[0].health.trickle > 0, later < sameBirth; aside != same {
 			t.Fatalf("born %v later: set aside %v", later, aside)
 		}
--- a/policy/roster.go
+++ b/policy/roster.go
@@ -9,11 +9,11 @@
 // sameBirth is how much later a birth may be told again and be the same one.
 const sameBirth = 100 * time.Millisecond
 
-func (d *Director) roster(e Roster) {
-	if e.Kind == Replace || e.Kind == Restored { // the whole list: who is not named is gone
+func (d *Director) serverList(e ServerList) {
+	if e.Kind == ListReplaced || e.Kind == ListRestored { // the whole list: who is not named is gone
 		for i := range d.nodes {
 			d.nodes[i].listed = Removed
-			d.index.left(i, &d.nodes[i])
+			d.index.unlisted(i, &d.nodes[i])
 		}
 	}
 	for _, x := range e.Entries {
@@ -23,37 +23,37 @@
 				continue
 			}
 			var grown bool
-			if i, grown = d.names.enter(x.Node); grown {
+			if i, grown = d.names.assign(x.Node); grown {
 				d.nodes = append(d.nodes, node{})
 			}
-			d.nodes[i] = node{name: x.Node, born: LongAgo, reported: -1, doubted: -1, shortAt: -rescoreEvery,
-				learnt: LongAgo / 2, use: meter{of: LongAgo / 2}}
+			d.nodes[i] = node{name: x.Node, startedAt: UnknownStart, reported: -1, suspectedAt: -1, shortAt: -rescoreEvery,
+				baselineAt: UnknownStart / 2, use: resourceLoad{observedAt: UnknownStart / 2}}
 		}
 		n := &d.nodes[i]
-		if x.Born > n.born+sameBirth && known { // what was seen and heard of it before has ended
-			n.health, n.doubted, n.warmAt = health{}, -1, 0
-			n.use, n.reported, n.shortAt = meter{of: LongAgo / 2}, -1, -rescoreEvery
+		if x.StartedAt > n.startedAt+sameBirth && known { // what was seen and heard of it before has ended
+			n.health, n.suspectedAt, n.warmAt = health{}, -1, 0
+			n.use, n.reported, n.shortAt = resourceLoad{observedAt: UnknownStart / 2}, -1, -rescoreEvery
 		}
 		if known {
 			d.index.remove(i, n)
 		}
-		n.listed, n.zone, n.cell, n.kind, n.born = x.State, x.Zone, x.Cell, x.Kind, x.Born
-		d.gauge.racks[n.rack].own -= n.own
-		n.rack = x.Cell % len(d.gauge.racks)
-		d.gauge.racks[n.rack].own += n.own
+		n.listed, n.zone, n.cell, n.kind, n.startedAt = x.State, x.Zone, x.Cell, x.MachineKind, x.StartedAt
+		d.load.racks[n.rack].ownLoad -= n.ownLoad
+		n.rack = x.Cell % len(d.load.racks)
+		d.load.racks[n.rack].ownLoad += n.ownLoad
 		d.index.add(i, n)
 		if n.listed == Removed {
-			d.index.left(i, n)
+			d.index.unlisted(i, n)
 		}
-		n.size = d.gauge.fleet.LinkUnit * x.Weight
+		n.size = d.load.fleet.LinkUnit * x.Weight
 		if n.size <= 0 {
-			n.size = max(1, d.gauge.fleet.LinkUnit)
+			n.size = max(1, d.load.fleet.LinkUnit)
 		}
 	}
 	for _, i := range d.index.leaving {
 		d.dropNode(i)
 	}
-	for r := range d.gauge.racks {
+	for r := range d.load.racks {
 		d.fairRates(r)
 	}
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// LongAgo stands for a start that nobody remembers.
-const LongAgo = time.Duration(math.MinInt64)
+// UnknownStart stands for a start that nobody remembers.
+const UnknownStart = time.Duration(math.MinInt64)
 
 // Event is something that happened: one of the types below that have an event method.
 type Event interface{ event() }
 
-// Demand is a viewer who wants a session; one final answer is owed before HardStop.
-type Demand struct {
-	ID       uint64
-	Tariff   int
-	Title    uint64
-	Base     int // first cell that holds the title
-	Copies   int // cells in a row that hold it
-	Top      int // the viewer's best rung
-	HardStop time.Duration
-	Playing  string // the node, for a session handed over while it plays
+// Request is a viewer who wants a session; one final answer is owed before HardStop.
+type Request struct {
+	ID        uint64
+	Tariff    int
+	Title     uint64
+	FirstCell int // first cell that holds the title
+	Copies    int // cells in a row that hold it
+	MaxRung   int // the viewer's best rung
+	Deadline  time.Duration
+	PlayingOn string // the node, for a session handed over while it plays
 }
 
 // Accepted says that a leg's session plays.
 type Accepted struct{ ID uint64 }
 
-// Result ends a leg.
-type Result struct {
+// LegResult ends a leg.
+type LegResult struct {
 	ID      uint64
 	Node    string
 	Outcome Outcome
@@ -35,33 +35,33 @@
 	Load    Load
 }
 
-// Note is news of one session.
-type Note struct {
+// Measurement is news of one session.
+type Measurement struct {
 	ID    uint64
 	Node  string
-	Kind  NoteKind
+	Kind  MeasurementKind
 	Value float64
 }
 
-// Gone says that the viewer left.
-type Gone struct{ ID uint64 }
+// ClientGone says that the viewer left.
+type ClientGone struct{ ID uint64 }
 
-// Ring is a timer come due.
-type Ring struct{}
+// TimerFired is a timer come due.
+type TimerFired struct{}
 
-// Roster is news of the list of nodes.
-type Roster struct {
-	Kind    RosterKind
-	Entries []Entry
+// ServerList is news of the list of nodes.
+type ServerList struct {
+	Kind    ServerListKind
+	Entries []NodeEntry
 }
 
-func (Demand) event()   {}
-func (Accepted) event() {}
-func (Result) event()   {}
-func (Note) event()     {}
-func (Gone) event()     {}
-func (Ring) event()     {}
-func (Roster) event()   {}
+func (Request) event()     {}
+func (Accepted) event()    {}
+func (LegResult) event()   {}
+func (Measurement) event() {}
+func (ClientGone) event()  {}
+func (TimerFired) event()  {}
+func (ServerList) event()  {}
 
 // Outcome is how a leg ended.
 type Outcome int
@@ -72,32 +72,32 @@
 	Errored
 	Full
 	TimedOut
-	Unconnected
+	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	NeverStarted
 )
 
-// NoteKind tells what a note's value means.
-type NoteKind int
+// MeasurementKind tells what a note's value means.
+type MeasurementKind int
 
 // The kinds of note, numbered as their source numbers them.
 const (
-	ShareNote NoteKind = 1 + iota
-	RungNote
-	LinkNote
-	UplinkNote
+	DeliveredShare MeasurementKind = 1 + iota
+	CurrentRung
+	LinkLoad
+	UplinkLoad
 )
 
-// RosterKind tells how a Roster's entries are to be read.
-type RosterKind int
+// ServerListKind tells how a Roster's entries are to be read.
+type ServerListKind int
 
 // The kinds of roster news.
 const (
-	Update RosterKind = iota
-	Replace
-	Restored
-	Unavailable
+	ListUpdate ServerListKind = iota
+	ListReplaced
+	ListRestored
+	ListUnavailable
 )
 
 // NodeState is what the list says of a node.
@@ -110,15 +110,15 @@
 	Removed
 )
 
-// Entry is a node as the list names it.
-type Entry struct {
-	Node   string
-	State  NodeState
-	Kind   int // place among the machine kinds
-	Zone   string
-	Born   time.Duration // LongAgo where it is not told
-	Weight float64
-	Cell   int
+// NodeEntry is a node as the list names it.
+type NodeEntry struct {
+	Node        string
+	State       NodeState
+	MachineKind int // place among the machine kinds
+	Zone        string
+	StartedAt   time.Duration // LongAgo where it is not told
+	Weight      float64
+	Cell        int
 }
 
 // Load is a node's report; a field that the node does not report is negative.
@@ -132,13 +132,13 @@
 
 // Dispatch sends a session's next leg to a node.
 type Dispatch struct {
-	ID     uint64
-	Node   string
-	Within time.Duration // 0: until the hard stop
+	ID      uint64
+	Node    string
+	Timeout time.Duration // 0: until the hard stop
 }
 
-// Rate sets a session's rung.
-type Rate struct {
+// SetRung sets a session's rung.
+type SetRung struct {
 	ID   uint64
 	Rung int
 }
@@ -152,40 +152,40 @@
 // Fail is the final answer that claims nothing.
 type Fail struct{ ID uint64 }
 
-// Schedule asks for a Ring.
-type Schedule struct{ At time.Duration }
+// SetTimer asks for a Ring.
+type SetTimer struct{ At time.Duration }
 
-// Listen asks for the list's changes, where they are not pushed.
-type Listen struct{}
+// PollServerList asks for the list's changes, where they are not pushed.
+type PollServerList struct{}
 
 // Log is a line for those on call.
-type Log struct{ Words string }
+type Log struct{ Message string }
 
-func (Dispatch) action() {}
-func (Rate) action()     {}
-func (Nack) action()     {}
-func (Fail) action()     {}
-func (Schedule) action() {}
-func (Listen) action()   {}
-func (Log) action()      {}
+func (Dispatch) action()       {}
+func (SetRung) action()        {}
+func (Nack) action()           {}
+func (Fail) action()           {}
+func (SetTimer) action()       {}
+func (PollServerList) action() {}
+func (Log) action()            {}
 
 // Peers places this director among its kind.
 type Peers struct {
-	Me, Directors int
-	Zone          string
+	Index, Directors int
+	Zone             string
 }
 
 // Tariff is what one kind of session was promised.
 type Tariff struct {
-	GoalTime time.Duration
-	HardStop time.Duration
-	Credit   float64
-	Paid     bool // set up once: guarded and single-shot tariffs both
-	Scale    float64
-	Floor    int
-	Top      int
-	Seats    int // of one title at one director; 0: no limit
-	Live     bool
+	GoalTime   time.Duration
+	HardStop   time.Duration
+	Credit     float64
+	AtMostOnce bool // set up once: guarded and single-shot tariffs both
+	Scale      float64
+	Floor      int
+	Top        int
+	Seats      int // of one title at one director; 0: no limit
+	Live       bool
 }
 
 // Ladder is the rungs: their rates in kB a second, their worth, and what a further viewer of a live
@@ -193,36 +193,36 @@
 type Ladder struct {
 	Rates    []float64
 	Worth    []float64
-	JoinAdds float64
+	JoinCost float64
 }
 
 // Fleet is the nodes' links and racks.
 type Fleet struct {
-	Cells, Racks int
-	LinkUnit     float64 // link of a node, kB a second, for each unit of weight
-	Uplink       float64 // mean uplink of a rack, kB a second
-	Crossing     float64 // price of a session that crosses zones, as a part of its worth
-	RefusesFrom  float64 // a node answers full from so much of its link asked; 0: never
+	Cells, Racks     int
+	LinkUnit         float64 // link of a node, kB a second, for each unit of weight
+	Uplink           float64 // mean uplink of a rack, kB a second
+	CrossZoneCost    float64 // price of a session that crosses zones, as a part of its worth
+	RefusalThreshold float64 // a node answers full from so much of its link asked; 0: never
 }
 
 // Ramp is how a node that has just started must be treated.
 type Ramp struct {
-	Places    []float64 // streams at most, by machine kind
-	Warmup    time.Duration
-	ColdFrom  float64
-	Multiple  float64
-	TipAfter  time.Duration
-	AskWithin time.Duration // 0: the list's changes are pushed
+	MaxStreams       []float64 // streams at most, by machine kind
+	Warmup           time.Duration
+	InitialShare     float64
+	OverloadMultiple float64
+	OverloadWindow   time.Duration
+	PollWithin       time.Duration // 0: the list's changes are pushed
 }
 
-// Legs is what limits a session's legs; Span is 0 where further legs are not rationed.
-type Legs struct {
-	Most  int
-	Spare float64
-	Share float64
-	Span  time.Duration
+// RetryPolicy is what limits a session's legs; Span is 0 where further legs are not rationed.
+type RetryPolicy struct {
+	MaxLegs    int
+	MinRetries float64
+	RetryRatio float64
+	Window     time.Duration
 }
 
-// Tidings is how late and how often nodes tell of their sessions, and the longest backoff that
+// ReportTiming is how late and how often nodes tell of their sessions, and the longest backoff that
 // viewers heed.
-type Tidings struct{ Late, Every, Backoff time.Duration }
+type ReportTiming struct{ Delay, Interval, MaxBackoff time.Duration }
