--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -40,7 +40,7 @@
 	Legs      policy.RetryPolicy
 	Tidings   policy.ReportTiming
 	Manners   director.Manners
-	Pace      reach.Pace
+	Pace      reach.ReconnectPolicy
 	Term      closing.Term
 	Room      limits.Room
 	Queue     limits.Queue
@@ -108,11 +108,11 @@
 	h.tidings(o.Object("tidings", false))
 	h.manners(r, o.Object("manners", false))
 	p := o.Object("reach", false)
-	h.Pace.First = p.Span("first", 200*time.Millisecond, time.Millisecond, time.Minute, false)
-	h.Pace.Most = p.Span("most", 5*time.Second, time.Millisecond, time.Hour, false)
-	h.Pace.AtOnce = p.Whole("at_once", 64, 1, 10_000, false)
-	if h.Pace.First > h.Pace.Most {
-		r.Wrong(p.Where("first"), "first is %v, longer than most, which is %v", h.Pace.First, h.Pace.Most)
+	h.Pace.InitialBackoff = p.Span("first", 200*time.Millisecond, time.Millisecond, time.Minute, false)
+	h.Pace.MaxBackoff = p.Span("most", 5*time.Second, time.Millisecond, time.Hour, false)
+	h.Pace.MaxConcurrent = p.Whole("at_once", 64, 1, 10_000, false)
+	if h.Pace.InitialBackoff > h.Pace.MaxBackoff {
+		r.Wrong(p.Where("first"), "first is %v, longer than most, which is %v", h.Pace.InitialBackoff, h.Pace.MaxBackoff)
 	}
 	p.Done()
 	c := o.Object("closing", false)
@@ -326,7 +326,7 @@
 		Connect:       o.Span("connect", 250*time.Millisecond, time.Millisecond, time.Minute, false),
 		PerConnection: o.Whole("sessions_per_connection", 8, 1, 1000, false),
 	}
-	h.Pace.Ping = o.Span("ping", time.Second, 10*time.Millisecond, time.Hour, false)
+	h.Pace.HeartbeatInterval = o.Span("ping", time.Second, 10*time.Millisecond, time.Hour, false)
 	h.Room.Ping = o.Span("ping_players", 10*time.Second, 10*time.Millisecond, time.Hour, false)
 	for _, t := range h.Tariffs {
 		if t.HardStop > 0 && h.Manners.AnswerAhead*2 > t.HardStop {
--- a/internal/daemon/discovery.go
+++ b/internal/daemon/discovery.go
@@ -20,9 +20,9 @@
 // follow keeps the connection to the list's source.
 func (d *Daemon) follow() {
 	pace := d.house.Pace
-	pace.OnNeed = false // the list's source is needed all the time
+	pace.OnDemand = false // the list's source is needed all the time
 	r := reach.New(d.seed, pace)
-	plan := r.Step(d.now(), reach.Event{What: reach.Listed})
+	plan := r.Step(d.now(), reach.Event{Kind: reach.Listed})
 	for {
 		select {
 		case <-d.quit:
@@ -34,21 +34,21 @@
 			case <-d.quit:
 				return
 			case <-d.moved: // it was tried where it is no more
-				plan = r.Step(d.now(), reach.Event{What: reach.Listed})
+				plan = r.Step(d.now(), reach.Event{Kind: reach.Listed})
 				continue
-			case <-time.After(max(0, plan.Ring-d.now())):
+			case <-time.After(max(0, plan.NextTimer-d.now())):
 			}
-			plan = r.Step(d.now(), reach.Event{What: reach.Ring})
+			plan = r.Step(d.now(), reach.Event{Kind: reach.TimerFired})
 			continue
 		}
 		h := &source{d: d, gone: make(chan struct{})}
 		conn, err := d.front.DialList(*d.listAt.Load(), time.Second, h)
 		if err != nil {
 			d.log.Warn().Err(err).Msg("the list can't be reached; the last one stays in force")
-			plan = r.Step(d.now(), reach.Event{What: reach.Failed})
+			plan = r.Step(d.now(), reach.Event{Kind: reach.ConnectFailed})
 			continue
 		}
-		r.Step(d.now(), reach.Event{What: reach.Made})
+		r.Step(d.now(), reach.Event{Kind: reach.Connected})
 		for ended := false; !ended; {
 			select {
 			case <-d.quit:
@@ -64,7 +64,7 @@
 				}
 			}
 		}
-		plan = r.Step(d.now(), reach.Event{What: reach.Lost})
+		plan = r.Step(d.now(), reach.Event{Kind: reach.ConnectionLost})
 	}
 }
 
--- a/internal/director/connections.go
+++ b/internal/director/connections.go
@@ -31,22 +31,22 @@
 	for _, place := range slices.Clone(plan.Dead) {
 		l.dead(l.places[place])
 	}
-	if plan.Ring > 0 && (l.ring == 0 || plan.Ring < l.ringAt) {
+	if plan.NextTimer > 0 && (l.ring == 0 || plan.NextTimer < l.ringAt) {
 		l.timers.Cancel(l.ring)
-		l.ringAt = plan.Ring
-		l.ring = l.timers.Add(plan.Ring, due{timerReach, 0})
+		l.ringAt = plan.NextTimer
+		l.ring = l.timers.Add(plan.NextTimer, due{timerReach, 0})
 	}
 	return plan
 }
 
 // linkSockets is how many descriptors connections to nodes hold.
-func (l *Loop) linkSockets() int { return len(l.links) + l.reach.Tries() }
+func (l *Loop) linkSockets() int { return len(l.links) + l.reach.Dialing() }
 
 // roomForLink asks the limits for one more connection to a node.
 func (l *Loop) roomForLink() bool {
 	var spare *node // the one that has had nothing to do for longest
 	for _, n := range l.links {
-		if n.up && !n.needs && !n.trying && n.old == 0 && l.pace.OnNeed &&
+		if n.up && !n.needs && !n.trying && n.old == 0 && l.pace.OnDemand &&
 			(spare == nil || n.used < spare.used || n.used == spare.used && n.name < spare.name) {
 			spare = n
 		}
@@ -61,7 +61,7 @@
 
 // crowded is for a node that can't be connected to for want of descriptors.
 func (l *Loop) crowded(n *node) {
-	l.reached(reach.Event{Node: n.place, What: reach.Crowded})
+	l.reached(reach.Event{Node: n.place, Kind: reach.NoCapacity})
 	for _, g := range sorted(n.legs) {
 		if g.phase == legWaiting && !n.trying {
 			l.legEnds(g, fateMissed, nil)
@@ -73,7 +73,7 @@
 // says whether one is being made.
 func (l *Loop) needed(n *node) (coming bool) {
 	needs := len(n.legs) > 0 || len(n.ends) > 0
-	if !l.pace.OnNeed || !needs && !n.needs {
+	if !l.pace.OnDemand || !needs && !n.needs {
 		return false
 	}
 	n.needs = needs
@@ -81,12 +81,12 @@
 	if needs {
 		what = reach.Needed
 	}
-	return !l.reached(reach.Event{Node: n.place, What: what}).Paused && n.listed
+	return !l.reached(reach.Event{Node: n.place, Kind: what}).BackingOff && n.listed
 }
 
 // unmade is the fate of a leg whose node could not be connected to.
 func (l *Loop) unmade(n *node) fate {
-	if l.pace.OnNeed && !n.suspect {
+	if l.pace.OnDemand && !n.suspect {
 		return fateMissed
 	}
 	return fateUnmade
@@ -95,14 +95,14 @@
 // idled looks at a connection on which nothing has moved for long. It is hung up on before the node does that; where
 // something plays there another one is made first.
 func (l *Loop) idled(n *node) {
-	next := n.used + l.pace.Keep
+	next := n.used + l.pace.IdleTimeout
 	if next <= l.now && !n.needs {
 		l.hangUp(n, closedAsIdle)
 		return
 	}
 	if next <= l.now {
 		l.doubt(n, n.link)
-		next = l.now + l.pace.Keep
+		next = l.now + l.pace.IdleTimeout
 	}
 	n.idle = l.timers.Add(next, due{timerIdle, n.link})
 }
@@ -132,16 +132,16 @@
 	}
 	l.event(Event{Kind: ServerConnected, Server: n.name, Link: e.Link})
 	n.trying, n.up, n.greeted, n.made, n.used, n.suspect = false, true, l.manners.Greetless, l.now, l.now, false
-	if l.pace.Ping > 0 {
-		n.ping = l.timers.Add(l.now+l.pace.Ping, due{timerPing, e.Link})
+	if l.pace.HeartbeatInterval > 0 {
+		n.ping = l.timers.Add(l.now+l.pace.HeartbeatInterval, due{timerPing, e.Link})
 	}
-	if l.pace.OnNeed && l.pace.Keep > 0 {
-		n.idle = l.timers.Add(l.now+l.pace.Keep, due{timerIdle, e.Link})
+	if l.pace.OnDemand && l.pace.IdleTimeout > 0 {
+		n.idle = l.timers.Add(l.now+l.pace.IdleTimeout, due{timerIdle, e.Link})
 	}
 	if !l.manners.Greetless {
 		l.do(SendServer{Link: e.Link, Message: wire.Node{Type: wire.Hello, Director: l.name}})
 	}
-	l.reached(reach.Event{Node: n.place, What: reach.Made})
+	l.reached(reach.Event{Node: n.place, Kind: reach.Connected})
 	if n.dialled != n.address { // the list has moved it meanwhile
 		l.hangUp(n, closedAsMoved)
 		return
@@ -189,11 +189,11 @@
 		l.timers.Cancel(n.ping)
 		l.timers.Cancel(n.idle)
 	}
-	what := reach.Failed
+	what := reach.ConnectFailed
 	if e.Refused {
 		what = reach.Refused
 	}
-	n.suspect = l.reached(reach.Event{Node: n.place, What: what}).Suspect
+	n.suspect = l.reached(reach.Event{Node: n.place, Kind: what}).Suspect
 	for _, g := range sorted(n.legs) {
 		if g.phase == legWaiting {
 			l.legEnds(g, l.unmade(n), nil)
@@ -230,9 +230,9 @@
 	}
 	l.outlives(n, e.Link)
 	if n.listed {
-		l.reached(reach.Event{Node: n.place, What: reach.Lost})
+		l.reached(reach.Event{Node: n.place, Kind: reach.ConnectionLost})
 	} else {
-		l.reached(reach.Event{Node: n.place, What: reach.Unlisted})
+		l.reached(reach.Event{Node: n.place, Kind: reach.Unlisted})
 	}
 	l.cutLegs(n, e.Link, e.Unsent)
 	if !n.listed && l.manners.Loose { // nothing will be heard of it any more
@@ -253,7 +253,7 @@
 		}
 	}
 	n.needs = false
-	l.reached(reach.Event{Node: n.place, What: reach.Unneeded})
+	l.reached(reach.Event{Node: n.place, Kind: reach.Unneeded})
 }
 
 // cutLegs ends what a node's connection takes with it.
@@ -280,10 +280,10 @@
 // linkAlive hangs up on a node that has been quiet for too long.
 func (l *Loop) linkAlive(e LinkAlive) {
 	if n := l.links[e.Link]; n != nil && n.up && l.manners.Loose {
-		if l.reached(reach.Event{Node: n.place, What: reach.Heard, Ago: e.Quiet}).GiveUp && l.playsSince(n, l.now-e.Quiet) {
+		if l.reached(reach.Event{Node: n.place, Kind: reach.Received, Age: e.Quiet}).Close && l.playsSince(n, l.now-e.Quiet) {
 			l.doubt(n, e.Link)
 		}
-	} else if n != nil && n.up && l.reached(reach.Event{Node: n.place, What: reach.Heard, Ago: e.Quiet}).GiveUp {
+	} else if n != nil && n.up && l.reached(reach.Event{Node: n.place, Kind: reach.Received, Age: e.Quiet}).Close {
 		l.log("node %s has been quiet for %v: its connection is given up, %d legs with it", n.name,
 			e.Quiet.Round(time.Millisecond), len(n.legs))
 		l.closeLink(n, e.Link, closedAsQuiet)
--- a/internal/director/deadlines.go
+++ b/internal/director/deadlines.go
@@ -71,11 +71,11 @@
 		}
 	case timerReach:
 		l.ring = 0
-		l.reached(reach.Event{What: reach.Ring})
+		l.reached(reach.Event{Kind: reach.TimerFired})
 	case timerPing:
 		if n := l.links[t.id]; n != nil && n.up && n.link == t.id {
 			l.do(ProbeLink{t.id})
-			n.ping = l.timers.Add(l.now+l.pace.Ping, due{timerPing, t.id})
+			n.ping = l.timers.Add(l.now+l.pace.HeartbeatInterval, due{timerPing, t.id})
 		}
 	case timerIdle:
 		if n := l.links[t.id]; n != nil && n.up && n.link == t.id {
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -63,10 +63,10 @@
 	ladder  policy.Ladder
 	manners Manners
 	term    closing.Term
-	reach   *reach.Reach
+	reach   *reach.Connector
 	ring    alarm.Handle // the one for reach
 	ringAt  time.Duration
-	pace    reach.Pace
+	pace    reach.ReconnectPolicy
 	limits  *limits.Limits
 	line    *limits.Line
 
@@ -108,7 +108,7 @@
 
 // New starts a director. Boot is a word that no other run of this director has used.
 func New(name, boot string, seed uint64, module Decider, tariffs []Tariff, kinds []string,
-	ladder policy.Ladder, manners Manners, pace reach.Pace, term closing.Term, room limits.Room, queue limits.Queue) *Loop {
+	ladder policy.Ladder, manners Manners, pace reach.ReconnectPolicy, term closing.Term, room limits.Room, queue limits.Queue) *Loop {
 	l := &Loop{
 		name: name, boot: boot, module: module, tariffs: tariffs, ladder: ladder, manners: manners, term: term,
 		tariff: map[string]int{}, kind: map[string]int{}, reach: reach.New(seed, pace), pace: pace,
--- a/internal/director/list.go
+++ b/internal/director/list.go
@@ -144,7 +144,7 @@
 		}
 		n.listed = true
 		if !n.up {
-			l.reached(reach.Event{Node: n.place, What: reach.Listed})
+			l.reached(reach.Event{Node: n.place, Kind: reach.Listed})
 		}
 	}
 	return out
@@ -155,7 +155,7 @@
 	if n.listed {
 		n.listed = false
 		if !n.up { // else once the connection ends
-			l.reached(reach.Event{Node: n.place, What: reach.Unlisted})
+			l.reached(reach.Event{Node: n.place, Kind: reach.Unlisted})
 			l.dead(n)
 		}
 	}
--- a/internal/director/loose.go
+++ b/internal/director/loose.go
@@ -241,7 +241,7 @@
 // doubt checks a node's connection by making another.
 func (l *Loop) doubt(n *node, link uint64) {
 	if l.manners.Loose && n.up && n.link == link && !n.trying && l.nodes[n.name] == n {
-		l.reached(reach.Event{Node: n.place, What: reach.Doubted})
+		l.reached(reach.Event{Node: n.place, Kind: reach.Suspected})
 	}
 }
 
--- a/internal/director/need_test.go
+++ b/internal/director/need_test.go
@@ -13,7 +13,7 @@
 func newOnNeed(t failer, nodes, descriptors int) *stage {
 	s := newStageWith(t, nodes, func(l *Loop) {
 		l.manners.Loose, l.manners.Greetless, l.manners.Linger = true, true, 0
-		l.pace = reach.Pace{First: 100 * ms, Most: time.Second, AtOnce: 8, Ping: time.Second, OnNeed: true, Keep: 20 * time.Second}
+		l.pace = reach.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second, OnDemand: true, IdleTimeout: 20 * time.Second}
 		l.reach = reach.New(1, l.pace)
 		l.limits = limits.New(1, limits.Room{Connections: 100, Handshakes: 100, Ping: time.Hour, Patience: time.Second,
 			Handshake: time.Second, Retry: time.Second, Displace: time.Second, Descriptors: descriptors})
@@ -100,7 +100,7 @@
 		t.Fatal("held against the node")
 	}
 	s.pass(200 * ms)
-	s.loop.reached(reach.Event{Node: s.loop.nodes[first.Node].place, What: reach.Needed})
+	s.loop.reached(reach.Event{Node: s.loop.nodes[first.Node].place, Kind: reach.Needed})
 	s.do(LinkFailed{Node: first.Node, Link: s.loop.nodes[first.Node].link})
 	if !s.loop.nodes[first.Node].suspect {
 		t.Fatal("not held against the node")
@@ -116,7 +116,7 @@
 	s.do(says(link, "a", wire.Accepted))
 	s.do(says(link, "a", wire.Ended))
 	s.forget()
-	s.pass(s.loop.pace.Keep - 1)
+	s.pass(s.loop.pace.IdleTimeout - 1)
 	if len(s.hungUp()) != 0 {
 		t.Fatal("too soon")
 	}
@@ -141,7 +141,7 @@
 	s.asks(1, "a", "clip")
 	s.do(says(link, "a", wire.Accepted))
 	s.forget()
-	s.pass(s.loop.pace.Keep + time.Second)
+	s.pass(s.loop.pace.IdleTimeout + time.Second)
 	if l := s.links[name(0)]; l != link { // quiet for so long it was checked by another, not hung up on
 		s.do(LinkConnected{name(0), l})
 		link = l
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -197,10 +197,10 @@
 	h.Manners = director.Manners{
 		AnswerAhead: answerAhead, Connect: connect, PerConnection: perViewer, Greetless: true, Loose: true,
 	}
-	h.Pace = reach.Pace{First: 100 * time.Millisecond, Most: time.Second, AtOnce: 64}
-	h.Pace.Keep = time.Duration(keepPart * float64(simwire.Span(t.Permissions.Idle)))
+	h.Pace = reach.ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 64}
+	h.Pace.IdleTimeout = time.Duration(keepPart * float64(simwire.Span(t.Permissions.Idle)))
 	if every := simwire.Span(t.Family.Every); every > 0 { // a node with sessions is heard so often
-		h.Pace.Ping = (every + time.Second) / 3
+		h.Pace.HeartbeatInterval = (every + time.Second) / 3
 	}
 	h.Term = closing.Term{Within: p.closeWithin(), Slice: 200 * time.Millisecond, Least: p.closeLeast(), Part: p.partWithin()}
 	sockets := p.Limits.Sockets
@@ -212,7 +212,7 @@
 		Connections: sockets, Handshakes: sockets, Ping: forever, Patience: time.Second, Handshake: silentMost,
 		Retry: time.Second, Displace: 250 * time.Millisecond, Descriptors: sockets, Kept: socketsKept, Silent: silent,
 	}
-	h.Pace.OnNeed = !h.Room.Fits(t.Family.Cells)
+	h.Pace.OnDemand = !h.Room.Fits(t.Family.Cells)
 	if p.Limits.MemoryMB > 0 {
 		h.Room.Memory = int64(float64(p.Limits.MemoryMB<<20) * memoryPart)
 	}
--- a/reach/reach.go
+++ b/reach/reach.go
@@ -11,17 +11,17 @@
 	"fordusher/internal/alarm"
 )
 
-// Pace is how connections to nodes are tried.
-type Pace struct {
-	First  time.Duration // pause after the first failure; each further one doubles it
-	Most   time.Duration // up to this
-	AtOnce int           // tries under way at one time
-	Ping   time.Duration // a connected node is asked for a sign of life so often
-	// OnNeed: a node is connected to only while it is needed, and one without anything to do for Keep is hung up on,
+// ReconnectPolicy is how connections to nodes are tried.
+type ReconnectPolicy struct {
+	InitialBackoff    time.Duration // pause after the first failure; each further one doubles it
+	MaxBackoff        time.Duration // up to this
+	MaxConcurrent     int           // tries under way at one time
+	HeartbeatInterval time.Duration // a connected node is asked for a sign of life so often
+	// OnDemand: a node is connected to only while it is needed, and one without anything to do for Keep is hung up on,
 	// or checked by making another connection if something plays there. Keep is shorter than the node's own patience,
 	// so that nothing is sent on a connection that it closes at the same time. 0: it has none that is known.
-	OnNeed bool
-	Keep   time.Duration
+	OnDemand    bool
+	IdleTimeout time.Duration
 }
 
 // suspectAfter is how many tries in a row must fail until they speak against a node that refuses none.
@@ -31,45 +31,45 @@
 // plays there against one that is lost on the way.
 const deadAfter = 3
 
-// missed is how many signs of life a node may owe before its connection is given up.
-const missed = 3
+// maxMissedHeartbeats is how many signs of life a node may owe before its connection is given up.
+const maxMissedHeartbeats = 3
 
 // Event is something that happened to a node, which the caller names by a small index.
 type Event struct {
 	Node int
-	What What
-	Ago  time.Duration // Heard: how long ago
+	Kind EventKind
+	Age  time.Duration // Heard: how long ago
 }
 
-// What happened.
-type What int
+// EventKind happened.
+type EventKind int
 
 // The events. Ring needs no node.
 const (
-	Listed   What = iota // the node is to be connected to: newly listed, or started anew
-	Unlisted             // it is no longer to be
-	Made                 // a try succeeded
-	Failed               // a try failed
-	Lost                 // a connection that was made has ended
-	Heard                // something came from the node, so long ago
-	Refused              // a try failed, and the machine itself has said that nothing runs there
-	Doubted              // the connection that was made may lead nowhere: it is checked by making another
-	Crowded              // a try could not be made for want of room here, which says nothing of the node
-	Needed               // there is something to be done at the node, where connections are made on need
-	Unneeded             // there no longer is
-	Ring                 // the time that was asked for has come
+	Listed         EventKind = iota // the node is to be connected to: newly listed, or started anew
+	Unlisted                        // it is no longer to be
+	Connected                       // a try succeeded
+	ConnectFailed                   // a try failed
+	ConnectionLost                  // a connection that was made has ended
+	Received                        // something came from the node, so long ago
+	Refused                         // a try failed, and the machine itself has said that nothing runs there
+	Suspected                       // the connection that was made may lead nowhere: it is checked by making another
+	NoCapacity                      // a try could not be made for want of room here, which says nothing of the node
+	Needed                          // there is something to be done at the node, where connections are made on need
+	Unneeded                        // there no longer is
+	TimerFired                      // the time that was asked for has come
 )
 
 // Plan is what is to be done: connect to these nodes now, take these for dead, give the connection up to the one
 // that was told of, and ring at a time (0: no need). Of the node that was told of it says whether it is in a pause
 // after a failure, and whether what failed speaks against it: one try that runs out of time may be lost on the way.
 type Plan struct {
-	Dial    []int
-	Dead    []int
-	GiveUp  bool
-	Paused  bool
-	Suspect bool
-	Ring    time.Duration
+	Dial       []int
+	Dead       []int
+	Close      bool
+	BackingOff bool
+	Suspect    bool
+	NextTimer  time.Duration
 }
 
 type state int
@@ -89,9 +89,9 @@
 	drop   bool // unlisted while a try was under way
 }
 
-// Reach is the state of one director's tries.
-type Reach struct {
-	pace   Pace
+// Connector is the state of one director's tries.
+type Connector struct {
+	pace   ReconnectPolicy
 	chance *rand.Rand
 	nodes  map[int]*node     // emptied as nodes are unlisted
 	turns  alarm.Alarms[int] // of idle nodes
@@ -99,68 +99,68 @@
 	plan   Plan
 }
 
-// Tries is how many are under way.
-func (r *Reach) Tries() int { return r.outs }
+// Dialing is how many are under way.
+func (r *Connector) Dialing() int { return r.outs }
 
 // New starts with no nodes.
-func New(seed uint64, pace Pace) *Reach {
-	return &Reach{pace: pace, chance: rand.New(rand.NewPCG(seed, 0)), nodes: map[int]*node{}}
+func New(seed uint64, pace ReconnectPolicy) *Connector {
+	return &Connector{pace: pace, chance: rand.New(rand.NewPCG(seed, 0)), nodes: map[int]*node{}}
 }
 
 // Step takes what happened at a time and returns what is to be done. The plan is valid until the next call.
-func (r *Reach) Step(now time.Duration, e Event) Plan {
+func (r *Connector) Step(now time.Duration, e Event) Plan {
 	r.plan = Plan{Dial: r.plan.Dial[:0], Dead: r.plan.Dead[:0]}
 	n := r.nodes[e.Node]
-	if e.What == Heard { // a connection may die without a word; nothing else follows from it
-		r.plan.GiveUp = n != nil && n.state == made && e.Ago > missed*r.pace.Ping
+	if e.Kind == Received { // a connection may die without a word; nothing else follows from it
+		r.plan.Close = n != nil && n.state == made && e.Age > maxMissedHeartbeats*r.pace.HeartbeatInterval
 		return r.plan
 	}
 	switch {
-	case e.What == Ring:
-	case e.What == Listed && n == nil:
-		n = &node{needed: !r.pace.OnNeed, due: now}
+	case e.Kind == TimerFired:
+	case e.Kind == Listed && n == nil:
+		n = &node{needed: !r.pace.OnDemand, due: now}
 		r.nodes[e.Node] = n
 		r.wait(e.Node, n)
 	case n == nil: // unlisted meanwhile
-	case e.What == Listed: // a new start: what failed before tells nothing of it
+	case e.Kind == Listed: // a new start: what failed before tells nothing of it
 		n.drop, n.fails, n.due = false, 0, now
 		r.wait(e.Node, n)
-	case e.What == Needed:
+	case e.Kind == Needed:
 		n.needed = true
 		r.wait(e.Node, n)
-		r.plan.Paused = n.state == idle && n.due > now
-	case e.What == Unneeded:
-		n.needed = !r.pace.OnNeed
+		r.plan.BackingOff = n.state == idle && n.due > now
+	case e.Kind == Unneeded:
+		n.needed = !r.pace.OnDemand
 		r.wait(e.Node, n)
-	case e.What == Unlisted && n.state == trying:
+	case e.Kind == Unlisted && n.state == trying:
 		n.drop = true
-	case e.What == Unlisted:
+	case e.Kind == Unlisted:
 		r.turns.Cancel(n.turn)
 		delete(r.nodes, e.Node)
-	case e.What == Made && n.state == trying:
+	case e.Kind == Connected && n.state == trying:
 		r.outs--
 		n.state, n.fails = made, 0
 		if n.drop {
 			delete(r.nodes, e.Node)
 		}
-	case e.What == Doubted && n.state == made:
+	case e.Kind == Suspected && n.state == made:
 		n.state = trying
 		r.outs++
 		r.plan.Dial = append(r.plan.Dial, e.Node)
-	case (e.What == Failed || e.What == Refused) && n.state == trying:
+	case (e.Kind == ConnectFailed || e.Kind == Refused) && n.state == trying:
 		r.outs--
 		n.state = idle
-		if e.What == Refused || n.fails+1 >= deadAfter {
+		if e.Kind == Refused || n.fails+1 >= deadAfter {
 			r.plan.Dead = append(r.plan.Dead, e.Node)
 		}
-		r.plan.Suspect = e.What == Refused || n.fails+1 >= suspectAfter
+		r.plan.Suspect = e.Kind == Refused || n.fails+1 >= suspectAfter
 		n.fails++
 		r.pause(now, e.Node, n)
-	case e.What == Crowded && n.state == trying:
+	case e.Kind == NoCapacity && n.state == trying:
 		r.outs--
 		n.state = idle
 		r.pause(now, e.Node, n)
-	case e.What == Lost && n.state == made:
+	case e.Kind == ConnectionLost && n.state == made:
 		n.state, n.due = idle, now
 		r.wait(e.Node, n) // it may be back already; if not, the pauses begin
 	}
@@ -170,21 +170,21 @@
 
 // pause puts the next try off: between half and all of a span that doubles, so that directors that
 // lost a node in the same moment do not come back to it in the same moment.
-func (r *Reach) pause(now time.Duration, i int, n *node) {
+func (r *Connector) pause(now time.Duration, i int, n *node) {
 	if n.drop {
 		delete(r.nodes, i)
 		return
 	}
-	span := r.pace.Most
+	span := r.pace.MaxBackoff
 	if again := max(0, n.fails-1); again < 16 {
-		span = min(span, r.pace.First<<again)
+		span = min(span, r.pace.InitialBackoff<<again)
 	}
 	n.due = now + span/2 + time.Duration(r.chance.Int64N(int64(span/2)+1))
 	r.wait(i, n)
 }
 
 // wait puts an idle node's next try at its time, if it is needed.
-func (r *Reach) wait(i int, n *node) {
+func (r *Connector) wait(i int, n *node) {
 	if n.state != idle {
 		return
 	}
@@ -196,13 +196,13 @@
 }
 
 // fill starts the tries that are due, the longest due first, as far as there is room.
-func (r *Reach) fill(now time.Duration) {
+func (r *Connector) fill(now time.Duration) {
 	for due, ok := r.turns.First(); ok; due, ok = r.turns.First() {
 		if due > now {
-			r.plan.Ring = due
+			r.plan.NextTimer = due
 			return
 		}
-		if r.outs >= r.pace.AtOnce {
+		if r.outs >= r.pace.MaxConcurrent {
 			return // a try that ends calls again
 		}
 		i := r.turns.Pop()
--- a/reach/reach_test.go
+++ b/reach/reach_test.go
@@ -9,7 +9,7 @@
 	_ "fordusher/internal/seeded"
 )
 
-var pace = Pace{First: 100 * time.Millisecond, Most: time.Second, AtOnce: 3, Ping: time.Second}
+var pace = ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 3, HeartbeatInterval: time.Second}
 
 // Whatever happens: never two tries at one node, never more than AtOnce, no try at an unlisted node, and
 // a node that is wanted and not connected is tried again within the longest pause once there is room.
@@ -31,12 +31,12 @@
 				trying[i] = true
 				delete(idleSince, i)
 			}
-			if len(trying) > pace.AtOnce {
+			if len(trying) > pace.MaxConcurrent {
 				t.Fatalf("%d tries at once", len(trying))
 			}
-			ring = p.Ring
+			ring = p.NextTimer
 			for i, since := range idleSince {
-				if len(trying) < pace.AtOnce && now > since+pace.Most+time.Second {
+				if len(trying) < pace.MaxConcurrent && now > since+pace.MaxBackoff+time.Second {
 					t.Fatalf("node %d forgotten since %v", i, since)
 				}
 			}
@@ -44,39 +44,39 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			for ring > 0 && ring <= now {
-				step(Event{What: Ring})
+				step(Event{Kind: TimerFired})
 			}
 			i := rapid.IntRange(0, 7).Draw(t, "node")
-			switch what := What(rapid.IntRange(0, 4).Draw(t, "what")); {
+			switch what := EventKind(rapid.IntRange(0, 4).Draw(t, "what")); {
 			case what == Listed:
 				if !listed[i] && !trying[i] && !up[i] {
 					idleSince[i] = now
 				}
 				listed[i] = true
-				step(Event{Node: i, What: Listed})
+				step(Event{Node: i, Kind: Listed})
 			case what == Unlisted && listed[i]:
 				delete(listed, i)
 				delete(idleSince, i)
 				if up[i] {
 					delete(up, i) // the caller hangs up
 				}
-				step(Event{Node: i, What: Unlisted})
-			case what == Made && trying[i]:
+				step(Event{Node: i, Kind: Unlisted})
+			case what == Connected && trying[i]:
 				delete(trying, i)
 				if listed[i] {
 					up[i] = true
 				}
-				step(Event{Node: i, What: Made})
-			case what == Failed && trying[i]:
+				step(Event{Node: i, Kind: Connected})
+			case what == ConnectFailed && trying[i]:
 				delete(trying, i)
 				if listed[i] {
 					idleSince[i] = now
 				}
-				step(Event{Node: i, What: Failed})
-			case what == Lost && up[i]:
+				step(Event{Node: i, Kind: ConnectFailed})
+			case what == ConnectionLost && up[i]:
 				delete(up, i)
 				idleSince[i] = now
-				step(Event{Node: i, What: Lost})
+				step(Event{Node: i, Kind: ConnectionLost})
 			}
 		}
 	})
@@ -86,23 +86,23 @@
 func TestPausesDoubleUntilANewStart(t *testing.T) {
 	r := New(1, pace)
 	now := time.Duration(0)
-	p := r.Step(now, Event{Node: 0, What: Listed})
+	p := r.Step(now, Event{Node: 0, Kind: Listed})
 	last := time.Duration(0)
 	for i := range 6 {
 		if len(p.Dial) != 1 {
 			t.Fatal(i, p)
 		}
-		p = r.Step(now, Event{Node: 0, What: Failed})
-		span := min(pace.Most, pace.First<<i)
-		if wait := p.Ring - now; wait < span/2 || wait > span || i > 0 && wait < last/4 {
+		p = r.Step(now, Event{Node: 0, Kind: ConnectFailed})
+		span := min(pace.MaxBackoff, pace.InitialBackoff<<i)
+		if wait := p.NextTimer - now; wait < span/2 || wait > span || i > 0 && wait < last/4 {
 			t.Fatal(i, wait)
 		}
-		last = p.Ring - now
-		now = p.Ring
-		p = r.Step(now, Event{What: Ring})
+		last = p.NextTimer - now
+		now = p.NextTimer
+		p = r.Step(now, Event{Kind: TimerFired})
 	}
-	r.Step(now, Event{Node: 0, What: Failed})
-	if p = r.Step(now, Event{Node: 0, What: Listed}); len(p.Dial) != 1 {
+	r.Step(now, Event{Node: 0, Kind: ConnectFailed})
+	if p = r.Step(now, Event{Node: 0, Kind: Listed}); len(p.Dial) != 1 {
 		t.Fatal("a new start waits for an old pause", p)
 	}
 }
@@ -110,16 +110,16 @@
 // A node that has been quiet for three signs of life is given up; one that is not connected has nothing to give up.
 func TestQuietNodeIsGivenUp(t *testing.T) {
 	r := New(1, pace)
-	r.Step(0, Event{Node: 0, What: Listed})
-	if r.Step(0, Event{Node: 0, What: Heard, Ago: time.Hour}).GiveUp {
+	r.Step(0, Event{Node: 0, Kind: Listed})
+	if r.Step(0, Event{Node: 0, Kind: Received, Age: time.Hour}).Close {
 		t.Fatal("given up before it was connected")
 	}
-	r.Step(0, Event{Node: 0, What: Made})
+	r.Step(0, Event{Node: 0, Kind: Connected})
 	for _, x := range []struct {
 		ago  time.Duration
 		want bool
-	}{{0, false}, {3 * pace.Ping, false}, {3*pace.Ping + 1, true}} {
-		if got := r.Step(0, Event{Node: 0, What: Heard, Ago: x.ago}).GiveUp; got != x.want {
+	}{{0, false}, {3 * pace.HeartbeatInterval, false}, {3*pace.HeartbeatInterval + 1, true}} {
+		if got := r.Step(0, Event{Node: 0, Kind: Received, Age: x.ago}).Close; got != x.want {
 			t.Errorf("quiet for %v: given up %v", x.ago, got)
 		}
 	}
@@ -130,7 +130,7 @@
 func TestTriesOnNeed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		onNeed := pace
-		onNeed.OnNeed = true
+		onNeed.OnDemand = true
 		r := New(1, onNeed)
 		listed, needed, trying, up := map[int]bool{}, map[int]bool{}, map[int]bool{}, map[int]bool{}
 		since := map[int]time.Duration{} // needed, and neither tried nor connected
@@ -138,18 +138,18 @@
 		step := func(e Event) Plan {
 			p := r.Step(now, e)
 			for _, i := range p.Dial {
-				if trying[i] || !listed[i] || !needed[i] && e.What != Doubted {
+				if trying[i] || !listed[i] || !needed[i] && e.Kind != Suspected {
 					t.Fatalf("node %d is tried: trying %v, listed %v, needed %v", i, trying[i], listed[i], needed[i])
 				}
 				trying[i] = true
 				delete(since, i)
 			}
-			if len(trying) != r.Tries() || len(trying) > onNeed.AtOnce+1 {
-				t.Fatalf("%d tries, %d are counted", len(trying), r.Tries())
+			if len(trying) != r.Dialing() || len(trying) > onNeed.MaxConcurrent+1 {
+				t.Fatalf("%d tries, %d are counted", len(trying), r.Dialing())
 			}
-			ring = p.Ring
+			ring = p.NextTimer
 			for i, at := range since {
-				if len(trying) < onNeed.AtOnce && now > at+onNeed.Most+time.Second {
+				if len(trying) < onNeed.MaxConcurrent && now > at+onNeed.MaxBackoff+time.Second {
 					t.Fatalf("node %d is needed since %v", i, at)
 				}
 			}
@@ -158,13 +158,13 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			for ring > 0 && ring <= now {
-				step(Event{What: Ring})
+				step(Event{Kind: TimerFired})
 			}
 			i := rapid.IntRange(0, 7).Draw(t, "node")
-			switch what := rapid.SampledFrom([]What{Listed, Needed, Unneeded, Made, Failed, Refused, Lost, Crowded}).Draw(t, "what"); what {
+			switch what := rapid.SampledFrom([]EventKind{Listed, Needed, Unneeded, Connected, ConnectFailed, Refused, ConnectionLost, NoCapacity}).Draw(t, "what"); what {
 			case Listed:
 				listed[i] = true
-				step(Event{Node: i, What: Listed})
+				step(Event{Node: i, Kind: Listed})
 			case Needed, Unneeded:
 				if !listed[i] {
 					continue
@@ -174,21 +174,21 @@
 				if needed[i] && !trying[i] && !up[i] {
 					since[i] = now
 				}
-				step(Event{Node: i, What: what})
-			case Made, Failed, Refused, Crowded:
+				step(Event{Node: i, Kind: what})
+			case Connected, ConnectFailed, Refused, NoCapacity:
 				if !trying[i] {
 					continue
 				}
 				delete(trying, i)
-				up[i] = what == Made
+				up[i] = what == Connected
 				if needed[i] && !up[i] {
 					since[i] = now
 				}
-				p := step(Event{Node: i, What: what})
-				if p.Suspect && (what == Made || what == Crowded) || len(p.Dead) > 0 && what == Crowded {
+				p := step(Event{Node: i, Kind: what})
+				if p.Suspect && (what == Connected || what == NoCapacity) || len(p.Dead) > 0 && what == NoCapacity {
 					t.Fatalf("%+v", p)
 				}
-			case Lost:
+			case ConnectionLost:
 				if !up[i] {
 					continue
 				}
@@ -196,7 +196,7 @@
 				if needed[i] {
 					since[i] = now
 				}
-				step(Event{Node: i, What: Lost})
+				step(Event{Node: i, Kind: ConnectionLost})
 			}
 		}
 	})
