--- a/closing/closing_test.go
+++ b/closing/closing_test.go
@@ -13,56 +13,56 @@
 // term asks for.
 func TestAllIsLetGoInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		term := Term{
-			Within: time.Duration(rapid.IntRange(1, 20_000).Draw(t, "within")) * time.Millisecond,
-			Slice:  time.Duration(rapid.IntRange(10, 1000).Draw(t, "slice")) * time.Millisecond,
+		term := Policy{
+			Timeout:       time.Duration(rapid.IntRange(1, 20_000).Draw(t, "within")) * time.Millisecond,
+			BatchInterval: time.Duration(rapid.IntRange(10, 1000).Draw(t, "slice")) * time.Millisecond,
 		}
 		now := time.Duration(rapid.IntRange(0, 1e6).Draw(t, "now"))
-		end := now + term.Within
-		c := Begin(now, term)
-		left := Left{Owed: rapid.IntRange(0, 50).Draw(t, "owed"), Playing: rapid.IntRange(0, 20_000).Draw(t, "playing")}
+		end := now + term.Timeout
+		c := Start(now, term)
+		left := Remaining{Owed: rapid.IntRange(0, 50).Draw(t, "owed"), Playing: rapid.IntRange(0, 20_000).Draw(t, "playing")}
 		for step := 0; ; step++ {
 			p := c.Step(now, left)
 			if p.Done {
-				if left != (Left{}) {
+				if left != (Remaining{}) {
 					t.Fatal("stopped with", left)
 				}
 				return
 			}
-			if p.GiveUp != (now >= end) || p.End > left.Playing {
+			if p.AbandonRequests != (now >= end) || p.EndSessions > left.Playing {
 				t.Fatal(p, now, end)
 			}
-			left.Playing -= p.End
-			if p.GiveUp {
+			left.Playing -= p.EndSessions
+			if p.AbandonRequests {
 				left.Owed = 0
 			}
 			if left.Owed > 0 && rapid.Bool().Draw(t, "answered") {
 				left.Owed--
 			}
-			if left == (Left{}) {
+			if left == (Remaining{}) {
 				continue
 			}
-			if p.Again <= now || p.Again > max(end, now+term.Slice) || step > 5000 {
+			if p.NextStep <= now || p.NextStep > max(end, now+term.BatchInterval) || step > 5000 {
 				t.Fatal("no way on", p, now, end)
 			}
 			if rapid.Bool().Draw(t, "early") {
-				now += (p.Again - now) / 2
+				now += (p.NextStep - now) / 2
 			} else {
-				now = p.Again
+				now = p.NextStep
 			}
 		}
 	})
 }
 
 func TestSlicesDouble(t *testing.T) {
-	c := Begin(0, Term{Within: 10 * time.Second, Slice: 500 * time.Millisecond})
-	left, now := Left{Playing: 15}, time.Duration(0)
+	c := Start(0, Policy{Timeout: 10 * time.Second, BatchInterval: 500 * time.Millisecond})
+	left, now := Remaining{Playing: 15}, time.Duration(0)
 	for _, want := range []int{1, 2, 4, 8} {
 		p := c.Step(now, left)
-		if p.End != want {
-			t.Fatal(p.End, want)
+		if p.EndSessions != want {
+			t.Fatal(p.EndSessions, want)
 		}
-		left.Playing -= p.End
-		now = p.Again
+		left.Playing -= p.EndSessions
+		now = p.NextStep
 	}
 }
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -41,7 +41,7 @@
 	Tidings   policy.ReportTiming
 	Manners   director.Manners
 	Pace      reach.ReconnectPolicy
-	Term      closing.Term
+	Term      closing.Policy
 	Room      limits.Room
 	Queue     limits.Queue
 	Door      Door
@@ -116,10 +116,10 @@
 	}
 	p.Done()
 	c := o.Object("closing", false)
-	h.Term = closing.Term{
-		Within: c.Span("within", 8*time.Second, time.Millisecond, time.Hour, false),
-		Slice:  c.Span("slice", 500*time.Millisecond, time.Millisecond, time.Minute, false),
-		Part:   partWithin,
+	h.Term = closing.Policy{
+		Timeout:       c.Span("within", 8*time.Second, time.Millisecond, time.Hour, false),
+		BatchInterval: c.Span("slice", 500*time.Millisecond, time.Millisecond, time.Minute, false),
+		CloseTimeout:  partWithin,
 	}
 	c.Done()
 	h.door(r, o.Object("limits", false))
--- a/internal/director/closing_test.go
+++ b/internal/director/closing_test.go
@@ -42,7 +42,7 @@
 func TestADirectorEndsOnlyAfterItsClientsConnections(t *testing.T) {
 	s := newStageWith(t, 1, func(l *Loop) {
 		l.manners.Loose, l.manners.Greetless, l.manners.Linger = true, true, 0
-		l.term.Part = 200 * time.Millisecond
+		l.term.CloseTimeout = 200 * time.Millisecond
 	})
 	s.enter(2)
 	s.forget()
@@ -82,7 +82,7 @@
 func TestAClientsConnectionThatStaysOpenDoesNotKeepTheDirector(t *testing.T) {
 	s := newStageWith(t, 1, func(l *Loop) {
 		l.manners.Loose, l.manners.Greetless, l.manners.Linger = true, true, 0
-		l.term.Part = 200 * time.Millisecond
+		l.term.CloseTimeout = 200 * time.Millisecond
 	})
 	s.do(Stop{})
 	s.pass(190 * ms)
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -62,7 +62,7 @@
 	kind    map[string]int
 	ladder  policy.Ladder
 	manners Manners
-	term    closing.Term
+	term    closing.Policy
 	reach   *reach.Connector
 	ring    alarm.Handle // the one for reach
 	ringAt  time.Duration
@@ -96,7 +96,7 @@
 	lastSession, lastLeg, lastLink uint64
 
 	owed, playing int
-	stop          *closing.Closing
+	stop          *closing.Sequence
 	ended         bool
 	parting       bool // clients' connections are being closed, and no more are accepted
 	more          bool // the limits have more to do now
@@ -108,7 +108,7 @@
 
 // New starts a director. Boot is a word that no other run of this director has used.
 func New(name, boot string, seed uint64, module Decider, tariffs []Tariff, kinds []string,
-	ladder policy.Ladder, manners Manners, pace reach.ReconnectPolicy, term closing.Term, room limits.Room, queue limits.Queue) *Loop {
+	ladder policy.Ladder, manners Manners, pace reach.ReconnectPolicy, term closing.Policy, room limits.Room, queue limits.Queue) *Loop {
 	l := &Loop{
 		name: name, boot: boot, module: module, tariffs: tariffs, ladder: ladder, manners: manners, term: term,
 		tariff: map[string]int{}, kind: map[string]int{}, reach: reach.New(seed, pace), pace: pace,
@@ -225,11 +225,11 @@
 	case DiscoveryLost:
 	case Stop:
 		if l.stop == nil {
-			l.stop = closing.Begin(l.now, l.term)
+			l.stop = closing.Start(l.now, l.term)
 			if !l.manners.Loose { // there a connection is no more than the way for a request, which is told to come again
 				l.limit(limits.Event{What: limits.Draining})
 			}
-			l.log("closing: %d answers owed, %d sessions play, ended within %v", l.owed, l.playing, l.term.Within)
+			l.log("closing: %d answers owed, %d sessions play, ended within %v", l.owed, l.playing, l.term.Timeout)
 			l.close()
 		}
 	case Tick:
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -405,7 +405,7 @@
 // At the end of a stop's term what is still owed is given up at once, paid or not.
 func TestStopGivesUpWhatIsOwed(t *testing.T) {
 	s := newStage(t, 3)
-	s.loop.term.Within = 300 * ms
+	s.loop.term.Timeout = 300 * ms
 	s.want("1", "exam")
 	s.do(Stop{})
 	s.pass(301 * ms)
--- a/internal/director/stop.go
+++ b/internal/director/stop.go
@@ -15,8 +15,8 @@
 
 // close works on a stop under way.
 func (l *Loop) close() {
-	plan := l.stop.Step(l.now, closing.Left{Owed: l.owed, Playing: l.playing, Clients: len(l.conns)})
-	if plan.Part {
+	plan := l.stop.Step(l.now, closing.Remaining{Owed: l.owed, Playing: l.playing, Clients: len(l.conns)})
+	if plan.CloseClients {
 		l.part(plan.Done)
 	}
 	if plan.Done && l.mayStop() {
@@ -25,19 +25,19 @@
 		l.do(Ended{})
 		return
 	}
-	if plan.End > 0 || plan.GiveUp {
+	if plan.EndSessions > 0 || plan.AbandonRequests {
 		for _, s := range sorted(l.sessions) {
 			switch {
-			case s.phase == playing && plan.End > 0:
-				plan.End--
+			case s.phase == playing && plan.EndSessions > 0:
+				plan.EndSessions--
 				l.over(s, "director closes")
 				l.gone(s, "director closes")
-			case s.phase != playing && plan.GiveUp && !s.answered:
+			case s.phase != playing && plan.AbandonRequests && !s.answered:
 				l.answerOverdue(s)
 			}
 		}
 	}
-	l.timers.Add(plan.Again, due{timerClose, 0})
+	l.timers.Add(plan.NextStep, due{timerClose, 0})
 }
 
 // part closes the clients' connections on which nothing more is to come. One on which something was read meanwhile stays,
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -202,7 +202,7 @@
 	if every := simwire.Span(t.Family.Every); every > 0 { // a node with sessions is heard so often
 		h.Pace.HeartbeatInterval = (every + time.Second) / 3
 	}
-	h.Term = closing.Term{Within: p.closeWithin(), Slice: 200 * time.Millisecond, Least: p.closeLeast(), Part: p.partWithin()}
+	h.Term = closing.Policy{Timeout: p.closeWithin(), BatchInterval: 200 * time.Millisecond, MinDuration: p.closeLeast(), CloseTimeout: p.partWithin()}
 	sockets := p.Limits.Sockets
 	if sockets == 0 {
 		sockets = 1024
