--- a/cmd/fordusher/serve.go
+++ b/cmd/fordusher/serve.go
@@ -69,11 +69,11 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err != nil {
 		return fmt.Errorf("the limit on descriptors: %w", err)
 	}
-	room, fitted := house.Room.Fit(int(min(descriptors.Cur, 1<<30)), house.Fleet.Cells)
+	room, fitted := house.Room.FitDescriptors(int(min(descriptors.Cur, 1<<30)), house.Fleet.Cells)
 	if fitted != "" {
 		logger.Info().Msg(fitted)
 	}
-	house.Room, house.Door.Players.Pending = room, room.Handshakes
+	house.Room, house.Door.Players.Pending = room, room.MaxHandshakes
 	d, err := daemon.Start(house, c.Boot, c.Seed, house.Module(c.Seed), logger)
 	if err != nil {
 		return err
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -42,8 +42,8 @@
 	Manners   director.Manners
 	Pace      reach.ReconnectPolicy
 	Term      closing.Policy
-	Room      limits.Room
-	Queue     limits.Queue
+	Room      limits.Capacity
+	Queue     limits.QueuePolicy
 	Door      Door
 }
 
@@ -327,7 +327,7 @@
 		PerConnection: o.Whole("sessions_per_connection", 8, 1, 1000, false),
 	}
 	h.Pace.HeartbeatInterval = o.Span("ping", time.Second, 10*time.Millisecond, time.Hour, false)
-	h.Room.Ping = o.Span("ping_players", 10*time.Second, 10*time.Millisecond, time.Hour, false)
+	h.Room.HeartbeatInterval = o.Span("ping_players", 10*time.Second, 10*time.Millisecond, time.Hour, false)
 	for _, t := range h.Tariffs {
 		if t.HardStop > 0 && h.Manners.AnswerAhead*2 > t.HardStop {
 			r.Wrong(o.Where("answer_ahead"), "answer_ahead is %v, more than half of the hard_stop of %q, which is %v: no time to set up",
@@ -352,22 +352,22 @@
 	h.Door.Players.Kernel = players.Bytes("kernel", 16<<10, 0, 64<<20)
 	h.Door.Nodes = read(nodes, wire.NodeMost, 1<<20)
 	h.Door.List = transport.Bounds{Message: wire.ListMost, Queue: 64 << 10, Write: time.Second, Handshake: 5 * time.Second}
-	h.Room.Connections = o.Whole("connections", 15_000, 1, 10_000_000, false)
-	h.Room.PerAddress = o.Whole("per_address", 0, 0, 10_000_000, false)
-	h.Room.Handshakes = o.Whole("handshakes", 1024, 1, 10_000_000, false)
-	h.Room.Memory = int64(o.Bytes("memory", 0, 1<<20, 1<<40))
-	h.Room.Patience = o.Span("patience", 5*time.Minute, time.Second, 24*time.Hour, false)
-	h.Room.Retry = o.Span("retry", 30*time.Second, time.Second, time.Hour, false)
-	h.Room.Handshake = h.Door.Players.Handshake
+	h.Room.MaxConnections = o.Whole("connections", 15_000, 1, 10_000_000, false)
+	h.Room.MaxPerAddress = o.Whole("per_address", 0, 0, 10_000_000, false)
+	h.Room.MaxHandshakes = o.Whole("handshakes", 1024, 1, 10_000_000, false)
+	h.Room.MaxMemory = int64(o.Bytes("memory", 0, 1<<20, 1<<40))
+	h.Room.IdleTimeout = o.Span("patience", 5*time.Minute, time.Second, 24*time.Hour, false)
+	h.Room.MaxRetryAfter = o.Span("retry", 30*time.Second, time.Second, time.Hour, false)
+	h.Room.HandshakeTimeout = h.Door.Players.Handshake
 	goals := make([]time.Duration, len(h.Tariffs))
 	for i, t := range h.Tariffs {
 		goals[i] = t.GoalTime
 	}
-	h.Queue.Wait = o.Span("wait", limits.Bearable(goals), time.Millisecond, time.Minute, false)
-	h.Queue.Retry = h.Room.Retry
-	h.Door.Players.Pending = h.Room.Handshakes
-	if h.Room.PerAddress > h.Room.Connections {
-		r.Wrong(o.Where("per_address"), "per_address is %d, more than connections, which is %d", h.Room.PerAddress, h.Room.Connections)
+	h.Queue.MaxWait = o.Span("wait", limits.MaxQueueWait(goals), time.Millisecond, time.Minute, false)
+	h.Queue.MaxRetryAfter = h.Room.MaxRetryAfter
+	h.Door.Players.Pending = h.Room.MaxHandshakes
+	if h.Room.MaxPerAddress > h.Room.MaxConnections {
+		r.Wrong(o.Where("per_address"), "per_address is %d, more than connections, which is %d", h.Room.MaxPerAddress, h.Room.MaxConnections)
 	}
 	h.Door.Inbox = o.Whole("inbox", 512, 16, 1<<20, false)
 	if h.Door.Nodes.Write >= h.Grace {
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -12,7 +12,7 @@
 func (d *Daemon) refuse(c *transport.Conn, in director.ClientReceived) {
 	d.overfull.Add(1)
 	c.Send(d.front.ToPlayer(director.SendClient{Message: wire.Session{
-		Type: wire.Nack, ID: in.Message.ID, Backoff: d.house.Queue.Retry.Milliseconds(), Why: "too many requests at once"}}), 0)
+		Type: wire.Nack, ID: in.Message.ID, Backoff: d.house.Queue.MaxRetryAfter.Milliseconds(), Why: "too many requests at once"}}), 0)
 }
 
 type players struct{ d *Daemon }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -131,7 +131,7 @@
 		}
 		if now >= snapped+snapEvery || ended {
 			snapped = now
-			if d.house.Room.Memory > 0 {
+			if d.house.Room.MaxMemory > 0 {
 				ended = d.carryOut(d.loop.Step(now, director.Memory{Bytes: used()})) || ended
 			}
 			d.snap()
--- a/internal/director/client.go
+++ b/internal/director/client.go
@@ -49,7 +49,7 @@
 	if n := len(l.unseated); n > 0 {
 		seat = l.unseated[n-1]
 	}
-	plan := l.limit(limits.Event{What: limits.Knock, Conn: int(seat), Address: e.Address, Nodes: l.linkSockets()})
+	plan := l.limit(limits.Event{Kind: limits.ConnectRequest, Conn: int(seat), Address: e.Address, Nodes: l.linkSockets()})
 	if !plan.Admit {
 		l.counts.TurnedAway++
 		if l.manners.Loose { // it has knocked with a request, which is owed an answer
@@ -61,7 +61,7 @@
 			}
 			return
 		}
-		l.do(RejectClient{e.Conn, plan.Retry, plan.Why})
+		l.do(RejectClient{e.Conn, plan.RetryAfter, plan.Reason})
 		return
 	}
 	if n := len(l.unseated); n > 0 {
@@ -78,17 +78,17 @@
 // limit tells the limits what happened and carries out their plan.
 func (l *Loop) limit(e limits.Event) *limits.Plan {
 	plan := l.limits.Step(l.now, e)
-	if e.What == limits.Ring {
+	if e.Kind == limits.TimerFired {
 		l.more = plan.More
 	}
 	for _, seat := range plan.Ping {
 		l.do(ProbeClient{l.seats[seat]})
 	}
-	for _, x := range plan.Let {
+	for _, x := range plan.Evict {
 		l.counts.LetGo++
-		why := x.Why
-		if x.Retry > 0 {
-			why = fmt.Sprintf("retry-ms=%d %s", x.Retry.Milliseconds(), why)
+		why := x.Reason
+		if x.RetryAfter > 0 {
+			why = fmt.Sprintf("retry-ms=%d %s", x.RetryAfter.Milliseconds(), why)
 		}
 		closed := l.closeClient(CloseClient{Conn: l.seats[x.Conn], Code: x.Code, Why: why, Idle: x.Code != 1008})
 		if c := l.conns[l.seats[x.Conn]]; c != nil && closed {
@@ -107,9 +107,9 @@
 	c.live, c.standing = c.live+live, c.standing+standing
 	switch after := c.live + c.standing; {
 	case before == 0 && after > 0:
-		l.limit(limits.Event{What: limits.Busy, Conn: int(c.seat)})
+		l.limit(limits.Event{Kind: limits.Busy, Conn: int(c.seat)})
 	case before > 0 && after == 0:
-		l.limit(limits.Event{What: limits.Idle, Conn: int(c.seat)})
+		l.limit(limits.Event{Kind: limits.Idle, Conn: int(c.seat)})
 	}
 	if live < 0 {
 		l.closeSettled(c)
@@ -133,7 +133,7 @@
 		l.counts.Stray++
 		return
 	}
-	l.limit(limits.Event{What: limits.Heard, Conn: int(c.seat)})
+	l.limit(limits.Event{Kind: limits.Received, Conn: int(c.seat)})
 	m := e.Message
 	if l.manners.Loose {
 		l.looseSaid(c, e)
@@ -189,7 +189,7 @@
 		l.turned = slices.DeleteFunc(l.turned, func(n uint64) bool { return n == number })
 		return
 	}
-	l.limit(limits.Event{What: limits.Left, Conn: int(c.seat)})
+	l.limit(limits.Event{Kind: limits.Closed, Conn: int(c.seat)})
 	l.seats[c.seat] = 0
 	l.unseated = append(l.unseated, c.seat)
 	for id := range sorted(c.requests) {
--- a/internal/director/closing_test.go
+++ b/internal/director/closing_test.go
@@ -13,8 +13,8 @@
 func TestARequestIsNotTakenOnAConnectionThatIsBeingClosed(t *testing.T) {
 	s := newStageWith(t, 1, func(l *Loop) {
 		l.manners.Loose, l.manners.Greetless, l.manners.Linger = true, true, 0
-		l.limits = limits.New(1, limits.Room{Connections: 10, Handshakes: 10, Ping: time.Hour, Patience: time.Second,
-			Handshake: time.Second, Retry: time.Second})
+		l.limits = limits.New(1, limits.Capacity{MaxConnections: 10, MaxHandshakes: 10, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
+			HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
 	})
 	for conn := uint64(2); conn <= 9; conn++ { // nine of ten: room is short, and the idle are closed in slices
 		s.enter(conn)
--- a/internal/director/connections.go
+++ b/internal/director/connections.go
@@ -52,8 +52,8 @@
 		}
 	}
 	// The try itself is counted already, once.
-	plan := *l.limit(limits.Event{What: limits.Dial, Nodes: l.linkSockets() - 1, Spare: spare != nil})
-	if plan.HangUp { // by which the limits may be asked again
+	plan := *l.limit(limits.Event{Kind: limits.DialRequest, Nodes: l.linkSockets() - 1, IdleNodeConn: spare != nil})
+	if plan.CloseIdleNode { // by which the limits may be asked again
 		l.hangUp(spare, closedForRoom)
 	}
 	return plan.Admit
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -68,7 +68,7 @@
 	ringAt  time.Duration
 	pace    reach.ReconnectPolicy
 	limits  *limits.Limits
-	line    *limits.Line
+	line    *limits.RequestQueue
 
 	now     time.Duration
 	out     []Output
@@ -108,11 +108,11 @@
 
 // New starts a director. Boot is a word that no other run of this director has used.
 func New(name, boot string, seed uint64, module Decider, tariffs []Tariff, kinds []string,
-	ladder policy.Ladder, manners Manners, pace reach.ReconnectPolicy, term closing.Policy, room limits.Room, queue limits.Queue) *Loop {
+	ladder policy.Ladder, manners Manners, pace reach.ReconnectPolicy, term closing.Policy, room limits.Capacity, queue limits.QueuePolicy) *Loop {
 	l := &Loop{
 		name: name, boot: boot, module: module, tariffs: tariffs, ladder: ladder, manners: manners, term: term,
 		tariff: map[string]int{}, kind: map[string]int{}, reach: reach.New(seed, pace), pace: pace,
-		limits: limits.New(seed, room), line: limits.NewLine(seed, queue),
+		limits: limits.New(seed, room), line: limits.NewRequestQueue(seed, queue),
 		conns: map[uint64]*conn{}, sessions: map[uint64]*session{}, keys: map[string]*session{},
 		legs: map[uint64]*leg{}, nodes: map[string]*node{}, links: map[uint64]*node{},
 		titles: map[string]title{},
@@ -141,7 +141,7 @@
 }
 
 // Room tells how many players' connections there are, how many of them are busy, and the limits' mode.
-func (l *Loop) Room() (used, busy int, mode limits.Mode) { return l.limits.Use() }
+func (l *Loop) Room() (used, busy int, mode limits.Mode) { return l.limits.Usage() }
 
 // Counts returns what was counted, and what there is now.
 func (l *Loop) Counts() (c Counts, owed, playing, legs, links int) {
@@ -160,7 +160,7 @@
 	if at, ok := l.timers.First(); ok {
 		next = at
 	}
-	if at, ok := l.limits.Next(); ok {
+	if at, ok := l.limits.NextTimer(); ok {
 		next = min(next, at)
 	}
 	return next
@@ -178,11 +178,11 @@
 		l.knocked(e)
 	case ClientAccepted:
 		if c := l.conns[e.Conn]; c != nil {
-			l.limit(limits.Event{What: limits.Shook, Conn: int(c.seat)})
+			l.limit(limits.Event{Kind: limits.HandshakeDone, Conn: int(c.seat)})
 			l.tellUntold(c, l.now-strangersAfter)
 		}
 	case Memory:
-		l.limit(limits.Event{What: limits.Measure, Memory: e.Bytes, Nodes: l.linkSockets()})
+		l.limit(limits.Event{Kind: limits.MemorySample, Memory: e.Bytes, Nodes: l.linkSockets()})
 	case ClientReceived:
 		l.playerSaid(e)
 		if c := l.conns[e.Conn]; c != nil && l.parting {
@@ -198,11 +198,11 @@
 		}
 		if c := l.conns[e.Conn]; c != nil && c.leaving && !c.turned {
 			c.leaving = false
-			l.limit(limits.Event{What: limits.Stays, Conn: int(c.seat)})
+			l.limit(limits.Event{Kind: limits.EvictionCancelled, Conn: int(c.seat)})
 		}
 	case ClientAlive:
 		if c := l.conns[e.Conn]; c != nil {
-			l.limit(limits.Event{What: limits.Heard, Conn: int(c.seat), Ago: e.Quiet})
+			l.limit(limits.Event{Kind: limits.Received, Conn: int(c.seat), Age: e.Quiet})
 		}
 	case LinkConnected:
 		l.linkMade(e)
@@ -227,7 +227,7 @@
 		if l.stop == nil {
 			l.stop = closing.Start(l.now, l.term)
 			if !l.manners.Loose { // there a connection is no more than the way for a request, which is told to come again
-				l.limit(limits.Event{What: limits.Draining})
+				l.limit(limits.Event{Kind: limits.Draining})
 			}
 			l.log("closing: %d answers owed, %d sessions play, ended within %v", l.owed, l.playing, l.term.Timeout)
 			l.close()
@@ -237,8 +237,8 @@
 	l.due()
 	// The work on idle connections comes in slices, one a tick: all that is in the inbox goes first.
 	if _, tick := in.(Tick); tick && !l.ended {
-		if at, ok := l.limits.Next(); l.more || ok && at <= l.now {
-			l.limit(limits.Event{What: limits.Ring})
+		if at, ok := l.limits.NextTimer(); l.more || ok && at <= l.now {
+			l.limit(limits.Event{Kind: limits.TimerFired})
 		}
 	}
 	return l.out
--- a/internal/director/loose_test.go
+++ b/internal/director/loose_test.go
@@ -147,8 +147,8 @@
 // It guards the connection that a session came on, on which its ending is awaited, when room gets short.
 func TestAConnectionWithWhatPlaysIsNotLetGo(t *testing.T) {
 	s := newLoose(t, 1)
-	s.loop.limits = limits.New(1, limits.Room{Connections: 10, Handshakes: 10, Ping: time.Hour, Patience: time.Second,
-		Handshake: time.Second, Retry: time.Second})
+	s.loop.limits = limits.New(1, limits.Capacity{MaxConnections: 10, MaxHandshakes: 10, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
+		HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
 	s.do(ClientLost{Conn: 1})
 	s.enter(1)
 	g := s.plays("a", "clip")
@@ -552,8 +552,8 @@
 // It guards requests of newcomers against a close without an answer: beyond a few in a thousand those are lost.
 func TestWhoKnocksInVainIsRefused(t *testing.T) {
 	s := newLoose(t, 1)
-	s.loop.limits = limits.New(1, limits.Room{Connections: 1, Handshakes: 1, Ping: time.Hour, Patience: time.Second,
-		Handshake: time.Second, Retry: time.Second})
+	s.loop.limits = limits.New(1, limits.Capacity{MaxConnections: 1, MaxHandshakes: 1, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
+		HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
 	s.do(ClientLost{Conn: 1})
 	s.enter(1)
 	s.plays("a", "clip") // there is room for one
--- a/internal/director/need_test.go
+++ b/internal/director/need_test.go
@@ -15,8 +15,8 @@
 		l.manners.Loose, l.manners.Greetless, l.manners.Linger = true, true, 0
 		l.pace = reach.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second, OnDemand: true, IdleTimeout: 20 * time.Second}
 		l.reach = reach.New(1, l.pace)
-		l.limits = limits.New(1, limits.Room{Connections: 100, Handshakes: 100, Ping: time.Hour, Patience: time.Second,
-			Handshake: time.Second, Retry: time.Second, Displace: time.Second, Descriptors: descriptors})
+		l.limits = limits.New(1, limits.Capacity{MaxConnections: 100, MaxHandshakes: 100, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
+			HandshakeTimeout: time.Second, MaxRetryAfter: time.Second, DisplaceIdleAfter: time.Second, MaxDescriptors: descriptors})
 	})
 	if len(s.links) != 0 {
 		t.Fatal("a node is connected to that nobody needs")
@@ -184,8 +184,8 @@
 		if id == "a" {
 			s.do(says(d[0].Link, id, wire.Ended))
 			// What is nobody's: other connections of the process.
-			s.loop.limits = limits.New(1, limits.Room{Connections: 100, Handshakes: 100, Ping: time.Hour,
-				Patience: time.Hour, Handshake: time.Hour, Retry: time.Second, Descriptors: 2})
+			s.loop.limits = limits.New(1, limits.Capacity{MaxConnections: 100, MaxHandshakes: 100, HeartbeatInterval: time.Hour,
+				IdleTimeout: time.Hour, HandshakeTimeout: time.Hour, MaxRetryAfter: time.Second, MaxDescriptors: 2})
 		}
 	}
 	if h := s.hungUp(); len(h) != 1 || h[0] != made[0].Link {
--- a/internal/director/session.go
+++ b/internal/director/session.go
@@ -129,9 +129,9 @@
 	if word.Log != "" {
 		l.log("%s", word.Log)
 	}
-	if !word.Take { // nothing was done for it yet, so this claims nothing
+	if !word.Admit { // nothing was done for it yet, so this claims nothing
 		l.counts.Pressed++
-		backoff = word.Retry
+		backoff = word.RetryAfter
 		refuse(wire.Nack, "busy", &l.counts.Nacked)
 		return
 	}
--- a/internal/director/stage_test.go
+++ b/internal/director/stage_test.go
@@ -53,8 +53,8 @@
 	s.loop = New("d", "b", 1, module, tariffs, []string{"box"}, ladder,
 		Manners{AnswerAhead: 50 * ms, Linger: time.Second, Connect: 250 * ms, PerConnection: 4},
 		reach.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second}, closing.Policy{Timeout: 2 * time.Second, BatchInterval: 100 * ms},
-		limits.Room{Connections: 1000, Handshakes: 100, Ping: 10 * time.Second, Patience: time.Minute, Handshake: time.Second, Retry: 10 * time.Second},
-		limits.Queue{Wait: 200 * ms, Retry: 10 * time.Second})
+		limits.Capacity{MaxConnections: 1000, MaxHandshakes: 100, HeartbeatInterval: 10 * time.Second, IdleTimeout: time.Minute, HandshakeTimeout: time.Second, MaxRetryAfter: 10 * time.Second},
+		limits.QueuePolicy{MaxWait: 200 * ms, MaxRetryAfter: 10 * time.Second})
 	change(s.loop)
 	var entries []wire.Entry
 	for i := range nodes {
--- a/internal/director/town_test.go
+++ b/internal/director/town_test.go
@@ -163,8 +163,8 @@
 	p.loop = New(p.name(), fmt.Sprint(p.boot), seed, module, c.tariffs, []string{"box"}, ladder,
 		Manners{AnswerAhead: 50 * ms, Linger: time.Second, Connect: 250 * ms, PerConnection: 4},
 		reach.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second}, closing.Policy{Timeout: 2 * time.Second, BatchInterval: 100 * ms},
-		limits.Room{Connections: 1000, Handshakes: 100, Ping: 10 * time.Second, Patience: time.Minute, Handshake: time.Second, Retry: 10 * time.Second},
-		limits.Queue{Wait: 200 * ms, Retry: 10 * time.Second})
+		limits.Capacity{MaxConnections: 1000, MaxHandshakes: 100, HeartbeatInterval: 10 * time.Second, IdleTimeout: time.Minute, HandshakeTimeout: time.Second, MaxRetryAfter: 10 * time.Second},
+		limits.QueuePolicy{MaxWait: 200 * ms, MaxRetryAfter: 10 * time.Second})
 	p.loop.unguarded = c.unguarded
 	p.note(witness.Record{What: witness.Returned, Director: p.name()})
 	p.do(DiscoveryConnected{})
--- a/internal/load/idle.go
+++ b/internal/load/idle.go
@@ -236,7 +236,7 @@
 	if err != nil {
 		return nil, err
 	}
-	house.Room.Connections, house.Room.Handshakes, house.Room.Ping = x.Connections*2, x.Connections, x.Ping
+	house.Room.MaxConnections, house.Room.MaxHandshakes, house.Room.HeartbeatInterval = x.Connections*2, x.Connections, x.Ping
 	d, err := daemon.Start(house, "1", 1, house.Module(1), zerolog.Nop())
 	if err != nil {
 		return nil, err
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -208,15 +208,15 @@
 		sockets = 1024
 	}
 	silent := max(fewSilent, sockets/silentShare)
-	h.Room = limits.Room{
-		Connections: sockets, Handshakes: sockets, Ping: forever, Patience: time.Second, Handshake: silentMost,
-		Retry: time.Second, Displace: 250 * time.Millisecond, Descriptors: sockets, Kept: socketsKept, Silent: silent,
+	h.Room = limits.Capacity{
+		MaxConnections: sockets, MaxHandshakes: sockets, HeartbeatInterval: forever, IdleTimeout: time.Second, HandshakeTimeout: silentMost,
+		MaxRetryAfter: time.Second, DisplaceIdleAfter: 250 * time.Millisecond, MaxDescriptors: sockets, ReservedDescriptors: socketsKept, PreHandshakeDescriptors: silent,
 	}
-	h.Pace.OnDemand = !h.Room.Fits(t.Family.Cells)
+	h.Pace.OnDemand = !h.Room.FitsNodes(t.Family.Cells)
 	if p.Limits.MemoryMB > 0 {
-		h.Room.Memory = int64(float64(p.Limits.MemoryMB<<20) * memoryPart)
+		h.Room.MaxMemory = int64(float64(p.Limits.MemoryMB<<20) * memoryPart)
 	}
-	h.Queue = limits.Queue{Wait: limits.Bearable(goals), Retry: time.Second}
+	h.Queue = limits.QueuePolicy{MaxWait: limits.MaxQueueWait(goals), MaxRetryAfter: time.Second}
 	h.Door = conf.Door{
 		Players: transport.Bounds{Message: messageMost, Queue: viewerQueue, Write: writeMost, Handshake: silentMost,
 			Kernel: kernelMost, Pending: silent},
--- a/limits/budget_test.go
+++ b/limits/budget_test.go
@@ -7,28 +7,28 @@
 	"pgregory.net/rapid"
 )
 
-// tight is the smallest budget that a platform gives: 256 descriptors.
-var tight = Room{Connections: 256, Handshakes: 256, Ping: 24 * time.Hour, Patience: time.Second, Handshake: time.Second,
-	Retry: time.Second, Displace: time.Second, Descriptors: 256, Kept: 40, Silent: 32}
+// tightCapacity is the smallest budget that a platform gives: 256 descriptors.
+var tightCapacity = Capacity{MaxConnections: 256, MaxHandshakes: 256, HeartbeatInterval: 24 * time.Hour, IdleTimeout: time.Second, HandshakeTimeout: time.Second,
+	MaxRetryAfter: time.Second, DisplaceIdleAfter: time.Second, MaxDescriptors: 256, ReservedDescriptors: 40, PreHandshakeDescriptors: 32}
 
 // Whatever players and nodes ask for, what they hold together stays within the budget, who is busy is never let go, and
 // a node is refused only where all who are there are busy.
 func TestOneBudgetForPlayersAndNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New(1, tight)
+		l := New(1, tightCapacity)
 		var now time.Duration
 		players, nodes, idleNodes := map[int]bool{}, 0, 0 // true: busy
 		step := func(e Event) *Plan {
 			plan := l.Step(now, e)
-			for _, x := range plan.Let {
+			for _, x := range plan.Evict {
 				if busy, there := players[x.Conn]; !there || busy {
 					t.Fatalf("%d is let go: there %v, busy %v", x.Conn, there, busy)
 				}
 				delete(players, x.Conn)
 			}
 			got := *plan
-			for _, x := range append([]Let(nil), plan.Let...) {
-				l.Step(now, Event{What: Left, Conn: x.Conn})
+			for _, x := range append([]Eviction(nil), plan.Evict...) {
+				l.Step(now, Event{Kind: Closed, Conn: x.Conn})
 			}
 			return &got
 		}
@@ -38,23 +38,23 @@
 			busy, there := players[conn]
 			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
 			case what < 4 && !there:
-				if step(Event{What: Knock, Conn: conn, Nodes: nodes}).Admit {
+				if step(Event{Kind: ConnectRequest, Conn: conn, Nodes: nodes}).Admit {
 					players[conn] = false
 					if rapid.Bool().Draw(t, "asks at once") {
 						players[conn] = true
-						step(Event{What: Busy, Conn: conn})
+						step(Event{Kind: Busy, Conn: conn})
 					}
-					step(Event{What: Shook, Conn: conn})
+					step(Event{Kind: HandshakeDone, Conn: conn})
 				}
 			case what < 6:
-				plan := step(Event{What: Dial, Nodes: nodes, Spare: idleNodes > 0})
-				free := tight.Descriptors - tight.Kept - tight.Silent - nodes - len(players)
+				plan := step(Event{Kind: DialRequest, Nodes: nodes, IdleNodeConn: idleNodes > 0})
+				free := tightCapacity.MaxDescriptors - tightCapacity.ReservedDescriptors - tightCapacity.PreHandshakeDescriptors - nodes - len(players)
 				allBusy := true
 				for _, b := range players {
 					allBusy = allBusy && b
 				}
 				switch {
-				case plan.HangUp:
+				case plan.CloseIdleNode:
 					nodes, idleNodes = nodes-1, idleNodes-1
 					nodes++
 				case plan.Admit:
@@ -67,18 +67,18 @@
 			case what == 7 && there:
 				players[conn] = !busy
 				if busy {
-					step(Event{What: Idle, Conn: conn})
+					step(Event{Kind: Idle, Conn: conn})
 				} else {
-					step(Event{What: Busy, Conn: conn})
+					step(Event{Kind: Busy, Conn: conn})
 				}
 			case what == 8 && there:
 				delete(players, conn)
-				step(Event{What: Left, Conn: conn})
+				step(Event{Kind: Closed, Conn: conn})
 			default:
-				step(Event{What: Ring})
+				step(Event{Kind: TimerFired})
 			}
-			if held := nodes + len(players) + tight.Kept + tight.Silent; held > tight.Descriptors {
-				t.Fatalf("%d of %d descriptors: %d nodes, %d players", held, tight.Descriptors, nodes, len(players))
+			if held := nodes + len(players) + tightCapacity.ReservedDescriptors + tightCapacity.PreHandshakeDescriptors; held > tightCapacity.MaxDescriptors {
+				t.Fatalf("%d of %d descriptors: %d nodes, %d players", held, tightCapacity.MaxDescriptors, nodes, len(players))
 			}
 			busies := 0
 			for _, b := range players {
@@ -86,7 +86,7 @@
 					busies++
 				}
 			}
-			if used, busy, _ := l.Use(); used != len(players) || busy != busies {
+			if used, busy, _ := l.Usage(); used != len(players) || busy != busies {
 				t.Fatalf("%d used and %d busy are counted, %d and %d are", used, busy, len(players), busies)
 			}
 		}
@@ -95,59 +95,59 @@
 
 // A newcomer takes the place of the one that has been idle for longest, not of one that asked a moment ago.
 func TestNewcomersDisplaceTheIdle(t *testing.T) {
-	l := New(1, tight)
+	l := New(1, tightCapacity)
 	now := time.Duration(0)
 	full := 0
-	for ; l.Step(now, Event{What: Knock, Conn: full}).Admit; full++ {
-		l.Step(now, Event{What: Shook, Conn: full})
+	for ; l.Step(now, Event{Kind: ConnectRequest, Conn: full}).Admit; full++ {
+		l.Step(now, Event{Kind: HandshakeDone, Conn: full})
 	}
-	if full < 170 || full > tight.Descriptors-tight.Kept-tight.Silent {
+	if full < 170 || full > tightCapacity.MaxDescriptors-tightCapacity.ReservedDescriptors-tightCapacity.PreHandshakeDescriptors {
 		t.Fatalf("room for %d", full)
 	}
 	for i := range full { // all but the last two have something to do
 		if i < full-2 {
-			l.Step(now, Event{What: Busy, Conn: i})
+			l.Step(now, Event{Kind: Busy, Conn: i})
 		}
 	}
-	if plan := l.Step(now, Event{What: Knock, Conn: full}); plan.Admit || len(plan.Let) > 0 {
+	if plan := l.Step(now, Event{Kind: ConnectRequest, Conn: full}); plan.Admit || len(plan.Evict) > 0 {
 		t.Fatalf("one that came just now made place: %+v", plan)
 	}
-	now += tight.Displace
-	plan := l.Step(now, Event{What: Knock, Conn: full})
-	if !plan.Admit || len(plan.Let) == 0 || plan.Let[0].Conn != full-2 || plan.Let[0].Code != 0 {
+	now += tightCapacity.DisplaceIdleAfter
+	plan := l.Step(now, Event{Kind: ConnectRequest, Conn: full})
+	if !plan.Admit || len(plan.Evict) == 0 || plan.Evict[0].Conn != full-2 || plan.Evict[0].Code != 0 {
 		t.Fatalf("%+v", plan)
 	}
 }
 
 // One that is to be let go and has said something stays, as the one that spoke last.
 func TestWhoSaysSomethingMeanwhileStays(t *testing.T) {
-	l := New(1, tight)
+	l := New(1, tightCapacity)
 	for i := range 2 {
-		l.Step(0, Event{What: Knock, Conn: i})
-		l.Step(0, Event{What: Shook, Conn: i})
+		l.Step(0, Event{Kind: ConnectRequest, Conn: i})
+		l.Step(0, Event{Kind: HandshakeDone, Conn: i})
 	}
-	nodes := tight.Descriptors
-	if plan := l.Step(time.Second, Event{What: Dial, Nodes: nodes}); len(plan.Let) != 1 || plan.Let[0].Conn != 0 {
+	nodes := tightCapacity.MaxDescriptors
+	if plan := l.Step(time.Second, Event{Kind: DialRequest, Nodes: nodes}); len(plan.Evict) != 1 || plan.Evict[0].Conn != 0 {
 		t.Fatalf("%+v", plan)
 	}
-	l.Step(time.Second, Event{What: Stays, Conn: 0})
-	l.Step(time.Second, Event{What: Busy, Conn: 0})
-	plan := l.Step(time.Second, Event{What: Dial, Nodes: nodes})
-	if len(plan.Let) != 1 || plan.Let[0].Conn != 1 {
+	l.Step(time.Second, Event{Kind: EvictionCancelled, Conn: 0})
+	l.Step(time.Second, Event{Kind: Busy, Conn: 0})
+	plan := l.Step(time.Second, Event{Kind: DialRequest, Nodes: nodes})
+	if len(plan.Evict) != 1 || plan.Evict[0].Conn != 1 {
 		t.Fatalf("%+v", plan)
 	}
-	if plan = l.Step(time.Second, Event{What: Dial, Nodes: nodes}); plan.Admit || len(plan.Let) != 0 {
+	if plan = l.Step(time.Second, Event{Kind: DialRequest, Nodes: nodes}); plan.Admit || len(plan.Evict) != 0 {
 		t.Fatalf("the busy one was let go: %+v", plan)
 	}
 }
 
 func TestWhetherEveryNodeFits(t *testing.T) {
 	for nodes, fits := range map[int]bool{0: true, 99: true, 100: false, 200: false} {
-		if tight.Fits(nodes) != fits {
+		if tightCapacity.FitsNodes(nodes) != fits {
 			t.Errorf("%d nodes: %v", nodes, !fits)
 		}
 	}
-	if !(Room{}).Fits(1000) {
+	if !(Capacity{}).FitsNodes(1000) {
 		t.Error("without a bound on descriptors all fit")
 	}
 }
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -29,28 +29,28 @@
 	"fordusher/internal/alarm"
 )
 
-// Room is what a director may use for its players' connections, and how it treats the idle ones.
-type Room struct {
-	Connections int           // at most, handshakes included
-	PerAddress  int           // of one address; 0: as many as there are
-	Handshakes  int           // under way at one time
-	Memory      int64         // bytes that the program may use; 0: not looked at
-	Ping        time.Duration // a connection is asked for a sign of life so often
-	Patience    time.Duration // idle for longer than this, it is let go first when room gets short
-	Handshake   time.Duration // longest handshake
-	Retry       time.Duration // longest time that a newcomer is told to stay away
-	Displace    time.Duration // who has been idle for longer makes place for a newcomer; 0: never
-	Descriptors int           // that the process may hold; 0: Connections is all there is to keep to
-	Kept        int           // of these for what is not counted here
-	Silent      int           // of these for players who have not knocked yet
+// Capacity is what a director may use for its players' connections, and how it treats the idle ones.
+type Capacity struct {
+	MaxConnections          int           // at most, handshakes included
+	MaxPerAddress           int           // of one address; 0: as many as there are
+	MaxHandshakes           int           // under way at one time
+	MaxMemory               int64         // bytes that the program may use; 0: not looked at
+	HeartbeatInterval       time.Duration // a connection is asked for a sign of life so often
+	IdleTimeout             time.Duration // idle for longer than this, it is let go first when room gets short
+	HandshakeTimeout        time.Duration // longest handshake
+	MaxRetryAfter           time.Duration // longest time that a newcomer is told to stay away
+	DisplaceIdleAfter       time.Duration // who has been idle for longer makes place for a newcomer; 0: never
+	MaxDescriptors          int           // that the process may hold; 0: Connections is all there is to keep to
+	ReservedDescriptors     int           // of these for what is not counted here
+	PreHandshakeDescriptors int           // of these for players who have not knocked yet
 }
 
 // playersPart is the part of the descriptors that players have to find however many nodes there are.
 const playersPart = 3
 
-// Fits tells whether a connection to each of so many nodes fits beside the players' part of the descriptors.
-func (r Room) Fits(nodes int) bool {
-	return r.Descriptors == 0 || r.Descriptors >= r.Kept+r.Silent+r.Descriptors/playersPart+nodes
+// FitsNodes tells whether a connection to each of so many nodes fits beside the players' part of the descriptors.
+func (r Capacity) FitsNodes(nodes int) bool {
+	return r.MaxDescriptors == 0 || r.MaxDescriptors >= r.ReservedDescriptors+r.PreHandshakeDescriptors+r.MaxDescriptors/playersPart+nodes
 }
 
 // dialCost is how many descriptors a connection takes while it is made.
@@ -69,8 +69,8 @@
 	firstSlice = 4
 )
 
-// missed is how many signs of life a connection may owe before it is given up.
-const missed = 3
+// maxMissedHeartbeats is how many signs of life a connection may owe before it is given up.
+const maxMissedHeartbeats = 3
 
 // Mode is a step of the room's use.
 type Mode int
@@ -78,71 +78,71 @@
 // The modes.
 const (
 	Normal Mode = iota
-	Saving
+	Shedding
 	Full
 )
 
 func (m Mode) String() string { return [...]string{"normal", "saving", "full"}[m] }
 
-// What happened to a connection, which the caller names by a small index that is free again after Left.
-type What int
+// EventKind happened to a connection, which the caller names by a small index that is free again after Left.
+type EventKind int
 
 // The events.
 const (
-	Knock    What = iota // somebody wants to connect; answered by Plan.Admit
-	Shook                // the handshake is done
-	Heard                // something came from the peer, which is still to be worked on: it is not let go for it
-	Busy                 // the player has a session, or an answer owed
-	Idle                 // it has none any more
-	Left                 // the connection has ended
-	Measure              // Memory is what the program uses now
-	Draining             // the director closes: nobody is let in any more
-	Dial                 // a node is to be connected to; answered by Plan.Admit and Plan.HangUp
-	Stays                // who was to be let go has said something meanwhile
-	Ring                 // the time that was asked for has come
+	ConnectRequest    EventKind = iota // somebody wants to connect; answered by Plan.Admit
+	HandshakeDone                      // the handshake is done
+	Received                           // something came from the peer, which is still to be worked on: it is not let go for it
+	Busy                               // the player has a session, or an answer owed
+	Idle                               // it has none any more
+	Closed                             // the connection has ended
+	MemorySample                       // Memory is what the program uses now
+	Draining                           // the director closes: nobody is let in any more
+	DialRequest                        // a node is to be connected to; answered by Plan.Admit and Plan.HangUp
+	EvictionCancelled                  // who was to be let go has said something meanwhile
+	TimerFired                         // the time that was asked for has come
 )
 
 // Event is what happened.
 type Event struct {
-	What    What
-	Conn    int
-	Address netip.Addr
-	Ago     time.Duration // Heard: how long ago
-	Memory  int64
-	Nodes   int  // Knock, Dial, Measure: descriptors that connections to nodes hold
-	Spare   bool // Dial: there is a connection to a node that has nothing to do
+	Kind         EventKind
+	Conn         int
+	Address      netip.Addr
+	Age          time.Duration // Heard: how long ago
+	Memory       int64
+	Nodes        int  // Knock, Dial, Measure: descriptors that connections to nodes hold
+	IdleNodeConn bool // Dial: there is a connection to a node that has nothing to do
 }
 
-// Let is a connection to let go.
-type Let struct {
-	Conn  int
-	Code  int           // of RFC 6455; 0: cut off
-	Why   string        // for the peer
-	Retry time.Duration // when to come back; 0: at will
+// Eviction is a connection to let go.
+type Eviction struct {
+	Conn       int
+	Code       int           // of RFC 6455; 0: cut off
+	Reason     string        // for the peer
+	RetryAfter time.Duration // when to come back; 0: at will
 }
 
 // Plan is what is to be done. It is valid until the next Step.
 type Plan struct {
 	Admit bool // answer to Knock and Dial
-	// HangUp asks for a connection to a node that has nothing to do: there is room once it is hung up on.
-	HangUp bool
-	Retry  time.Duration // where it is not admitted: when to come back
-	Why    string        // where it is not admitted
-	Ping   []int
-	Let    []Let
-	Log    string // one line for a change of mode
-	More   bool   // more is due now; call again with Ring once other work is done
+	// CloseIdleNode asks for a connection to a node that has nothing to do: there is room once it is hung up on.
+	CloseIdleNode bool
+	RetryAfter    time.Duration // where it is not admitted: when to come back
+	Reason        string        // where it is not admitted
+	Ping          []int
+	Evict         []Eviction
+	Log           string // one line for a change of mode
+	More          bool   // more is due now; call again with Ring once other work is done
 }
 
 // stage is where a connection stands.
 type stage uint8
 
 const (
-	gone stage = iota
-	shaking
+	closed stage = iota
+	handshaking
 	idle
 	busy
-	leaving // told to go; it counts until it has left
+	evicting // told to go; it counts until it has left
 )
 
 type conn struct {
@@ -162,7 +162,7 @@
 
 // Limits is the state of one director's connections.
 type Limits struct {
-	room      Room
+	room      Capacity
 	chance    *rand.Rand
 	conns     []conn // by the caller's index
 	first     int32  // the longest idle
@@ -196,16 +196,16 @@
 )
 
 // New starts with nobody connected.
-func New(seed uint64, room Room) *Limits {
+func New(seed uint64, room Capacity) *Limits {
 	return &Limits{room: room, chance: rand.New(rand.NewPCG(seed, 6)), first: none, last: none,
 		byAddr: map[netip.Addr]int32{}, slice: firstSlice, trickle: -1}
 }
 
-// Use tells how many connections there are, how many of them are busy, and the mode.
-func (l *Limits) Use() (used, busy int, mode Mode) { return l.used, l.busy, l.mode }
+// Usage tells how many connections there are, how many of them are busy, and the mode.
+func (l *Limits) Usage() (used, busy int, mode Mode) { return l.used, l.busy, l.mode }
 
-// Next is when Step wants a Ring at the latest; ok is false where nothing is due.
-func (l *Limits) Next() (at time.Duration, ok bool) {
+// NextTimer is when Step wants a Ring at the latest; ok is false where nothing is due.
+func (l *Limits) NextTimer() (at time.Duration, ok bool) {
 	at, ok = l.timers.First()
 	if l.due > 0 && (!ok || l.due < at) {
 		return l.due, true
@@ -215,31 +215,31 @@
 
 // Step takes what happened at a time and returns what is to be done.
 func (l *Limits) Step(now time.Duration, e Event) *Plan {
-	stalled := l.used > 0 && now-l.now > l.room.Ping && e.What == Ring
+	stalled := l.used > 0 && now-l.now > l.room.HeartbeatInterval && e.Kind == TimerFired
 	l.now = max(l.now, now)
-	l.plan = Plan{Ping: l.plan.Ping[:0], Let: l.plan.Let[:0]}
+	l.plan = Plan{Ping: l.plan.Ping[:0], Evict: l.plan.Evict[:0]}
 	l.hold = none
-	if e.What == Heard {
+	if e.Kind == Received {
 		l.hold = int32(e.Conn)
 	}
-	switch e.What {
-	case Knock:
+	switch e.Kind {
+	case ConnectRequest:
 		l.nodes = e.Nodes
 		l.knock(e)
-	case Dial:
+	case DialRequest:
 		l.nodes = e.Nodes
-		l.dial(e.Spare)
-	case Measure:
+		l.dial(e.IdleNodeConn)
+	case MemorySample:
 		l.memory, l.nodes = e.Memory, e.Nodes
 	case Draining:
 		l.draining = true
-	case Ring:
+	case TimerFired:
 		if stalled {
 			l.forgive()
 		}
 		l.expire()
 	default:
-		if e.Conn < len(l.conns) && l.conns[e.Conn].stage != gone {
+		if e.Conn < len(l.conns) && l.conns[e.Conn].stage != closed {
 			l.change(e)
 		}
 	}
@@ -259,16 +259,16 @@
 		why = "director closes"
 	case (l.used >= l.most() || l.mode == Full) && !l.displace():
 		why = "no room"
-	case l.shaking >= l.room.Handshakes:
+	case l.shaking >= l.room.MaxHandshakes:
 		why = "too many handshakes"
-	case l.room.PerAddress > 0 && known && int(l.addresses[a].conns) >= l.room.PerAddress:
+	case l.room.MaxPerAddress > 0 && known && int(l.addresses[a].conns) >= l.room.MaxPerAddress:
 		why = "too many connections from this address"
 	case l.trickle >= 0 && l.admitted >= l.trickle:
 		why = "no room yet"
 	}
 	if why != "" {
 		l.turned++
-		l.plan.Why, l.plan.Retry = why, l.retry()
+		l.plan.Reason, l.plan.RetryAfter = why, l.retry()
 		return
 	}
 	l.plan.Admit = true
@@ -287,23 +287,23 @@
 	for e.Conn >= len(l.conns) {
 		l.conns = append(l.conns, conn{})
 	}
-	l.conns[e.Conn] = conn{stage: shaking, address: a, heard: l.now, next: none, prev: none,
-		timer: l.timers.Add(l.now+l.room.Handshake, int32(e.Conn))}
+	l.conns[e.Conn] = conn{stage: handshaking, address: a, heard: l.now, next: none, prev: none,
+		timer: l.timers.Add(l.now+l.room.HandshakeTimeout, int32(e.Conn))}
 	l.used++
 	l.shaking++
 }
 
 // most is how many players there is room for beside the nodes.
 func (l *Limits) most() int {
-	if l.room.Descriptors == 0 {
-		return max(1, l.room.Connections)
+	if l.room.MaxDescriptors == 0 {
+		return max(1, l.room.MaxConnections)
 	}
-	return max(1, min(l.room.Connections, l.room.Descriptors-l.room.Kept-l.room.Silent-l.nodes-dialCost))
+	return max(1, min(l.room.MaxConnections, l.room.MaxDescriptors-l.room.ReservedDescriptors-l.room.PreHandshakeDescriptors-l.nodes-dialCost))
 }
 
 // displace lets the longest idle go for a newcomer.
 func (l *Limits) displace() bool {
-	if l.room.Displace == 0 || l.first == none || l.now-l.conns[l.first].since < l.room.Displace {
+	if l.room.DisplaceIdleAfter == 0 || l.first == none || l.now-l.conns[l.first].since < l.room.DisplaceIdleAfter {
 		return false
 	}
 	l.let(l.first, 0, "idle for longest", 0)
@@ -312,11 +312,11 @@
 
 // dial finds room for one more connection to a node.
 func (l *Limits) dial(spare bool) {
-	free := l.room.Descriptors - l.room.Kept - l.room.Silent - l.nodes - l.used
+	free := l.room.MaxDescriptors - l.room.ReservedDescriptors - l.room.PreHandshakeDescriptors - l.nodes - l.used
 	switch l.plan.Admit = true; {
-	case l.room.Descriptors == 0 || free >= dialCost:
+	case l.room.MaxDescriptors == 0 || free >= dialCost:
 	case spare:
-		l.plan.HangUp = true
+		l.plan.CloseIdleNode = true
 	case l.first != none:
 		l.let(l.first, 0, "its place is needed", 0)
 	default:
@@ -341,28 +341,28 @@
 func (l *Limits) retry() time.Duration {
 	pace := max(firstSlice, l.slice)
 	wait := max(time.Second, time.Duration(l.turned/pace)*sliceEvery)
-	wait = min(wait, l.room.Retry/2)
+	wait = min(wait, l.room.MaxRetryAfter/2)
 	return wait + time.Duration(l.chance.Int64N(int64(wait)+1))
 }
 
 func (l *Limits) change(e Event) {
 	i := int32(e.Conn)
 	c := &l.conns[i]
-	switch e.What {
-	case Shook:
-		if c.stage == shaking {
+	switch e.Kind {
+	case HandshakeDone:
+		if c.stage == handshaking {
 			l.shook(i)
 			l.rest(i)
 		}
-	case Heard:
-		if at := l.now - e.Ago; at > c.heard {
+	case Received:
+		if at := l.now - e.Age; at > c.heard {
 			c.heard, c.asked = at, 0
 		}
 	case Busy:
 		switch c.stage { // who is let in may have asked for something before it is told here that it shook hands
 		case idle:
 			l.unlink(i)
-		case shaking:
+		case handshaking:
 			l.shook(i)
 		default:
 			return
@@ -374,20 +374,20 @@
 			l.busy--
 			l.rest(i)
 		}
-	case Stays:
-		if c.stage == leaving {
+	case EvictionCancelled:
+		if c.stage == evicting {
 			l.leaving--
 			l.rest(i)
 		}
-	case Left:
+	case Closed:
 		switch c.stage {
-		case shaking:
+		case handshaking:
 			l.shaking--
 		case idle:
 			l.unlink(i)
 		case busy:
 			l.busy--
-		case leaving:
+		case evicting:
 			l.leaving--
 		}
 		l.timers.Cancel(c.timer)
@@ -406,7 +406,7 @@
 func (l *Limits) shook(i int32) {
 	l.shaking--
 	l.conns[i].heard = l.now
-	l.timers.Move(l.conns[i].timer, together(l.now+time.Duration(l.chance.Int64N(int64(l.room.Ping)))+1))
+	l.timers.Move(l.conns[i].timer, together(l.now+time.Duration(l.chance.Int64N(int64(l.room.HeartbeatInterval)))+1))
 }
 
 // rest puts a connection at the end of the idle.
@@ -443,14 +443,14 @@
 	switch c.stage {
 	case idle:
 		l.unlink(i)
-	case shaking:
+	case handshaking:
 		l.shaking--
 	case busy: // its peer is dead: the only reason for which one is given up
 		l.busy--
 	}
-	c.stage = leaving
+	c.stage = evicting
 	l.leaving++
-	l.plan.Let = append(l.plan.Let, Let{int(i), code, why, retry})
+	l.plan.Evict = append(l.plan.Evict, Eviction{int(i), code, why, retry})
 }
 
 // expire works off a slice of the timers that are due.
@@ -470,21 +470,21 @@
 	c := &l.conns[i]
 	c.timer = 0
 	switch {
-	case c.stage == shaking:
+	case c.stage == handshaking:
 		l.let(i, 0, "handshake took too long", 0)
-	case c.stage == leaving || c.stage == gone:
-	case c.asked >= missed:
+	case c.stage == evicting || c.stage == closed:
+	case c.asked >= maxMissedHeartbeats:
 		// Counted by what was asked, not by time: a director that is late itself must not hold it against
 		// its players.
 		l.let(i, 1008, "no sign of life", 0)
-	case l.now-c.heard < l.room.Ping/2:
+	case l.now-c.heard < l.room.HeartbeatInterval/2:
 		// Who spoke just now need not be asked; the next time is drawn, so that those who were heard
 		// together, or forgiven together, are not asked together.
-		c.timer = l.timers.Add(together(l.now+l.room.Ping/2+time.Duration(l.chance.Int64N(int64(l.room.Ping/2)+1))), i)
+		c.timer = l.timers.Add(together(l.now+l.room.HeartbeatInterval/2+time.Duration(l.chance.Int64N(int64(l.room.HeartbeatInterval/2)+1))), i)
 	default:
 		l.plan.Ping = append(l.plan.Ping, int(i))
 		c.asked++
-		c.timer = l.timers.Add(together(l.now+l.room.Ping), i)
+		c.timer = l.timers.Add(together(l.now+l.room.HeartbeatInterval), i)
 	}
 }
 
@@ -498,7 +498,7 @@
 // forgive is for a stall of the process: what nobody could have heard is held against nobody.
 func (l *Limits) forgive() {
 	for i := range l.conns {
-		if c := &l.conns[i]; c.stage != gone {
+		if c := &l.conns[i]; c.stage != closed {
 			c.heard, c.asked = l.now, 0
 		}
 	}
@@ -507,8 +507,8 @@
 // share is the part of the room that is used.
 func (l *Limits) share() float64 {
 	share := float64(l.used-l.leaving) / float64(l.most())
-	if l.room.Memory > 0 {
-		share = max(share, float64(l.memory)/float64(l.room.Memory))
+	if l.room.MaxMemory > 0 {
+		share = max(share, float64(l.memory)/float64(l.room.MaxMemory))
 	}
 	return share
 }
@@ -520,9 +520,9 @@
 		to = Full
 	case l.mode == Full && share > fullTo:
 	case share >= savingFrom:
-		to = Saving
+		to = Shedding
 	case l.mode != Normal && share > savingTo:
-		to = Saving
+		to = Shedding
 	default:
 		to = Normal
 	}
@@ -534,7 +534,7 @@
 	switch {
 	case to == Full:
 		l.trickle = -1
-	case l.mode == Full && l.room.Displace == 0:
+	case l.mode == Full && l.room.DisplaceIdleAfter == 0:
 		l.trickle, l.admitted = firstSlice, 0
 	}
 	l.mode, l.slice, l.turned = to, firstSlice, 0
@@ -557,7 +557,7 @@
 	l.due = 0
 	if l.trickle >= 0 { // it went well so far: twice as many newcomers
 		l.trickle, l.admitted = l.trickle*2, 0
-		if l.trickle > l.room.Connections {
+		if l.trickle > l.room.MaxConnections {
 			l.trickle = -1
 		}
 	}
@@ -568,7 +568,7 @@
 			break
 		}
 		c := &l.conns[longest]
-		if l.mode == Saving && l.now-c.since < l.room.Patience || l.mode == Full && l.share() <= fullTo {
+		if l.mode == Shedding && l.now-c.since < l.room.IdleTimeout || l.mode == Full && l.share() <= fullTo {
 			break
 		}
 		l.let(longest, 1013, "no room for the idle", l.retry())
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -12,8 +12,8 @@
 
 const ms = time.Millisecond
 
-var room = Room{Connections: 100, PerAddress: 30, Handshakes: 10, Ping: 10 * time.Second, Patience: 5 * time.Second,
-	Handshake: time.Second, Retry: 30 * time.Second}
+var testCapacity = Capacity{MaxConnections: 100, MaxPerAddress: 30, MaxHandshakes: 10, HeartbeatInterval: 10 * time.Second, IdleTimeout: 5 * time.Second,
+	HandshakeTimeout: time.Second, MaxRetryAfter: 30 * time.Second}
 
 func addr(i int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)}) }
 
@@ -45,19 +45,19 @@
 			shaking++
 		}
 	}
-	for _, x := range p.Let {
+	for _, x := range p.Evict {
 		c := d.conns[x.Conn]
 		if c == nil || c.leaving {
 			d.Fatalf("%d is let go and is not there", x.Conn)
 		}
-		if c.stage == busy && d.now-c.heard <= missed*room.Ping {
+		if c.stage == busy && d.now-c.heard <= maxMissedHeartbeats*testCapacity.HeartbeatInterval {
 			d.Fatalf("%d is busy and let go", x.Conn)
 		}
-		if x.Code == 1008 && d.now-c.heard < 2*room.Ping {
+		if x.Code == 1008 && d.now-c.heard < 2*testCapacity.HeartbeatInterval {
 			d.Fatalf("%d is given up %v after it was heard", x.Conn, d.now-c.heard)
 		}
 		if x.Code == 1013 {
-			if x.Retry <= 0 || x.Retry > room.Retry {
+			if x.RetryAfter <= 0 || x.RetryAfter > testCapacity.MaxRetryAfter {
 				d.Fatal("no time to come back", x)
 			}
 			for i, o := range d.conns {
@@ -69,20 +69,20 @@
 		c.leaving = true
 	}
 	for a, n := range counts {
-		if n > room.PerAddress {
+		if n > testCapacity.MaxPerAddress {
 			d.Fatal(n, "connections from", a)
 		}
 	}
-	if used > room.Connections || shaking > room.Handshakes {
+	if used > testCapacity.MaxConnections || shaking > testCapacity.MaxHandshakes {
 		d.Fatal(used, shaking)
 	}
 	return p
 }
 
 func (d *door) pass(to time.Duration) {
-	for at, ok := d.l.Next(); ok && at <= to; at, ok = d.l.Next() {
+	for at, ok := d.l.NextTimer(); ok && at <= to; at, ok = d.l.NextTimer() {
 		d.now = max(d.now, at)
-		for d.step(Event{What: Ring}).More {
+		for d.step(Event{Kind: TimerFired}).More {
 		}
 	}
 	d.now = to
@@ -116,7 +116,7 @@
 // and once the pressure is off everybody is let in again.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &door{T: t, l: New(rapid.Uint64().Draw(t, "seed"), room), conns: map[int]*seen{}}
+		d := &door{T: t, l: New(rapid.Uint64().Draw(t, "seed"), testCapacity), conns: map[int]*seen{}}
 		for i := range 200 {
 			d.free = append(d.free, i)
 		}
@@ -128,39 +128,39 @@
 					continue
 				}
 				i, a := d.free[0], rapid.IntRange(1, addresses).Draw(t, "address")
-				p := d.step(Event{What: Knock, Conn: i, Address: addr(a)})
+				p := d.step(Event{Kind: ConnectRequest, Conn: i, Address: addr(a)})
 				if !p.Admit {
-					if p.Why == "" || p.Retry < time.Second || p.Retry > room.Retry {
+					if p.Reason == "" || p.RetryAfter < time.Second || p.RetryAfter > testCapacity.MaxRetryAfter {
 						t.Fatal("turned away without a word", p)
 					}
 					continue
 				}
 				d.free = d.free[1:]
-				d.conns[i] = &seen{addr: a, stage: shaking, heard: d.now}
+				d.conns[i] = &seen{addr: a, stage: handshaking, heard: d.now}
 				if rapid.IntRange(0, 9).Draw(t, "slow") > 0 {
 					d.conns[i].stage, d.conns[i].idle = idle, d.now
-					d.step(Event{What: Shook, Conn: i})
+					d.step(Event{Kind: HandshakeDone, Conn: i})
 				}
 			case 4:
 				if i, c := d.pick(); c != nil && c.stage == idle {
 					c.stage = busy
-					d.step(Event{What: Busy, Conn: i})
+					d.step(Event{Kind: Busy, Conn: i})
 				}
 			case 5:
 				if i, c := d.pick(); c != nil && c.stage == busy {
 					c.stage, c.idle = idle, d.now
-					d.step(Event{What: Idle, Conn: i})
+					d.step(Event{Kind: Idle, Conn: i})
 				}
 			case 6:
 				if i, c := d.pick(); c != nil {
 					c.heard = d.now
-					d.step(Event{What: Heard, Conn: i})
+					d.step(Event{Kind: Received, Conn: i})
 				}
 			case 7:
 				if i, c := d.pick(); c != nil {
 					delete(d.conns, i)
 					d.free = append(d.free, i)
-					d.step(Event{What: Left, Conn: i})
+					d.step(Event{Kind: Closed, Conn: i})
 				}
 			default:
 				d.pass(d.now + time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms"))*ms)
@@ -170,7 +170,7 @@
 					if c := d.conns[i]; c != nil && c.leaving {
 						delete(d.conns, i)
 						d.free = append(d.free, i)
-						d.step(Event{What: Left, Conn: i})
+						d.step(Event{Kind: Closed, Conn: i})
 						break
 					}
 				}
@@ -179,24 +179,24 @@
 		for i := range 200 {
 			if d.conns[i] != nil {
 				delete(d.conns, i)
-				d.step(Event{What: Left, Conn: i})
+				d.step(Event{Kind: Closed, Conn: i})
 			}
 		}
 		d.pass(d.now + 10*time.Second)
-		if used, busy, mode := d.l.Use(); used != 0 || busy != 0 || mode != Normal || d.l.timers.Len() != 0 || len(d.l.byAddr) != 0 {
+		if used, busy, mode := d.l.Usage(); used != 0 || busy != 0 || mode != Normal || d.l.timers.Len() != 0 || len(d.l.byAddr) != 0 {
 			t.Fatal(used, busy, mode, d.l.timers.Len())
 		}
-		if p := d.step(Event{What: Knock, Conn: 0, Address: addr(1)}); !p.Admit {
-			t.Fatal("nobody there, and still turned away: ", p.Why)
+		if p := d.step(Event{Kind: ConnectRequest, Conn: 0, Address: addr(1)}); !p.Admit {
+			t.Fatal("nobody there, and still turned away: ", p.Reason)
 		}
 	})
 }
 
 func fill(l *Limits, now time.Duration, from, to int) (admitted int) {
 	for i := from; i < to; i++ {
-		if l.Step(now, Event{What: Knock, Conn: i, Address: addr(i)}).Admit {
+		if l.Step(now, Event{Kind: ConnectRequest, Conn: i, Address: addr(i)}).Admit {
 			admitted++
-			l.Step(now, Event{What: Shook, Conn: i})
+			l.Step(now, Event{Kind: HandshakeDone, Conn: i})
 		}
 	}
 	return admitted
@@ -205,7 +205,7 @@
 // Full of players with sessions: nobody is closed, newcomers wait; once a part has gone they are let in by
 // a trickle that doubles, and one line is logged for each change of mode.
 func TestFullAndBackByATrickle(t *testing.T) {
-	l := New(1, room)
+	l := New(1, testCapacity)
 	now := time.Duration(0)
 	var logs []string
 	step := func(e Event) *Plan {
@@ -216,38 +216,38 @@
 		return p
 	}
 	for i := range 95 {
-		if !step(Event{What: Knock, Conn: i, Address: addr(i)}).Admit {
+		if !step(Event{Kind: ConnectRequest, Conn: i, Address: addr(i)}).Admit {
 			t.Fatal(i)
 		}
-		step(Event{What: Shook, Conn: i})
-		step(Event{What: Busy, Conn: i})
+		step(Event{Kind: HandshakeDone, Conn: i})
+		step(Event{Kind: Busy, Conn: i})
 	}
-	if p := step(Event{What: Knock, Conn: 99, Address: addr(99)}); p.Admit || p.Why != "no room" {
+	if p := step(Event{Kind: ConnectRequest, Conn: 99, Address: addr(99)}); p.Admit || p.Reason != "no room" {
 		t.Fatal(p)
 	}
 	for range 20 {
 		now += 100 * ms
-		if p := step(Event{What: Ring}); len(p.Let) > 0 {
-			t.Fatal("a busy player is let go", p.Let)
+		if p := step(Event{Kind: TimerFired}); len(p.Evict) > 0 {
+			t.Fatal("a busy player is let go", p.Evict)
 		}
 	}
 	for i := range 60 {
-		step(Event{What: Left, Conn: i})
+		step(Event{Kind: Closed, Conn: i})
 	}
 	total := 0
 	for _, want := range []int{4, 8, 16, 32} {
 		got := 0
 		for i := range 60 {
-			if l.conns[i].stage == gone && got < want && step(Event{What: Knock, Conn: i, Address: addr(i)}).Admit {
+			if l.conns[i].stage == closed && got < want && step(Event{Kind: ConnectRequest, Conn: i, Address: addr(i)}).Admit {
 				got++
-				step(Event{What: Shook, Conn: i})
+				step(Event{Kind: HandshakeDone, Conn: i})
 			}
 		}
 		if total += got; got > want || got < min(want, 60-total+got) {
 			t.Fatal(got, want)
 		}
 		now += 100 * ms
-		step(Event{What: Ring})
+		step(Event{Kind: TimerFired})
 	}
 	if len(logs) < 3 {
 		t.Fatal(logs)
@@ -256,25 +256,25 @@
 
 // A stall of the process: nobody could be heard, so nobody is given up for it.
 func TestStallGivesNobodyUp(t *testing.T) {
-	l := New(1, room)
+	l := New(1, testCapacity)
 	fill(l, 0, 0, 50)
 	now := time.Hour
 	for more := true; more; {
-		p := l.Step(now, Event{What: Ring})
-		if len(p.Let) > 0 {
-			t.Fatal(len(p.Let), "given up after a stall")
+		p := l.Step(now, Event{Kind: TimerFired})
+		if len(p.Evict) > 0 {
+			t.Fatal(len(p.Evict), "given up after a stall")
 		}
 		more = p.More
 	}
 	// From then on silence counts again.
 	let := 0
-	for end := now + 5*room.Ping; ; {
-		at, ok := l.Next()
+	for end := now + 5*testCapacity.HeartbeatInterval; ; {
+		at, ok := l.NextTimer()
 		if !ok || at > end {
 			break
 		}
 		now = at
-		let += len(l.Step(now, Event{What: Ring}).Let)
+		let += len(l.Step(now, Event{Kind: TimerFired}).Evict)
 	}
 	if let != 50 {
 		t.Fatal(let)
@@ -282,18 +282,18 @@
 }
 
 func TestSigns(t *testing.T) {
-	l := New(1, room)
+	l := New(1, testCapacity)
 	fill(l, 0, 0, 50)
-	l.Step(0, Event{What: Knock, Conn: 90, Address: addr(90)}) // never shakes hands
+	l.Step(0, Event{Kind: ConnectRequest, Conn: 90, Address: addr(90)}) // never shakes hands
 	pings, first, let := 0, map[time.Duration]int{}, 0
-	for at, ok := l.Next(); ok && at < 19*time.Second; at, ok = l.Next() {
-		p := l.Step(at, Event{What: Ring})
+	for at, ok := l.NextTimer(); ok && at < 19*time.Second; at, ok = l.NextTimer() {
+		p := l.Step(at, Event{Kind: TimerFired})
 		for _, i := range p.Ping {
 			pings++
 			first[at/time.Second]++
-			l.Step(at, Event{What: Heard, Conn: i})
+			l.Step(at, Event{Kind: Received, Conn: i})
 		}
-		for _, x := range p.Let {
+		for _, x := range p.Evict {
 			if let++; x.Conn != 90 || at < time.Second {
 				t.Fatal(x, at)
 			}
@@ -305,24 +305,24 @@
 }
 
 func TestDrainingLetsNobodyIn(t *testing.T) {
-	l := New(1, room)
-	l.Step(0, Event{What: Draining})
-	if p := l.Step(0, Event{What: Knock, Address: addr(1)}); p.Admit || p.Why != "director closes" {
+	l := New(1, testCapacity)
+	l.Step(0, Event{Kind: Draining})
+	if p := l.Step(0, Event{Kind: ConnectRequest, Address: addr(1)}); p.Admit || p.Reason != "director closes" {
 		t.Fatal(p)
 	}
 }
 
 func TestMemoryCountsAsRoom(t *testing.T) {
-	r := room
-	r.Memory = 1000
+	r := testCapacity
+	r.MaxMemory = 1000
 	l := New(1, r)
 	fill(l, 0, 0, 10)
-	if l.Step(0, Event{What: Measure, Memory: 960}); fill(l, 0, 10, 11) != 0 {
+	if l.Step(0, Event{Kind: MemorySample, Memory: 960}); fill(l, 0, 10, 11) != 0 {
 		t.Fatal("let in without memory")
 	}
 	let := 0
 	for now := 100 * ms; now < 2*time.Second; now += 100 * ms {
-		let += len(l.Step(now, Event{What: Ring}).Let)
+		let += len(l.Step(now, Event{Kind: TimerFired}).Evict)
 	}
 	if let != 10 {
 		t.Fatal(let, "let go")
@@ -336,9 +336,9 @@
 		admit    bool
 	}{{"2001:db8:1:2::1", "2001:db8:1:2:ffff::9", false}, {"2001:db8:1:2::1", "2001:db8:1:3::1", true}, {"192.0.2.1", "192.0.2.2", true},
 		{"::ffff:192.0.2.1", "192.0.2.1", false}} {
-		l := New(1, Room{Connections: 100, PerAddress: 1, Handshakes: 100, Ping: time.Second, Handshake: time.Second, Retry: time.Second})
-		l.Step(0, Event{What: Knock, Conn: 0, Address: netip.MustParseAddr(x.one)})
-		if p := l.Step(0, Event{What: Knock, Conn: 1, Address: netip.MustParseAddr(x.two)}); p.Admit != x.admit {
+		l := New(1, Capacity{MaxConnections: 100, MaxPerAddress: 1, MaxHandshakes: 100, HeartbeatInterval: time.Second, HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
+		l.Step(0, Event{Kind: ConnectRequest, Conn: 0, Address: netip.MustParseAddr(x.one)})
+		if p := l.Step(0, Event{Kind: ConnectRequest, Conn: 1, Address: netip.MustParseAddr(x.two)}); p.Admit != x.admit {
 			t.Errorf("%s after %s: %+v", x.two, x.one, p)
 		}
 	}
--- a/limits/line.go
+++ b/limits/line.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Queue is how long new requests may stand in line for a loop that is behind.
-type Queue struct {
-	Wait  time.Duration // longer than this for a whole interval: the line presses, and who waited so long is turned away
-	Retry time.Duration // longest time that they are told to stay away
+// QueuePolicy is how long new requests may stand in line for a loop that is behind.
+type QueuePolicy struct {
+	MaxWait       time.Duration // longer than this for a whole interval: the line presses, and who waited so long is turned away
+	MaxRetryAfter time.Duration // longest time that they are told to stay away
 }
 
-// Bearable is a wait for the loop that leaves three quarters of the shortest goal time to the set-up.
-func Bearable(goals []time.Duration) time.Duration {
+// MaxQueueWait is a wait for the loop that leaves three quarters of the shortest goal time to the set-up.
+func MaxQueueWait(goals []time.Duration) time.Duration {
 	wait := 250 * time.Millisecond
 	for _, g := range goals {
 		if g > 0 {
@@ -23,7 +23,7 @@
 	return wait
 }
 
-// Line decides which of the requests that wait for the loop are still taken. It looks at how long they
+// RequestQueue decides which of the requests that wait for the loop are still taken. It looks at how long they
 // have waited and not at how many there are: a burst that is worked off within an interval is no reason to
 // turn anybody away, a line that stands is.
 //
@@ -33,8 +33,8 @@
 //
 // Only requests that nothing was done for yet come here. Answers, endings and what nodes say never wait
 // behind them: the caller keeps those in a lane of their own.
-type Line struct {
-	queue    Queue
+type RequestQueue struct {
+	queue    QueuePolicy
 	chance   *rand.Rand
 	pressing bool
 	ends     time.Duration // of the interval
@@ -48,29 +48,29 @@
 	pressed  time.Duration // when it pressed last
 }
 
-// Word is what becomes of one request.
-type Word struct {
-	Take  bool
-	Retry time.Duration // where it is not taken: when to come back
-	Log   string        // one line for a change of mode
+// Decision is what becomes of one request.
+type Decision struct {
+	Admit      bool
+	RetryAfter time.Duration // where it is not taken: when to come back
+	Log        string        // one line for a change of mode
 }
 
-// lineEvery is an interval; the line is told to be calm once it has been for calmFor.
+// queueInterval is an interval; the line is told to be calm once it has been for calmFor.
 const (
-	lineEvery = 100 * time.Millisecond
-	calmFor   = time.Second
+	queueInterval = 100 * time.Millisecond
+	calmFor       = time.Second
 )
 
-// NewLine starts calm.
-func NewLine(seed uint64, queue Queue) *Line {
-	return &Line{queue: queue, chance: rand.New(rand.NewPCG(seed, 11))}
+// NewRequestQueue starts calm.
+func NewRequestQueue(seed uint64, queue QueuePolicy) *RequestQueue {
+	return &RequestQueue{queue: queue, chance: rand.New(rand.NewPCG(seed, 11))}
 }
 
-// Pressing tells whether requests are being turned away.
-func (l *Line) Pressing() bool { return l.pressing }
+// Overloaded tells whether requests are being turned away.
+func (l *RequestQueue) Overloaded() bool { return l.pressing }
 
 // Step takes a request that comes to its turn at a time, after it has waited for so long.
-func (l *Line) Step(now, waited time.Duration) (w Word) {
+func (l *RequestQueue) Step(now, waited time.Duration) (w Decision) {
 	if now >= l.ends {
 		w.Log = l.turnInterval(now)
 	}
@@ -78,28 +78,28 @@
 		l.shortest = waited
 	}
 	l.seen++
-	w.Take = !l.pressing || waited <= l.queue.Wait/2
-	if w.Take {
+	w.Admit = !l.pressing || waited <= l.queue.MaxWait/2
+	if w.Admit {
 		l.taken++
 		return w
 	}
 	l.turned++
-	w.Retry = l.retry()
+	w.RetryAfter = l.retry()
 	return w
 }
 
 // turnInterval judges the interval that has ended and begins the next.
-func (l *Line) turnInterval(now time.Duration) (log string) {
-	quiet := now >= l.ends+lineEvery // a whole interval without a request: the line is empty
+func (l *RequestQueue) turnInterval(now time.Duration) (log string) {
+	quiet := now >= l.ends+queueInterval // a whole interval without a request: the line is empty
 	switch {
-	case !l.pressing && !quiet && l.seen > 1 && l.shortest > l.queue.Wait:
+	case !l.pressing && !quiet && l.seen > 1 && l.shortest > l.queue.MaxWait:
 		l.pressing = true
 		if !l.told {
 			l.told, l.turned, l.began = true, 0, now
 			log = fmt.Sprintf("requests: pressing: none of %d waited under %v for the loop in %v; who waited over %v is turned away", l.seen,
-				l.shortest.Round(time.Millisecond), lineEvery, l.queue.Wait/2)
+				l.shortest.Round(time.Millisecond), queueInterval, l.queue.MaxWait/2)
 		}
-	case l.pressing && (quiet || l.shortest <= l.queue.Wait/2):
+	case l.pressing && (quiet || l.shortest <= l.queue.MaxWait/2):
 		l.pressing = false
 	}
 	if l.pressing {
@@ -109,14 +109,14 @@
 		log = fmt.Sprintf("requests: calm after %v, %d turned away", (now - l.began).Round(time.Millisecond), l.turned)
 	}
 	l.pace = max(1, l.taken)
-	l.ends, l.seen, l.taken = now+lineEvery, 0, 0
+	l.ends, l.seen, l.taken = now+queueInterval, 0, 0
 	return log
 }
 
 // retry spreads those who are turned away over the time that taking them would need at the pace at which
 // requests are taken now; drawn, so that they do not come back together.
-func (l *Line) retry() time.Duration {
-	wait := max(time.Second, time.Duration(l.turned/l.pace)*lineEvery)
-	wait = min(wait, l.queue.Retry/2)
+func (l *RequestQueue) retry() time.Duration {
+	wait := max(time.Second, time.Duration(l.turned/l.pace)*queueInterval)
+	wait = min(wait, l.queue.MaxRetryAfter/2)
 	return wait + time.Duration(l.chance.Int64N(int64(wait)+1))
 }
