--- a/cmd/fordusher/import.go
+++ b/cmd/fordusher/import.go
@@ -192,20 +192,20 @@
 // planBetween asks the planner for the way from one house's nodes to another's, and lets its checker go
 // over what it says.
 func planBetween(old, now *conf.House, t planTerms) ([]planLine, error) {
-	terms := turnover.Terms{Cells: now.Fleet.Cells, Racks: now.Fleet.Racks, PerRack: t.PerRack, PerTitle: t.PerTitle, Cold: t.Cold,
-		Warm: now.Ramp.Warmup, Drain: t.Drain, Notice: t.Notice}
+	terms := turnover.Constraints{Cells: now.Fleet.Cells, Racks: now.Fleet.Racks, MaxPerRack: t.PerRack, MaxPerTitle: t.PerTitle, MaxWarming: t.Cold,
+		Warmup: now.Ramp.Warmup, DrainTime: t.Drain, PropagationDelay: t.Notice}
 	if old.Fleet.Cells != now.Fleet.Cells || old.Fleet.Racks != now.Fleet.Racks {
 		return nil, errors.New("no plan: fleet.cells or fleet.racks changed, which moves every title; start directors with the new file")
 	}
 	var titles []turnover.Title
 	for _, t := range now.Titles {
-		titles = append(titles, turnover.Title{Name: t.Title, Base: t.Base, Copies: t.Copies})
+		titles = append(titles, turnover.Title{Name: t.Title, FirstCell: t.Base, Copies: t.Copies})
 	}
 	entries := map[string]wire.Entry{}
 	side := func(from []wire.Entry) (all []turnover.Node) {
 		for _, e := range from {
 			all = append(all, turnover.Node{Name: e.Node, Cell: e.Cell, Up: e.State == wire.Up, Weight: e.Weight,
-				Site: e.Address + " " + e.Kind + " " + e.Zone})
+				Identity: e.Address + " " + e.Kind + " " + e.Zone})
 		}
 		return all
 	}
@@ -228,10 +228,10 @@
 	for _, s := range steps {
 		for _, ch := range s.Changes {
 			e := entries[ch.Node.Name]
-			switch ch.What {
+			switch ch.Kind {
 			case turnover.Add:
 				e = next[ch.Node.Name]
-			case turnover.Open, turnover.Weigh:
+			case turnover.Reopen, turnover.Reweight:
 				e.State, e.Weight = wire.Draining, ch.Node.Weight
 				if ch.Node.Up {
 					e.State = wire.Up
@@ -242,7 +242,7 @@
 				e.State = wire.Removed
 			}
 			entries[ch.Node.Name] = e
-			lines = append(lines, planLine{At: s.At.String(), What: string(ch.What), Entry: &e})
+			lines = append(lines, planLine{At: s.At.String(), What: string(ch.Kind), Entry: &e})
 		}
 	}
 	return lines, nil
--- a/turnover/turnover.go
+++ b/turnover/turnover.go
@@ -16,45 +16,45 @@
 
 // Node is a node as the list has it.
 type Node struct {
-	Name   string
-	Cell   int
-	Up     bool    // false: draining
-	Weight float64 // may change in place
-	Site   string  // whatever else it is (address, kind, zone): a node in which this changes is another one
+	Name     string
+	Cell     int
+	Up       bool    // false: draining
+	Weight   float64 // may change in place
+	Identity string  // whatever else it is (address, kind, zone): a node in which this changes is another one
 }
 
 // Title lies on the nodes of so many cells in a row.
 type Title struct {
-	Name         string
-	Base, Copies int
+	Name              string
+	FirstCell, Copies int
 }
 
-// Terms are what a plan has to keep.
-type Terms struct {
-	Cells, Racks int           // a cell's rack is cell modulo racks
-	PerRack      int           // nodes of one rack on their way at one time: added and not warm, or drained and not removed
-	PerTitle     int           // the same of one title's holders
-	Cold         int           // nodes that may be cold at one time; 0: a twentieth of those that are up, one at least
-	Warm         time.Duration // after which a node that was added is warm
-	Drain        time.Duration // sessions have so long to end once their node drains
-	Notice       time.Duration // after which every director has heard of a change
+// Constraints are what a plan has to keep.
+type Constraints struct {
+	Cells, Racks     int           // a cell's rack is cell modulo racks
+	MaxPerRack       int           // nodes of one rack on their way at one time: added and not warm, or drained and not removed
+	MaxPerTitle      int           // the same of one title's holders
+	MaxWarming       int           // nodes that may be cold at one time; 0: a twentieth of those that are up, one at least
+	Warmup           time.Duration // after which a node that was added is warm
+	DrainTime        time.Duration // sessions have so long to end once their node drains
+	PropagationDelay time.Duration // after which every director has heard of a change
 }
 
-// What a change does.
-type What string
+// ChangeKind a change does.
+type ChangeKind string
 
 // The changes.
 const (
-	Add    What = "add"
-	Open   What = "open" // a draining node takes sessions again
-	Weigh  What = "weigh"
-	Drain  What = "drain"
-	Remove What = "remove"
+	Add      ChangeKind = "add"
+	Reopen   ChangeKind = "open" // a draining node takes sessions again
+	Reweight ChangeKind = "weigh"
+	Drain    ChangeKind = "drain"
+	Remove   ChangeKind = "remove"
 )
 
 // Change is one line of the list.
 type Change struct {
-	What What
+	Kind ChangeKind
 	Node Node // as it is afterwards; for Remove as it was
 }
 
@@ -64,15 +64,15 @@
 	Changes []Change
 }
 
-// A Blocked plan does not exist, or none was found.
-type Blocked struct {
+// A BlockedError plan does not exist, or none was found.
+type BlockedError struct {
 	Node       string // that can't be changed
 	Title      string // that would have no holder
 	Constraint string
-	Searched   bool // every order was tried: none exists
+	Exhaustive bool // every order was tried: none exists
 }
 
-func (b *Blocked) Error() string {
+func (b *BlockedError) Error() string {
 	s := b.Constraint
 	if b.Title != "" {
 		s = "title " + b.Title + ": " + s
@@ -80,7 +80,7 @@
 	if b.Node != "" {
 		s = "node " + b.Node + ": " + s
 	}
-	if b.Searched {
+	if b.Exhaustive {
 		return s + " (every order was tried)"
 	}
 	return s
@@ -88,7 +88,7 @@
 
 // fleet is the nodes as they are at some point of a plan.
 type fleet struct {
-	terms  Terms
+	terms  Constraints
 	nodes  map[string]Node
 	cells  map[int][]string // nodes of each cell
 	titles []Title
@@ -96,11 +96,11 @@
 	up     []int         // holders that are up, by title
 }
 
-func newFleet(nodes []Node, titles []Title, terms Terms) *fleet {
+func newFleet(nodes []Node, titles []Title, terms Constraints) *fleet {
 	f := &fleet{terms: terms, nodes: map[string]Node{}, cells: map[int][]string{}, titles: titles, byCell: map[int][]int{}, up: make([]int, len(titles))}
 	for i, t := range titles {
 		for k := range min(t.Copies, terms.Cells) {
-			c := (t.Base + k) % terms.Cells
+			c := (t.FirstCell + k) % terms.Cells
 			f.byCell[c] = append(f.byCell[c], i)
 		}
 	}
@@ -162,11 +162,11 @@
 		return "as many nodes as may be cold are so already"
 	}
 	for _, c := range cells {
-		if w.racks[c%w.f.terms.Racks] >= w.f.terms.PerRack {
+		if w.racks[c%w.f.terms.Racks] >= w.f.terms.MaxPerRack {
 			return fmt.Sprintf("rack %d has as many nodes on their way as it may", c%w.f.terms.Racks)
 		}
 		for _, t := range w.f.byCell[c] {
-			if w.touched[t] >= w.f.terms.PerTitle {
+			if w.touched[t] >= w.f.terms.MaxPerTitle {
 				return "title " + w.f.titles[t].Name + " has as many holders on their way as it may"
 			}
 		}
@@ -196,13 +196,13 @@
 // A plan is being made.
 type plan struct {
 	f     *fleet
-	terms Terms
+	terms Constraints
 	now   time.Duration
 	steps []Step
 }
 
 // Plan finds the steps from one fleet to another.
-func Plan(have, want []Node, titles []Title, terms Terms) ([]Step, *Blocked) {
+func Plan(have, want []Node, titles []Title, terms Constraints) ([]Step, *BlockedError) {
 	if b := possible(have, want, titles, terms); b != nil {
 		return nil, b
 	}
@@ -220,7 +220,7 @@
 		switch {
 		case !there:
 			add = append(add, n)
-		case old.Site != n.Site || old.Cell != n.Cell:
+		case old.Identity != n.Identity || old.Cell != n.Cell:
 			move = append(move, n)
 		case old.Up && !n.Up:
 			drain = append(drain, n)
@@ -246,34 +246,34 @@
 }
 
 // possible looks at what no order could mend.
-func possible(have, want []Node, titles []Title, terms Terms) *Blocked {
-	if terms.Cells <= 0 || terms.Racks <= 0 || terms.PerRack <= 0 || terms.PerTitle <= 0 {
-		return &Blocked{Constraint: "cells, racks, nodes of a rack and holders of a title at one time have to be one at least"}
+func possible(have, want []Node, titles []Title, terms Constraints) *BlockedError {
+	if terms.Cells <= 0 || terms.Racks <= 0 || terms.MaxPerRack <= 0 || terms.MaxPerTitle <= 0 {
+		return &BlockedError{Constraint: "cells, racks, nodes of a rack and holders of a title at one time have to be one at least"}
 	}
 	sites := map[string]string{}
 	for _, n := range want {
-		if other, twice := sites[n.Site]; twice && n.Site != "" {
-			return &Blocked{Node: n.Name, Constraint: "it is to be where node " + other + " is to be"}
+		if other, twice := sites[n.Identity]; twice && n.Identity != "" {
+			return &BlockedError{Node: n.Name, Constraint: "it is to be where node " + other + " is to be"}
 		}
-		sites[n.Site] = n.Name
+		sites[n.Identity] = n.Name
 	}
 	now := map[string]string{}
 	for _, n := range have {
-		now[n.Site] = n.Name
+		now[n.Identity] = n.Name
 	}
 	names := map[string]bool{}
 	for _, n := range have {
 		names[n.Name] = true
 	}
 	for _, n := range want {
-		if other, held := now[n.Site]; held && n.Site != "" && !names[n.Name] {
-			return &Blocked{Node: n.Name, Constraint: "node " + other + " is there under another name: keep its name, or drain it first"}
+		if other, held := now[n.Identity]; held && n.Identity != "" && !names[n.Name] {
+			return &BlockedError{Node: n.Name, Constraint: "node " + other + " is there under another name: keep its name, or drain it first"}
 		}
 	}
 	was, is := newFleet(have, titles, terms), newFleet(want, titles, terms)
 	for i, t := range titles {
 		if is.up[i] == 0 && was.up[i] > 0 {
-			return &Blocked{Title: t.Name, Constraint: "no holder of it is up in what is wanted"}
+			return &BlockedError{Title: t.Name, Constraint: "no holder of it is up in what is wanted"}
 		}
 	}
 	return nil
@@ -281,8 +281,8 @@
 
 // cold is how many nodes may be cold at one time.
 func (p *plan) cold() int {
-	if p.terms.Cold > 0 {
-		return p.terms.Cold
+	if p.terms.MaxWarming > 0 {
+		return p.terms.MaxWarming
 	}
 	up := 0
 	for _, n := range p.f.nodes {
@@ -296,7 +296,7 @@
 // step tells changes now and lets time pass.
 func (p *plan) step(changes []Change, then time.Duration) {
 	for _, c := range changes {
-		if c.What == Remove {
+		if c.Kind == Remove {
 			p.f.drop(c.Node.Name)
 		} else {
 			p.f.put(c.Node)
@@ -320,7 +320,7 @@
 			w.take(n.Cell)
 			changes = append(changes, Change{Add, n})
 		}
-		p.step(changes, p.terms.Warm+p.terms.Notice)
+		p.step(changes, p.terms.Warmup+p.terms.PropagationDelay)
 		nodes = later
 	}
 }
@@ -337,20 +337,20 @@
 				continue
 			}
 			w.take(n.Cell)
-			what := Weigh
+			what := Reweight
 			if n.Up && !p.f.nodes[n.Name].Up {
-				what = Open
+				what = Reopen
 			}
 			changes = append(changes, Change{what, n})
 		}
-		p.step(changes, p.terms.Notice)
+		p.step(changes, p.terms.PropagationDelay)
 		nodes = later
 	}
 }
 
 // move takes nodes away and brings them back where they are to be. Each wave is of nodes that no title needs
 // meanwhile; which go first can matter, so where the first that fit lead nowhere, all orders are tried.
-func (p *plan) move(nodes []Node) *Blocked {
+func (p *plan) move(nodes []Node) *BlockedError {
 	order := nodes
 	stuck := p.moves(order, true)
 	if stuck == nil {
@@ -359,7 +359,7 @@
 	}
 	order, ok, complete := p.order(nodes)
 	if !ok {
-		stuck.Searched = complete
+		stuck.Exhaustive = complete
 		return stuck
 	}
 	// One at a time, in the order that was found: a wave of several might not exist.
@@ -370,7 +370,7 @@
 }
 
 // moves goes through waves; trying it leaves the fleet as it was.
-func (p *plan) moves(nodes []Node, try bool) *Blocked {
+func (p *plan) moves(nodes []Node, try bool) *BlockedError {
 	if try {
 		kept := *p
 		kept.f = newFleet(nil, p.f.titles, p.terms)
@@ -382,7 +382,7 @@
 	}
 	for len(nodes) > 0 {
 		var together, later []Node
-		var stuck *Blocked
+		var stuck *BlockedError
 		w := p.f.wave(p.cold())
 		trial := []Node{}
 		for _, n := range nodes {
@@ -416,21 +416,21 @@
 // taken tells whether another node is still where one is to be.
 func (p *plan) taken(n Node) bool {
 	for _, other := range p.f.nodes {
-		if other.Name != n.Name && other.Site == n.Site && n.Site != "" {
+		if other.Name != n.Name && other.Identity == n.Identity && n.Identity != "" {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *plan) against(n Node, title, why string) *Blocked {
+func (p *plan) against(n Node, title, why string) *BlockedError {
 	switch {
 	case title != "":
-		return &Blocked{Node: n.Name, Title: title, Constraint: "it would have no holder that is up while the node is away"}
+		return &BlockedError{Node: n.Name, Title: title, Constraint: "it would have no holder that is up while the node is away"}
 	case why != "":
-		return &Blocked{Node: n.Name, Constraint: why}
+		return &BlockedError{Node: n.Name, Constraint: why}
 	}
-	return &Blocked{Node: n.Name, Constraint: "another node is still where it is to be"}
+	return &BlockedError{Node: n.Name, Constraint: "another node is still where it is to be"}
 }
 
 // moveWave drains nodes, removes them and adds them where they are to be.
@@ -441,9 +441,9 @@
 		old.Up = false
 		down, out, in = append(down, Change{Drain, old}), append(out, Change{Remove, old}), append(in, Change{Add, n})
 	}
-	p.step(down, p.terms.Drain+p.terms.Notice)
-	p.step(out, p.terms.Notice)
-	p.step(in, p.terms.Warm+p.terms.Notice)
+	p.step(down, p.terms.DrainTime+p.terms.PropagationDelay)
+	p.step(out, p.terms.PropagationDelay)
+	p.step(in, p.terms.Warmup+p.terms.PropagationDelay)
 }
 
 // searchMost bounds the search for an order: what has been moved is one of 2 to the power of so many sets.
@@ -489,7 +489,7 @@
 }
 
 // drain drains nodes, some to stay so, some to be removed once their sessions have had their time.
-func (p *plan) drain(stay, gone []Node) *Blocked {
+func (p *plan) drain(stay, gone []Node) *BlockedError {
 	removed := map[string]bool{}
 	for _, n := range gone {
 		removed[n.Name] = true
@@ -499,7 +499,7 @@
 		w := p.f.wave(len(nodes))
 		var down, out []Change
 		var later []Node
-		var stuck *Blocked
+		var stuck *BlockedError
 		for _, n := range nodes {
 			old := p.f.nodes[n.Name]
 			title, why := p.f.lonely(old), w.fits(old.Cell)
@@ -524,10 +524,10 @@
 			return stuck
 		}
 		if len(down) > 0 {
-			p.step(down, p.terms.Drain+p.terms.Notice)
+			p.step(down, p.terms.DrainTime+p.terms.PropagationDelay)
 		}
 		if len(out) > 0 {
-			p.step(out, p.terms.Notice)
+			p.step(out, p.terms.PropagationDelay)
 		}
 		nodes = later
 	}
--- a/turnover/turnover_test.go
+++ b/turnover/turnover_test.go
@@ -10,10 +10,10 @@
 	_ "fordusher/internal/seeded"
 )
 
-var terms = Terms{Cells: 8, Racks: 2, PerRack: 2, PerTitle: 1, Cold: 2, Warm: 5 * time.Second, Drain: 10 * time.Second, Notice: time.Second}
+var terms = Constraints{Cells: 8, Racks: 2, MaxPerRack: 2, MaxPerTitle: 1, MaxWarming: 2, Warmup: 5 * time.Second, DrainTime: 10 * time.Second, PropagationDelay: time.Second}
 
 func node(name string, cell int, up bool) Node {
-	return Node{Name: name, Cell: cell, Up: up, Weight: 1, Site: "at " + name}
+	return Node{Name: name, Cell: cell, Up: up, Weight: 1, Identity: "at " + name}
 }
 
 func drawFleet(t *rapid.T, cells int, what string) (all []Node) {
@@ -24,7 +24,7 @@
 		n := node(fmt.Sprint("n", i), rapid.IntRange(0, cells-1).Draw(t, "cell"), rapid.IntRange(0, 4).Draw(t, "up") > 0)
 		n.Weight = float64(rapid.IntRange(1, 2).Draw(t, "weight"))
 		if rapid.IntRange(0, 4).Draw(t, "site") == 0 {
-			n.Site = fmt.Sprint("at other ", rapid.IntRange(i, i+1).Draw(t, "shared"))
+			n.Identity = fmt.Sprint("at other ", rapid.IntRange(i, i+1).Draw(t, "shared"))
 		}
 		all = append(all, n)
 	}
@@ -36,9 +36,9 @@
 // the node's change, it is not named again.
 func TestPlansKeepTheTerms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Terms{Cells: rapid.IntRange(2, 6).Draw(t, "cells"), PerRack: rapid.IntRange(1, 3).Draw(t, "per rack"),
-			PerTitle: rapid.IntRange(1, 2).Draw(t, "per title"), Cold: rapid.IntRange(0, 3).Draw(t, "cold"),
-			Warm: 5 * time.Second, Drain: 10 * time.Second, Notice: time.Second}
+		terms := Constraints{Cells: rapid.IntRange(2, 6).Draw(t, "cells"), MaxPerRack: rapid.IntRange(1, 3).Draw(t, "per rack"),
+			MaxPerTitle: rapid.IntRange(1, 2).Draw(t, "per title"), MaxWarming: rapid.IntRange(0, 3).Draw(t, "cold"),
+			Warmup: 5 * time.Second, DrainTime: 10 * time.Second, PropagationDelay: time.Second}
 		terms.Racks = rapid.IntRange(1, terms.Cells).Draw(t, "racks")
 		have, want := drawFleet(t, terms.Cells, "have"), drawFleet(t, terms.Cells, "want")
 		var titles []Title
@@ -106,7 +106,7 @@
 	a2, b2 := a, b
 	a2.Cell, b2.Cell = 1, 0
 	titles := []Title{{"t0", 0, 1}, {"t1", 1, 1}}
-	if _, blocked := Plan([]Node{a, b}, []Node{a2, b2}, titles, terms); blocked == nil || !blocked.Searched || blocked.Title == "" {
+	if _, blocked := Plan([]Node{a, b}, []Node{a2, b2}, titles, terms); blocked == nil || !blocked.Exhaustive || blocked.Title == "" {
 		t.Fatal(blocked)
 	}
 	// M1 and M2 leave cell 0, M3 enters it and M2 takes M3's: only M2 first leads on.
@@ -124,7 +124,7 @@
 
 // A fleet of 250 nodes is moved to 250 others; the plan is there within a second.
 func TestWholeFleet(t *testing.T) {
-	terms := Terms{Cells: 250, Racks: 36, PerRack: 2, PerTitle: 2, Warm: time.Minute, Drain: time.Hour, Notice: 10 * time.Second}
+	terms := Constraints{Cells: 250, Racks: 36, MaxPerRack: 2, MaxPerTitle: 2, Warmup: time.Minute, DrainTime: time.Hour, PropagationDelay: 10 * time.Second}
 	var have, want []Node
 	var titles []Title
 	for i := range 250 {
