--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -24,13 +24,13 @@
 // An instance is one director between a boot and the kill that ends it.
 type instance struct {
 	start    time.Duration
-	conf     *simwire.Conf
+	conf     *simwire.Config
 	director *policy.Director
 }
 
 // A host answers frames. Lists are the wire's numbered registers, sixteen at most.
 type host struct {
-	lists     map[int][]simwire.Entry
+	lists     map[int][]simwire.NodeEntry
 	instances map[string]*instance
 	out       *simwire.Writer
 }
@@ -38,7 +38,7 @@
 func serve(in io.Reader, out io.Writer) error {
 	frames := simwire.NewReader(in)
 	h := host{
-		lists: map[int][]simwire.Entry{}, instances: map[string]*instance{},
+		lists: map[int][]simwire.NodeEntry{}, instances: map[string]*instance{},
 		out: simwire.NewWriter(out),
 	}
 	for {
@@ -64,7 +64,7 @@
 func (h *host) take(clock time.Duration, m *simwire.Message) error {
 	switch m.Kind {
 	case simwire.Register:
-		h.lists[m.List] = m.Entries
+		h.lists[m.ListID] = m.Entries
 		return nil
 	case simwire.Boot:
 		return h.boot(clock, m)
@@ -86,7 +86,7 @@
 }
 
 func (h *host) boot(clock time.Duration, m *simwire.Message) error {
-	conf, err := simwire.ParseConf(m.Conf)
+	conf, err := simwire.ParseConfig(m.Config)
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 	if err != nil && m.Seed != "" {
 		return fmt.Errorf("seed %q: %w", m.Seed, err)
 	}
-	h.instances[m.Instance] = &instance{start: clock, conf: conf, director: conf.Director(seed)}
+	h.instances[m.Instance] = &instance{start: clock, conf: conf, director: conf.NewDirector(seed)}
 	return nil
 }
 
@@ -113,31 +113,31 @@
 // event turns a message into the module's words; nil is one that the module has no use for.
 func (h *host) event(inst *instance, m *simwire.Message) (policy.Event, error) {
 	switch m.Kind {
-	case simwire.RosterChange:
-		entries, ok := h.lists[m.List]
-		if !ok && m.Roster != "unavailable" {
-			return nil, fmt.Errorf("list %d was never registered", m.List)
+	case simwire.ServerListChange:
+		entries, ok := h.lists[m.ListID]
+		if !ok && m.ListKind != "unavailable" {
+			return nil, fmt.Errorf("list %d was never registered", m.ListID)
 		}
-		return inst.conf.Roster(m.Roster, entries, inst.start)
-	case simwire.DemandEvent, simwire.AlreadyOpen:
-		return inst.conf.Demand(m, inst.start)
+		return inst.conf.ServerList(m.ListKind, entries, inst.start)
+	case simwire.RequestEvent, simwire.AdoptedEvent:
+		return inst.conf.Request(m, inst.start)
 	case simwire.AcceptedEvent:
 		return policy.Accepted{ID: m.ID}, nil
 	case simwire.ResultEvent:
-		outcome, err := simwire.Outcome(m.Reason)
+		outcome, err := simwire.Outcome(m.OutcomeCode)
 		if err != nil {
 			return nil, err
 		}
 		return policy.LegResult{
 			ID: m.ID, Node: m.Node, Outcome: outcome, Final: m.Final, Load: inst.conf.Load(m.Report),
 		}, nil
-	case simwire.HintUpdate:
+	case simwire.MeasurementEvent:
 		return policy.Measurement{
-			ID: m.ID, Node: m.Node, Kind: policy.MeasurementKind(m.Sort), Value: m.Value,
+			ID: m.ID, Node: m.Node, Kind: policy.MeasurementKind(m.MeasurementKind), Value: m.Value,
 		}, nil
-	case simwire.GoneEvent:
+	case simwire.ClientGoneEvent:
 		return policy.ClientGone{ID: m.ID}, nil
-	case simwire.RingEvent:
+	case simwire.TimerEvent:
 		return policy.TimerFired{}, nil
 	}
 	return nil, nil
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -21,7 +21,7 @@
 // and keeps nothing of sessions.
 type Front struct {
 	house *conf.House
-	trade *simwire.Conf
+	trade *simwire.Config
 	now   func() time.Time
 
 	mu    sync.Mutex
@@ -183,7 +183,7 @@
 		if !ok || err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
 			return nil, fmt.Errorf("a report that can't be read: %q", part)
 		}
-		simwire.Figure(&load, name, v)
+		simwire.SetLoadField(&load, name, v)
 	}
 	told := func(v float64) *float64 {
 		if v < 0 {
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -43,7 +43,7 @@
 	} `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
-	trade *simwire.Conf
+	trade *simwire.Config
 }
 
 // A notice is an event of the notice board in text.
@@ -125,7 +125,7 @@
 	if len(p.Settings) == 0 {
 		return nil, fmt.Errorf("settings: there are none")
 	}
-	trade, err := simwire.ParseConf(p.Settings)
+	trade, err := simwire.ParseConfig(p.Settings)
 	if err != nil {
 		return nil, err
 	}
@@ -154,7 +154,7 @@
 }
 
 // Module starts the module with the settings, as on the simulator's wire.
-func (p *Posting) Module(seed uint64) director.Decider { return p.trade.Director(seed) }
+func (p *Posting) Module(seed uint64) director.Decider { return p.trade.NewDirector(seed) }
 
 // What a front's connections may cost, beside the limits that the platform states. A viewer's connection that has said
 // nothing whole within silentMost is closed; the platform closes its own after 4 s.
@@ -188,9 +188,9 @@
 		h.Tariffs = append(h.Tariffs, director.Tariff{Name: t.Classes[i].Name, Tariff: x})
 		goals[i] = x.GoalTime
 	}
-	h.Peers.Index, h.Peers.Directors, h.Peers.Zone = t.Me, t.Directors, t.Zone
+	h.Peers.Index, h.Peers.Directors, h.Peers.Zone = t.Index, t.Directors, t.Zone
 	h.Fleet.Cells, h.Fleet.Racks = t.Family.Cells, t.Family.Racks
-	connect := simwire.Span(t.Permissions.Connect)
+	connect := simwire.SecondsToDuration(t.Permissions.Connect)
 	if connect <= 0 {
 		connect = time.Second
 	}
@@ -198,8 +198,8 @@
 		AnswerAhead: answerAhead, Connect: connect, PerConnection: perViewer, Greetless: true, Loose: true,
 	}
 	h.Pace = reach.ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 64}
-	h.Pace.IdleTimeout = time.Duration(keepPart * float64(simwire.Span(t.Permissions.Idle)))
-	if every := simwire.Span(t.Family.Every); every > 0 { // a node with sessions is heard so often
+	h.Pace.IdleTimeout = time.Duration(keepPart * float64(simwire.SecondsToDuration(t.Permissions.Idle)))
+	if every := simwire.SecondsToDuration(t.Family.ReportInterval); every > 0 { // a node with sessions is heard so often
 		h.Pace.HeartbeatInterval = (every + time.Second) / 3
 	}
 	h.Term = closing.Policy{Timeout: p.closeWithin(), BatchInterval: 200 * time.Millisecond, MinDuration: p.closeLeast(), CloseTimeout: p.partWithin()}
--- a/internal/simwire/conf.go
+++ b/internal/simwire/conf.go
@@ -12,9 +12,9 @@
 	"fordusher/policy"
 )
 
-// Conf is what the wire tells at a start; keys that are not listed here are skipped.
-type Conf struct {
-	Me        int      `json:"me"`
+// Config is what the wire tells at a start; keys that are not listed here are skipped.
+type Config struct {
+	Index     int      `json:"me"`
 	Directors int      `json:"balancers"`
 	Zone      string   `json:"zone"`
 	Zones     []string `json:"zones"`
@@ -26,22 +26,22 @@
 		Credit    float64 `json:"credit"`
 	} `json:"classes"`
 	Family struct {
-		Cells       int       `json:"positions"`
-		Racks       int       `json:"shelves"`
-		Floor       []int     `json:"floor_by_class"`
-		Top         []int     `json:"top_by_class"`
-		Scale       []float64 `json:"scale_by_class"`
-		Seats       []int     `json:"licence_cap"`
-		Live        []bool    `json:"is_live"`
-		Join        *float64  `json:"shared_adds"`
-		RefusesFrom float64   `json:"refuses_from"`
-		Places      []float64 `json:"kind_slots"`
-		Ladder      []float64 `json:"ladder_kb"`
-		Worth       []float64 `json:"level_worth"`
-		Late        float64   `json:"told_late_s"`
-		Every       float64   `json:"told_every_s"`
-		Uplink      float64   `json:"rack_link_kb"`
-		LinkUnit    float64   `json:"link_unit_kb"`
+		Cells            int       `json:"positions"`
+		Racks            int       `json:"shelves"`
+		Floor            []int     `json:"floor_by_class"`
+		Top              []int     `json:"top_by_class"`
+		Scale            []float64 `json:"scale_by_class"`
+		Seats            []int     `json:"licence_cap"`
+		Live             []bool    `json:"is_live"`
+		JoinCost         *float64  `json:"shared_adds"`
+		RefusalThreshold float64   `json:"refuses_from"`
+		MaxStreams       []float64 `json:"kind_slots"`
+		Ladder           []float64 `json:"ladder_kb"`
+		Worth            []float64 `json:"level_worth"`
+		ReportDelay      float64   `json:"told_late_s"`
+		ReportInterval   float64   `json:"told_every_s"`
+		Uplink           float64   `json:"rack_link_kb"`
+		LinkUnit         float64   `json:"link_unit_kb"`
 	} `json:"family_info"`
 	Kinds       []string `json:"flavors"`
 	Mode        string   `json:"membership_mode"`
@@ -53,29 +53,29 @@
 		Idle        float64 `json:"conn_idle_s"`
 	} `json:"permissions"`
 	Prices struct {
-		Crossing float64 `json:"cross_zone"`
+		CrossZoneCost float64 `json:"cross_zone"`
 	} `json:"prices"`
 	Report struct {
 		Fields []string `json:"fields"`
 	} `json:"report"`
 	Rules struct {
-		AskWithin float64 `json:"ask_within_s"`
-		ColdFrom  float64 `json:"cold_from"`
-		Multiple  float64 `json:"fall_multiple"`
-		Ramp      float64 `json:"ramp_time_s"`
-		TipAfter  float64 `json:"tip_after_s"`
-		Spare     float64 `json:"spare_attempts"`
-		Extra     float64 `json:"extra_share"`
-		Span      float64 `json:"resend_span_s"`
+		PollWithin       float64 `json:"ask_within_s"`
+		InitialShare     float64 `json:"cold_from"`
+		OverloadMultiple float64 `json:"fall_multiple"`
+		Ramp             float64 `json:"ramp_time_s"`
+		OverloadWindow   float64 `json:"tip_after_s"`
+		MinRetries       float64 `json:"spare_attempts"`
+		RetryRatio       float64 `json:"extra_share"`
+		RetryWindow      float64 `json:"resend_span_s"`
 	} `json:"rules"`
 
 	tariffs map[string]int
 	kinds   map[string]int
 }
 
-// ParseConf reads a start's settings.
-func ParseConf(raw json.RawMessage) (*Conf, error) {
-	c := &Conf{tariffs: map[string]int{}, kinds: map[string]int{}}
+// ParseConfig reads a start's settings.
+func ParseConfig(raw json.RawMessage) (*Config, error) {
+	c := &Config{tariffs: map[string]int{}, kinds: map[string]int{}}
 	if err := json.Unmarshal(raw, c); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -96,17 +96,17 @@
 }
 
 // Ladder is the rungs.
-func (c *Conf) Ladder() policy.Ladder {
+func (c *Config) Ladder() policy.Ladder {
 	f := &c.Family
 	ladder := policy.Ladder{Rates: f.Ladder, Worth: f.Worth, JoinCost: 1}
-	if f.Join != nil {
-		ladder.JoinCost = *f.Join
+	if f.JoinCost != nil {
+		ladder.JoinCost = *f.JoinCost
 	}
 	return ladder
 }
 
 // Check tells what of the settings can't be used, by its key; what is left out has a meaning.
-func (c *Conf) Check() error {
+func (c *Config) Check() error {
 	f := &c.Family
 	if len(c.Classes) == 0 {
 		return errors.New("settings: classes: there are none")
@@ -136,13 +136,13 @@
 		}
 	}
 	least := map[string]float64{
-		"family_info: told_late_s": f.Late, "family_info: told_every_s": f.Every, "family_info: refuses_from": f.RefusesFrom,
+		"family_info: told_late_s": f.ReportDelay, "family_info: told_every_s": f.ReportInterval, "family_info: refuses_from": f.RefusalThreshold,
 		"permissions: max_attempts":      float64(c.Permissions.MaxAttempts),
 		"permissions: max_retry_after_s": c.Permissions.MaxBackoff, "permissions: connect_timeout_s": c.Permissions.Connect,
-		"permissions: conn_idle_s": c.Permissions.Idle, "prices: cross_zone": c.Prices.Crossing,
-		"rules: ask_within_s": c.Rules.AskWithin, "rules: cold_from": c.Rules.ColdFrom,
-		"rules: fall_multiple": c.Rules.Multiple, "rules: ramp_time_s": c.Rules.Ramp, "rules: tip_after_s": c.Rules.TipAfter,
-		"rules: spare_attempts": c.Rules.Spare, "rules: extra_share": c.Rules.Extra, "rules: resend_span_s": c.Rules.Span,
+		"permissions: conn_idle_s": c.Permissions.Idle, "prices: cross_zone": c.Prices.CrossZoneCost,
+		"rules: ask_within_s": c.Rules.PollWithin, "rules: cold_from": c.Rules.InitialShare,
+		"rules: fall_multiple": c.Rules.OverloadMultiple, "rules: ramp_time_s": c.Rules.Ramp, "rules: tip_after_s": c.Rules.OverloadWindow,
+		"rules: spare_attempts": c.Rules.MinRetries, "rules: extra_share": c.Rules.RetryRatio, "rules: resend_span_s": c.Rules.RetryWindow,
 	}
 	for i, class := range c.Classes {
 		least[fmt.Sprintf("classes: %s: target_s", class.Name)] = class.Target
@@ -163,22 +163,22 @@
 // most is beyond any figure of a deployment; spans up to it still fit.
 const most = 1e9
 
-// Unhurried is how long a session may take to be set up whose class names no end of it.
-const Unhurried = time.Hour
+// DefaultSetupTimeout is how long a session may take to be set up whose class names no end of it.
+const DefaultSetupTimeout = time.Hour
 
 // Tariffs are what sessions were promised, in the order of the classes. A class that names no end has until Unhurried,
 // and one that names no goal has all of its time; a floor beyond the ladder is its last rung, and where no scale is
 // told it is 1.
-func (c *Conf) Tariffs() []policy.Tariff {
+func (c *Config) Tariffs() []policy.Tariff {
 	f := &c.Family
 	tariffs := make([]policy.Tariff, len(c.Classes))
 	for i, class := range c.Classes {
 		t := policy.Tariff{
-			GoalTime: Span(class.Target), HardStop: Span(class.GiveUp), Credit: class.Credit,
+			GoalTime: SecondsToDuration(class.Target), HardStop: SecondsToDuration(class.GiveUp), Credit: class.Credit,
 			AtMostOnce: class.Semantics != "free", Scale: at(f.Scale, i, 1), Floor: at(f.Floor, i, 0),
 			Top: at(f.Top, i, len(f.Ladder)-1), Seats: at(f.Seats, i, 0), Live: at(f.Live, i, false),
 		}
-		t.HardStop = cmp.Or(t.HardStop, Unhurried)
+		t.HardStop = cmp.Or(t.HardStop, DefaultSetupTimeout)
 		t.GoalTime = min(cmp.Or(t.GoalTime, t.HardStop), t.HardStop)
 		t.Scale, t.Floor = cmp.Or(t.Scale, 1), min(t.Floor, len(f.Ladder)-1)
 		tariffs[i] = t
@@ -186,43 +186,43 @@
 	return tariffs
 }
 
-// Director starts a director with what the wire told.
-func (c *Conf) Director(seed uint64) *policy.Director {
+// NewDirector starts a director with what the wire told.
+func (c *Config) NewDirector(seed uint64) *policy.Director {
 	f := &c.Family
 	ramp := policy.Ramp{
-		MaxStreams: f.Places, Warmup: Span(c.Rules.Ramp), InitialShare: c.Rules.ColdFrom,
-		OverloadMultiple: c.Rules.Multiple, OverloadWindow: Span(c.Rules.TipAfter),
+		MaxStreams: f.MaxStreams, Warmup: SecondsToDuration(c.Rules.Ramp), InitialShare: c.Rules.InitialShare,
+		OverloadMultiple: c.Rules.OverloadMultiple, OverloadWindow: SecondsToDuration(c.Rules.OverloadWindow),
 	}
 	if c.Mode == "ask" {
-		ramp.PollWithin = max(Span(c.Rules.AskWithin), time.Millisecond)
+		ramp.PollWithin = max(SecondsToDuration(c.Rules.PollWithin), time.Millisecond)
 	}
 	var backoff time.Duration
 	if c.Permissions.RetryAfter {
-		backoff = Span(c.Permissions.MaxBackoff)
+		backoff = SecondsToDuration(c.Permissions.MaxBackoff)
 	}
-	return policy.New(seed, policy.Peers{Index: c.Me, Directors: c.Directors, Zone: c.Zone}, c.Tariffs(), c.Ladder(),
+	return policy.New(seed, policy.Peers{Index: c.Index, Directors: c.Directors, Zone: c.Zone}, c.Tariffs(), c.Ladder(),
 		policy.Fleet{
 			Cells: f.Cells, Racks: f.Racks, LinkUnit: f.LinkUnit, Uplink: f.Uplink,
-			CrossZoneCost: c.Prices.Crossing, RefusalThreshold: f.RefusesFrom,
+			CrossZoneCost: c.Prices.CrossZoneCost, RefusalThreshold: f.RefusalThreshold,
 		}, ramp,
 		policy.RetryPolicy{
-			MaxLegs: max(1, c.Permissions.MaxAttempts), MinRetries: c.Rules.Spare, RetryRatio: c.Rules.Extra,
-			Window: Span(c.Rules.Span),
+			MaxLegs: max(1, c.Permissions.MaxAttempts), MinRetries: c.Rules.MinRetries, RetryRatio: c.Rules.RetryRatio,
+			Window: SecondsToDuration(c.Rules.RetryWindow),
 		},
-		policy.ReportTiming{Delay: Span(f.Late), Interval: Span(f.Every), MaxBackoff: backoff})
+		policy.ReportTiming{Delay: SecondsToDuration(f.ReportDelay), Interval: SecondsToDuration(f.ReportInterval), MaxBackoff: backoff})
 }
 
 // Load reads a report by the order of its fields.
-func (c *Conf) Load(report []float64) policy.Load {
+func (c *Config) Load(report []float64) policy.Load {
 	load := policy.NoLoad
 	for i, v := range report {
-		Figure(&load, at(c.Report.Fields, i, ""), v)
+		SetLoadField(&load, at(c.Report.Fields, i, ""), v)
 	}
 	return load
 }
 
-// Figure takes one figure of a report under the name that the settings give it; other names are skipped.
-func Figure(load *policy.Load, name string, v float64) {
+// SetLoadField takes one figure of a report under the name that the settings give it; other names are skipped.
+func SetLoadField(load *policy.Load, name string, v float64) {
 	switch name {
 	case "active":
 		load.Streams = v
@@ -246,8 +246,8 @@
 	"up": policy.Up, "draining": policy.Draining, "removed": policy.Removed,
 }
 
-// Roster reads a change of the list for an instance that started at the given clock.
-func (c *Conf) Roster(kind string, entries []Entry, start time.Duration) (policy.ServerList, error) {
+// ServerList reads a change of the list for an instance that started at the given clock.
+func (c *Config) ServerList(kind string, entries []NodeEntry, start time.Duration) (policy.ServerList, error) {
 	k, ok := rosterKinds[kind]
 	if !ok {
 		return policy.ServerList{}, fmt.Errorf("unknown list kind %q", kind)
@@ -259,8 +259,8 @@
 			return r, fmt.Errorf("unknown state %q of node %s", e.State, e.Node)
 		}
 		born := policy.UnknownStart
-		if e.Born != 0 {
-			born = Span(e.Born) - start
+		if e.StartedAt != 0 {
+			born = SecondsToDuration(e.StartedAt) - start
 		}
 		r.Entries[i] = policy.NodeEntry{
 			Node: e.Node, State: state, MachineKind: c.kinds[e.Kind], Zone: e.Zone, StartedAt: born,
@@ -270,14 +270,14 @@
 	return r, nil
 }
 
-// Demand reads a request, or a session handed over while it plays.
-func (c *Conf) Demand(m *Message, start time.Duration) (policy.Request, error) {
+// Request reads a request, or a session handed over while it plays.
+func (c *Config) Request(m *Message, start time.Duration) (policy.Request, error) {
 	tariff, ok := c.tariffs[m.Tariff]
 	if !ok {
 		return policy.Request{}, fmt.Errorf("unknown class %q", m.Tariff)
 	}
 	return policy.Request{
-		ID: m.ID, Tariff: tariff, Title: m.Title, FirstCell: int(m.Base), Copies: int(m.Copies),
-		MaxRung: int(m.Top), Deadline: Span(m.Stop) - start, PlayingOn: m.Node,
+		ID: m.ID, Tariff: tariff, Title: m.Title, FirstCell: int(m.FirstCell), Copies: int(m.Copies),
+		MaxRung: int(m.MaxRung), Deadline: SecondsToDuration(m.ValidUntil) - start, PlayingOn: m.Node,
 	}, nil
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -24,64 +24,64 @@
 
 // A Message is one event line; which fields count depends on Kind.
 type Message struct {
-	Kind     string          `json:"t"`
-	Instance string          `json:"i"`
-	Seed     json.Number     `json:"entropy"`
-	Conf     json.RawMessage `json:"conf"`
-	List     int             `json:"list"`
-	Entries  []Entry         `json:"entries"`
-	Roster   string          `json:"kind"`
-	ID       uint64          `json:"txn"`
-	Tariff   string          `json:"cls"`
-	Title    uint64          `json:"programme"`
-	Stop     float64         `json:"valid_until_s"`
-	Base     float64         `json:"base"`
-	Copies   float64         `json:"cells_in_row"`
-	Top      float64         `json:"top_rung"`
-	Node     string          `json:"node"`
-	Reason   int             `json:"reason"`
-	Final    bool            `json:"final"`
-	Report   []float64       `json:"report"`
-	Value    float64         `json:"x"`
-	Sort     int             `json:"sort"`
+	Kind            string          `json:"t"`
+	Instance        string          `json:"i"`
+	Seed            json.Number     `json:"entropy"`
+	Config          json.RawMessage `json:"conf"`
+	ListID          int             `json:"list"`
+	Entries         []NodeEntry     `json:"entries"`
+	ListKind        string          `json:"kind"`
+	ID              uint64          `json:"txn"`
+	Tariff          string          `json:"cls"`
+	Title           uint64          `json:"programme"`
+	ValidUntil      float64         `json:"valid_until_s"`
+	FirstCell       float64         `json:"base"`
+	Copies          float64         `json:"cells_in_row"`
+	MaxRung         float64         `json:"top_rung"`
+	Node            string          `json:"node"`
+	OutcomeCode     int             `json:"reason"`
+	Final           bool            `json:"final"`
+	Report          []float64       `json:"report"`
+	Value           float64         `json:"x"`
+	MeasurementKind int             `json:"sort"`
 
 	// The head and foot of a batch.
 	Clock  *float64 `json:"t_s"`
 	Number *uint64  `json:"frame"`
 }
 
-// An Entry is a node in a registered list.
-type Entry struct {
-	State  string  `json:"stage_state"`
-	Node   string  `json:"node"`
-	Kind   string  `json:"generation_hw"`
-	Zone   string  `json:"area"`
-	Born   float64 `json:"born_s"`
-	Weight float64 `json:"scale"`
-	Cell   int     `json:"position"`
+// An NodeEntry is a node in a registered list.
+type NodeEntry struct {
+	State     string  `json:"stage_state"`
+	Node      string  `json:"node"`
+	Kind      string  `json:"generation_hw"`
+	Zone      string  `json:"area"`
+	StartedAt float64 `json:"born_s"`
+	Weight    float64 `json:"scale"`
+	Cell      int     `json:"position"`
 }
 
 // The event kinds of the wire.
 const (
-	Boot          = "boot"
-	Register      = "register"
-	RosterChange  = "roster_change"
-	DemandEvent   = "demand"
-	ProbeResult   = "probe_result"
-	RingEvent     = "ring"
-	AlreadyOpen   = "already_open"
-	ResultEvent   = "result"
-	AcceptedEvent = "accepted"
-	Killed        = "killed"
-	Whisper       = "whisper"
-	GoneEvent     = "gone"
-	HintUpdate    = "hint_update"
+	Boot             = "boot"
+	Register         = "register"
+	ServerListChange = "roster_change"
+	RequestEvent     = "demand"
+	ProbeResult      = "probe_result"
+	TimerEvent       = "ring"
+	AdoptedEvent     = "already_open"
+	ResultEvent      = "result"
+	AcceptedEvent    = "accepted"
+	Killed           = "killed"
+	Whisper          = "whisper"
+	ClientGoneEvent  = "gone"
+	MeasurementEvent = "hint_update"
 )
 
 var kinds = map[string]bool{
-	Boot: true, Register: true, RosterChange: true, DemandEvent: true, ProbeResult: true,
-	RingEvent: true, AlreadyOpen: true, ResultEvent: true, AcceptedEvent: true, Killed: true,
-	Whisper: true, GoneEvent: true, HintUpdate: true,
+	Boot: true, Register: true, ServerListChange: true, RequestEvent: true, ProbeResult: true,
+	TimerEvent: true, AdoptedEvent: true, ResultEvent: true, AcceptedEvent: true, Killed: true,
+	Whisper: true, ClientGoneEvent: true, MeasurementEvent: true,
 }
 
 var outcomes = map[int]policy.Outcome{
@@ -157,7 +157,7 @@
 				return f, fmt.Errorf("after frame %d: a tick without clock or number", r.last)
 			}
 			begun, r.last = true, *m.Number
-			f.Clock, f.Number = Span(*m.Clock), *m.Number
+			f.Clock, f.Number = SecondsToDuration(*m.Clock), *m.Number
 		case !begun:
 			return f, fmt.Errorf("after frame %d: %q where a tick was due", r.last, m.Kind)
 		case m.Kind == "go":
@@ -170,8 +170,8 @@
 	}
 }
 
-// Span turns the wire's seconds into a span, to the microsecond.
-func Span(seconds float64) time.Duration {
+// SecondsToDuration turns the wire's seconds into a span, to the microsecond.
+func SecondsToDuration(seconds float64) time.Duration {
 	return time.Duration(math.Round(seconds*1e6)) * time.Microsecond
 }
 
