--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -39,7 +39,7 @@
 	Grace     time.Duration // drain grace
 	Legs      policy.RetryPolicy
 	Tidings   policy.ReportTiming
-	Manners   director.Manners
+	Manners   director.Options
 	Pace      reach.ReconnectPolicy
 	Term      closing.Policy
 	Room      limits.Capacity
@@ -71,7 +71,7 @@
 func (h *House) Loop(boot string, seed uint64, module director.Decider) *director.Loop {
 	loop := director.New(h.Name, boot, seed, module, h.Tariffs, h.Machines, h.Ladder, h.Manners, h.Pace, h.Term, h.Room, h.Queue)
 	if h.Unguarded {
-		loop.Unguard()
+		loop.DisableGuard()
 	}
 	return loop
 }
@@ -320,18 +320,18 @@
 }
 
 func (h *House) manners(r *Reader, o *Object) {
-	h.Manners = director.Manners{
-		AnswerAhead:   o.Span("answer_ahead", 60*time.Millisecond, 0, time.Minute, false),
-		Linger:        o.Span("linger", 8*time.Second, 0, time.Hour, false),
-		Connect:       o.Span("connect", 250*time.Millisecond, time.Millisecond, time.Minute, false),
-		PerConnection: o.Whole("sessions_per_connection", 8, 1, 1000, false),
+	h.Manners = director.Options{
+		AnswerMargin:          o.Span("answer_ahead", 60*time.Millisecond, 0, time.Minute, false),
+		Linger:                o.Span("linger", 8*time.Second, 0, time.Hour, false),
+		ConnectTimeout:        o.Span("connect", 250*time.Millisecond, time.Millisecond, time.Minute, false),
+		SessionsPerConnection: o.Whole("sessions_per_connection", 8, 1, 1000, false),
 	}
 	h.Pace.HeartbeatInterval = o.Span("ping", time.Second, 10*time.Millisecond, time.Hour, false)
 	h.Room.HeartbeatInterval = o.Span("ping_players", 10*time.Second, 10*time.Millisecond, time.Hour, false)
 	for _, t := range h.Tariffs {
-		if t.HardStop > 0 && h.Manners.AnswerAhead*2 > t.HardStop {
+		if t.HardStop > 0 && h.Manners.AnswerMargin*2 > t.HardStop {
 			r.Wrong(o.Where("answer_ahead"), "answer_ahead is %v, more than half of the hard_stop of %q, which is %v: no time to set up",
-				h.Manners.AnswerAhead, t.Name, t.HardStop)
+				h.Manners.AnswerMargin, t.Name, t.HardStop)
 		}
 	}
 	o.Done()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -132,7 +132,7 @@
 		if now >= snapped+snapEvery || ended {
 			snapped = now
 			if d.house.Room.MaxMemory > 0 {
-				ended = d.carryOut(d.loop.Step(now, director.Memory{Bytes: used()})) || ended
+				ended = d.carryOut(d.loop.Step(now, director.MemoryUsage{Bytes: used()})) || ended
 			}
 			d.snap()
 		}
@@ -199,7 +199,7 @@
 			c, raw := d.players[o.Conn], d.front.ToPlayer(o)
 			if c == nil || raw == nil {
 			} else if o.Message.Type == wire.Rung { // advice: the next one makes it worthless
-				c.Advise(raw, o.Merge)
+				c.Advise(raw, o.CoalesceKey)
 			} else {
 				c.Send(raw, 0)
 			}
@@ -209,7 +209,7 @@
 			}
 		case director.RejectClient:
 			if c := d.players[o.Conn]; c != nil {
-				c.Reject(o.Retry, o.Why)
+				c.Reject(o.RetryAfter, o.Reason)
 			}
 		case director.CloseClient:
 			if c := d.players[o.Conn]; c == nil {
@@ -218,9 +218,9 @@
 			} else if o.Code == 0 && !c.Queued() {
 				c.Cut()
 			} else {
-				c.Close(ws.StatusCode(o.Code), o.Why)
+				c.Close(ws.StatusCode(o.Code), o.Reason)
 			}
-		case director.SendServer:
+		case director.SendNode:
 			c := d.links[o.Link]
 			switch {
 			case o.Setup == 0 && c != nil:
@@ -235,12 +235,12 @@
 		case director.ProbeLink:
 			if c := d.links[o.Link]; c != nil {
 				c.Ping()
-				d.inbox.put(item{in: director.LinkAlive{Link: o.Link, Quiet: c.Quiet()}})
+				d.inbox.put(item{in: director.LinkAlive{Link: o.Link, IdleFor: c.Quiet()}})
 			}
 		case director.ProbeClient:
 			if c := d.players[o.Conn]; c != nil {
 				c.Ping()
-				d.inbox.put(item{in: director.ClientAlive{Conn: o.Conn, Quiet: c.Quiet()}})
+				d.inbox.put(item{in: director.ClientAlive{Conn: o.Conn, IdleFor: c.Quiet()}})
 			}
 		case director.CloseLink:
 			if c := d.links[o.Link]; c != nil {
@@ -255,15 +255,15 @@
 				}
 			}
 		case director.Log:
-			d.log.Info().Msg(o.Words)
+			d.log.Info().Msg(o.Text)
 		case director.StopAccepting:
 			d.server.StopAccepting()
-		case director.Ended:
+		case director.ShutdownComplete:
 			ended = true
 		}
 	}
 	for _, conn := range stay { // before what it said is taken
-		ended = d.carryOut(d.loop.Step(d.now(), director.ClientStays{Conn: conn})) || ended
+		ended = d.carryOut(d.loop.Step(d.now(), director.ClientStillActive{Conn: conn})) || ended
 	}
 	return ended
 }
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -25,7 +25,7 @@
 
 	// What the protocol has no words for is nil.
 	ToPlayer(o director.SendClient) []byte
-	ToNode(o director.SendServer) []byte
+	ToNode(o director.SendNode) []byte
 	ToList(m wire.List) []byte
 }
 
@@ -58,6 +58,6 @@
 
 func (sockets) ToPlayer(o director.SendClient) []byte { return wire.Encode(o.Message) }
 
-func (sockets) ToNode(o director.SendServer) []byte { return wire.Encode(o.Message) }
+func (sockets) ToNode(o director.SendNode) []byte { return wire.Encode(o.Message) }
 
 func (sockets) ToList(m wire.List) []byte { return wire.Encode(m) }
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -181,7 +181,7 @@
 
 // asks tells whether a player asks for a session that does not play yet.
 func asks(e director.ClientReceived) bool {
-	return e.Message.Type == wire.Want && (e.Brought == nil || e.Brought.Playing == "")
+	return e.Message.Type == wire.Want && (e.Details == nil || e.Details.PlayingOn == "")
 }
 
 // waits is how many stand in line.
--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -17,7 +17,7 @@
 func said(p *peer, kind, id, playing string) item {
 	p.pending.Add(1)
 	return item{peer: p, in: director.ClientReceived{Conn: p.number, Message: wire.Session{Type: kind, ID: id},
-		Brought: &director.Brought{Playing: playing}}}
+		Details: &director.RequestDetails{PlayingOn: playing}}}
 }
 
 func knocked(p *peer) item {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -49,7 +49,7 @@
 func (d *Daemon) snap() {
 	d.late.note(d.now(), 0)
 	s := &snapshot{players: len(d.players), late: max(d.late.now, d.late.before)}
-	s.used, s.busy, s.mode = d.loop.Room()
+	s.used, s.busy, s.mode = d.loop.ConnectionUsage()
 	s.counts, s.owed, s.playing, s.legs, s.links = d.loop.Counts()
 	d.seen.Store(s)
 }
@@ -72,16 +72,16 @@
 		{"answers_played_total", "final answers: it plays", prometheus.CounterValue, float64(c.Played)},
 		{"answers_nacked_total", "final answers: coming again does no harm", prometheus.CounterValue, float64(c.Nacked)},
 		{"answers_errored_total", "final answers that claim nothing", prometheus.CounterValue, float64(c.Errored)},
-		{"requests_gone_total", "viewers who left before the answer", prometheus.CounterValue, float64(c.Gone)},
+		{"requests_gone_total", "viewers who left before the answer", prometheus.CounterValue, float64(c.Abandoned)},
 		{"answers_overdue_total", "answers that the loop had to give in the module's place", prometheus.CounterValue, float64(c.Overdue)},
 		{"legs_total", "set-ups sent", prometheus.CounterValue, float64(c.Legs)},
-		{"legs_further_total", "set-ups beyond a session's first", prometheus.CounterValue, float64(c.Further)},
-		{"sessions_broken_total", "sessions that lost their node", prometheus.CounterValue, float64(c.Broken)},
-		{"odd_moves_total", "moves that no table has; should be 0", prometheus.CounterValue, float64(c.OddMove)},
-		{"stray_total", "messages for what is not known (any more)", prometheus.CounterValue, float64(c.Stray)},
-		{"late_total", "second answers, and answers for who has one", prometheus.CounterValue, float64(c.Late)},
+		{"legs_further_total", "set-ups beyond a session's first", prometheus.CounterValue, float64(c.Retries)},
+		{"sessions_broken_total", "sessions that lost their node", prometheus.CounterValue, float64(c.SessionsLost)},
+		{"odd_moves_total", "moves that no table has; should be 0", prometheus.CounterValue, float64(c.IllegalTransitions)},
+		{"stray_total", "messages for what is not known (any more)", prometheus.CounterValue, float64(c.Unexpected)},
+		{"late_total", "second answers, and answers for who has one", prometheus.CounterValue, float64(c.LateAnswers)},
 		{"stalls_total", "times that the loop was late by more than 100 ms", prometheus.CounterValue, float64(c.Stalls)},
-		{"unfit_total", "messages that this kind of peer does not send", prometheus.CounterValue, float64(c.BadWord)},
+		{"unfit_total", "messages that this kind of peer does not send", prometheus.CounterValue, float64(c.UnknownMessages)},
 		{"malformed_total", "malformed messages", prometheus.CounterValue,
 			float64(d.refused[0].Load() + d.refused[1].Load() + d.refused[2].Load())},
 		{"overfull_total", "requests refused because too many of their connection waited", prometheus.CounterValue, float64(d.overfull.Load())},
@@ -91,10 +91,10 @@
 		{"sessions_playing", "sessions that play", prometheus.GaugeValue, float64(s.playing)},
 		{"legs_out", "legs, set-ups and sessions", prometheus.GaugeValue, float64(s.legs)},
 		{"node_connections", "connections to nodes", prometheus.GaugeValue, float64(s.links)},
-		{"players_turned_away_total", "players not let in", prometheus.CounterValue, float64(c.TurnedAway)},
-		{"requests_pressed_total", "requests nacked because they had waited too long for the loop", prometheus.CounterValue, float64(c.Pressed)},
+		{"players_turned_away_total", "players not let in", prometheus.CounterValue, float64(c.ClientsRejected)},
+		{"requests_pressed_total", "requests nacked because they had waited too long for the loop", prometheus.CounterValue, float64(c.RequestsShed)},
 		{"requests_waiting", "what stands in line for the loop", prometheus.GaugeValue, float64(d.inbox.waits())},
-		{"players_let_go_total", "idle players let go", prometheus.CounterValue, float64(c.LetGo)},
+		{"players_let_go_total", "idle players let go", prometheus.CounterValue, float64(c.ClientsEvicted)},
 		{"room_mode", "0 normal, 1 saving, 2 full", prometheus.GaugeValue, float64(s.mode)},
 		{"player_connections_busy", "players with a session or an answer owed", prometheus.GaugeValue, float64(s.busy)},
 		{"player_connections", "connections of players", prometheus.GaugeValue, float64(s.players)},
@@ -108,7 +108,7 @@
 		ch <- prometheus.MustNewConstMetric(refused, prometheus.CounterValue, float64(n), rule)
 	}
 	never := prometheus.NewDesc("fordusher_legs_never_ran_total", "legs that provably never ran, by proof", []string{"proof"}, nil)
-	for word, n := range c.Proofs() {
+	for word, n := range c.NeverRanByReason() {
 		ch <- prometheus.MustNewConstMetric(never, prometheus.CounterValue, float64(n), word)
 	}
 }
--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -16,9 +16,9 @@
 
 func (d *Daemon) connect(o director.Connect) {
 	h := &link{d: d, node: o.Node, peer: peer{number: o.Link}}
-	if _, err := d.front.DialNode(o.Address, o.Within, h); err != nil {
+	if _, err := d.front.DialNode(o.Address, o.Timeout, h); err != nil {
 		d.inbox.put(item{in: director.LinkFailed{Node: o.Node, Link: o.Link, Refused: errors.Is(err, syscall.ECONNREFUSED),
-			Crowded: transport.IsLocal(err)}})
+			ResourceExhausted: transport.IsLocal(err)}})
 	}
 }
 
--- a/internal/director/answer.go
+++ b/internal/director/answer.go
@@ -15,8 +15,8 @@
 	}
 	s.answered, s.description = true, nil
 	l.owed--
-	l.timers.Cancel(s.answer)
-	s.answer = 0
+	l.timers.Cancel(s.answerTimer)
+	s.answerTimer = 0
 	if answer == nil || s.conn == nil {
 		return
 	}
@@ -25,53 +25,53 @@
 		r.answer = answer
 	}
 	l.requestEvent(RequestAnswered, s, answer.Type+" "+answer.Why)
-	l.do(SendClient{Conn: s.conn.number, Message: *answer, Description: description})
+	l.emit(SendClient{Conn: s.conn.id, Message: *answer, Description: description})
 }
 
-func (l *Loop) nack(s *session, backoff time.Duration, why string) {
+func (l *Loop) answerNack(s *session, backoff time.Duration, why string) {
 	l.counts.Nacked++
 	l.settleAnswer(s, &wire.Session{Type: wire.Nack, Backoff: backoff.Milliseconds(), Why: why})
 }
 
-func (l *Loop) errored(s *session, why string) {
+func (l *Loop) answerError(s *session, why string) {
 	l.counts.Errored++
 	l.settleAnswer(s, &wire.Session{Type: wire.Errored, Why: why})
 }
 
-func (l *Loop) plays(s *session) wire.Session {
+func (l *Loop) playsMessage(s *session) wire.Session {
 	return wire.Session{
 		Type: wire.Plays, ID: s.request, Session: s.name, Node: s.leg.node.name, Address: s.leg.node.address,
 		Ticket: s.name, Rung: s.rung,
 	}
 }
 
-// tellPlays answers a request for a session that already plays.
-func (l *Loop) tellPlays(s *session) {
-	answer := l.plays(s)
+// sendPlays answers a request for a session that already plays.
+func (l *Loop) sendPlays(s *session) {
+	answer := l.playsMessage(s)
 	s.conn.requests[s.request].answer = &answer
-	l.do(SendClient{Conn: s.conn.number, Message: answer})
+	l.emit(SendClient{Conn: s.conn.id, Message: answer})
 }
 
-// answerOverdue gives a session the answer that its time leaves. The module answers before; this holds
+// answerDeadlineReached gives a session the answer that its time leaves. The module answers before; this holds
 // where it did not, and where a viewer came again with less time than before.
-func (l *Loop) answerOverdue(s *session) {
-	if s.answered || s.phase == over {
+func (l *Loop) answerDeadlineReached(s *session) {
+	if s.answered || s.phase == sessionOver {
 		return
 	}
 	if s.leg != nil {
-		l.legOverdue(s.leg) // the module decides what that means for the viewer
+		l.legDeadlineReached(s.leg) // the module decides what that means for the viewer
 		if s.answered {
 			return
 		}
 	}
 	l.counts.Overdue++
-	l.errored(s, "no answer in time")
-	l.gone(s, "no answer in time")
+	l.answerError(s, "no answer in time")
+	l.abandonSession(s, "no answer in time")
 }
 
 // Why a session is over: it has come to its end by itself, or its node says that its viewer has ended it or that it was
 // moved.
 const (
-	WhyEnded          = "ended"
-	WhyEndedElsewhere = "ended elsewhere"
+	ReasonEnded          = "ended"
+	ReasonEndedElsewhere = "ended elsewhere"
 )
--- a/internal/director/bench_test.go
+++ b/internal/director/bench_test.go
@@ -16,19 +16,19 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	s := newStage(b, 8)
+	s := newHarness(b, 8)
 	before, sessions := heap(), 0
 	for b.Loop() {
 		if sessions++; sessions > 900 { // the stage's room is 1,000
 			continue
 		}
 		conn := uint64(1 + sessions)
-		s.enter(conn)
-		s.do(ClientReceived{Conn: conn, Message: wire.Session{Type: wire.Want, ID: "1", Tariff: "clip", Title: "t", Key: fmt.Sprint("key-", conn), Wait: 5000, Length: 60_000}})
+		s.connectClient(conn)
+		s.step(ClientReceived{Conn: conn, Message: wire.Session{Type: wire.Want, ID: "1", Tariff: "clip", Title: "t", Key: fmt.Sprint("key-", conn), Wait: 5000, Length: 60_000}})
 		for _, g := range s.setups() {
-			s.do(said(g, wire.Accepted))
+			s.step(legReply(g, wire.Accepted))
 		}
-		s.forget()
+		s.clearOutputs()
 	}
 	if n := len(s.loop.sessions); n > 0 {
 		b.ReportMetric(float64(heap()-before)/float64(n), "B/session")
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -10,119 +10,119 @@
 )
 
 func TestRequestPlaysAndEnds(t *testing.T) {
-	s := newStage(t, 3)
-	s.want("1", "exam")
-	g := s.oneLeg()
+	s := newHarness(t, 3)
+	s.request("1", "exam")
+	g := s.onlySetup()
 	if g.Message.Rung < 1 || g.Message.Rate < 200 || g.Message.Tariff != "exam" {
 		t.Fatal(g.Message)
 	}
-	s.do(said(g, wire.Accepted))
-	if a := s.oneAnswer(wire.Plays); a.ID != "1" || a.Session != g.Message.Session || a.Address == "" {
+	s.step(legReply(g, wire.Accepted))
+	if a := s.onlyAnswer(wire.Plays); a.ID != "1" || a.Session != g.Message.Session || a.Address == "" {
 		t.Fatal(a)
 	}
-	s.pass(5 * time.Second)
-	s.do(said(g, wire.Ended))
-	if over := s.told(wire.Over); len(over) != 1 || over[0].Why != "ended" {
+	s.advance(5 * time.Second)
+	s.step(legReply(g, wire.Ended))
+	if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].Why != "ended" {
 		t.Fatal(over)
 	}
-	s.empty()
+	s.requireNoState()
 }
 
 // A node that is silent after it took a set-up: a free session goes on to another node in time, with the
 // first leg called off; a paid one fails at its hard stop and is sent nowhere else.
 func TestNodeSilentAfterAccepting(t *testing.T) {
-	s := newStage(t, 3)
-	s.want("1", "clip")
-	first := s.oneLeg()
-	s.pass(450 * ms)
+	s := newHarness(t, 3)
+	s.request("1", "clip")
+	first := s.onlySetup()
+	s.advance(450 * ms)
 	all := s.setups()
 	if len(all) != 2 || all[1].Link == first.Link {
 		t.Fatal(all)
 	}
-	if e := s.ends(); len(e) != 1 || e[0] != first.Setup {
+	if e := s.endedLegs(); len(e) != 1 || e[0] != first.Setup {
 		t.Fatal("the first leg is not called off", e)
 	}
-	s.do(said(all[1], wire.Accepted))
-	s.oneAnswer(wire.Plays)
+	s.step(legReply(all[1], wire.Accepted))
+	s.onlyAnswer(wire.Plays)
 
-	s = newStage(t, 3)
-	s.want("1", "exam")
-	first = s.oneLeg()
-	s.pass(1949 * ms)
+	s = newHarness(t, 3)
+	s.request("1", "exam")
+	first = s.onlySetup()
+	s.advance(1949 * ms)
 	if len(s.answers()) != 0 {
 		t.Fatal("answered early", s.answers())
 	}
-	s.pass(2 * ms) // AnswerAhead before the tariff's hard stop
-	s.oneAnswer(wire.Errored)
-	s.oneLeg()
-	s.do(said(first, wire.Accepted)) // too late: it is told to end
-	s.oneAnswer(wire.Errored)
-	if e := s.ends(); len(e) != 2 {
+	s.advance(2 * ms) // AnswerAhead before the tariff's hard stop
+	s.onlyAnswer(wire.Errored)
+	s.onlySetup()
+	s.step(legReply(first, wire.Accepted)) // too late: it is told to end
+	s.onlyAnswer(wire.Errored)
+	if e := s.endedLegs(); len(e) != 2 {
 		t.Fatal(e)
 	}
-	s.empty()
+	s.requireNoState()
 }
 
 // The viewer leaves and the answer comes in the same instant, in both orders.
-func TestLeaveCrossesAnswer(t *testing.T) {
+func TestCancelCrossesAnswer(t *testing.T) {
 	for _, answerFirst := range []bool{true, false} {
-		s := newStage(t, 3)
-		s.want("1", "exam")
-		g := s.oneLeg()
-		leave := func() { s.do(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: "1"}}) }
+		s := newHarness(t, 3)
+		s.request("1", "exam")
+		g := s.onlySetup()
+		leave := func() { s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: "1"}}) }
 		if answerFirst {
-			s.do(said(g, wire.Accepted))
+			s.step(legReply(g, wire.Accepted))
 			leave()
-			s.oneAnswer(wire.Plays)
+			s.onlyAnswer(wire.Plays)
 		} else {
 			leave()
-			s.do(said(g, wire.Accepted))
+			s.step(legReply(g, wire.Accepted))
 			if a := s.answers(); len(a) != 0 {
 				t.Fatal("an answer to who has left", a)
 			}
 		}
-		if len(s.ends()) == 0 {
+		if len(s.endedLegs()) == 0 {
 			t.Fatal("the node plays on for nobody")
 		}
-		s.pass(5 * time.Second)
-		s.oneLeg()
-		s.empty()
+		s.advance(5 * time.Second)
+		s.onlySetup()
+		s.requireNoState()
 	}
 }
 
 // What is in the inbox when its time runs out still counts; a moment later it does not.
 func TestAnswerAndHardStopInOneTick(t *testing.T) {
-	s := newStage(t, 3)
-	s.want("1", "exam")
-	g := s.oneLeg()
+	s := newHarness(t, 3)
+	s.request("1", "exam")
+	g := s.onlySetup()
 	s.now += 1950 * ms
-	s.do(said(g, wire.Accepted))
-	s.oneAnswer(wire.Plays)
+	s.step(legReply(g, wire.Accepted))
+	s.onlyAnswer(wire.Plays)
 
-	s = newStage(t, 3)
-	s.want("1", "exam")
-	g = s.oneLeg()
+	s = newHarness(t, 3)
+	s.request("1", "exam")
+	g = s.onlySetup()
 	s.now += 1950 * ms
-	s.do(Tick{})
-	s.do(said(g, wire.Accepted))
-	s.oneAnswer(wire.Errored)
+	s.step(Tick{})
+	s.step(legReply(g, wire.Accepted))
+	s.onlyAnswer(wire.Errored)
 }
 
 // A node that dies between taking a set-up and playing: what went out may have run, what never left did not.
 func TestLinkLostWithLegsOut(t *testing.T) {
-	s := newStage(t, 3)
-	s.want("1", "exam")
-	g := s.oneLeg()
-	s.do(LinkLost{Link: g.Link})
-	s.oneAnswer(wire.Errored)
-	s.pass(3 * time.Second)
-	s.oneLeg()
-	s.empty()
-
-	s = newStage(t, 3)
-	s.want("1", "exam")
-	g = s.oneLeg()
-	s.do(LinkLost{Link: g.Link, Unsent: []uint64{g.Setup}})
+	s := newHarness(t, 3)
+	s.request("1", "exam")
+	g := s.onlySetup()
+	s.step(LinkLost{Link: g.Link})
+	s.onlyAnswer(wire.Errored)
+	s.advance(3 * time.Second)
+	s.onlySetup()
+	s.requireNoState()
+
+	s = newHarness(t, 3)
+	s.request("1", "exam")
+	g = s.onlySetup()
+	s.step(LinkLost{Link: g.Link, Unsent: []uint64{g.Setup}})
 	all := s.setups()
 	if len(all) != 2 || all[1].Link == g.Link || len(s.answers()) != 0 {
 		t.Fatal(all, s.answers())
@@ -133,14 +133,14 @@
 }
 
 // A connection that died without a word is given up after three signs of life are missing.
-func TestDeadLinkIsNoticed(t *testing.T) {
-	s := newStage(t, 1)
-	s.want("1", "clip")
-	g := s.oneLeg()
-	s.do(said(g, wire.Accepted))
-	s.pass(2 * time.Second)
+func TestUnresponsiveLinkIsClosed(t *testing.T) {
+	s := newHarness(t, 1)
+	s.request("1", "clip")
+	g := s.onlySetup()
+	s.step(legReply(g, wire.Accepted))
+	s.advance(2 * time.Second)
 	asked := 0
-	for _, o := range s.all {
+	for _, o := range s.outputs {
 		if a, ok := o.(ProbeLink); ok && a.Link == g.Link {
 			asked++
 		}
@@ -148,81 +148,81 @@
 	if asked == 0 {
 		t.Fatal("never asked for a sign of life")
 	}
-	s.do(LinkAlive{g.Link, 2 * time.Second})
-	if len(s.told(wire.Over)) != 0 {
+	s.step(LinkAlive{g.Link, 2 * time.Second})
+	if len(s.clientMessages(wire.Over)) != 0 {
 		t.Fatal("given up too early")
 	}
-	s.do(LinkAlive{g.Link, 3100 * ms})
-	if over := s.told(wire.Over); len(over) != 1 || over[0].Why != "node lost" {
+	s.step(LinkAlive{g.Link, 3100 * ms})
+	if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].Why != "node lost" {
 		t.Fatal(over)
 	}
-	s.empty()
+	s.requireNoState()
 }
 
-func TestSecondAndStrayAnswersAreOnlyCounted(t *testing.T) {
-	s := newStage(t, 3)
-	s.want("1", "clip")
-	g := s.oneLeg()
-	s.do(said(g, wire.Accepted))
-	s.do(said(g, wire.Accepted)) // twice
-	s.oneAnswer(wire.Plays)
-	s.do(LinkReceived{Link: g.Link, Message: wire.Node{Type: wire.Accepted, Leg: 999}}) // of nobody
-	if e := s.ends(); len(e) != 1 || e[0] != 999 {
+func TestDuplicateAndUnexpectedAnswersAreOnlyCounted(t *testing.T) {
+	s := newHarness(t, 3)
+	s.request("1", "clip")
+	g := s.onlySetup()
+	s.step(legReply(g, wire.Accepted))
+	s.step(legReply(g, wire.Accepted)) // twice
+	s.onlyAnswer(wire.Plays)
+	s.step(LinkReceived{Link: g.Link, Message: wire.Node{Type: wire.Accepted, Leg: 999}}) // of nobody
+	if e := s.endedLegs(); len(e) != 1 || e[0] != 999 {
 		t.Fatal("who plays for nobody is not ended", e)
 	}
-	other := s.links[name(0)]
+	other := s.links[nodeName(0)]
 	if other == g.Link {
-		other = s.links[name(1)]
+		other = s.links[nodeName(1)]
 	}
-	s.do(LinkReceived{Link: other, Message: wire.Node{Type: wire.Ended, Leg: g.Setup}}) // of another node's leg
-	if len(s.told(wire.Over)) != 0 {
+	s.step(LinkReceived{Link: other, Message: wire.Node{Type: wire.Ended, Leg: g.Setup}}) // of another node's leg
+	if len(s.clientMessages(wire.Over)) != 0 {
 		t.Fatal("another node ended it")
 	}
-	if c := s.loop.counts; c.Late != 1 || c.Stray != 2 {
-		t.Fatal(c.Late, c.Stray)
+	if c := s.loop.counts; c.LateAnswers != 1 || c.Unexpected != 2 {
+		t.Fatal(c.LateAnswers, c.Unexpected)
 	}
 }
 
 // "Full" after "accepted" is no proof of anything.
 func TestFullAfterAcceptedIsNoProof(t *testing.T) {
-	s := newStage(t, 3)
-	s.want("1", "exam")
-	g := s.oneLeg()
-	s.do(said(g, wire.Accepted))
-	s.do(said(g, wire.Full))
-	s.pass(3 * time.Second)
-	s.oneLeg()
-	if over := s.told(wire.Over); len(over) != 1 || over[0].Why != "node lost" || s.loop.counts.NeverRan[1] != 0 {
+	s := newHarness(t, 3)
+	s.request("1", "exam")
+	g := s.onlySetup()
+	s.step(legReply(g, wire.Accepted))
+	s.step(legReply(g, wire.Full))
+	s.advance(3 * time.Second)
+	s.onlySetup()
+	if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].Why != "node lost" || s.loop.counts.NeverRan[1] != 0 {
 		t.Fatal(over)
 	}
-	s.empty()
+	s.requireNoState()
 }
 
 // News of a drain while a set-up waits in an outbound queue: it is taken back, counts as never sent, and
 // goes elsewhere, a paid one too.
-func TestDrainRecallsWhatIsNotHandedOver(t *testing.T) {
-	s := newStage(t, 3)
-	s.want("1", "exam")
-	g := s.oneLeg()
+func TestDrainWithdrawsUnsentSetups(t *testing.T) {
+	s := newHarness(t, 3)
+	s.request("1", "exam")
+	g := s.onlySetup()
 	var at int
 	for i := range 3 {
-		if s.links[name(i)] == g.Link {
+		if s.links[nodeName(i)] == g.Link {
 			at = i
 		}
 	}
-	e := up(at)
+	e := upEntry(at)
 	e.State = wire.Draining
-	s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
+	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
 	if w := s.withdrawals(); len(w) != 1 || w[0] != g.Setup {
 		t.Fatal(w)
 	}
-	s.oneLeg() // not sent again before it is proven
-	s.do(Withdrawn{g.Setup})
+	s.onlySetup() // not sent again before it is proven
+	s.step(Withdrawn{g.Setup})
 	all := s.setups()
 	if len(all) != 2 || all[1].Link == g.Link {
 		t.Fatal(all)
 	}
-	s.do(Withdrawn{g.Setup}) // too late for anything
+	s.step(Withdrawn{g.Setup}) // too late for anything
 	if len(s.setups()) != 2 {
 		t.Fatal(s.setups())
 	}
@@ -230,54 +230,54 @@
 
 // A leg that waits for its node's connection is never sent where the list takes the node off meanwhile.
 func TestDrainWhileConnecting(t *testing.T) {
-	s := newStage(t, 1)
-	s.do(LinkLost{Link: s.links[name(0)]}) // it is dialled again at once
-	s.want("1", "exam")
+	s := newHarness(t, 1)
+	s.step(LinkLost{Link: s.links[nodeName(0)]}) // it is dialled again at once
+	s.request("1", "exam")
 	if len(s.setups()) != 0 {
 		t.Fatal("sent without a connection")
 	}
-	e := up(0)
+	e := upEntry(0)
 	e.State = wire.Draining
-	s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
-	s.makeLink(name(0))
-	s.pass(3 * time.Second)
+	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
+	s.connectNode(nodeName(0))
+	s.advance(3 * time.Second)
 	if len(s.setups()) != 0 {
 		t.Fatal("sent to a draining node")
 	}
-	s.oneAnswer(wire.Nack) // nothing paid ever ran
-	s.empty()
+	s.onlyAnswer(wire.Nack) // nothing paid ever ran
+	s.requireNoState()
 }
 
-func TestWaitingLegGoesOutOnceConnected(t *testing.T) {
-	s := newStage(t, 1)
-	s.do(LinkLost{Link: s.links[name(0)]})
-	s.want("1", "exam")
-	s.pass(20 * ms)
-	s.makeLink(name(0))
-	s.do(said(s.oneLeg(), wire.Accepted))
-	s.oneAnswer(wire.Plays)
-
-	s = newStage(t, 1)
-	s.do(LinkLost{Link: s.links[name(0)]})
-	s.want("1", "exam")
-	s.do(LinkFailed{Node: name(0), Link: s.links[name(0)]})
-	s.pass(2 * time.Second)
-	s.oneAnswer(wire.Nack)
+func TestWaitingLegIsSentOnceConnected(t *testing.T) {
+	s := newHarness(t, 1)
+	s.step(LinkLost{Link: s.links[nodeName(0)]})
+	s.request("1", "exam")
+	s.advance(20 * ms)
+	s.connectNode(nodeName(0))
+	s.step(legReply(s.onlySetup(), wire.Accepted))
+	s.onlyAnswer(wire.Plays)
+
+	s = newHarness(t, 1)
+	s.step(LinkLost{Link: s.links[nodeName(0)]})
+	s.request("1", "exam")
+	s.step(LinkFailed{Node: nodeName(0), Link: s.links[nodeName(0)]})
+	s.advance(2 * time.Second)
+	s.onlyAnswer(wire.Nack)
 	if n := s.loop.counts.NeverRan[2]; n == 0 {
 		t.Fatal("no proof counted")
 	}
-	s.empty()
+	s.requireNoState()
 }
 
 // The same request twice on one connection is one session; what was answered is answered again.
 func TestRepeatedRequestIsAnsweredAsBefore(t *testing.T) {
-	s := newStage(t, 3)
-	s.want("1", "exam")
-	s.want("1", "exam")
-	g := s.oneLeg()
-	s.do(said(g, wire.Accepted))
-	s.oneAnswer(wire.Plays)
-	s.want("1", "exam")
+	s := newHarness(t, 3)
+	s.request("1", "exam")
+	s.request("1", "exam")
+	g := s.onlySetup()
+	s.step(legReply(g, wire.Accepted))
+	s.onlyAnswer(wire.Plays)
+	s.request("1", "exam")
 	a := s.answers()
 	if len(a) != 2 || a[0] != a[1] || len(s.setups()) != 1 {
 		t.Fatal(a)
@@ -288,65 +288,65 @@
 // with no second leg. After the linger it is gone.
 func TestBrokenConnectionIsResumed(t *testing.T) {
 	key := func(k string) func(*wire.Session) { return func(m *wire.Session) { m.Key = k } }
-	s := newStage(t, 3)
-	s.want("1", "exam", key("k"))
-	g := s.oneLeg()
-	s.do(ClientLost{Conn: 1})
-	s.enter(2)
-	s.do(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Want, ID: "9", Tariff: "exam", Title: "t", Key: "k", Wait: 5000}})
-	s.do(said(g, wire.Accepted))
-	if a := s.oneAnswer(wire.Plays); a.ID != "9" {
+	s := newHarness(t, 3)
+	s.request("1", "exam", key("k"))
+	g := s.onlySetup()
+	s.step(ClientLost{Conn: 1})
+	s.connectClient(2)
+	s.step(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Want, ID: "9", Tariff: "exam", Title: "t", Key: "k", Wait: 5000}})
+	s.step(legReply(g, wire.Accepted))
+	if a := s.onlyAnswer(wire.Plays); a.ID != "9" {
 		t.Fatal(a)
 	}
 	// While the second connection still stands, a third one takes the session over.
-	s.enter(3)
-	s.do(ClientReceived{Conn: 3, Message: wire.Session{Type: wire.Want, ID: "7", Tariff: "exam", Title: "t", Key: "k", Wait: 5000}})
+	s.connectClient(3)
+	s.step(ClientReceived{Conn: 3, Message: wire.Session{Type: wire.Want, ID: "7", Tariff: "exam", Title: "t", Key: "k", Wait: 5000}})
 	if a := s.answers(); len(a) != 2 || a[1].ID != "7" || a[1].Session != a[0].Session {
 		t.Fatal(a)
 	}
-	if over := s.told(wire.Over); len(over) != 1 || over[0].Why != "taken over" {
+	if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].Why != "taken over" {
 		t.Fatal(over)
 	}
-	s.oneLeg()
+	s.onlySetup()
 	// The key with another title is somebody else's.
-	s.do(ClientReceived{Conn: 3, Message: wire.Session{Type: wire.Want, ID: "8", Tariff: "clip", Title: "t", Key: "k", Wait: 5000}})
+	s.step(ClientReceived{Conn: 3, Message: wire.Session{Type: wire.Want, ID: "8", Tariff: "clip", Title: "t", Key: "k", Wait: 5000}})
 	if a := s.answers(); len(a) != 3 || a[2].Type != wire.Errored {
 		t.Fatal(a)
 	}
-	s.do(ClientLost{Conn: 3})
-	s.pass(999 * ms)
-	if len(s.ends()) != 0 {
+	s.step(ClientLost{Conn: 3})
+	s.advance(999 * ms)
+	if len(s.endedLegs()) != 0 {
 		t.Fatal("ended within the linger")
 	}
-	s.pass(2 * ms)
-	if e := s.ends(); len(e) != 1 || e[0] != g.Setup {
+	s.advance(2 * ms)
+	if e := s.endedLegs(); len(e) != 1 || e[0] != g.Setup {
 		t.Fatal(e)
 	}
-	s.empty()
+	s.requireNoState()
 }
 
 // A viewer who comes again with less patience is answered by it.
 func TestResumedRequestKeepsItsOwnTime(t *testing.T) {
-	s := newStage(t, 3)
-	s.want("1", "exam", func(m *wire.Session) { m.Key = "k" })
-	s.do(ClientLost{Conn: 1})
-	s.enter(2)
-	s.do(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Want, ID: "1", Tariff: "exam", Title: "t", Key: "k", Wait: 500}})
-	s.pass(451 * ms)
-	s.oneAnswer(wire.Errored)
-	s.pass(3 * time.Second)
-	s.oneLeg()
-	s.empty()
+	s := newHarness(t, 3)
+	s.request("1", "exam", func(m *wire.Session) { m.Key = "k" })
+	s.step(ClientLost{Conn: 1})
+	s.connectClient(2)
+	s.step(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Want, ID: "1", Tariff: "exam", Title: "t", Key: "k", Wait: 500}})
+	s.advance(451 * ms)
+	s.onlyAnswer(wire.Errored)
+	s.advance(3 * time.Second)
+	s.onlySetup()
+	s.requireNoState()
 }
 
 func TestRequestsThatCannotBeTaken(t *testing.T) {
-	s := newStage(t, 3)
-	s.want("1", "nothing")
-	s.want("2", "clip", func(m *wire.Session) { m.Title = "other" })
+	s := newHarness(t, 3)
+	s.request("1", "nothing")
+	s.request("2", "clip", func(m *wire.Session) { m.Title = "other" })
 	for _, id := range []string{"3", "4", "5", "6"} {
-		s.want(id, "clip")
+		s.request(id, "clip")
 	}
-	s.want("7", "clip") // one more than a connection may have
+	s.request("7", "clip") // one more than a connection may have
 	got := map[string]string{}
 	for _, a := range s.answers() {
 		got[a.ID] = a.Type + ": " + a.Why
@@ -355,61 +355,61 @@
 		got["7"] != "nack: too many sessions on this connection" {
 		t.Fatal(got)
 	}
-	s.do(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Plays, ID: "1"}})
-	if c, ok := s.out[len(s.out)-1].(CloseClient); !ok || c.Code != 1008 {
-		t.Fatal(s.out)
+	s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Plays, ID: "1"}})
+	if c, ok := s.lastOutputs[len(s.lastOutputs)-1].(CloseClient); !ok || c.Code != 1008 {
+		t.Fatal(s.lastOutputs)
 	}
 }
 
 // Requests of a connection that ended are forgotten but for the last few.
-func TestConnectionRemembersNoMoreThanItMust(t *testing.T) {
-	s := newStage(t, 3)
+func TestEndedRequestsPerConnectionAreBounded(t *testing.T) {
+	s := newHarness(t, 3)
 	for i := range 100 {
-		s.want(name(i), "nothing")
+		s.request(nodeName(i), "nothing")
 	}
-	if n := len(s.loop.conns[1].requests); n != remembered {
+	if n := len(s.loop.conns[1].requests); n != maxEndedRequests {
 		t.Fatal(n)
 	}
 }
 
 // An order to stop: nothing new is taken, the answer that is owed goes out, sessions end in slices.
 func TestStop(t *testing.T) {
-	s := newStage(t, 3)
+	s := newHarness(t, 3)
 	for _, id := range []string{"1", "2", "3"} {
-		s.want(id, "clip")
+		s.request(id, "clip")
 	}
 	for _, g := range s.setups() {
-		s.do(said(g, wire.Accepted))
+		s.step(legReply(g, wire.Accepted))
 	}
-	s.want("4", "exam")
+	s.request("4", "exam")
 	owed := s.setups()[3]
-	s.forget()
-	s.do(Stop{})
-	s.want("5", "clip")
-	if a := s.oneAnswer(wire.Nack); a.ID != "5" || a.Why != "director closes" {
+	s.clearOutputs()
+	s.step(Stop{})
+	s.request("5", "clip")
+	if a := s.onlyAnswer(wire.Nack); a.ID != "5" || a.Why != "director closes" {
 		t.Fatal(a)
 	}
-	s.do(said(owed, wire.Accepted))
+	s.step(legReply(owed, wire.Accepted))
 	if a := s.answers(); len(a) != 2 || a[1].Type != wire.Plays {
 		t.Fatal(a)
 	}
-	s.pass(2 * time.Second)
+	s.advance(2 * time.Second)
 	if !s.ended {
 		t.Fatal("not ended within the term")
 	}
-	if over := s.told(wire.Over); len(over) != 4 {
+	if over := s.clientMessages(wire.Over); len(over) != 4 {
 		t.Fatal(over)
 	}
 }
 
 // At the end of a stop's term what is still owed is given up at once, paid or not.
-func TestStopGivesUpWhatIsOwed(t *testing.T) {
-	s := newStage(t, 3)
-	s.loop.term.Timeout = 300 * ms
-	s.want("1", "exam")
-	s.do(Stop{})
-	s.pass(301 * ms)
-	s.oneAnswer(wire.Errored)
+func TestShutdownAnswersPendingRequestsAtItsDeadline(t *testing.T) {
+	s := newHarness(t, 3)
+	s.loop.shutdownPolicy.Timeout = 300 * ms
+	s.request("1", "exam")
+	s.step(Stop{})
+	s.advance(301 * ms)
+	s.onlyAnswer(wire.Errored)
 	if !s.ended {
 		t.Fatal("not ended")
 	}
@@ -417,12 +417,12 @@
 
 // The process stood still for two seconds: everything overdue is settled in the order of its time.
 func TestStallSettlesOldestFirst(t *testing.T) {
-	s := newStage(t, 3)
+	s := newHarness(t, 3)
 	for i, wait := range []int64{1900, 1000, 1500} {
-		s.want(name(i), "exam", func(m *wire.Session) { m.Wait = wait; m.Title = "t"; m.Tariff = "clip" })
+		s.request(nodeName(i), "exam", func(m *wire.Session) { m.Wait = wait; m.Title = "t"; m.Tariff = "clip" })
 	}
 	s.now += 2500 * ms
-	s.do(Tick{})
+	s.step(Tick{})
 	order := ""
 	for _, a := range s.answers() {
 		order += a.ID
@@ -434,22 +434,22 @@
 
 // A node tells of its own new start before the list does; the module hears of it, and the link to what no
 // longer runs is given up once the list tells of a start that it does not lead to.
-func TestNewStartIsTold(t *testing.T) {
-	s := newStage(t, 1)
-	link := s.links[name(0)]
-	s.do(LinkReceived{Link: link, Message: wire.Node{Type: wire.Hello, Start: 77, Age: 10}})
-	if n := s.loop.nodes[name(0)]; n.start != 77 || n.born != s.now-10*ms {
-		t.Fatal(n.start, n.born)
-	}
-	e := up(0)
+func TestNodeRestartIsReportedToPolicy(t *testing.T) {
+	s := newHarness(t, 1)
+	link := s.links[nodeName(0)]
+	s.step(LinkReceived{Link: link, Message: wire.Node{Type: wire.Hello, Start: 77, Age: 10}})
+	if n := s.loop.nodes[nodeName(0)]; n.incarnation != 77 || n.startedAt != s.now-10*ms {
+		t.Fatal(n.incarnation, n.startedAt)
+	}
+	e := upEntry(0)
 	e.Start, e.Age = 77, 500 // the list, later: the same start
-	s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
-	if n := s.loop.nodes[name(0)]; n.born != s.now-10*ms || n.link != link {
+	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
+	if n := s.loop.nodes[nodeName(0)]; n.startedAt != s.now-10*ms || n.link != link {
 		t.Fatal("one start is taken for two")
 	}
 	e.Start, e.Age = 78, 5
-	s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 3, Nodes: []wire.Entry{e}}})
-	if s.links[name(0)] == link {
+	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 3, Nodes: []wire.Entry{e}}})
+	if s.links[nodeName(0)] == link {
 		t.Fatal("the old connection is kept")
 	}
 }
@@ -457,24 +457,24 @@
 // A node that is taken off and listed again while its sessions play keeps its connection, and is connected
 // to again should that end.
 func TestNodeListedAgain(t *testing.T) {
-	s := newStage(t, 1)
-	s.want("1", "clip")
-	s.do(said(s.oneLeg(), wire.Accepted))
-	link := s.links[name(0)]
-	off := up(0)
+	s := newHarness(t, 1)
+	s.request("1", "clip")
+	s.step(legReply(s.onlySetup(), wire.Accepted))
+	link := s.links[nodeName(0)]
+	off := upEntry(0)
 	off.State = wire.Removed
-	s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{off}}})
-	s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 3, Nodes: []wire.Entry{up(0)}}})
-	if len(s.told(wire.Over)) != 0 || s.links[name(0)] != link {
+	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{off}}})
+	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 3, Nodes: []wire.Entry{upEntry(0)}}})
+	if len(s.clientMessages(wire.Over)) != 0 || s.links[nodeName(0)] != link {
 		t.Fatal("the session was lost by it")
 	}
-	s.do(LinkLost{Link: link})
-	if s.links[name(0)] == link {
+	s.step(LinkLost{Link: link})
+	if s.links[nodeName(0)] == link {
 		t.Fatal("not connected to again")
 	}
 	// Off for good: once the last leg has ended nothing of it is left.
-	s.do(LinkFailed{Node: name(0), Link: s.links[name(0)]})
-	s.do(DiscoveryReceived{wire.List{Type: wire.Whole, Serial: 4, Titles: []wire.Title{{Title: "t", Copies: 8}}}})
+	s.step(LinkFailed{Node: nodeName(0), Link: s.links[nodeName(0)]})
+	s.step(DiscoveryReceived{wire.List{Type: wire.Whole, Serial: 4, Titles: []wire.Title{{Title: "t", Copies: 8}}}})
 	if len(s.loop.nodes) != 0 || len(s.loop.links) != 0 {
 		t.Fatal(len(s.loop.nodes), len(s.loop.links))
 	}
@@ -482,24 +482,24 @@
 
 // What the module asks and can't be carried out comes back as what is true of it.
 func TestImpossibleDispatchIsMoot(t *testing.T) {
-	s := newStage(t, 1)
-	odd := &oddModule{}
-	s.loop.module = odd
-	s.want("1", "clip")
+	s := newHarness(t, 1)
+	odd := &invalidDispatchDecider{}
+	s.loop.decider = odd
+	s.request("1", "clip")
 	if len(odd.results) != 1 || odd.results[0].Outcome != policy.NeverStarted || odd.results[0].Final {
 		t.Fatal(odd.results)
 	}
-	s.pass(3 * time.Second) // it never answers: the loop does
-	s.oneAnswer(wire.Errored)
+	s.advance(3 * time.Second) // it never answers: the loop does
+	s.onlyAnswer(wire.Errored)
 	if s.loop.counts.Overdue != 1 {
 		t.Fatal(s.loop.counts.Overdue)
 	}
-	s.empty()
+	s.requireNoState()
 }
 
-type oddModule struct{ results []policy.LegResult }
+type invalidDispatchDecider struct{ results []policy.LegResult }
 
-func (o *oddModule) Step(_ time.Duration, e policy.Event) []policy.Action {
+func (o *invalidDispatchDecider) Step(_ time.Duration, e policy.Event) []policy.Action {
 	switch e := e.(type) {
 	case policy.Request:
 		return []policy.Action{policy.Dispatch{ID: e.ID, Node: "nowhere"}, policy.Nack{ID: 999}}
@@ -509,9 +509,9 @@
 	return nil
 }
 
-func TestProofs(t *testing.T) {
-	for f, proven := range map[fate]bool{fateFull: true, fateUnmade: true, fateWithdrawn: true, fateUnsent: true, fateFailed: false,
-		fateTimedOut: false, fateReset: false, fateCalledOff: false, fateServed: false, fateBroken: false} {
+func TestNeverRanOutcomes(t *testing.T) {
+	for f, proven := range map[legOutcome]bool{outcomeFull: true, outcomeUnconnected: true, outcomeWithdrawn: true, outcomeUnsent: true, outcomeFailed: false,
+		outcomeTimedOut: false, outcomeReset: false, outcomeCancelled: false, outcomeServed: false, outcomeBroken: false} {
 		outcome, proof := neverRan(f)
 		module := outcome == policy.Full || outcome == policy.ConnectFailed || outcome == policy.NeverStarted
 		if proven != (proof > 0) || proven != module {
@@ -522,14 +522,14 @@
 
 // A request that crosses the word to go is not taken: the close is its answer, and no session is set up
 // for who can't be told of it.
-func TestRequestCrossesBeingLetGo(t *testing.T) {
-	s := newStage(t, 3)
+func TestRequestCrossesEviction(t *testing.T) {
+	s := newHarness(t, 3)
 	for i := range 960 { // full: the idle have to go
-		s.enter(uint64(100 + i))
+		s.connectClient(uint64(100 + i))
 	}
-	s.pass(2 * time.Second)
+	s.advance(2 * time.Second)
 	var let []uint64
-	for _, o := range s.all {
+	for _, o := range s.outputs {
 		if c, ok := o.(CloseClient); ok && c.Code == 1013 {
 			let = append(let, c.Conn)
 		}
@@ -537,24 +537,24 @@
 	if len(let) == 0 || let[0] != 1 { // the first to come has been idle longest
 		t.Fatal(len(let))
 	}
-	s.forget()
-	s.want("1", "exam")
+	s.clearOutputs()
+	s.request("1", "exam")
 	if len(s.setups()) != 0 || len(s.answers()) != 0 {
 		t.Fatal("taken after it was told to go")
 	}
-	s.do(ClientLost{Conn: 1})
-	s.empty()
+	s.step(ClientLost{Conn: 1})
+	s.requireNoState()
 }
 
 // The loop is behind: requests that have stood in line for long are nacked at once, before anything was
 // done for them, with a time to come back; a session that is there already is found again all the same.
-func TestLineBehindTheLoop(t *testing.T) {
-	s := newStage(t, 2)
-	s.want("first", "clip")
-	s.do(said(s.oneLeg(), wire.Accepted))
-	s.forget()
+func TestQueueDelaySheddingUnderOverload(t *testing.T) {
+	s := newHarness(t, 2)
+	s.request("first", "clip")
+	s.step(legReply(s.onlySetup(), wire.Accepted))
+	s.clearOutputs()
 	stood := func(id string) {
-		s.do(ClientReceived{Conn: 1, Waited: 300 * ms, Message: wire.Session{Type: wire.Want, ID: id, Tariff: "clip", Title: "t", Key: "key-" + id, Wait: 5000}})
+		s.step(ClientReceived{Conn: 1, Waited: 300 * ms, Message: wire.Session{Type: wire.Want, ID: id, Tariff: "clip", Title: "t", Key: "key-" + id, Wait: 5000}})
 	}
 	for i := range 300 {
 		s.now += ms
@@ -564,59 +564,59 @@
 		}
 		for _, x := range s.loop.sessions {
 			if x.request != "first" {
-				s.do(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: x.request}})
+				s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: x.request}})
 			}
 		}
 	}
-	nacks := s.told(wire.Nack)
-	if len(nacks) < 90 || nacks[0].Why != "busy" || nacks[0].Backoff < 1000 || s.loop.counts.Pressed != uint64(len(nacks)) {
-		t.Fatal(len(nacks), s.loop.counts.Pressed)
+	nacks := s.clientMessages(wire.Nack)
+	if len(nacks) < 90 || nacks[0].Why != "busy" || nacks[0].Backoff < 1000 || s.loop.counts.RequestsShed != uint64(len(nacks)) {
+		t.Fatal(len(nacks), s.loop.counts.RequestsShed)
 	}
-	s.forget()
-	s.enter(2)
-	s.do(ClientReceived{Conn: 2, Waited: 300 * ms, Message: wire.Session{Type: wire.Want, ID: "again", Tariff: "clip", Title: "t", Key: "key-first", Wait: 5000}})
-	if len(s.told(wire.Plays)) != 1 || s.loop.counts.Adopted != 1 {
-		t.Fatal(s.all)
+	s.clearOutputs()
+	s.connectClient(2)
+	s.step(ClientReceived{Conn: 2, Waited: 300 * ms, Message: wire.Session{Type: wire.Want, ID: "again", Tariff: "clip", Title: "t", Key: "key-first", Wait: 5000}})
+	if len(s.clientMessages(wire.Plays)) != 1 || s.loop.counts.Adopted != 1 {
+		t.Fatal(s.outputs)
 	}
 }
 
 // A request whose time ran out while it stood in line is answered in the step that takes it, without a leg.
-func TestTimeRunsOutInLine(t *testing.T) {
-	s := newStage(t, 2)
-	s.do(ClientReceived{Conn: 1, Waited: 2 * time.Second, Message: wire.Session{Type: wire.Want, ID: "1", Tariff: "exam", Title: "t", Key: "k", Wait: 2000}})
-	if n := s.told(wire.Nack); len(n) != 1 || len(s.setups()) != 0 {
-		t.Fatal(s.all)
+func TestDeadlinePassesInQueue(t *testing.T) {
+	s := newHarness(t, 2)
+	s.step(ClientReceived{Conn: 1, Waited: 2 * time.Second, Message: wire.Session{Type: wire.Want, ID: "1", Tariff: "exam", Title: "t", Key: "k", Wait: 2000}})
+	if n := s.clientMessages(wire.Nack); len(n) != 1 || len(s.setups()) != 0 {
+		t.Fatal(s.outputs)
 	}
-	s.empty()
+	s.requireNoState()
 }
 
 // A node starts anew while directors wait to be connected to it again: what each of them had for it before must
 // not reach it before it has said that it is cold, or all directors together push it over. Found by a hunt.
-func TestSetupsWaitForTheGreeting(t *testing.T) {
-	s := newStage(t, 1)
-	s.do(LinkLost{Link: s.links[name(0)]})
-	s.pass(ms)
-	s.want("1", "exam")
-	s.do(LinkConnected{name(0), s.links[name(0)]})
+func TestSetupsWaitForHello(t *testing.T) {
+	s := newHarness(t, 1)
+	s.step(LinkLost{Link: s.links[nodeName(0)]})
+	s.advance(ms)
+	s.request("1", "exam")
+	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]})
 	if len(s.setups()) != 0 {
 		t.Fatal("sent before the node has said which start it is in")
 	}
-	s.do(LinkReceived{Link: s.links[name(0)], Message: wire.Node{Type: wire.Hello, Start: 77, Age: 5}})
+	s.step(LinkReceived{Link: s.links[nodeName(0)], Message: wire.Node{Type: wire.Hello, Start: 77, Age: 5}})
 	if n := s.loop.counts.NeverRan[3]; n != 1 {
 		t.Fatal(n, "legs taken back")
 	}
-	s.pass(3 * time.Second) // the module decides again, at the pace for a cold node
+	s.advance(3 * time.Second) // the module decides again, at the pace for a cold node
 	if n := len(s.setups()); n > 1 {
 		t.Fatal(n, "set-ups of one session")
 	}
 
 	// The connection ends without a greeting: the leg provably never ran, paid or not.
-	s = newStage(t, 1)
-	s.do(LinkLost{Link: s.links[name(0)]})
-	s.pass(ms)
-	s.want("1", "exam")
-	s.do(LinkConnected{name(0), s.links[name(0)]})
-	s.do(LinkLost{Link: s.links[name(0)]})
+	s = newHarness(t, 1)
+	s.step(LinkLost{Link: s.links[nodeName(0)]})
+	s.advance(ms)
+	s.request("1", "exam")
+	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]})
+	s.step(LinkLost{Link: s.links[nodeName(0)]})
 	if n := s.loop.counts.NeverRan[2]; n != 1 || len(s.setups()) != 0 {
 		t.Fatal(n, s.setups())
 	}
@@ -624,51 +624,51 @@
 
 // A node starts twice within a warm-up, and the list, which is behind, tells of the first start once the node
 // itself has told of the second: the connection stays, and what plays on it. Word of a later start ends it.
-func TestListIsBehindTheNode(t *testing.T) {
-	s := newStage(t, 1)
-	s.do(LinkLost{Link: s.links[name(0)]})
-	s.pass(ms)
-	s.do(LinkConnected{name(0), s.links[name(0)]})
-	s.do(LinkReceived{Link: s.links[name(0)], Message: wire.Node{Type: wire.Hello, Start: 9, Age: 50}})
-	s.pass(2 * time.Second)
-	s.want("1", "clip")
-	g := s.oneLeg()
-	s.do(said(g, wire.Accepted))
-	s.forget()
-	late := up(0)
+func TestStaleListDoesNotReplaceHello(t *testing.T) {
+	s := newHarness(t, 1)
+	s.step(LinkLost{Link: s.links[nodeName(0)]})
+	s.advance(ms)
+	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]})
+	s.step(LinkReceived{Link: s.links[nodeName(0)], Message: wire.Node{Type: wire.Hello, Start: 9, Age: 50}})
+	s.advance(2 * time.Second)
+	s.request("1", "clip")
+	g := s.onlySetup()
+	s.step(legReply(g, wire.Accepted))
+	s.clearOutputs()
+	late := upEntry(0)
 	late.Start, late.Age = 8, 5000
-	s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{late}}})
-	if len(s.told(wire.Over)) != 0 {
+	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{late}}})
+	if len(s.clientMessages(wire.Over)) != 0 {
 		t.Fatal("hung up on a node that runs")
 	}
-	later := up(0)
+	later := upEntry(0)
 	later.Start, later.Age = 10, 20
-	s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 3, Nodes: []wire.Entry{later}}})
-	if len(s.told(wire.Over)) != 1 {
+	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 3, Nodes: []wire.Entry{later}}})
+	if len(s.clientMessages(wire.Over)) != 1 {
 		t.Fatal("kept what leads to a process that has ended")
 	}
 }
 
 // The list names a node's new start without saying when that was: the node's own word that it is cold counts.
 // Taken for warm it was pushed over by a single director. Found by a hunt.
-func TestColdByItsOwnWord(t *testing.T) {
+func TestSlowStartFromHelloAge(t *testing.T) {
 	for _, byList := range []bool{false, true} {
-		s := newStage(t, 1)
-		s.do(LinkLost{Link: s.links[name(0)]})
-		anew := up(0)
+		s := newHarness(t, 1)
+		s.step(LinkLost{Link: s.links[nodeName(0)]})
+		anew := upEntry(0)
 		anew.Start = 9
-		s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{anew}}})
-		s.pass(ms)
-		s.do(LinkConnected{name(0), s.links[name(0)]})
+		s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{anew}}})
+		s.advance(ms)
+		s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]})
 		greeting := wire.Node{Type: wire.Hello, Start: 9}
 		if byList {
 			anew.Age = 10
-			s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 3, Nodes: []wire.Entry{anew}}})
+			s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 3, Nodes: []wire.Entry{anew}}})
 		} else {
 			greeting.Age = 10
 		}
-		s.do(LinkReceived{Link: s.links[name(0)], Message: greeting})
-		if n := s.loop.nodes[name(0)]; n.entry.StartedAt < s.now-50*ms {
+		s.step(LinkReceived{Link: s.links[nodeName(0)], Message: greeting})
+		if n := s.loop.nodes[nodeName(0)]; n.entry.StartedAt < s.now-50*ms {
 			t.Fatalf("by the list %t: taken for started at %v at %v", byList, n.entry.StartedAt, s.now)
 		}
 	}
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -50,7 +50,7 @@
 	if l.observer == nil {
 		return
 	}
-	e := Event{Kind: kind, Request: s.request, Conn: s.via, Reason: reason}
+	e := Event{Kind: kind, Request: s.request, Conn: s.originConn, Reason: reason}
 	if s.leg != nil {
 		e.Attempt, e.Server, e.Link = s.leg.id, s.leg.node.name, s.leg.link
 	}
@@ -59,7 +59,7 @@
 
 func (l *Loop) attemptEvent(kind EventKind, g *leg, reason string) {
 	if l.observer != nil {
-		l.observer(Event{Kind: kind, Request: g.session.request, Attempt: g.id, Server: g.node.name, Conn: g.session.via,
+		l.observer(Event{Kind: kind, Request: g.session.request, Attempt: g.id, Server: g.node.name, Conn: g.session.originConn,
 			Link: g.link, Reason: reason})
 	}
 }
@@ -67,21 +67,21 @@
 // closeLink asks for a server's connection to be closed.
 func (l *Loop) closeLink(n *node, link uint64, reason closeReason) {
 	l.event(Event{Kind: ServerDisconnected, Server: n.name, Link: link, Reason: string(reason)})
-	l.do(CloseLink{link})
+	l.emit(CloseLink{link})
 }
 
 // closeReason is why the director closes a server's connection.
 type closeReason string
 
 const (
-	closedAsIdle       closeReason = "idle"
-	closedForRoom      closeReason = "descriptors are needed"
-	closedAsUnknown    closeReason = "it was made for a server that is not waited for"
-	closedAsUnlisted   closeReason = "the server is off the list"
-	closedAsMoved      closeReason = "the server has another address"
-	closedAsUnproven   closeReason = "the connection made to check it failed"
-	closedAsQuiet      closeReason = "nothing was heard"
-	closedAsRestarted  closeReason = "the server has started anew"
-	closedAsReplaced   closeReason = "replaced by the connection made to check it"
-	closedAsSuperseded closeReason = "a second replacement came"
+	closedAsIdle         closeReason = "idle"
+	closedForDescriptors closeReason = "descriptors are needed"
+	closedAsUnknown      closeReason = "it was made for a server that is not waited for"
+	closedAsUnlisted     closeReason = "the server is off the list"
+	closedAsMoved        closeReason = "the server has another address"
+	closedAsProbeFailed  closeReason = "the connection made to check it failed"
+	closedAsUnresponsive closeReason = "nothing was heard"
+	closedAsRestarted    closeReason = "the server has started anew"
+	closedAsReplaced     closeReason = "replaced by the connection made to check it"
+	closedAsSuperseded   closeReason = "a second replacement came"
 )
--- a/internal/director/guard.go
+++ b/internal/director/guard.go
@@ -11,7 +11,7 @@
 // A Rule is an invariant that the guard checks.
 type Rule int
 
-// The rules.
+// The ruleCount.
 const (
 	RuleAnswerBeforeClose Rule = iota // a client's connection is not closed here while an answer is owed on it
 	RuleAnswerOnce                    // a request gets one final answer
@@ -20,10 +20,10 @@
 	RulePaidOnce                      // a paid request that may have run is not sent again
 	RuleNoSendToDraining              // nothing new is sent to a server that drains or is gone
 	RuleAnswerBeforeStop              // the director does not stop while answers are owed
-	rules
+	ruleCount
 )
 
-var ruleNames = [rules]string{"answer_before_close", "answer_once", "no_send_after_end", "one_attempt", "paid_once",
+var ruleNames = [ruleCount]string{"answer_before_close", "answer_once", "no_send_after_end", "one_attempt", "paid_once",
 	"no_send_to_draining", "answer_before_stop"}
 
 func (r Rule) String() string { return ruleNames[r] }
@@ -31,7 +31,7 @@
 // Violations counts what the guard has refused, by rule; all are zero in a program without faults.
 func (c Counts) Violations() map[string]uint64 {
 	by := map[string]uint64{}
-	for rule, n := range c.Refused {
+	for rule, n := range c.RefusedByRule {
 		by[Rule(rule).String()] = n
 	}
 	return by
@@ -39,8 +39,8 @@
 
 // violated counts a breach that the guard has prevented.
 func (l *Loop) violated(rule Rule, format string, figures ...any) {
-	l.counts.Refused[rule]++
-	if l.counts.Refused[rule] == 1 {
+	l.counts.RefusedByRule[rule]++
+	if l.counts.RefusedByRule[rule] == 1 {
 		l.log("invariant %v would have been violated; further ones are only counted: %s", rule, fmt.Sprintf(format, figures...))
 	}
 }
@@ -48,7 +48,7 @@
 // mayClose tells whether a client's connection may be closed here.
 func (l *Loop) mayClose(conn uint64, why string) bool {
 	c := l.conns[conn]
-	if c == nil || l.manners.Linger > 0 && l.stop == nil { // there a request outlives its connection
+	if c == nil || l.options.Linger > 0 && l.shutdown == nil { // there a request outlives its connection
 		return true
 	}
 	for id := range sorted(c.requests) {
@@ -71,19 +71,19 @@
 
 // maySend tells whether an attempt may be sent to its server now.
 func (l *Loop) maySend(g *leg) bool {
-	if l.unguarded {
+	if l.guardDisabled {
 		return true
 	}
 	s := g.session
-	rule := rules
+	rule := ruleCount
 	switch {
-	case s.answered || s.phase == over:
+	case s.answered || s.phase == sessionOver:
 		rule = RuleNoSendAfterEnd
 	case s.leg != g:
 		rule = RuleOneAttempt
-	case s.ran && l.tariffs[s.tariff].AtMostOnce:
+	case s.mayHaveRun && l.tariffs[s.tariff].AtMostOnce:
 		rule = RulePaidOnce
-	case !g.node.open:
+	case !g.node.acceptsSessions:
 		rule = RuleNoSendToDraining
 	default:
 		return true
@@ -92,12 +92,12 @@
 	return false
 }
 
-// Unguard has attempts sent whatever the guard says. It is for tests that break a rule on purpose, and is called before the
+// DisableGuard has attempts sent whatever the guard says. It is for tests that break a rule on purpose, and is called before the
 // first Step.
-func (l *Loop) Unguard() { l.unguarded = true }
+func (l *Loop) DisableGuard() { l.guardDisabled = true }
 
-// mayStop tells whether the director may end.
-func (l *Loop) mayStop() bool {
+// mayShutDown tells whether the director may end.
+func (l *Loop) mayShutDown() bool {
 	if l.owed > 0 {
 		l.violated(RuleAnswerBeforeStop, "%d answers are owed", l.owed)
 		return false
@@ -107,32 +107,32 @@
 
 // closeClient closes a client's connection, unless an answer is owed on it; it tells whether it did.
 func (l *Loop) closeClient(o CloseClient) bool {
-	if !l.mayClose(o.Conn, o.Why) {
+	if !l.mayClose(o.Conn, o.Reason) {
 		return false
 	}
-	l.event(Event{Kind: ClientClosed, Conn: o.Conn, Reason: o.Why})
-	l.do(o)
+	l.event(Event{Kind: ClientClosed, Conn: o.Conn, Reason: o.Reason})
+	l.emit(o)
 	return true
 }
 
 // inputEnded notes that nothing more can be read from a client's connection. It is closed once no answer is owed on it.
 func (l *Loop) inputEnded(e ClientInputEnded) {
 	c := l.conns[e.Conn]
-	if c == nil || c.turned || c.inputEnd != "" {
+	if c == nil || c.rejected || c.inputEndReason != "" {
 		return
 	}
-	c.inputEnd = e.Reason
-	l.closeSettled(c)
+	c.inputEndReason = e.Reason
+	l.closeIfSettled(c)
 }
 
-// closeUnreadable is RFC 6455's code for what can't be read.
-const closeUnreadable = 1007
+// closeCodeInvalidData is RFC 6455's code for what can't be read.
+const closeCodeInvalidData = 1007
 
-// closeSettled closes a client's connection from which nothing more can be read and on which nothing is owed.
-func (l *Loop) closeSettled(c *conn) {
-	if c.inputEnd == "" || c.live > 0 || c.leaving {
+// closeIfSettled closes a client's connection from which nothing more can be read and on which nothing is owed.
+func (l *Loop) closeIfSettled(c *conn) {
+	if c.inputEndReason == "" || c.activeRequests > 0 || c.closing {
 		return
 	}
-	c.leaving = true
-	l.closeClient(CloseClient{Conn: c.number, Code: closeUnreadable, Why: c.inputEnd})
+	c.closing = true
+	l.closeClient(CloseClient{Conn: c.id, Code: closeCodeInvalidData, Reason: c.inputEndReason})
 }
--- a/internal/director/list.go
+++ b/internal/director/list.go
@@ -15,11 +15,11 @@
 
 // The list.
 
-var states = map[string]policy.NodeState{
+var nodeStates = map[string]policy.NodeState{
 	wire.Up: policy.Up, wire.Draining: policy.Draining, wire.Removed: policy.Removed,
 }
 
-func (l *Loop) listSaid(m wire.List) {
+func (l *Loop) discoveryReceived(m wire.List) {
 	kind := policy.ListUpdate
 	switch m.Type {
 	case wire.Whole:
@@ -34,10 +34,10 @@
 			}
 		}
 		clear(l.titles)
-		defer func() { l.listed = true }()
+		defer func() { l.listReceived = true }()
 	case wire.Update:
 	default:
-		l.counts.BadWord++
+		l.counts.UnknownMessages++
 		return
 	}
 	for _, t := range m.Titles {
@@ -49,20 +49,20 @@
 	}
 	roster := policy.ServerList{Kind: kind}
 	for _, e := range m.Nodes {
-		roster.Entries = append(roster.Entries, l.entry(e))
+		roster.Entries = append(roster.Entries, l.updateNode(e))
 	}
-	l.tell(roster)
-	for _, n := range sorted(l.concerned(m)) {
-		if !n.open {
-			l.recall(n)
+	l.notifyDecider(roster)
+	for _, n := range sorted(l.affectedNodes(m)) {
+		if !n.acceptsSessions {
+			l.withdrawSetups(n)
 		}
 		l.dropNode(n)
 	}
-	l.do(SendDiscovery{wire.List{Type: wire.Heard, Director: l.name, Serial: m.Serial}})
+	l.emit(SendDiscovery{wire.List{Type: wire.Heard, Director: l.name, Serial: m.Serial}})
 }
 
-// concerned are the nodes that a list may have changed.
-func (l *Loop) concerned(m wire.List) map[string]*node {
+// affectedNodes are the nodes that a list may have changed.
+func (l *Loop) affectedNodes(m wire.List) map[string]*node {
 	if m.Type == wire.Whole {
 		return l.nodes
 	}
@@ -82,56 +82,56 @@
 	return h.Sum64()
 }
 
-// entry takes a node's line of the list into the books and puts it into the module's words.
-func (l *Loop) entry(e wire.Entry) policy.NodeEntry {
+// updateNode takes a node's line of the list into the books and puts it into the module's words.
+func (l *Loop) updateNode(e wire.Entry) policy.NodeEntry {
 	n := l.nodes[e.Node]
-	born := l.bornBy(e.Age)
+	born := l.startTimeFromAge(e.Age)
 	if n == nil && e.State != wire.Removed {
-		n = &node{name: e.Node, born: policy.UnknownStart, legs: map[uint64]*leg{}}
-		if born == policy.UnknownStart && l.listed { // it was not on the list before: who knows better says so
+		n = &node{name: e.Node, startedAt: policy.UnknownStart, legs: map[uint64]*leg{}}
+		if born == policy.UnknownStart && l.listReceived { // it was not on the list before: who knows better says so
 			born = l.now
 		}
-		if k := len(l.free); k > 0 {
-			n.place, l.free = l.free[k-1], l.free[:k-1]
-			l.places[n.place] = n
+		if k := len(l.freeNodeIndexes); k > 0 {
+			n.index, l.freeNodeIndexes = l.freeNodeIndexes[k-1], l.freeNodeIndexes[:k-1]
+			l.nodesByIndex[n.index] = n
 		} else {
-			n.place = len(l.places)
-			l.places = append(l.places, n)
+			n.index = len(l.nodesByIndex)
+			l.nodesByIndex = append(l.nodesByIndex, n)
 		}
 		l.nodes[n.name] = n
 	}
-	kind, known := l.kind[e.Kind]
+	kind, known := l.kindIndex[e.Kind]
 	if !known {
-		kind = len(l.kind) // no such machine is known: the module takes the least for granted
+		kind = len(l.kindIndex) // no such machine is known: the module takes the least for granted
 	}
 	out := policy.NodeEntry{
-		Node: e.Node, State: states[e.State], MachineKind: kind, Zone: e.Zone, StartedAt: policy.UnknownStart, Weight: e.Weight, Cell: e.Cell,
+		Node: e.Node, State: nodeStates[e.State], MachineKind: kind, Zone: e.Zone, StartedAt: policy.UnknownStart, Weight: e.Weight, Cell: e.Cell,
 	}
 	if n == nil {
 		return out
 	}
 	moved := e.Address != n.address && e.Address != ""
-	if n.up && n.reached != 0 && e.Start != n.reached && e.State != wire.Removed && l.behind(n, e, born, moved) {
+	if n.connected && n.linkIncarnation != 0 && e.Start != n.linkIncarnation && e.State != wire.Removed && l.listIsStale(n, e, born, moved) {
 		// The list is behind: it tells of a start before the one that the node itself has told of. To hang up
 		// for that would break what plays there.
-		out.StartedAt = n.born
-		n.open, n.entry = e.State == wire.Up, out
+		out.StartedAt = n.startedAt
+		n.acceptsSessions, n.entry = e.State == wire.Up, out
 		return out
 	}
-	changed := e.Start != n.start
-	if changed && born == policy.UnknownStart && n.start != 0 && e.Start != 0 {
+	changed := e.Start != n.incarnation
+	if changed && born == policy.UnknownStart && n.incarnation != 0 && e.Start != 0 {
 		born = l.now // another start of it was known: this one can't be from long ago
 	}
 	anew := !n.listed || changed || moved
-	if born != policy.UnknownStart && (anew || born > n.born+sameStart) {
-		n.born = born
+	if born != policy.UnknownStart && (anew || born > n.startedAt+startTimeTolerance) {
+		n.startedAt = born
 	}
-	if l.manners.Loose && changed && n.listed && n.start != 0 {
-		l.restarted(n)
+	if l.options.Detached && changed && n.listed && n.incarnation != 0 {
+		l.nodeRestarted(n)
 	}
-	out.StartedAt = n.born
-	n.begin(e.Start)
-	n.open, n.entry = e.State == wire.Up, out
+	out.StartedAt = n.startedAt
+	n.setIncarnation(e.Start)
+	n.acceptsSessions, n.entry = e.State == wire.Up, out
 	switch {
 	case e.State == wire.Removed:
 		l.unlist(n)
@@ -139,37 +139,37 @@
 		if moved {
 			n.address = e.Address
 		}
-		if n.up && (moved || n.reached != 0 && n.reached != e.Start) {
-			l.hangUp(n, closedAsMoved) // it leads to what no longer runs
+		if n.connected && (moved || n.linkIncarnation != 0 && n.linkIncarnation != e.Start) {
+			l.disconnect(n, closedAsMoved) // it leads to what no longer runs
 		}
 		n.listed = true
-		if !n.up {
-			l.reached(reach.Event{Node: n.place, Kind: reach.Listed})
+		if !n.connected {
+			l.stepConnector(reach.Event{Node: n.index, Kind: reach.Listed})
 		}
 	}
 	return out
 }
 
 func (l *Loop) unlist(n *node) {
-	n.open = false
+	n.acceptsSessions = false
 	if n.listed {
 		n.listed = false
-		if !n.up { // else once the connection ends
-			l.reached(reach.Event{Node: n.place, Kind: reach.Unlisted})
-			l.dead(n)
+		if !n.connected { // else once the connection ends
+			l.stepConnector(reach.Event{Node: n.index, Kind: reach.Unlisted})
+			l.nodeDead(n)
 		}
 	}
 }
 
-// recall takes back what is on its way to a node that no longer takes sessions: what is not handed over
+// withdrawSetups takes back what is on its way to a node that no longer takes sessions: what is not handed over
 // yet is never sent, and counts as never run.
-func (l *Loop) recall(n *node) {
+func (l *Loop) withdrawSetups(n *node) {
 	for _, g := range sorted(n.legs) {
 		switch g.phase {
 		case legWaiting:
-			l.legEnds(g, fateUnmade, nil)
+			l.endLeg(g, outcomeUnconnected, nil)
 		case legSent:
-			l.do(Withdraw{n.link, g.id})
+			l.emit(Withdraw{n.link, g.id})
 		}
 	}
 }
--- a/internal/director/loose_test.go
+++ b/internal/director/loose_test.go
@@ -11,132 +11,132 @@
 	"fordusher/limits"
 )
 
-// newLoose is a stage where what plays belongs to no connection.
-func newLoose(t failer, nodes int) *stage {
-	s := newStage(t, nodes)
-	s.loop.manners.Loose, s.loop.manners.Greetless, s.loop.manners.Linger = true, true, 0
+// newDetachedHarness is a stage where what plays belongs to no connection.
+func newDetachedHarness(t testingT, nodes int) *harness {
+	s := newHarness(t, nodes)
+	s.loop.options.Detached, s.loop.options.NoHello, s.loop.options.Linger = true, true, 0
 	return s
 }
 
-// asks is a request under its session's own name.
-func (s *stage) asks(conn uint64, id, tariff string) {
+// requestDetached is a request under its session's own name.
+func (s *harness) requestDetached(conn uint64, id, tariff string) {
 	s.t.Helper()
-	s.do(ClientReceived{Conn: conn, Message: wire.Session{Type: wire.Want, ID: id, Key: id, Tariff: tariff, Title: "t", Wait: 5000},
-		Brought: &Brought{Base: 0, Copies: 8, Description: []byte("as it came")}})
+	s.step(ClientReceived{Conn: conn, Message: wire.Session{Type: wire.Want, ID: id, Key: id, Tariff: tariff, Title: "t", Wait: 5000},
+		Details: &RequestDetails{Base: 0, Copies: 8, Description: []byte("as it came")}})
 }
 
-// says is what a node says of a session on a connection.
-func says(link uint64, session, kind string) LinkReceived {
+// detachedReply is what a node says of a session on a connection.
+func detachedReply(link uint64, session, kind string) LinkReceived {
 	return LinkReceived{Link: link, Message: wire.Node{Type: kind, Session: session}, Description: []byte("as the node has it")}
 }
 
-// plays sets a session up on the only node.
-func (s *stage) plays(id, tariff string) SendServer {
+// playDetached sets a session up on the only node.
+func (s *harness) playDetached(id, tariff string) SendNode {
 	s.t.Helper()
-	s.forget()
-	s.asks(1, id, tariff)
-	g := s.oneLeg()
-	s.do(says(g.Link, id, wire.Accepted))
-	s.oneAnswer(wire.Plays)
-	s.forget()
+	s.clearOutputs()
+	s.requestDetached(1, id, tariff)
+	g := s.onlySetup()
+	s.step(detachedReply(g.Link, id, wire.Accepted))
+	s.onlyAnswer(wire.Plays)
+	s.clearOutputs()
 	return g
 }
 
-func TestDescriptionsCrossUnchanged(t *testing.T) {
-	s := newLoose(t, 1)
-	s.asks(1, "a", "clip")
-	g := s.oneLeg()
+func TestDescriptionsAreForwardedUnchanged(t *testing.T) {
+	s := newDetachedHarness(t, 1)
+	s.requestDetached(1, "a", "clip")
+	g := s.onlySetup()
 	if string(g.Description) != "as it came" || g.Message.Session != "a" {
 		t.Fatalf("%+v", g)
 	}
-	s.do(says(g.Link, "a", wire.Accepted))
-	for _, o := range s.out {
+	s.step(detachedReply(g.Link, "a", wire.Accepted))
+	for _, o := range s.lastOutputs {
 		if m, ok := o.(SendClient); ok && string(m.Description) != "as the node has it" {
 			t.Fatalf("%+v", m)
 		}
 	}
-	s.oneAnswer(wire.Plays)
+	s.onlyAnswer(wire.Plays)
 }
 
-func TestWhatPlaysOutlivesItsConnections(t *testing.T) {
-	s := newLoose(t, 1)
-	g := s.plays("a", "clip")
-	s.enter(2)
-	s.do(ClientLost{Conn: 1})
-	s.do(LinkLost{Link: g.Link})
-	if len(s.told(wire.Over)) != 0 || s.loop.playing != 1 {
+func TestDetachedSessionOutlivesConnections(t *testing.T) {
+	s := newDetachedHarness(t, 1)
+	g := s.playDetached("a", "clip")
+	s.connectClient(2)
+	s.step(ClientLost{Conn: 1})
+	s.step(LinkLost{Link: g.Link})
+	if len(s.clientMessages(wire.Over)) != 0 || s.loop.playing != 1 {
 		t.Fatal("it ended with a connection")
 	}
-	s.do(LinkConnected{name(0), s.links[name(0)]})
-	s.do(says(s.links[name(0)], "a", wire.Ended))
-	s.pass(strangersAfter) // nothing has played on the only connection there is
-	if over := s.told(wire.Over); len(over) != 1 || over[0].ID != "a" || over[0].Why != WhyEnded {
+	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]})
+	s.step(detachedReply(s.links[nodeName(0)], "a", wire.Ended))
+	s.advance(anyClientDelay) // nothing has played on the only connection there is
+	if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].ID != "a" || over[0].Why != ReasonEnded {
 		t.Fatalf("%+v", over)
 	}
-	s.empty()
+	s.requireNoState()
 }
 
 // It guards the ending of a session that no viewer's connection is there for.
-func TestAnEndingWaitsForAConnection(t *testing.T) {
-	s := newLoose(t, 1)
-	g := s.plays("a", "clip")
-	s.do(ClientLost{Conn: 1})
-	s.do(says(g.Link, "a", wire.Ended))
-	if len(s.told(wire.Over)) != 0 {
+func TestUndeliveredEndingWaitsForConnection(t *testing.T) {
+	s := newDetachedHarness(t, 1)
+	g := s.playDetached("a", "clip")
+	s.step(ClientLost{Conn: 1})
+	s.step(detachedReply(g.Link, "a", wire.Ended))
+	if len(s.clientMessages(wire.Over)) != 0 {
 		t.Fatal("told to nobody")
 	}
-	s.enter(2)
-	if len(s.told(wire.Over)) != 0 {
+	s.connectClient(2)
+	if len(s.clientMessages(wire.Over)) != 0 {
 		t.Fatal("told at once to one who may only hold a connection")
 	}
-	s.pass(strangersAfter - 1)
-	if len(s.told(wire.Over)) != 0 {
+	s.advance(anyClientDelay - 1)
+	if len(s.clientMessages(wire.Over)) != 0 {
 		t.Fatal("told too soon to one who may only hold a connection")
 	}
-	s.pass(1)
-	if len(s.told(wire.Over)) != 1 {
+	s.advance(1)
+	if len(s.clientMessages(wire.Over)) != 1 {
 		t.Fatal("not told")
 	}
-	g = s.plays2(2, "b")
-	s.do(ClientLost{Conn: 2})
-	s.do(says(g.Link, "b", wire.Ended))
-	s.now += untoldFor
-	s.enter(3)
-	if len(s.told(wire.Over)) != 0 || len(s.loop.untold) != 0 {
+	g = s.playDetachedOn(2, "b")
+	s.step(ClientLost{Conn: 2})
+	s.step(detachedReply(g.Link, "b", wire.Ended))
+	s.now += undeliveredRetention
+	s.connectClient(3)
+	if len(s.clientMessages(wire.Over)) != 0 || len(s.loop.undelivered) != 0 {
 		t.Fatal("kept for too long")
 	}
 }
 
 // It guards endings among hundreds who hold a connection and nothing else: one on which something has played is told.
-func TestAnEndingGoesWhereSomethingHasPlayed(t *testing.T) {
-	s := newLoose(t, 1)
+func TestEndingPrefersProvenConnection(t *testing.T) {
+	s := newDetachedHarness(t, 1)
 	for conn := uint64(2); conn < 20; conn++ {
-		s.enter(conn)
-	}
-	g := s.plays("a", "clip")
-	s.plays2(15, "b")
-	s.plays2(16, "c")
-	s.do(ClientLost{Conn: 1})
-	s.do(ClientLost{Conn: 16})
-	s.do(says(g.Link, "a", wire.Ended))
-	if at := s.toldOver(); len(at) != 1 || at[0] != 15 {
+		s.connectClient(conn)
+	}
+	g := s.playDetached("a", "clip")
+	s.playDetachedOn(15, "b")
+	s.playDetachedOn(16, "c")
+	s.step(ClientLost{Conn: 1})
+	s.step(ClientLost{Conn: 16})
+	s.step(detachedReply(g.Link, "a", wire.Ended))
+	if at := s.endingConns(); len(at) != 1 || at[0] != 15 {
 		t.Fatalf("told on %v", at)
 	}
 	// Nobody is left on whose connection anything has played, until there is one.
-	s.do(ClientLost{Conn: 15})
-	s.do(says(g.Link, "b", wire.Ended))
-	s.asks(17, "d", "clip")
-	d := s.oneLeg()
-	s.forget()
-	s.do(says(d.Link, "d", wire.Accepted))
-	if at := s.toldOver(); len(at) != 1 || at[0] != 17 {
+	s.step(ClientLost{Conn: 15})
+	s.step(detachedReply(g.Link, "b", wire.Ended))
+	s.requestDetached(17, "d", "clip")
+	d := s.onlySetup()
+	s.clearOutputs()
+	s.step(detachedReply(d.Link, "d", wire.Accepted))
+	if at := s.endingConns(); len(at) != 1 || at[0] != 17 {
 		t.Fatalf("told on %v", at)
 	}
 }
 
-// toldOver is the connections on which an ending was told.
-func (s *stage) toldOver() (conns []uint64) {
-	for _, o := range s.out {
+// endingConns is the connections on which an ending was told.
+func (s *harness) endingConns() (conns []uint64) {
+	for _, o := range s.lastOutputs {
 		if m, ok := o.(SendClient); ok && m.Message.Type == wire.Over {
 			conns = append(conns, m.Conn)
 		}
@@ -145,21 +145,21 @@
 }
 
 // It guards the connection that a session came on, on which its ending is awaited, when room gets short.
-func TestAConnectionWithWhatPlaysIsNotLetGo(t *testing.T) {
-	s := newLoose(t, 1)
+func TestConnectionWithPlayingSessionIsNotEvicted(t *testing.T) {
+	s := newDetachedHarness(t, 1)
 	s.loop.limits = limits.New(1, limits.Capacity{MaxConnections: 10, MaxHandshakes: 10, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
 		HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
-	s.do(ClientLost{Conn: 1})
-	s.enter(1)
-	g := s.plays("a", "clip")
-	s.pass(5 * time.Second)
+	s.step(ClientLost{Conn: 1})
+	s.connectClient(1)
+	g := s.playDetached("a", "clip")
+	s.advance(5 * time.Second)
 	let := map[uint64]bool{}
-	s.forget()
+	s.clearOutputs()
 	for conn := uint64(2); conn < 12; conn++ {
-		s.enter(conn)
-		s.pass(2 * time.Second)
+		s.connectClient(conn)
+		s.advance(2 * time.Second)
 	}
-	for _, o := range s.all {
+	for _, o := range s.outputs {
 		if m, ok := o.(CloseClient); ok {
 			let[m.Conn] = true
 		}
@@ -167,72 +167,72 @@
 	if let[1] || !let[2] {
 		t.Fatalf("let go: %v", let)
 	}
-	s.forget()
-	s.do(says(g.Link, "a", wire.Ended))
-	if at := s.toldOver(); len(at) != 1 || at[0] != 1 {
+	s.clearOutputs()
+	s.step(detachedReply(g.Link, "a", wire.Ended))
+	if at := s.endingConns(); len(at) != 1 || at[0] != 1 {
 		t.Fatalf("told on %v", at)
 	}
-	if _, busy, _ := s.loop.Room(); busy != 0 {
+	if _, busy, _ := s.loop.ConnectionUsage(); busy != 0 {
 		t.Fatalf("%d are busy", busy)
 	}
 }
 
-func (s *stage) plays2(conn uint64, id string) SendServer {
+func (s *harness) playDetachedOn(conn uint64, id string) SendNode {
 	s.t.Helper()
-	s.forget()
-	s.asks(conn, id, "clip")
-	g := s.oneLeg()
-	s.do(says(g.Link, id, wire.Accepted))
-	s.forget()
+	s.clearOutputs()
+	s.requestDetached(conn, id, "clip")
+	g := s.onlySetup()
+	s.step(detachedReply(g.Link, id, wire.Accepted))
+	s.clearOutputs()
 	return g
 }
 
-func TestARefusedConnectionEndsWhatPlays(t *testing.T) {
-	s := newLoose(t, 1)
-	g := s.plays("a", "clip")
-	s.do(LinkLost{Link: g.Link})
-	s.do(LinkFailed{Node: name(0), Link: s.links[name(0)], Refused: true})
-	if over := s.told(wire.Over); len(over) != 1 {
+func TestRefusedNodeConnectionEndsSessions(t *testing.T) {
+	s := newDetachedHarness(t, 1)
+	g := s.playDetached("a", "clip")
+	s.step(LinkLost{Link: g.Link})
+	s.step(LinkFailed{Node: nodeName(0), Link: s.links[nodeName(0)], Refused: true})
+	if over := s.clientMessages(wire.Over); len(over) != 1 {
 		t.Fatalf("%+v", over)
 	}
-	s.empty()
+	s.requireNoState()
 }
 
 // One try that fails proves nothing: it may be lost on the way.
-func TestSeveralFailuresEndWhatPlays(t *testing.T) {
-	s := newLoose(t, 1)
-	g := s.plays("a", "clip")
-	s.do(LinkLost{Link: g.Link})
+func TestRepeatedConnectFailuresEndSessions(t *testing.T) {
+	s := newDetachedHarness(t, 1)
+	g := s.playDetached("a", "clip")
+	s.step(LinkLost{Link: g.Link})
 	for i := range 3 {
-		if len(s.told(wire.Over)) != 0 {
+		if len(s.clientMessages(wire.Over)) != 0 {
 			t.Fatalf("ended after %d tries", i)
 		}
-		s.pass(2 * time.Second)
-		s.do(LinkFailed{Node: name(0), Link: s.links[name(0)]})
+		s.advance(2 * time.Second)
+		s.step(LinkFailed{Node: nodeName(0), Link: s.links[nodeName(0)]})
 	}
-	if len(s.told(wire.Over)) != 1 {
+	if len(s.clientMessages(wire.Over)) != 1 {
 		t.Fatal("it is held to play for ever")
 	}
-	s.empty()
+	s.requireNoState()
 }
 
 // It guards sessions on a machine that vanishes: its connections stay open and say nothing.
-func TestAConnectionWithoutAnAnswerIsChecked(t *testing.T) {
-	s := newLoose(t, 1)
-	g := s.plays("a", "clip")
-	s.asks(1, "b", "clip")
-	s.pass(500 * ms) // past the time of a leg
-	if s.links[name(0)] == g.Link {
+func TestUnansweredSetupProbesLink(t *testing.T) {
+	s := newDetachedHarness(t, 1)
+	g := s.playDetached("a", "clip")
+	s.requestDetached(1, "b", "clip")
+	s.advance(500 * ms) // past the time of a leg
+	if s.links[nodeName(0)] == g.Link {
 		t.Fatal("it was not checked")
 	}
-	s.forget()
-	s.asks(1, "c", "clip")
+	s.clearOutputs()
+	s.requestDetached(1, "c", "clip")
 	if len(s.setups()) != 0 {
 		t.Fatal("a set-up was sent on a connection in doubt")
 	}
-	s.do(LinkFailed{Node: name(0), Link: s.links[name(0)]})
+	s.step(LinkFailed{Node: nodeName(0), Link: s.links[nodeName(0)]})
 	hung := false
-	for _, o := range s.all {
+	for _, o := range s.outputs {
 		if h, ok := o.(CloseLink); ok && h.Link == g.Link {
 			hung = true
 		}
@@ -242,23 +242,23 @@
 	}
 }
 
-func TestACheckedConnectionTakesTheOthersPlace(t *testing.T) {
-	s := newLoose(t, 1)
-	g := s.plays("a", "clip")
-	s.asks(1, "b", "exam") // paid: it waits
-	s.asks(1, "c", "clip")
-	s.pass(500 * ms)
-	check := s.links[name(0)]
-	s.do(LinkConnected{name(0), check})
-	s.forget()
-	s.do(says(check, "b", wire.Accepted)) // not on the connection that it was sent on
+func TestProbeLinkReplacesSuspectLink(t *testing.T) {
+	s := newDetachedHarness(t, 1)
+	g := s.playDetached("a", "clip")
+	s.requestDetached(1, "b", "exam") // paid: it waits
+	s.requestDetached(1, "c", "clip")
+	s.advance(500 * ms)
+	check := s.links[nodeName(0)]
+	s.step(LinkConnected{nodeName(0), check})
+	s.clearOutputs()
+	s.step(detachedReply(check, "b", wire.Accepted)) // not on the connection that it was sent on
 	if len(s.answers()) != 0 {
 		t.Fatal("an answer on another connection was taken")
 	}
-	s.do(says(g.Link, "b", wire.Accepted))
-	s.oneAnswer(wire.Plays)
+	s.step(detachedReply(g.Link, "b", wire.Accepted))
+	s.onlyAnswer(wire.Plays)
 	hung := false
-	for _, o := range s.all {
+	for _, o := range s.outputs {
 		if h, ok := o.(CloseLink); ok && h.Link == g.Link {
 			hung = true
 		}
@@ -266,110 +266,110 @@
 	if !hung {
 		t.Fatal("the old connection is kept though nothing waits on it")
 	}
-	s.do(says(check, "a", wire.Ended))
-	if len(s.told(wire.Over)) != 1 {
+	s.step(detachedReply(check, "a", wire.Ended))
+	if len(s.clientMessages(wire.Over)) != 1 {
 		t.Fatal("an ending on the new connection was not taken")
 	}
 }
 
-func TestAnIdInUseIsNobodyElses(t *testing.T) {
-	s := newLoose(t, 1)
-	s.enter(2)
-	s.forget()
-	s.asks(1, "a", "clip")
-	g := s.oneLeg()
-	s.asks(1, "a", "exam")
-	s.asks(2, "a", "clip")
-	s.do(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Leave, ID: "a"}})
-	if len(s.setups()) != 1 || len(s.ends()) != 0 {
+func TestDuplicateSessionIDIsRefused(t *testing.T) {
+	s := newDetachedHarness(t, 1)
+	s.connectClient(2)
+	s.clearOutputs()
+	s.requestDetached(1, "a", "clip")
+	g := s.onlySetup()
+	s.requestDetached(1, "a", "exam")
+	s.requestDetached(2, "a", "clip")
+	s.step(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Leave, ID: "a"}})
+	if len(s.setups()) != 1 || len(s.endedLegs()) != 0 {
 		t.Fatal("the first request noticed")
 	}
 	if told := s.answers(); len(told) != 1 || told[0].Type != wire.Errored {
 		t.Fatalf("%+v", told)
 	}
-	s.forget()
-	s.do(says(g.Link, "a", wire.Accepted))
-	s.do(says(g.Link, "a", wire.Accepted))
-	s.oneAnswer(wire.Plays)
+	s.clearOutputs()
+	s.step(detachedReply(g.Link, "a", wire.Accepted))
+	s.step(detachedReply(g.Link, "a", wire.Accepted))
+	s.onlyAnswer(wire.Plays)
 }
 
-func TestSessionsThatAreHandedOver(t *testing.T) {
-	s := newLoose(t, 1)
+func TestPlayingSessionsAreAdopted(t *testing.T) {
+	s := newDetachedHarness(t, 1)
 	hand := func(id, node string) {
-		s.do(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Want, ID: id, Key: id, Tariff: "exam", Title: "t"},
-			Brought: &Brought{Copies: 8, Playing: node}})
+		s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Want, ID: id, Key: id, Tariff: "exam", Title: "t"},
+			Details: &RequestDetails{Copies: 8, PlayingOn: node}})
 	}
-	hand("a", name(0))
-	hand("a", name(0)) // told again
+	hand("a", nodeName(0))
+	hand("a", nodeName(0)) // told again
 	if s.loop.playing != 1 || len(s.answers()) != 0 {
 		t.Fatal("not held, or answered")
 	}
 	hand("b", "nobody")
-	if over := s.told(wire.Over); len(over) != 1 || over[0].ID != "b" {
+	if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].ID != "b" {
 		t.Fatalf("%+v", over)
 	}
-	s.do(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: "a"}})
-	if len(s.ends()) != 1 {
+	s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: "a"}})
+	if len(s.endedLegs()) != 1 {
 		t.Fatal("its node was not told")
 	}
-	s.empty()
+	s.requireNoState()
 }
 
-func TestANodeThatStartsAnewHasLostWhatPlayed(t *testing.T) {
-	s := newLoose(t, 1)
-	g := s.plays("a", "clip")
+func TestNodeRestartEndsSessions(t *testing.T) {
+	s := newDetachedHarness(t, 1)
+	g := s.playDetached("a", "clip")
 	s.now += time.Second
-	e := up(0)
+	e := upEntry(0)
 	e.Start, e.Age = 99, 100
-	s.do(DiscoveryReceived{wire.List{Type: wire.Update, Nodes: []wire.Entry{e}}})
-	if len(s.told(wire.Over)) != 1 || s.links[name(0)] == g.Link {
+	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Nodes: []wire.Entry{e}}})
+	if len(s.clientMessages(wire.Over)) != 1 || s.links[nodeName(0)] == g.Link {
 		t.Fatal("it is held to play, or its connection is kept")
 	}
-	s.empty()
+	s.requireNoState()
 }
 
 // It guards sessions on a node that the list takes off while there is no connection to it: they were held to play for
 // ever, and their viewers never told (199 on one long day).
-func TestANodeThatGoesWithoutAConnectionHasLostWhatPlayed(t *testing.T) {
-	s := newLoose(t, 1)
-	g := s.plays("a", "clip")
-	s.do(LinkLost{Link: g.Link})
-	gone := up(0)
+func TestUnlistedUnconnectedNodeEndsSessions(t *testing.T) {
+	s := newDetachedHarness(t, 1)
+	g := s.playDetached("a", "clip")
+	s.step(LinkLost{Link: g.Link})
+	gone := upEntry(0)
 	gone.State = wire.Removed
-	s.do(DiscoveryReceived{wire.List{Type: wire.Update, Nodes: []wire.Entry{gone}}})
-	if len(s.told(wire.Over)) != 1 {
+	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Nodes: []wire.Entry{gone}}})
+	if len(s.clientMessages(wire.Over)) != 1 {
 		t.Fatal("it is held to play")
 	}
-	s.do(LinkConnected{name(0), s.links[name(0)]}) // somebody else, at its address
-	s.empty()
+	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]}) // somebody else, at its address
+	s.requireNoState()
 	if len(s.loop.nodes) != 0 || len(s.loop.links) != 0 {
 		t.Fatal("a node that is gone is kept")
 	}
 }
 
 // What is to be told to a node without a connection goes by the next one.
-func TestWordsForANodeWaitForItsConnection(t *testing.T) {
-	s := newLoose(t, 1)
-	g := s.plays("a", "clip")
-	s.do(LinkLost{Link: g.Link})
-	s.do(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: "a"}})
-	if len(s.ends()) != 0 {
+func TestNodeMessagesWaitForConnection(t *testing.T) {
+	s := newDetachedHarness(t, 1)
+	g := s.playDetached("a", "clip")
+	s.step(LinkLost{Link: g.Link})
+	s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: "a"}})
+	if len(s.endedLegs()) != 0 {
 		t.Fatal("told on no connection")
 	}
-	s.do(LinkConnected{name(0), s.links[name(0)]})
-	if len(s.ends()) != 1 {
+	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]})
+	if len(s.endedLegs()) != 1 {
 		t.Fatal("never told")
 	}
-	s.empty()
+	s.requireNoState()
 }
 
 // Whatever happens in whatever order: one answer each, one leg out at a time, a paid set-up never sent again unless
 // all before provably never ran, an ending told once and only after an answer, and nothing left on the books.
-func TestLooseRulesHold(t *testing.T) {
+func TestDetachedRulesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newLoose(t, 3)
-		s.enter(2)
-		s.forget()
+		s := newDetachedHarness(t, 3)
+		s.connectClient(2)
+		s.clearOutputs()
 		type want struct {
 			tariff  string
 			conn    uint64
@@ -381,11 +381,11 @@
 		}
 		wants := map[string]*want{}
 		var ids []string
-		sent := map[string]SendServer{}
+		sent := map[string]SendNode{}
 		look := func() {
-			for _, o := range s.out {
+			for _, o := range s.lastOutputs {
 				switch o := o.(type) {
-				case SendServer:
+				case SendNode:
 					w := wants[o.Message.Session]
 					switch o.Message.Type {
 					case wire.Setup:
@@ -426,7 +426,7 @@
 			}
 		}
 		do := func(in Input) {
-			s.do(in)
+			s.step(in)
 			look()
 		}
 		conns := uint64(2)
@@ -437,7 +437,7 @@
 				id = rapid.SampledFrom(ids).Draw(t, "id")
 			}
 			g, w := sent[id], wants[id]
-			node := name(rapid.IntRange(0, 2).Draw(t, "node"))
+			node := nodeName(rapid.IntRange(0, 2).Draw(t, "node"))
 			switch k := rapid.IntRange(0, 12).Draw(t, "what"); {
 			case k <= 2:
 				id = fmt.Sprint("s", len(ids))
@@ -447,21 +447,21 @@
 				}
 				ids = append(ids, id)
 				wants[id] = &want{tariff: rapid.SampledFrom([]string{"clip", "exam"}).Draw(t, "tariff"), conn: conn}
-				s.asks(conn, id, wants[id].tariff)
+				s.requestDetached(conn, id, wants[id].tariff)
 				look()
 			case k <= 4 && w != nil && g.Link != 0:
-				do(says(g.Link, id, wire.Accepted))
+				do(detachedReply(g.Link, id, wire.Accepted))
 				if w.out > 0 {
 					w.mayHave = true
 				}
 			case k == 5 && w != nil && w.out == 1 && !w.plays:
 				w.out = 0
-				do(says(g.Link, id, wire.Full))
+				do(detachedReply(g.Link, id, wire.Full))
 			case k == 6 && w != nil && w.out == 1 && !w.plays:
 				w.out, w.mayHave = 0, true
-				do(says(g.Link, id, wire.Failed))
+				do(detachedReply(g.Link, id, wire.Failed))
 			case k == 7 && w != nil && w.plays:
-				do(says(s.links[node], id, wire.Ended))
+				do(detachedReply(s.links[node], id, wire.Ended))
 			case k == 8:
 				link := s.links[node]
 				for id, g := range sent {
@@ -469,11 +469,11 @@
 						w.out, w.mayHave = 0, true
 					}
 				}
-				if s.loop.links[link] != nil && s.loop.links[link].up && s.loop.links[link].link == link {
+				if s.loop.links[link] != nil && s.loop.links[link].connected && s.loop.links[link].link == link {
 					do(LinkLost{Link: link})
 				}
 			case k == 9:
-				if n := s.loop.links[s.links[node]]; n != nil && n.trying {
+				if n := s.loop.links[s.links[node]]; n != nil && n.connecting {
 					if rapid.Bool().Draw(t, "made") {
 						do(LinkConnected{node, s.links[node]})
 					} else {
@@ -511,22 +511,22 @@
 			if !wants[id].plays {
 				continue
 			}
-			do(says(s.links[name(0)], id, wire.Ended))
-			do(says(s.links[name(1)], id, wire.Ended))
-			do(says(s.links[name(2)], id, wire.Ended))
+			do(detachedReply(s.links[nodeName(0)], id, wire.Ended))
+			do(detachedReply(s.links[nodeName(1)], id, wire.Ended))
+			do(detachedReply(s.links[nodeName(2)], id, wire.Ended))
 		}
 		for range 100 {
 			s.now += 50 * ms
 			do(Tick{})
 		}
 		l := s.loop
-		if l.owed != 0 || l.counts.OddMove != 0 || len(l.sessions) != l.playing || len(l.keys) != l.playing || len(l.legs) != l.playing {
-			t.Fatalf("left: %d owed, %d odd, %d sessions, %d keys, %d legs, %d play", l.owed, l.counts.OddMove, len(l.sessions),
-				len(l.keys), len(l.legs), l.playing)
+		if l.owed != 0 || l.counts.IllegalTransitions != 0 || len(l.sessions) != l.playing || len(l.sessionsByKey) != l.playing || len(l.legs) != l.playing {
+			t.Fatalf("left: %d owed, %d odd, %d sessions, %d keys, %d legs, %d play", l.owed, l.counts.IllegalTransitions, len(l.sessions),
+				len(l.sessionsByKey), len(l.legs), l.playing)
 		}
 		for conn, c := range l.conns {
-			if len(c.requests) != 0 || c.live != 0 {
-				t.Fatalf("connection %d keeps %d requests, %d live", conn, len(c.requests), c.live)
+			if len(c.requests) != 0 || c.activeRequests != 0 {
+				t.Fatalf("connection %d keeps %d requests, %d live", conn, len(c.requests), c.activeRequests)
 			}
 		}
 	})
@@ -534,58 +534,58 @@
 
 // It guards the ending of a session on a connection for which there is no room, or that has ended by then.
 func TestAnEndingNeedsNoConnection(t *testing.T) {
-	s := newLoose(t, 1)
-	s.plays("a", "clip")
-	s.asks(1, "b", "clip")
+	s := newDetachedHarness(t, 1)
+	s.playDetached("a", "clip")
+	s.requestDetached(1, "b", "clip")
 	stranger := ClientReceived{Conn: 77, Message: wire.Session{Type: wire.Leave, ID: "b"}}
-	s.do(stranger)
+	s.step(stranger)
 	if s.loop.owed != 1 {
 		t.Fatal("a stranger ended what another one waits for")
 	}
 	stranger.Message.ID = "a"
-	s.do(stranger)
+	s.step(stranger)
 	if s.loop.playing != 0 {
 		t.Fatal("it plays on for nobody")
 	}
 }
 
 // It guards requests of newcomers against a close without an answer: beyond a few in a thousand those are lost.
-func TestWhoKnocksInVainIsRefused(t *testing.T) {
-	s := newLoose(t, 1)
+func TestRejectedConnectionGetsRefusal(t *testing.T) {
+	s := newDetachedHarness(t, 1)
 	s.loop.limits = limits.New(1, limits.Capacity{MaxConnections: 1, MaxHandshakes: 1, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
 		HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
-	s.do(ClientLost{Conn: 1})
-	s.enter(1)
-	s.plays("a", "clip") // there is room for one
-	s.do(ClientConnecting{Conn: 2})
-	s.asks(2, "b", "clip")
-	s.asks(2, "c", "exam")
-	if got := s.told(wire.Nack); len(got) != 2 || got[0].ID != "b" || got[1].ID != "c" || len(s.setups()) != 0 {
+	s.step(ClientLost{Conn: 1})
+	s.connectClient(1)
+	s.playDetached("a", "clip") // there is room for one
+	s.step(ClientConnecting{Conn: 2})
+	s.requestDetached(2, "b", "clip")
+	s.requestDetached(2, "c", "exam")
+	if got := s.clientMessages(wire.Nack); len(got) != 2 || got[0].ID != "b" || got[1].ID != "c" || len(s.setups()) != 0 {
 		t.Fatalf("%+v, %d set-ups", got, len(s.setups()))
 	}
-	s.do(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Leave, ID: "a"}}) // an ending needs no room
+	s.step(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Leave, ID: "a"}}) // an ending needs no room
 	if s.loop.playing != 0 {
 		t.Fatal("it plays on")
 	}
-	s.pass(turnedFor)
+	s.advance(rejectionWindow)
 	closed := 0
-	for _, o := range s.all {
+	for _, o := range s.outputs {
 		if m, ok := o.(CloseClient); ok && m.Conn == 2 {
 			closed++
 		}
 	}
-	s.do(ClientLost{Conn: 2})
-	if closed != 1 || len(s.loop.turned) != 0 || len(s.loop.conns) != 1 {
-		t.Fatalf("closed %d times, %d turned away, %d connections", closed, len(s.loop.turned), len(s.loop.conns))
+	s.step(ClientLost{Conn: 2})
+	if closed != 1 || len(s.loop.rejectedConns) != 0 || len(s.loop.conns) != 1 {
+		t.Fatalf("closed %d times, %d turned away, %d connections", closed, len(s.loop.rejectedConns), len(s.loop.conns))
 	}
 }
 
 // It guards a request that is on its way to the loop when its connection is let go for want of room.
-func TestWhoSaysSomethingMeanwhileIsServed(t *testing.T) {
-	s := newOnNeed(t, 1, 3)
-	s.pass(time.Second) // with room for one, it is full
+func TestMessageDuringIdleCloseIsServed(t *testing.T) {
+	s := newOnDemandHarness(t, 1, 3)
+	s.advance(time.Second) // with room for one, it is full
 	var let []uint64
-	for _, o := range s.all {
+	for _, o := range s.outputs {
 		if m, ok := o.(CloseClient); ok && m.Idle {
 			let = append(let, m.Conn)
 		}
@@ -593,53 +593,53 @@
 	if len(let) == 0 || let[0] != 1 {
 		t.Fatalf("let go: %v", let)
 	}
-	s.forget()
-	s.do(ClientStays{1})
-	s.asks(1, "b", "clip")
-	if len(s.dials()) != 1 {
+	s.clearOutputs()
+	s.step(ClientStillActive{1})
+	s.requestDetached(1, "b", "clip")
+	if len(s.connects()) != 1 {
 		t.Fatal("it was not taken")
 	}
-	s.do(LinkConnected{name(0), s.links[name(0)]})
-	s.oneLeg()
+	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]})
+	s.onlySetup()
 }
 
 // Whoever says that a session is over, its client learns of it: on the connection that it came on, and once. Only who
 // ends it on that very connection is told nothing.
 func TestEveryEndReachesItsClient(t *testing.T) {
-	for name, end := range map[string]func(s *stage, g SendServer){
-		"its node, ended by itself": func(s *stage, g SendServer) { s.do(says(g.Link, "a", wire.Ended)) },
-		"its node, ended by its client": func(s *stage, g SendServer) {
-			m := says(g.Link, "a", wire.Ended)
+	for name, end := range map[string]func(s *harness, g SendNode){
+		"its node, ended by itself": func(s *harness, g SendNode) { s.step(detachedReply(g.Link, "a", wire.Ended)) },
+		"its node, ended by its client": func(s *harness, g SendNode) {
+			m := detachedReply(g.Link, "a", wire.Ended)
 			m.Message.Why = wire.CalledOff
-			s.do(m)
+			s.step(m)
 		},
-		"its node, cut": func(s *stage, g SendServer) {
-			m := says(g.Link, "a", wire.Ended)
+		"its node, cut": func(s *harness, g SendNode) {
+			m := detachedReply(g.Link, "a", wire.Ended)
 			m.Message.Why = wire.Lost
-			s.do(m)
+			s.step(m)
 		},
-		"a client on another connection": func(s *stage, g SendServer) {
-			s.enter(2)
-			s.do(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Leave, ID: "a"}})
+		"a client on another connection": func(s *harness, g SendNode) {
+			s.connectClient(2)
+			s.step(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Leave, ID: "a"}})
 		},
-		"a client on a connection that has ended": func(s *stage, g SendServer) {
-			s.do(ClientReceived{Conn: 7, Message: wire.Session{Type: wire.Leave, ID: "a"}})
+		"a client on a connection that has ended": func(s *harness, g SendNode) {
+			s.step(ClientReceived{Conn: 7, Message: wire.Session{Type: wire.Leave, ID: "a"}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newLoose(t, 1)
-			end(s, s.plays("a", "clip"))
-			if over := s.told(wire.Over); len(over) != 1 || over[0].ID != "a" {
+			s := newDetachedHarness(t, 1)
+			end(s, s.playDetached("a", "clip"))
+			if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].ID != "a" {
 				t.Fatalf("told %+v", over)
 			}
-			s.empty()
+			s.requireNoState()
 		})
 	}
-	s := newLoose(t, 1)
-	s.plays("a", "clip")
-	s.do(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: "a"}})
-	if over := s.told(wire.Over); len(over) != 0 {
+	s := newDetachedHarness(t, 1)
+	s.playDetached("a", "clip")
+	s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: "a"}})
+	if over := s.clientMessages(wire.Over); len(over) != 0 {
 		t.Fatalf("who has ended it was told %+v", over)
 	}
-	s.empty()
+	s.requireNoState()
 }
--- a/internal/director/messages.go
+++ b/internal/director/messages.go
@@ -20,18 +20,18 @@
 	}
 	// ClientAccepted says that a player who was welcome has connected.
 	ClientAccepted struct{ Conn uint64 }
-	// Memory is what the program uses now, in bytes.
-	Memory struct{ Bytes int64 }
+	// MemoryUsage is what the program uses now, in bytes.
+	MemoryUsage struct{ Bytes int64 }
 	// ClientReceived is a message from a player that has waited for the loop for so long. A request may bring
 	// more than the message holds.
 	ClientReceived struct {
 		Conn    uint64
 		Message wire.Session
 		Waited  time.Duration
-		Brought *Brought
+		Details *RequestDetails
 	}
-	// ClientStays says that a player whom an idle CloseClient was meant for has said something meanwhile.
-	ClientStays struct{ Conn uint64 }
+	// ClientStillActive says that a player whom an idle CloseClient was meant for has said something meanwhile.
+	ClientStillActive struct{ Conn uint64 }
 	// ClientLost says that a player's connection has ended, and why, for logs.
 	ClientLost struct {
 		Conn   uint64
@@ -51,10 +51,10 @@
 	// LinkFailed says that a Connect failed; nothing was sent on it. Refused: the machine answers, and
 	// nothing runs there. Crowded: it could not be tried for trouble of this machine (descriptors, memory, ports, its own network).
 	LinkFailed struct {
-		Node    string
-		Link    uint64
-		Refused bool
-		Crowded bool
+		Node              string
+		Link              uint64
+		Refused           bool
+		ResourceExhausted bool
 	}
 	// LinkReceived is a message from a node, with what describes the session where it is accepted.
 	LinkReceived struct {
@@ -64,13 +64,13 @@
 	}
 	// LinkAlive says how long ago anything last came from a node.
 	LinkAlive struct {
-		Link  uint64
-		Quiet time.Duration
+		Link    uint64
+		IdleFor time.Duration
 	}
 	// ClientAlive says how long ago anything last came from a player.
 	ClientAlive struct {
-		Conn  uint64
-		Quiet time.Duration
+		Conn    uint64
+		IdleFor time.Duration
 	}
 	// LinkLost says that a connection to a node has ended. Unsent are the legs whose set-up was never
 	// handed to the kernel, not one byte of it.
@@ -95,10 +95,10 @@
 
 func (ClientConnecting) input()   {}
 func (ClientAccepted) input()     {}
-func (Memory) input()             {}
+func (MemoryUsage) input()        {}
 func (ClientReceived) input()     {}
 func (ClientLost) input()         {}
-func (ClientStays) input()        {}
+func (ClientStillActive) input()  {}
 func (ClientInputEnded) input()   {}
 func (LinkConnected) input()      {}
 func (LinkFailed) input()         {}
@@ -113,12 +113,12 @@
 func (Tick) input()               {}
 func (Stop) input()               {}
 
-// Brought is what a request brings along where no catalogue says it.
-type Brought struct {
-	Base, Copies int    // where its title lies
-	Description  []byte // of the session, for the node: passed on as it is
-	Playing      string // the node, where the session plays already; no answer is owed then
-	Wrong        string // why the request can't be used; empty: it can
+// RequestDetails is what a request brings along where no catalogue says it.
+type RequestDetails struct {
+	Base, Copies  int    // where its title lies
+	Description   []byte // of the session, for the node: passed on as it is
+	PlayingOn     string // the node, where the session plays already; no answer is owed then
+	InvalidReason string // why the request can't be used; empty: it can
 }
 
 // Output is something to be done: one of the types below that have an output method.
@@ -131,33 +131,33 @@
 	SendClient struct {
 		Conn        uint64
 		Message     wire.Session
-		Merge       uint64
+		CoalesceKey uint64
 		Description []byte // of an answer that it plays, as the node gave it
 	}
 	// AcceptClient lets a player in who has knocked.
 	AcceptClient struct{ Conn uint64 }
 	// RejectClient does not, and says when to come back.
 	RejectClient struct {
-		Conn  uint64
-		Retry time.Duration
-		Why   string
+		Conn       uint64
+		RetryAfter time.Duration
+		Reason     string
 	}
 	// CloseClient ends a player's connection, with the code of RFC 6455 and a reason; code 0 cuts it. Idle: only
 	// because nothing is to be done for it; ClientStays answers where something it said is still on its way here.
 	CloseClient struct {
-		Conn uint64
-		Code int
-		Why  string
-		Idle bool
+		Conn   uint64
+		Code   int
+		Reason string
+		Idle   bool
 	}
 	// Connect asks for a connection to a node; LinkConnected or LinkFailed answers it within the time.
 	Connect struct {
 		Node, Address string
 		Link          uint64
-		Within        time.Duration
+		Timeout       time.Duration
 	}
-	// SendServer sends a message to a node. Setup is the leg where the message sets one up, else 0.
-	SendServer struct {
+	// SendNode sends a message to a node. Setup is the leg where the message sets one up, else 0.
+	SendNode struct {
 		Link        uint64
 		Setup       uint64
 		Message     wire.Node
@@ -175,24 +175,24 @@
 	// SendDiscovery sends a message to the list's source.
 	SendDiscovery struct{ Message wire.List }
 	// Log is a line for those on call.
-	Log struct{ Words string }
+	Log struct{ Text string }
 	// StopAccepting ends the listener: who connects from now on is refused by the system.
 	StopAccepting struct{}
-	// Ended says that a director ordered to stop has nothing left to do.
-	Ended struct{}
+	// ShutdownComplete says that a director ordered to stop has nothing left to do.
+	ShutdownComplete struct{}
 )
 
-func (AcceptClient) output()  {}
-func (RejectClient) output()  {}
-func (SendClient) output()    {}
-func (CloseClient) output()   {}
-func (Connect) output()       {}
-func (SendServer) output()    {}
-func (Withdraw) output()      {}
-func (ProbeLink) output()     {}
-func (ProbeClient) output()   {}
-func (CloseLink) output()     {}
-func (SendDiscovery) output() {}
-func (Log) output()           {}
-func (StopAccepting) output() {}
-func (Ended) output()         {}
+func (AcceptClient) output()     {}
+func (RejectClient) output()     {}
+func (SendClient) output()       {}
+func (CloseClient) output()      {}
+func (Connect) output()          {}
+func (SendNode) output()         {}
+func (Withdraw) output()         {}
+func (ProbeLink) output()        {}
+func (ProbeClient) output()      {}
+func (CloseLink) output()        {}
+func (SendDiscovery) output()    {}
+func (Log) output()              {}
+func (StopAccepting) output()    {}
+func (ShutdownComplete) output() {}
--- a/internal/director/proof.go
+++ b/internal/director/proof.go
@@ -2,37 +2,37 @@
 
 import "fordusher/policy"
 
-// A fate is how a leg came to its end, as far as this director can know.
-type fate int
+// A legOutcome is how a leg came to its end, as far as this director can know.
+type legOutcome int
 
 const (
-	fateFull           fate = iota // the node turned it away unseen
-	fateUnmade                     // its node could not be connected to
-	fateMissed                     // one try to connect failed, which says little of the node
-	fateWithdrawn                  // taken back before one byte was handed to the kernel
-	fateUnsent                     // the connection ended before one byte was handed to the kernel
-	fateNew                        // its node turned out to have started anew, and nothing of it was handed over yet
-	fateFailed                     // the node says that the set-up failed
-	fateTimedOut                   // no answer in time
-	fateReset                      // the connection ended after the set-up was handed over
-	fateCalledOff                  // the viewer left, or the director closes
-	fateEndedElsewhere             // it played, and its node says that its viewer has ended it, or that it was moved
-	fateServed                     // it played, and ended by itself
-	fateBroken                     // it played, and its node or the connection to it was lost
+	outcomeFull                 legOutcome = iota // the node turned it away unseen
+	outcomeUnconnected                            // its node could not be connected to
+	outcomeConnectAttemptFailed                   // one try to connect failed, which says little of the node
+	outcomeWithdrawn                              // taken back before one byte was handed to the kernel
+	outcomeUnsent                                 // the connection ended before one byte was handed to the kernel
+	outcomeNodeRestarted                          // its node turned out to have started anew, and nothing of it was handed over yet
+	outcomeFailed                                 // the node says that the set-up failed
+	outcomeTimedOut                               // no answer in time
+	outcomeReset                                  // the connection ended after the set-up was handed over
+	outcomeCancelled                              // the viewer left, or the director closes
+	outcomeEndedElsewhere                         // it played, and its node says that its viewer has ended it, or that it was moved
+	outcomeServed                                 // it played, and ended by itself
+	outcomeBroken                                 // it played, and its node or the connection to it was lost
 )
 
-var fateNames = [...]string{"turned away", "not connected", "one try to connect failed", "withdrawn unsent", "connection ended unsent",
+var legOutcomeNames = [...]string{"turned away", "not connected", "one try to connect failed", "withdrawn unsent", "connection ended unsent",
 	"server started anew, unsent", "server failed", "no answer in time", "server connection ended", "called off", "ended elsewhere", "served", "server lost"}
 
-func (f fate) String() string { return fateNames[f] }
+func (f legOutcome) String() string { return legOutcomeNames[f] }
 
 // What proves that a leg never ran, for logs and metrics.
-var proofWords = [...]string{"", "full", "unconnected", "withdrawn", "unsent"}
+var neverRanReasons = [...]string{"", "full", "unconnected", "withdrawn", "unsent"}
 
-// Proofs counts the legs that provably never ran, by what proves it.
-func (c *Counts) Proofs() map[string]uint64 {
+// NeverRanByReason counts the legs that provably never ran, by what proves it.
+func (c *Counts) NeverRanByReason() map[string]uint64 {
 	by := map[string]uint64{}
-	for i, word := range proofWords[1:] {
+	for i, word := range neverRanReasons[1:] {
 		by[word] = c.NeverRan[i+1]
 	}
 	return by
@@ -43,27 +43,27 @@
 // four proofs: the node said "full"; no connection was made; the set-up was withdrawn while not one byte of
 // it had been handed to the kernel; the connection ended while that was so. All else may have run, a
 // connection that broke after the first byte above all.
-func neverRan(f fate) (outcome policy.Outcome, proof int) {
+func neverRan(f legOutcome) (outcome policy.Outcome, proof int) {
 	switch f {
-	case fateFull:
+	case outcomeFull:
 		return policy.Full, 1
-	case fateUnmade:
+	case outcomeUnconnected:
 		return policy.ConnectFailed, 2
-	case fateMissed:
+	case outcomeConnectAttemptFailed:
 		return policy.NeverStarted, 2
-	case fateWithdrawn:
+	case outcomeWithdrawn:
 		return policy.ConnectFailed, 3
-	case fateUnsent:
+	case outcomeUnsent:
 		return policy.ConnectFailed, 4
-	case fateNew: // nothing against the node: the module decides again, knowing that it is cold
+	case outcomeNodeRestarted: // nothing against the node: the module decides again, knowing that it is cold
 		return policy.NeverStarted, 3
-	case fateFailed:
+	case outcomeFailed:
 		return policy.Errored, 0
-	case fateTimedOut:
+	case outcomeTimedOut:
 		return policy.TimedOut, 0
-	case fateCalledOff, fateEndedElsewhere:
+	case outcomeCancelled, outcomeEndedElsewhere:
 		return policy.Cancelled, 0
-	case fateServed:
+	case outcomeServed:
 		return policy.Served, 0
 	}
 	return policy.Reset, 0
--- a/internal/director/properties_test.go
+++ b/internal/director/properties_test.go
@@ -12,66 +12,66 @@
 	"fordusher/policy"
 )
 
-// usual is a town in which nothing is scarce.
-func usual(rule string) charter {
-	return charter{rule: rule, directors: 2, nodes: 3, steps: 60, crowd: 3, ages: true, says: []string{wire.Accepted, wire.Accepted, wire.Full, wire.Failed, wire.Ended, wire.Note, wire.Note}, tariffs: tariffs,
+// defaultSimConfig is a town in which nothing is scarce.
+func defaultSimConfig(rule string) simConfig {
+	return simConfig{rule: rule, directors: 2, nodes: 3, steps: 60, maxBurst: 3, reportAges: true, nodeReplies: []string{wire.Accepted, wire.Accepted, wire.Full, wire.Failed, wire.Ended, wire.Note, wire.Note}, tariffs: testTariffs,
 		ramp: policy.Ramp{MaxStreams: []float64{100}, Warmup: 2 * time.Second, InitialShare: 0.5, OverloadMultiple: 4, OverloadWindow: 500 * ms},
 		legs: policy.RetryPolicy{MaxLegs: 4}}
 }
 
-// runs is how many seeds each property is held to.
-const runs = 250
+// seedsPerProperty is how many seeds each property is held to.
+const seedsPerProperty = 250
 
-// holds plays a town from many fixed seeds: no rule may break, and the rule that is looked at has to have been
+// requireProperty plays a town from many fixed seeds: no rule may break, and the rule that is looked at has to have been
 // within reach. Then it is played with directors that are broken in that one way, which the same judge must notice.
-func holds(t *testing.T, c charter, broken func(*charter)) {
+func requireProperty(t *testing.T, c simConfig, broken func(*simConfig)) {
 	t.Helper()
-	if c.lie != nil || c.drop != nil || c.module != nil {
+	if c.alterEvent != nil || c.dropOutput != nil || c.alterPolicy != nil {
 		t.Fatal("broken already")
 	}
 	bites := 0
-	for seed := range uint64(runs) {
-		w := newTown(t, seed, c)
-		v := w.play()
+	for seed := range uint64(seedsPerProperty) {
+		w := newSimulation(t, seed, c)
+		v := w.run()
 		if !v.Kept() {
-			t.Fatalf("seed %d, %d steps: %s", seed, shortest(t, seed, c), breaches(v))
+			t.Fatalf("seed %d, %d steps: %s", seed, shortestFailingRun(t, seed, c), describeViolations(v))
 		}
-		bites += w.bites
+		bites += w.opportunities
 		if v[c.rule].Least < 0.5 { // where the witness knows how near it came
 			bites++
 		}
-		w.goHome()
-		for _, p := range w.posts {
-			if p.loop.counts.Refused != [rules]uint64{} {
+		w.shutDown()
+		for _, p := range w.directors {
+			if p.loop.counts.RefusedByRule != [ruleCount]uint64{} {
 				t.Fatalf("seed %d: the guard refused %v", seed, p.loop.counts.Violations())
 			}
 		}
 	}
-	if bites < runs/2 {
-		t.Fatalf("%s was within reach %d times in %d runs", c.rule, bites, runs)
+	if bites < seedsPerProperty/2 {
+		t.Fatalf("%s was within reach %d times in %d runs", c.rule, bites, seedsPerProperty)
 	}
 	broken(&c)
-	for seed := range uint64(runs) {
-		if newTown(t, seed, c).play()[c.rule].Broken > 0 {
+	for seed := range uint64(seedsPerProperty) {
+		if newSimulation(t, seed, c).run()[c.rule].Broken > 0 {
 			return
 		}
 	}
 	t.Fatalf("%s can't fail: directors that break it on purpose pass", c.rule)
 }
 
-// shortest is how many steps a failing seed needs.
-func shortest(t *testing.T, seed uint64, c charter) int {
+// shortestFailingRun is how many steps a failing seed needs.
+func shortestFailingRun(t *testing.T, seed uint64, c simConfig) int {
 	for steps := 1; steps < c.steps; steps++ {
 		short := c
 		short.steps = steps
-		if !newTown(t, seed, short).play().Kept() {
+		if !newSimulation(t, seed, short).run().Kept() {
 			return steps
 		}
 	}
 	return c.steps
 }
 
-func breaches(v witness.Verdict) string {
+func describeViolations(v witness.Verdict) string {
 	var all []string
 	for _, rule := range slices.Sorted(maps.Keys(v)) {
 		for _, x := range v[rule].Examples {
@@ -83,15 +83,15 @@
 
 // Rule 1: each request that is taken gets exactly one final answer, before its hard stop.
 func TestRule1OneAnswerInTime(t *testing.T) {
-	holds(t, usual(witness.RuleAnswer), func(c *charter) {
-		c.drop = func(o Output) bool { m, ok := o.(SendClient); return ok && m.Message.Type == wire.Errored }
+	requireProperty(t, defaultSimConfig(witness.RuleAnswer), func(c *simConfig) {
+		c.dropOutput = func(o Output) bool { m, ok := o.(SendClient); return ok && m.Message.Type == wire.Errored }
 	})
 }
 
 // Rule 2: a paid set-up that may have run is neither sent again nor nacked, and never are two legs of a session out.
 func TestRule2PaidSetUpOnce(t *testing.T) {
-	holds(t, usual(witness.RuleOnce), func(c *charter) {
-		c.lie = func(e policy.Event) policy.Event {
+	requireProperty(t, defaultSimConfig(witness.RuleOnce), func(c *simConfig) {
+		c.alterEvent = func(e policy.Event) policy.Event {
 			if r, ok := e.(policy.LegResult); ok && r.Outcome == policy.Errored {
 				r.Outcome = policy.ConnectFailed
 				return r
@@ -103,24 +103,24 @@
 
 // Rule 3: from the moment a director was told that a node drains or is gone, nothing new reaches it from there.
 func TestRule3NothingToADrainingNode(t *testing.T) {
-	holds(t, usual(witness.RuleDrain), func(c *charter) {
-		c.lie = roster(func(e *policy.NodeEntry) { e.State = policy.Up })
-		c.unguarded = true
+	requireProperty(t, defaultSimConfig(witness.RuleDrain), func(c *simConfig) {
+		c.alterEvent = alterEntries(func(e *policy.NodeEntry) { e.State = policy.Up })
+		c.guardDisabled = true
 	})
 }
 
 // With the guard, a module that is wrong about what drains breaks nothing, and is counted.
-func TestTheGuardKeepsWhatAModuleWouldBreak(t *testing.T) {
+func TestGuardStopsInvalidDecisions(t *testing.T) {
 	refused := uint64(0)
 	for seed := range uint64(20) {
-		c := usual(witness.RuleDrain)
-		c.lie = roster(func(e *policy.NodeEntry) { e.State = policy.Up })
-		w := newTown(t, seed, c)
-		if v := w.play(); !v.Kept() {
-			t.Fatalf("seed %d: %s", seed, breaches(v))
+		c := defaultSimConfig(witness.RuleDrain)
+		c.alterEvent = alterEntries(func(e *policy.NodeEntry) { e.State = policy.Up })
+		w := newSimulation(t, seed, c)
+		if v := w.run(); !v.Kept() {
+			t.Fatalf("seed %d: %s", seed, describeViolations(v))
 		}
-		for _, p := range w.posts {
-			refused += p.loop.counts.Refused[RuleNoSendToDraining]
+		for _, p := range w.directors {
+			refused += p.loop.counts.RefusedByRule[RuleNoSendToDraining]
 		}
 	}
 	if refused == 0 {
@@ -128,8 +128,8 @@
 	}
 }
 
-// roster is a lie about the list.
-func roster(change func(*policy.NodeEntry)) func(policy.Event) policy.Event {
+// alterEntries is a lie about the list.
+func alterEntries(change func(*policy.NodeEntry)) func(policy.Event) policy.Event {
 	return func(e policy.Event) policy.Event {
 		r, ok := e.(policy.ServerList)
 		if !ok {
@@ -143,23 +143,23 @@
 	}
 }
 
-// scarce is a town in which a node that has started takes a set-up a second from all directors together.
-func scarce() charter {
-	c := usual(witness.RuleCold)
-	c.directors, c.nodes, c.steps, c.crowd = 4, 2, 120, 8
-	c.tariffs = tariffs[:1]
+// scarceSimConfig is a town in which a node that has started takes a set-up a second from all directors together.
+func scarceSimConfig() simConfig {
+	c := defaultSimConfig(witness.RuleCold)
+	c.directors, c.nodes, c.steps, c.maxBurst = 4, 2, 120, 8
+	c.tariffs = testTariffs[:1]
 	c.ramp = policy.Ramp{MaxStreams: []float64{20}, Warmup: 4 * time.Second, InitialShare: 0.4, OverloadMultiple: 2, OverloadWindow: time.Second}
 	return c
 }
 
 // Rule 4: what all directors together set up on a node that has just started stays under its fall budget.
-func TestRule4ColdNodesArePaced(t *testing.T) {
+func TestRule4SlowStartNodesAreLimited(t *testing.T) {
 	for name, ages := range map[string]bool{"ages": true, "no ages": false} {
 		t.Run(name, func(t *testing.T) {
-			c := scarce()
-			c.ages = ages
-			holds(t, c, func(c *charter) {
-				c.module = func(g *given) { g.ramp.OverloadMultiple *= 10 }
+			c := scarceSimConfig()
+			c.reportAges = ages
+			requireProperty(t, c, func(c *simConfig) {
+				c.alterPolicy = func(g *policyConfig) { g.ramp.OverloadMultiple *= 10 }
 			})
 		})
 	}
@@ -172,10 +172,10 @@
 		widen func(*policy.Tariff)
 	}{{"floors", func(x *policy.Tariff) { x.Floor = 0 }}, {"seats", func(x *policy.Tariff) { x.Seats = 0 }}} {
 		t.Run(c.name, func(t *testing.T) {
-			town := usual(witness.RuleTerms)
-			town.tariffs, town.nodes, town.crowd = tariffs[1:], 4, 6
-			holds(t, town, func(x *charter) {
-				x.module = func(g *given) {
+			town := defaultSimConfig(witness.RuleTerms)
+			town.tariffs, town.nodes, town.maxBurst = testTariffs[1:], 4, 6
+			requireProperty(t, town, func(x *simConfig) {
+				x.alterPolicy = func(g *policyConfig) {
 					for i := range g.tariffs {
 						c.widen(&g.tariffs[i])
 					}
@@ -186,21 +186,21 @@
 }
 
 // Rule 6: legs beyond the first of each session stay within the ration of their span.
-func TestRule6FurtherLegsAreRationed(t *testing.T) {
-	c := usual(witness.RuleBudget)
-	c.nodes, c.steps, c.crowd, c.tariffs, c.says = 4, 120, 6, tariffs[:1], []string{wire.Accepted, wire.Full, wire.Full, wire.Ended}
+func TestRule6RetryBudget(t *testing.T) {
+	c := defaultSimConfig(witness.RuleBudget)
+	c.nodes, c.steps, c.maxBurst, c.tariffs, c.nodeReplies = 4, 120, 6, testTariffs[:1], []string{wire.Accepted, wire.Full, wire.Full, wire.Ended}
 	c.legs = policy.RetryPolicy{MaxLegs: 4, MinRetries: 2, RetryRatio: 0.02, Window: 3 * time.Second}
-	holds(t, c, func(c *charter) {
-		c.module = func(g *given) { g.legs.Window = 0 }
+	requireProperty(t, c, func(c *simConfig) {
+		c.alterPolicy = func(g *policyConfig) { g.legs.Window = 0 }
 	})
 }
 
 // A seed gives the same records each time, or no verdict above could be trusted.
-func TestTownIsTheSameEachTime(t *testing.T) {
+func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := range uint64(5) {
-		one, two := newTown(t, seed, scarce()), newTown(t, seed, scarce())
-		one.play()
-		two.play()
+		one, two := newSimulation(t, seed, scarceSimConfig()), newSimulation(t, seed, scarceSimConfig())
+		one.run()
+		two.run()
 		if !slices.Equal(one.records, two.records) {
 			t.Fatalf("seed %d gives two records", seed)
 		}
--- a/internal/director/replaced_test.go
+++ b/internal/director/replaced_test.go
@@ -11,31 +11,31 @@
 // A node that told its age, and was then put elsewhere by a list that tells none, was taken for news from before:
 // the new address was dropped, and once the old connection broke it was sought at the old one for ever.
 func TestListWithoutAgesMovesANode(t *testing.T) {
-	s := newStage(t, 1)
-	s.do(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Hello, Start: 1, Age: 5000}})
-	e := up(0)
+	s := newHarness(t, 1)
+	s.step(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Hello, Start: 1, Age: 5000}})
+	e := upEntry(0)
 	e.Start, e.Address = 7, "b:n0"
-	s.forget()
-	s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
-	s.pass(time.Second)
-	for _, o := range s.all {
+	s.clearOutputs()
+	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
+	s.advance(time.Second)
+	for _, o := range s.outputs {
 		if c, ok := o.(Connect); ok && c.Address == "b:n0" {
 			return
 		}
 	}
-	t.Fatal("the new address is not tried", s.all)
+	t.Fatal("the new address is not tried", s.outputs)
 }
 
 // News of the start before the last one is no reason to hang up, nor is a start never heard of at the same address.
-func TestListWithoutAgesIsBehind(t *testing.T) {
+func TestListWithoutAgesIsStale(t *testing.T) {
 	for _, start := range []uint64{1, 9} {
-		s := newStage(t, 1)
-		s.do(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Hello, Start: 2, Age: 500}})
-		e := up(0)
+		s := newHarness(t, 1)
+		s.step(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Hello, Start: 2, Age: 500}})
+		e := upEntry(0)
 		e.Start = start
-		s.forget()
-		s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
-		for _, o := range s.all {
+		s.clearOutputs()
+		s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
+		for _, o := range s.outputs {
 			if _, ok := o.(CloseLink); ok {
 				t.Fatal("hung up on a node that is there, for start", start)
 			}
@@ -44,36 +44,36 @@
 }
 
 // An age too large for a span wrapped round into the future, and the node counted as cold for 290 years.
-func TestAbsurdAgesAreLongAgo(t *testing.T) {
+func TestOversizedAgesAreIgnored(t *testing.T) {
 	const absurd = 9_000_000_000_000_000_000
-	s := newStage(t, 1)
-	e := up(0)
+	s := newHarness(t, 1)
+	e := upEntry(0)
 	e.Age = absurd
-	s.do(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
-	s.do(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Hello, Start: 1, Age: absurd}})
-	if born := s.loop.nodes["n0"].born; born != policy.UnknownStart {
+	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
+	s.step(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Hello, Start: 1, Age: absurd}})
+	if born := s.loop.nodes["n0"].startedAt; born != policy.UnknownStart {
 		t.Fatal("started at", born)
 	}
 }
 
 // A node that was replaced under its name while a paid set-up was out: nothing that its successor says of that leg
 // proves that it never ran, and a set-up that waits for the successor is decided anew.
-func TestSuccessorsWordProvesNothing(t *testing.T) {
-	s := newStage(t, 1)
-	s.want("1", "exam")
-	g := s.oneLeg()
-	s.do(LinkLost{Link: g.Link})
-	s.oneAnswer(wire.Errored)
-	s.pass(200 * ms)
-	s.do(LinkConnected{"n0", s.links["n0"]})
-	s.do(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Hello, Start: 2, Age: 5}})
-	s.do(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Full, Leg: g.Setup}})
-	s.do(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Accepted, Leg: g.Setup}})
-	s.pass(5 * time.Second)
-	s.oneAnswer(wire.Errored)
-	s.oneLeg()
-	if p := s.loop.counts.Proofs(); p["full"] != 0 {
+func TestRestartedNodeReplyIsNoProof(t *testing.T) {
+	s := newHarness(t, 1)
+	s.request("1", "exam")
+	g := s.onlySetup()
+	s.step(LinkLost{Link: g.Link})
+	s.onlyAnswer(wire.Errored)
+	s.advance(200 * ms)
+	s.step(LinkConnected{"n0", s.links["n0"]})
+	s.step(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Hello, Start: 2, Age: 5}})
+	s.step(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Full, Leg: g.Setup}})
+	s.step(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Accepted, Leg: g.Setup}})
+	s.advance(5 * time.Second)
+	s.onlyAnswer(wire.Errored)
+	s.onlySetup()
+	if p := s.loop.counts.NeverRanByReason(); p["full"] != 0 {
 		t.Fatal("a proof out of a successor's word", p)
 	}
-	s.empty()
+	s.requireNoState()
 }
--- a/internal/director/stage_test.go
+++ b/internal/director/stage_test.go
@@ -13,134 +13,134 @@
 
 const ms = time.Millisecond
 
-// A stage is a loop with the real module, stepped by hand: what goes out is kept, nothing is sent.
-type stage struct {
-	t     failer
-	loop  *Loop
-	now   time.Duration
-	out   []Output          // of the last step
-	all   []Output          // since the last forget
-	links map[string]uint64 // by node, as last asked for
-	ended bool
-}
-
-// A failer is a test, plain or drawn.
-type failer interface {
+// A harness is a loop with the real module, stepped by hand: what goes out is kept, nothing is sent.
+type harness struct {
+	t           testingT
+	loop        *Loop
+	now         time.Duration
+	lastOutputs []Output          // of the last step
+	outputs     []Output          // since the last forget
+	links       map[string]uint64 // by node, as last asked for
+	ended       bool
+}
+
+// A testingT is a test, plain or drawn.
+type testingT interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-var tariffs = []Tariff{
+var testTariffs = []Tariff{
 	{"clip", policy.Tariff{GoalTime: time.Second, HardStop: 3 * time.Second, Credit: 1, Scale: 1, Top: 2}},
 	{"exam", policy.Tariff{GoalTime: time.Second, HardStop: 2 * time.Second, Credit: 3, Scale: 1, Top: 2, Floor: 1, AtMostOnce: true, Seats: 2}},
 }
 
-func newStage(t failer, nodes int) *stage { return newStageWith(t, nodes, func(*Loop) {}) }
+func newHarness(t testingT, nodes int) *harness { return newHarnessWith(t, nodes, func(*Loop) {}) }
 
-// newStageWith changes the loop before it hears of anything.
-func newStageWith(t failer, nodes int, change func(l *Loop)) *stage {
+// newHarnessWith changes the loop before it hears of anything.
+func newHarnessWith(t testingT, nodes int, change func(l *Loop)) *harness {
 	ladder := policy.Ladder{Rates: []float64{100, 200, 400}, JoinCost: 1}
 	fleet := policy.Fleet{Cells: 8, Racks: 2, LinkUnit: 10_000, Uplink: 100_000}
 	ramp := policy.Ramp{MaxStreams: []float64{100}, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4, OverloadWindow: 500 * ms}
-	plain := make([]policy.Tariff, len(tariffs))
-	for i, x := range tariffs {
+	plain := make([]policy.Tariff, len(testTariffs))
+	for i, x := range testTariffs {
 		plain[i] = x.Tariff
 	}
 	module := policy.New(1, policy.Peers{Directors: 1}, plain, ladder, fleet, ramp, policy.RetryPolicy{MaxLegs: 4},
 		policy.ReportTiming{Delay: 500 * ms, Interval: 2 * time.Second, MaxBackoff: time.Second})
-	s := &stage{t: t, links: map[string]uint64{}}
-	s.loop = New("d", "b", 1, module, tariffs, []string{"box"}, ladder,
-		Manners{AnswerAhead: 50 * ms, Linger: time.Second, Connect: 250 * ms, PerConnection: 4},
+	s := &harness{t: t, links: map[string]uint64{}}
+	s.loop = New("d", "b", 1, module, testTariffs, []string{"box"}, ladder,
+		Options{AnswerMargin: 50 * ms, Linger: time.Second, ConnectTimeout: 250 * ms, SessionsPerConnection: 4},
 		reach.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second}, closing.Policy{Timeout: 2 * time.Second, BatchInterval: 100 * ms},
 		limits.Capacity{MaxConnections: 1000, MaxHandshakes: 100, HeartbeatInterval: 10 * time.Second, IdleTimeout: time.Minute, HandshakeTimeout: time.Second, MaxRetryAfter: 10 * time.Second},
 		limits.QueuePolicy{MaxWait: 200 * ms, MaxRetryAfter: 10 * time.Second})
 	change(s.loop)
 	var entries []wire.Entry
 	for i := range nodes {
-		entries = append(entries, up(i))
+		entries = append(entries, upEntry(i))
 	}
-	s.do(DiscoveryReceived{wire.List{Type: wire.Whole, Serial: 1, Nodes: entries, Titles: []wire.Title{{Title: "t", Base: 0, Copies: 8}}}})
+	s.step(DiscoveryReceived{wire.List{Type: wire.Whole, Serial: 1, Nodes: entries, Titles: []wire.Title{{Title: "t", Base: 0, Copies: 8}}}})
 	for i := range nodes {
-		if s.links[name(i)] != 0 {
-			s.makeLink(name(i))
+		if s.links[nodeName(i)] != 0 {
+			s.connectNode(nodeName(i))
 		}
 	}
 	s.now += 1100 * ms // past the caution of a director that has just started
-	s.do(Tick{})
-	s.enter(1)
-	s.forget()
+	s.step(Tick{})
+	s.connectClient(1)
+	s.clearOutputs()
 	return s
 }
 
-func name(i int) string { return fmt.Sprintf("n%d", i) }
+func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
 
-func up(i int) wire.Entry {
-	return wire.Entry{Node: name(i), Address: "a:" + name(i), State: wire.Up, Kind: "box", Weight: 1, Cell: i, Start: uint64(i + 1)}
+func upEntry(i int) wire.Entry {
+	return wire.Entry{Node: nodeName(i), Address: "a:" + nodeName(i), State: wire.Up, Kind: "box", Weight: 1, Cell: i, Start: uint64(i + 1)}
 }
 
-// do steps the loop, by way of the codec for messages, as the sockets would.
-func (s *stage) do(in Input) {
+// step steps the loop, by way of the codec for messages, as the sockets would.
+func (s *harness) step(in Input) {
 	s.t.Helper()
-	s.out = append([]Output(nil), s.loop.Step(s.now, in)...)
-	s.all = append(s.all, s.out...)
-	for _, o := range s.out {
+	s.lastOutputs = append([]Output(nil), s.loop.Step(s.now, in)...)
+	s.outputs = append(s.outputs, s.lastOutputs...)
+	for _, o := range s.lastOutputs {
 		switch o := o.(type) {
 		case Connect:
 			s.links[o.Node] = o.Link
-		case Ended:
+		case ShutdownComplete:
 			s.ended = true
 		}
 	}
 }
 
-// pass lets time go by, ticking whenever the loop wants to.
-func (s *stage) pass(d time.Duration) {
+// advance lets time go by, ticking whenever the loop wants to.
+func (s *harness) advance(d time.Duration) {
 	s.t.Helper()
 	end := s.now + d
 	for next := s.loop.Next(); next <= end; next = s.loop.Next() {
 		s.now = max(s.now, next)
-		s.do(Tick{})
+		s.step(Tick{})
 	}
 	s.now = end
 }
 
-func (s *stage) forget() { s.all = nil }
+func (s *harness) clearOutputs() { s.outputs = nil }
 
-// enter connects a player.
-func (s *stage) enter(conn uint64) {
-	s.do(ClientConnecting{Conn: conn})
-	s.do(ClientAccepted{conn})
+// connectClient connects a player.
+func (s *harness) connectClient(conn uint64) {
+	s.step(ClientConnecting{Conn: conn})
+	s.step(ClientAccepted{conn})
 }
 
-// makeLink connects a node, which says then that it is in a start that the director knows.
-func (s *stage) makeLink(node string) {
-	s.do(LinkConnected{node, s.links[node]})
-	s.do(LinkReceived{Link: s.links[node], Message: wire.Node{Type: wire.Hello}})
+// connectNode connects a node, which says then that it is in a start that the director knows.
+func (s *harness) connectNode(node string) {
+	s.step(LinkConnected{node, s.links[node]})
+	s.step(LinkReceived{Link: s.links[node], Message: wire.Node{Type: wire.Hello}})
 }
 
-func (s *stage) want(id, tariff string, change ...func(*wire.Session)) {
+func (s *harness) request(id, tariff string, change ...func(*wire.Session)) {
 	s.t.Helper()
 	m := wire.Session{Type: wire.Want, ID: id, Tariff: tariff, Title: "t", Key: "key-" + id, Wait: 5000, Length: 60_000}
 	for _, f := range change {
 		f(&m)
 	}
-	s.do(ClientReceived{Conn: 1, Message: m})
+	s.step(ClientReceived{Conn: 1, Message: m})
 }
 
 // setups are the set-ups sent since the last forget.
-func (s *stage) setups() (all []SendServer) {
-	for _, o := range s.all {
-		if m, ok := o.(SendServer); ok && m.Message.Type == wire.Setup {
+func (s *harness) setups() (all []SendNode) {
+	for _, o := range s.outputs {
+		if m, ok := o.(SendNode); ok && m.Message.Type == wire.Setup {
 			all = append(all, m)
 		}
 	}
 	return all
 }
 
-// told are the messages of some types that players got since the last forget.
-func (s *stage) told(types ...string) (all []wire.Session) {
-	for _, o := range s.all {
+// clientMessages are the messages of some types that players got since the last forget.
+func (s *harness) clientMessages(types ...string) (all []wire.Session) {
+	for _, o := range s.outputs {
 		if m, ok := o.(SendClient); ok {
 			for _, t := range types {
 				if m.Message.Type == t {
@@ -152,19 +152,21 @@
 	return all
 }
 
-func (s *stage) answers() []wire.Session { return s.told(wire.Plays, wire.Nack, wire.Errored) }
+func (s *harness) answers() []wire.Session {
+	return s.clientMessages(wire.Plays, wire.Nack, wire.Errored)
+}
 
-func (s *stage) ends() (legs []uint64) {
-	for _, o := range s.all {
-		if m, ok := o.(SendServer); ok && m.Message.Type == wire.End {
+func (s *harness) endedLegs() (legs []uint64) {
+	for _, o := range s.outputs {
+		if m, ok := o.(SendNode); ok && m.Message.Type == wire.End {
 			legs = append(legs, m.Message.Leg)
 		}
 	}
 	return legs
 }
 
-func (s *stage) withdrawals() (legs []uint64) {
-	for _, o := range s.all {
+func (s *harness) withdrawals() (legs []uint64) {
+	for _, o := range s.outputs {
 		if w, ok := o.(Withdraw); ok {
 			legs = append(legs, w.Leg)
 		}
@@ -172,8 +174,8 @@
 	return legs
 }
 
-// oneLeg is the only set-up sent.
-func (s *stage) oneLeg() SendServer {
+// onlySetup is the only set-up sent.
+func (s *harness) onlySetup() SendNode {
 	s.t.Helper()
 	all := s.setups()
 	if len(all) != 1 {
@@ -182,8 +184,8 @@
 	return all[0]
 }
 
-// oneAnswer is the only answer, which has to be of a type.
-func (s *stage) oneAnswer(kind string) wire.Session {
+// onlyAnswer is the only answer, which has to be of a type.
+func (s *harness) onlyAnswer(kind string) wire.Session {
 	s.t.Helper()
 	all := s.answers()
 	if len(all) != 1 || all[0].Type != kind {
@@ -192,19 +194,19 @@
 	return all[0]
 }
 
-// empty checks that nothing is left on the books.
-func (s *stage) empty() {
+// requireNoState checks that nothing is left on the books.
+func (s *harness) requireNoState() {
 	s.t.Helper()
 	l := s.loop
-	if len(l.sessions) != 0 || len(l.keys) != 0 || len(l.legs) != 0 || l.owed != 0 || l.playing != 0 {
-		s.t.Fatalf("left on the books: %d sessions, %d keys, %d legs, %d owed, %d playing", len(l.sessions), len(l.keys),
+	if len(l.sessions) != 0 || len(l.sessionsByKey) != 0 || len(l.legs) != 0 || l.owed != 0 || l.playing != 0 {
+		s.t.Fatalf("left on the books: %d sessions, %d keys, %d legs, %d owed, %d playing", len(l.sessions), len(l.sessionsByKey),
 			len(l.legs), l.owed, l.playing)
 	}
-	if l.counts.OddMove != 0 {
-		s.t.Fatalf("%d odd moves", l.counts.OddMove)
+	if l.counts.IllegalTransitions != 0 {
+		s.t.Fatalf("%d odd moves", l.counts.IllegalTransitions)
 	}
 }
 
-func said(g SendServer, kind string) LinkReceived {
+func legReply(g SendNode, kind string) LinkReceived {
 	return LinkReceived{Link: g.Link, Message: wire.Node{Type: kind, Leg: g.Setup}}
 }
--- a/internal/director/stop.go
+++ b/internal/director/stop.go
@@ -7,53 +7,53 @@
 // logInvariants says at the end what the guard has refused.
 func (l *Loop) logInvariants() {
 	total := uint64(0)
-	for _, n := range l.counts.Refused {
+	for _, n := range l.counts.RefusedByRule {
 		total += n
 	}
 	l.log("invariants: %d violations refused by the guard, %d requests taken", total, l.counts.Taken)
 }
 
-// close works on a stop under way.
-func (l *Loop) close() {
-	plan := l.stop.Step(l.now, closing.Remaining{Owed: l.owed, Playing: l.playing, Clients: len(l.conns)})
+// stepShutdown works on a stop under way.
+func (l *Loop) stepShutdown() {
+	plan := l.shutdown.Step(l.now, closing.Remaining{Owed: l.owed, Playing: l.playing, Clients: len(l.conns)})
 	if plan.CloseClients {
-		l.part(plan.Done)
+		l.closeClients(plan.Done)
 	}
-	if plan.Done && l.mayStop() {
+	if plan.Done && l.mayShutDown() {
 		l.ended = true
 		l.logInvariants()
-		l.do(Ended{})
+		l.emit(ShutdownComplete{})
 		return
 	}
 	if plan.EndSessions > 0 || plan.AbandonRequests {
 		for _, s := range sorted(l.sessions) {
 			switch {
-			case s.phase == playing && plan.EndSessions > 0:
+			case s.phase == sessionPlaying && plan.EndSessions > 0:
 				plan.EndSessions--
-				l.over(s, "director closes")
-				l.gone(s, "director closes")
-			case s.phase != playing && plan.AbandonRequests && !s.answered:
-				l.answerOverdue(s)
+				l.notifySessionEnded(s, "director closes")
+				l.abandonSession(s, "director closes")
+			case s.phase != sessionPlaying && plan.AbandonRequests && !s.answered:
+				l.answerDeadlineReached(s)
 			}
 		}
 	}
-	l.timers.Add(plan.NextStep, due{timerClose, 0})
+	l.timers.Add(plan.NextStep, timer{timerShutdown, 0})
 }
 
-// part closes the clients' connections on which nothing more is to come. One on which something was read meanwhile stays,
+// closeClients closes the clients' connections on which nothing more is to come. One on which something was read meanwhile stays,
 // unless this is the last look, and is closed once that is answered.
-func (l *Loop) part(last bool) {
-	if !l.parting {
-		l.parting = true
-		l.do(StopAccepting{})
+func (l *Loop) closeClients(last bool) {
+	if !l.closingClients {
+		l.closingClients = true
+		l.emit(StopAccepting{})
 	}
 	for _, c := range sorted(l.conns) {
-		if !c.parting || last {
-			l.partFrom(c, last)
+		if !c.shutdownClose || last {
+			l.closeForShutdown(c, last)
 		}
 	}
 }
 
-func (l *Loop) partFrom(c *conn, last bool) {
-	c.parting = l.closeClient(CloseClient{Conn: c.number, Code: 1001, Why: "director closes", Idle: !last})
+func (l *Loop) closeForShutdown(c *conn, last bool) {
+	c.shutdownClose = l.closeClient(CloseClient{Conn: c.id, Code: 1001, Reason: "director closes", Idle: !last})
 }
--- a/internal/director/timers.go
+++ b/internal/director/timers.go
@@ -5,23 +5,23 @@
 type timerKind int
 
 const (
-	timerRing timerKind = iota
+	timerPolicy timerKind = iota
 	timerLeg
 	timerAnswer
 	timerLinger
-	timerReach
+	timerConnector
 	timerPing
 	timerIdle
-	timerClose
-	timerUntold
-	timerTurned
+	timerShutdown
+	timerUndelivered
+	timerRejected
 )
 
-// A due is what a timer is for. There are no more than a few for each session, leg and link: each is taken off with
+// A timer is what a timer is for. There are no more than a few for each session, leg and link: each is taken off with
 // its owner.
-type due struct {
+type timer struct {
 	kind timerKind
 	id   uint64
 }
 
-type timers = alarm.Alarms[due]
+type timerQueue = alarm.Alarms[timer]
--- a/internal/director/town_test.go
+++ b/internal/director/town_test.go
@@ -16,254 +16,254 @@
 	"fordusher/reach"
 )
 
-// A town is several directors' loops with the real module, on nodes that they share, with a list and viewers that
+// A simulation is several directors' loops with the real module, on nodes that they share, with a list and viewers that
 // do whatever a seed draws. What goes in and out is recorded, and the witness judges the rules from that alone.
-type town struct {
+type simulation struct {
 	*rand.Rand
-	t       failer
-	charter charter
-	now     time.Duration
-	posts   []*post
-	nodes   []*machine
-	records []witness.Record
-	numbers uint64 // of connections
-	bites   int    // how often the rule that is looked at could have been broken
-}
-
-// A charter is what a town's directors are told, and what is broken in them on purpose.
-type charter struct {
-	rule      string
-	directors int
-	nodes     int
-	steps     int
-	crowd     int // requests that come together at most
-	tariffs   []Tariff
-	ramp      policy.Ramp
-	legs      policy.RetryPolicy
-	says      []string // what nodes say of a leg
-	ages      bool     // nodes and list tell ages
-	lie       func(policy.Event) policy.Event
-	drop      func(Output) bool
-	module    func(*given)
-	unguarded bool
-}
-
-// given is what a module is told at its start.
-type given struct {
+	t             testingT
+	config        simConfig
+	now           time.Duration
+	directors     []*simDirector
+	nodes         []*simNode
+	records       []witness.Record
+	lastID        uint64 // of connections
+	opportunities int    // how often the rule that is looked at could have been broken
+}
+
+// A simConfig is what a town's directors are told, and what is broken in them on purpose.
+type simConfig struct {
+	rule          string
+	directors     int
+	nodes         int
+	steps         int
+	maxBurst      int // requests that come together at most
+	tariffs       []Tariff
+	ramp          policy.Ramp
+	legs          policy.RetryPolicy
+	nodeReplies   []string // what nodes say of a leg
+	reportAges    bool     // nodes and list tell ages
+	alterEvent    func(policy.Event) policy.Event
+	dropOutput    func(Output) bool
+	alterPolicy   func(*policyConfig)
+	guardDisabled bool
+}
+
+// policyConfig is what a module is told at its start.
+type policyConfig struct {
 	tariffs []policy.Tariff
 	ramp    policy.Ramp
 	legs    policy.RetryPolicy
 }
 
-// A liar is a module that is told something else than what happened.
-type liar struct {
+// A alteredDecider is a module that is told something else than what happened.
+type alteredDecider struct {
 	Decider
-	lie func(policy.Event) policy.Event
+	alterEvent func(policy.Event) policy.Event
 }
 
-func (l liar) Step(now time.Duration, e policy.Event) []policy.Action {
-	return l.Decider.Step(now, l.lie(e))
+func (l alteredDecider) Step(now time.Duration, e policy.Event) []policy.Action {
+	return l.Decider.Step(now, l.alterEvent(e))
 }
 
-type machine struct {
+type simNode struct {
 	name          string
-	start         uint64
-	born          time.Duration // under 0: long ago
+	incarnation   uint64
+	startedAt     time.Duration // under 0: long ago
 	up            bool
 	entry         wire.Entry // as the list has it
-	before        wire.Entry // as it had it before
-	startedInSpan bool
-}
-
-// A post is a director at work.
-type post struct {
-	*town
-	number, boot int
-	loop         *Loop
-	began        time.Duration
-	late         time.Duration // it stands still until then
-	todo         []Input
-	doing        bool
-	lines        map[uint64]*line // by link, connected or being connected
-	conns        []uint64
-	asked        []viewer
-	heard        map[uint64][]wire.Entry // by serial
-	serial       uint64
-	ended        bool
-}
-
-type viewer struct {
-	conn uint64
-	want wire.Session
-}
-
-// A line is a connection to a node. While it is stuck, what is sent stays with the director.
-type line struct {
-	m      *machine
-	conn   uint64
-	made   bool
-	stuck  bool
-	queued []SendServer
-	legs   map[uint64]onNode
-}
-
-// onNode is a leg as its node has it.
-type onNode struct {
-	plays bool
-	until time.Duration // it is not started later
-}
-
-func newTown(t failer, seed uint64, c charter) *town {
-	w := &town{Rand: rand.New(rand.NewPCG(seed, 2026)), t: t, charter: c}
+	previousEntry wire.Entry // as it had it before
+	startedInRun  bool
+}
+
+// A simDirector is a director at work.
+type simDirector struct {
+	*simulation
+	number, boot   int
+	loop           *Loop
+	startedAt      time.Duration
+	stalledUntil   time.Duration // it stands still until then
+	inbox          []Input
+	stepping       bool
+	nodeLinks      map[uint64]*nodeLink // by link, connected or being connected
+	conns          []uint64
+	requests       []clientRequest
+	unackedEntries map[uint64][]wire.Entry // by serial
+	serial         uint64
+	ended          bool
+}
+
+type clientRequest struct {
+	conn    uint64
+	message wire.Session
+}
+
+// A nodeLink is a connection to a node. While it is stuck, what is sent stays with the director.
+type nodeLink struct {
+	node      *simNode
+	conn      uint64
+	connected bool
+	blocked   bool
+	queued    []SendNode
+	legs      map[uint64]simLeg
+}
+
+// simLeg is a leg as its node has it.
+type simLeg struct {
+	plays     bool
+	expiresAt time.Duration // it is not started later
+}
+
+func newSimulation(t testingT, seed uint64, c simConfig) *simulation {
+	w := &simulation{Rand: rand.New(rand.NewPCG(seed, 2026)), t: t, config: c}
 	for i := range c.nodes {
-		m := &machine{name: name(i), start: uint64(i + 1), born: -1, up: true}
-		m.entry = up(i)
-		m.before = m.entry
+		m := &simNode{name: nodeName(i), incarnation: uint64(i + 1), startedAt: -1, up: true}
+		m.entry = upEntry(i)
+		m.previousEntry = m.entry
 		w.nodes = append(w.nodes, m)
 	}
 	for i := range c.directors {
-		p := &post{town: w, number: i}
-		w.posts = append(w.posts, p)
-		p.run()
+		p := &simDirector{simulation: w, number: i}
+		w.directors = append(w.directors, p)
+		p.start()
 	}
 	return w
 }
 
-func (w *town) note(r witness.Record) {
+func (w *simulation) record(r witness.Record) {
 	r.At = w.now
 	w.records = append(w.records, r)
 }
 
-// odds says yes once in so many times.
-func (w *town) odds(n int) bool { return w.IntN(n) == 0 }
+// oneIn says yes once in so many times.
+func (w *simulation) oneIn(n int) bool { return w.IntN(n) == 0 }
 
-func one[V any](w *town, all []V) V { return all[w.IntN(len(all))] }
+func pick[V any](w *simulation, all []V) V { return all[w.IntN(len(all))] }
 
-// run starts a director that knows nothing.
-func (p *post) run() {
-	c := p.charter
+// start starts a director that knows nothing.
+func (p *simDirector) start() {
+	c := p.config
 	p.boot++
-	p.began, p.late, p.ended = p.now, p.now, false
-	p.lines, p.conns, p.asked, p.heard, p.todo = map[uint64]*line{}, nil, nil, map[uint64][]wire.Entry{}, nil
-	g := given{ramp: c.ramp, legs: c.legs}
+	p.startedAt, p.stalledUntil, p.ended = p.now, p.now, false
+	p.nodeLinks, p.conns, p.requests, p.unackedEntries, p.inbox = map[uint64]*nodeLink{}, nil, nil, map[uint64][]wire.Entry{}, nil
+	g := policyConfig{ramp: c.ramp, legs: c.legs}
 	for _, x := range c.tariffs {
 		g.tariffs = append(g.tariffs, x.Tariff)
 	}
-	if c.module != nil {
-		c.module(&g)
+	if c.alterPolicy != nil {
+		c.alterPolicy(&g)
 	}
 	ladder := policy.Ladder{Rates: []float64{100, 200, 400}, JoinCost: 1}
 	seed := p.Uint64()
 	var module Decider = policy.New(seed, policy.Peers{Index: p.number, Directors: c.directors}, g.tariffs, ladder,
 		policy.Fleet{Cells: 8, Racks: 2, LinkUnit: 10_000, Uplink: 100_000}, g.ramp, g.legs,
 		policy.ReportTiming{Delay: 500 * ms, Interval: 2 * time.Second, MaxBackoff: time.Second})
-	if c.lie != nil {
-		module = liar{module, c.lie}
+	if c.alterEvent != nil {
+		module = alteredDecider{module, c.alterEvent}
 	}
 	p.loop = New(p.name(), fmt.Sprint(p.boot), seed, module, c.tariffs, []string{"box"}, ladder,
-		Manners{AnswerAhead: 50 * ms, Linger: time.Second, Connect: 250 * ms, PerConnection: 4},
+		Options{AnswerMargin: 50 * ms, Linger: time.Second, ConnectTimeout: 250 * ms, SessionsPerConnection: 4},
 		reach.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second}, closing.Policy{Timeout: 2 * time.Second, BatchInterval: 100 * ms},
 		limits.Capacity{MaxConnections: 1000, MaxHandshakes: 100, HeartbeatInterval: 10 * time.Second, IdleTimeout: time.Minute, HandshakeTimeout: time.Second, MaxRetryAfter: 10 * time.Second},
 		limits.QueuePolicy{MaxWait: 200 * ms, MaxRetryAfter: 10 * time.Second})
-	p.loop.unguarded = c.unguarded
-	p.note(witness.Record{What: witness.Returned, Director: p.name()})
-	p.do(DiscoveryConnected{})
+	p.loop.guardDisabled = c.guardDisabled
+	p.record(witness.Record{What: witness.Returned, Director: p.name()})
+	p.step(DiscoveryConnected{})
 }
 
-func (p *post) name() string { return fmt.Sprint("d", p.number) }
+func (p *simDirector) name() string { return fmt.Sprint("d", p.number) }
 
-// do lets a director hear something, and all that follows from it at once.
-func (p *post) do(in Input) {
-	p.todo = append(p.todo, in)
-	if p.doing {
+// step lets a director hear something, and all that follows from it at once.
+func (p *simDirector) step(in Input) {
+	p.inbox = append(p.inbox, in)
+	if p.stepping {
 		return
 	}
-	p.doing = true
-	for len(p.todo) > 0 {
-		next := p.todo[0]
-		p.todo = p.todo[1:]
-		for _, o := range slices.Clone(p.loop.Step(p.now-p.began, next)) {
-			if p.charter.drop == nil || !p.charter.drop(o) {
-				p.carryOut(o)
+	p.stepping = true
+	for len(p.inbox) > 0 {
+		next := p.inbox[0]
+		p.inbox = p.inbox[1:]
+		for _, o := range slices.Clone(p.loop.Step(p.now-p.startedAt, next)) {
+			if p.config.dropOutput == nil || !p.config.dropOutput(o) {
+				p.apply(o)
 			}
 		}
 	}
-	p.doing = false
+	p.stepping = false
 }
 
-func (p *post) carryOut(o Output) {
+func (p *simDirector) apply(o Output) {
 	switch o := o.(type) {
 	case SendClient:
 		if k := o.Message.Type; k == wire.Plays || k == wire.Nack || k == wire.Errored {
-			p.note(witness.Record{What: k, Director: p.name(), Conn: o.Conn, ID: o.Message.ID, Session: o.Message.Session})
-			if p.charter.rule == witness.RuleAnswer && k != wire.Plays {
-				p.bites++
+			p.record(witness.Record{What: k, Director: p.name(), Conn: o.Conn, ID: o.Message.ID, Session: o.Message.Session})
+			if p.config.rule == witness.RuleAnswer && k != wire.Plays {
+				p.opportunities++
 			}
 		}
 	case AcceptClient:
-		p.do(ClientAccepted(o))
+		p.step(ClientAccepted(o))
 	case RejectClient:
 		p.conns = slices.DeleteFunc(p.conns, func(x uint64) bool { return x == o.Conn })
 	case CloseClient:
-		p.note(witness.Record{What: witness.Closed, Conn: o.Conn, By: witness.ByPeer, Why: fmt.Sprintf("%d %s", o.Code, o.Why)})
-		p.leave(o.Conn)
+		p.record(witness.Record{What: witness.Closed, Conn: o.Conn, By: witness.ByPeer, Why: fmt.Sprintf("%d %s", o.Code, o.Reason)})
+		p.disconnectClient(o.Conn)
 	case Connect:
-		p.lines[o.Link] = &line{m: p.nodes[slices.IndexFunc(p.nodes, func(m *machine) bool { return m.name == o.Node })], legs: map[uint64]onNode{}}
-	case SendServer:
-		l := p.lines[o.Link]
+		p.nodeLinks[o.Link] = &nodeLink{node: p.nodes[slices.IndexFunc(p.nodes, func(m *simNode) bool { return m.name == o.Node })], legs: map[uint64]simLeg{}}
+	case SendNode:
+		l := p.nodeLinks[o.Link]
 		if l != nil && o.Message.Type == wire.End { // from now on it is no leg of this director, whenever the node hears of it
-			p.note(witness.Record{What: wire.End, Node: l.m.name, Conn: l.conn, Director: p.name(), Leg: o.Message.Leg})
+			p.record(witness.Record{What: wire.End, Node: l.node.name, Conn: l.conn, Director: p.name(), Leg: o.Message.Leg})
 		}
 		switch {
-		case l == nil || !l.made:
+		case l == nil || !l.connected:
 			if o.Setup != 0 {
-				p.do(Withdrawn{o.Setup})
+				p.step(Withdrawn{o.Setup})
 			}
-		case l.stuck:
+		case l.blocked:
 			l.queued = append(l.queued, o)
 		default:
 			p.deliver(l, o)
 		}
 	case Withdraw:
-		if l := p.lines[o.Link]; l != nil {
-			if i := slices.IndexFunc(l.queued, func(q SendServer) bool { return q.Setup == o.Leg }); i >= 0 {
+		if l := p.nodeLinks[o.Link]; l != nil {
+			if i := slices.IndexFunc(l.queued, func(q SendNode) bool { return q.Setup == o.Leg }); i >= 0 {
 				l.queued = slices.Delete(l.queued, i, i+1)
-				p.do(Withdrawn{o.Leg})
+				p.step(Withdrawn{o.Leg})
 			}
 		}
 	case ProbeLink:
-		p.do(LinkAlive{Link: o.Link})
+		p.step(LinkAlive{Link: o.Link})
 	case CloseLink:
-		p.hungUp(o.Link)
+		p.removeLink(o.Link)
 	case SendDiscovery:
 		switch o.Message.Type {
 		case wire.Listen:
-			p.note(witness.Record{What: witness.Listens, Director: p.name()})
-			p.whole(false)
+			p.record(witness.Record{What: witness.Listens, Director: p.name()})
+			p.sendFullList(false)
 		case wire.Heard:
-			for _, e := range p.heard[o.Message.Serial] {
-				p.note(witness.Record{What: witness.Told, Director: p.name(), Node: e.Node, State: e.State})
-				if p.charter.rule == witness.RuleDrain && e.State != wire.Up {
-					p.bites++
+			for _, e := range p.unackedEntries[o.Message.Serial] {
+				p.record(witness.Record{What: witness.Told, Director: p.name(), Node: e.Node, State: e.State})
+				if p.config.rule == witness.RuleDrain && e.State != wire.Up {
+					p.opportunities++
 				}
 			}
-			delete(p.heard, o.Message.Serial)
+			delete(p.unackedEntries, o.Message.Serial)
 		}
-	case Ended:
+	case ShutdownComplete:
 		p.ended = true
 	}
 }
 
 // deliver is a message that has reached its node.
-func (p *post) deliver(l *line, o SendServer) {
+func (p *simDirector) deliver(l *nodeLink, o SendNode) {
 	m := o.Message
-	r := witness.Record{What: m.Type, Node: l.m.name, Conn: l.conn, Director: p.name(), Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
+	r := witness.Record{What: m.Type, Node: l.node.name, Conn: l.conn, Director: p.name(), Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
 		Title: m.Title, Rung: m.Rung, Within: time.Duration(m.Within) * ms}
 	switch m.Type {
 	case wire.Setup:
-		l.legs[m.Leg] = onNode{until: p.now + r.Within}
-		if l.m.startedInSpan && p.now < l.m.born+p.charter.ramp.Warmup && p.charter.rule == witness.RuleCold {
-			p.bites++
+		l.legs[m.Leg] = simLeg{expiresAt: p.now + r.Within}
+		if l.node.startedInRun && p.now < l.node.startedAt+p.config.ramp.Warmup && p.config.rule == witness.RuleCold {
+			p.opportunities++
 		}
 	case wire.Rung:
 	case wire.End:
@@ -272,81 +272,81 @@
 	default:
 		return
 	}
-	p.note(r)
+	p.record(r)
 }
 
-// leave takes a player's connection off a director.
-func (p *post) leave(conn uint64) {
+// disconnectClient takes a player's connection off a director.
+func (p *simDirector) disconnectClient(conn uint64) {
 	p.conns = slices.DeleteFunc(p.conns, func(x uint64) bool { return x == conn })
-	p.asked = slices.DeleteFunc(p.asked, func(v viewer) bool { return v.conn == conn })
-	p.do(ClientLost{Conn: conn})
+	p.requests = slices.DeleteFunc(p.requests, func(v clientRequest) bool { return v.conn == conn })
+	p.step(ClientLost{Conn: conn})
 }
 
-// hungUp is a connection's end as its node sees it.
-func (p *post) hungUp(link uint64) (l *line) {
-	if l = p.lines[link]; l != nil && l.made {
-		p.note(witness.Record{What: witness.Closed, Node: l.m.name, Conn: l.conn})
+// removeLink is a connection's end as its node sees it.
+func (p *simDirector) removeLink(link uint64) (l *nodeLink) {
+	if l = p.nodeLinks[link]; l != nil && l.connected {
+		p.record(witness.Record{What: witness.Closed, Node: l.node.name, Conn: l.conn})
 	}
-	delete(p.lines, link)
+	delete(p.nodeLinks, link)
 	return l
 }
 
-// lose ends a connection from the node's side: what is still queued never left.
-func (p *post) lose(link uint64) {
+// loseLink ends a connection from the node's side: what is still queued never left.
+func (p *simDirector) loseLink(link uint64) {
 	var unsent []uint64
-	for _, q := range p.hungUp(link).queued {
+	for _, q := range p.removeLink(link).queued {
 		if q.Setup != 0 {
 			unsent = append(unsent, q.Setup)
 		}
 	}
-	p.do(LinkLost{Link: link, Unsent: unsent})
+	p.step(LinkLost{Link: link, Unsent: unsent})
 }
 
-// sight is the list's line of a node as a director hears it now.
-func (p *post) sight(m *machine, e wire.Entry) wire.Entry {
-	if p.charter.ages && m.born >= 0 && e.Start == m.start && p.now > m.born {
-		e.Age = max(1, (p.now - m.born).Milliseconds())
+// withAge is the list's line of a node as a director hears it now.
+func (p *simDirector) withAge(m *simNode, e wire.Entry) wire.Entry {
+	if p.config.reportAges && m.startedAt >= 0 && e.Start == m.incarnation && p.now > m.startedAt {
+		e.Age = max(1, (p.now - m.startedAt).Milliseconds())
 	}
 	return e
 }
 
-func (p *post) whole(behind bool) {
+func (p *simDirector) sendFullList(behind bool) {
 	word := wire.List{Type: wire.Whole, Titles: []wire.Title{{Title: "t", Base: 0, Copies: 8}, {Title: "u", Base: 1, Copies: 7}}}
 	var gone []wire.Entry
 	for _, m := range p.nodes {
 		e := m.entry
 		if behind {
-			e = m.before
+			e = m.previousEntry
 		}
 		if e.State == wire.Removed {
 			gone = append(gone, e)
 		} else {
-			word.Nodes = append(word.Nodes, p.sight(m, e))
+			word.Nodes = append(word.Nodes, p.withAge(m, e))
 		}
 	}
-	p.tell(word, gone...)
+	p.sendList(word, gone...)
 }
 
-// tell hands a director a word of the list, by way of the codec.
-func (p *post) tell(word wire.List, unnamed ...wire.Entry) {
+// sendList hands a director a word of the list, by way of the codec.
+func (p *simDirector) sendList(word wire.List, unnamed ...wire.Entry) {
 	p.serial++
 	word.Serial = p.serial
-	p.heard[p.serial] = append(unnamed, word.Nodes...)
+	p.unackedEntries[p.serial] = append(unnamed, word.Nodes...)
 	m, err := wire.DecodeList(wire.Encode(word))
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.do(DiscoveryReceived{m})
+	p.step(DiscoveryReceived{m})
 }
 
-// pass lets time go by; a director that stands still catches up when its time has come.
-func (w *town) pass(d time.Duration) {
+// advance lets time go by; a director that stands still catches up when its time has come.
+func (w *simulation) advance(d time.Duration) {
 	for end := w.now + d; ; {
-		var first *post
+		var first *simDirector
 		at := end + 1
-		for _, p := range w.posts {
+		for _, p := range w.directors {
 			if next := p.loop.Next(); !p.ended && next <= end {
-				if next = max(p.began+next, p.late, w.now); next < at {
+				if next = max(p.startedAt+next, p.stalledUntil, w.now); next < at {
 					first, at = p, next
 				}
 			}
@@ -356,14 +356,14 @@
 			return
 		}
 		w.now = at
-		first.do(Tick{})
+		first.step(Tick{})
 	}
 }
 
 // links of a director in order, of those that are made or not.
-func (p *post) links(made bool) (all []uint64) {
-	for link, l := range p.lines {
-		if l.made == made {
+func (p *simDirector) links(made bool) (all []uint64) {
+	for link, l := range p.nodeLinks {
+		if l.connected == made {
 			all = append(all, link)
 		}
 	}
@@ -372,44 +372,44 @@
 }
 
 // step is one thing that happens to a director, a node or the list.
-func (w *town) step() {
-	p := one(w, w.posts)
+func (w *simulation) step() {
+	p := pick(w, w.directors)
 	if p.ended { // the next one takes its place
 		p.kill()
-		p.run()
+		p.start()
 	}
-	if p.late > w.now {
-		p = one(w, w.posts)
+	if p.stalledUntil > w.now {
+		p = pick(w, w.directors)
 	}
 	switch w.IntN(24) {
 	case 0, 1, 2, 3, 4:
-		p.ask()
+		p.sendRequests()
 	case 5:
-		if len(p.asked) > 0 { // again, or leaving
-			v := one(w, p.asked)
-			if w.odds(2) {
-				v.want = wire.Session{Type: wire.Leave, ID: v.want.ID}
-				p.asked = slices.DeleteFunc(p.asked, func(x viewer) bool { return x.conn == v.conn && x.want.ID == v.want.ID })
+		if len(p.requests) > 0 { // again, or leaving
+			v := pick(w, p.requests)
+			if w.oneIn(2) {
+				v.message = wire.Session{Type: wire.Leave, ID: v.message.ID}
+				p.requests = slices.DeleteFunc(p.requests, func(x clientRequest) bool { return x.conn == v.conn && x.message.ID == v.message.ID })
 			}
-			p.say(v)
+			p.sendClientMessage(v)
 		}
 	case 6:
-		if len(p.conns) > 0 && w.odds(2) {
-			conn := one(w, p.conns)
-			w.note(witness.Record{What: witness.Closed, Conn: conn, By: witness.ByUs})
-			p.leave(conn)
+		if len(p.conns) > 0 && w.oneIn(2) {
+			conn := pick(w, p.conns)
+			w.record(witness.Record{What: witness.Closed, Conn: conn, By: witness.ByUs})
+			p.disconnectClient(conn)
 		}
 	case 7, 8, 9, 10, 11, 12:
-		p.nodeAnswers()
+		p.sendNodeReplies()
 	case 13, 14, 15:
 		for _, link := range p.links(false) {
-			p.connected(link)
+			p.finishConnect(link)
 		}
 	case 16:
 		if made := p.links(true); len(made) > 0 {
-			link := one(w, made)
-			l := p.lines[link]
-			if l.stuck = !l.stuck && w.odds(2); !l.stuck {
+			link := pick(w, made)
+			l := p.nodeLinks[link]
+			if l.blocked = !l.blocked && w.oneIn(2); !l.blocked {
 				for len(l.queued) > 0 {
 					o := l.queued[0]
 					l.queued = l.queued[1:]
@@ -418,98 +418,98 @@
 			}
 		}
 	case 17:
-		if made := p.links(true); len(made) > 0 && w.odds(2) {
-			p.lose(one(w, made))
+		if made := p.links(true); len(made) > 0 && w.oneIn(2) {
+			p.loseLink(pick(w, made))
 		}
 	case 18:
-		m := one(w, w.nodes)
-		if i := slices.IndexFunc(w.nodes, func(m *machine) bool { return !m.up }); i >= 0 {
+		m := pick(w, w.nodes)
+		if i := slices.IndexFunc(w.nodes, func(m *simNode) bool { return !m.up }); i >= 0 {
 			m = w.nodes[i]
 		}
-		w.nodeTurns(m)
+		w.toggleNode(m)
 	case 19, 20:
-		w.listTurns(one(w, w.nodes))
+		w.changeEntry(pick(w, w.nodes))
 	case 21: // a list that is behind, or repeats itself
-		p.whole(w.odds(3))
+		p.sendFullList(w.oneIn(3))
 	case 22:
-		p.late = w.now + time.Duration(w.IntN(40))*ms
+		p.stalledUntil = w.now + time.Duration(w.IntN(40))*ms
 	case 23:
-		if w.odds(6) {
-			p.do(Stop{})
-		} else if w.odds(4) {
+		if w.oneIn(6) {
+			p.step(Stop{})
+		} else if w.oneIn(4) {
 			p.kill()
-			p.run()
+			p.start()
 		}
 	}
-	w.pass(time.Duration(w.IntN(250)) * ms)
+	w.advance(time.Duration(w.IntN(250)) * ms)
 }
 
 // kill ends a director at once, with all its connections.
-func (p *post) kill() {
-	p.note(witness.Record{What: witness.Killed, Director: p.name()})
+func (p *simDirector) kill() {
+	p.record(witness.Record{What: witness.Killed, Director: p.name()})
 	for _, made := range []bool{true, false} {
 		for _, link := range p.links(made) {
-			p.hungUp(link)
+			p.removeLink(link)
 		}
 	}
 }
 
-// ask lets viewers want something, some of them with a key that another has, some after a wait in line.
-func (p *post) ask() {
-	for range 1 + p.IntN(p.charter.crowd) {
-		if len(p.conns) == 0 || p.odds(2) && len(p.conns) < 40 {
-			p.numbers++
-			p.conns = append(p.conns, p.numbers)
-			p.do(ClientConnecting{Conn: p.numbers, Address: netip.AddrFrom4([4]byte{10, 0, 0, byte(p.IntN(3))})})
+// sendRequests lets viewers want something, some of them with a key that another has, some after a wait in line.
+func (p *simDirector) sendRequests() {
+	for range 1 + p.IntN(p.config.maxBurst) {
+		if len(p.conns) == 0 || p.oneIn(2) && len(p.conns) < 40 {
+			p.lastID++
+			p.conns = append(p.conns, p.lastID)
+			p.step(ClientConnecting{Conn: p.lastID, Address: netip.AddrFrom4([4]byte{10, 0, 0, byte(p.IntN(3))})})
 		}
 		if len(p.conns) == 0 {
 			return // turned away: the director closes
 		}
-		p.numbers++
-		v := viewer{one(p.town, p.conns), wire.Session{Type: wire.Want, ID: fmt.Sprint(p.numbers), Tariff: one(p.town, p.charter.tariffs).Name,
-			Title: one(p.town, []string{"t", "t", "t", "u", "none"}), Key: fmt.Sprint("k", p.numbers), Wait: int64(100 + p.IntN(3900)), Length: 60_000}}
-		if len(p.asked) > 0 && p.odds(5) {
-			v.want.Key = one(p.town, p.asked).want.Key
+		p.lastID++
+		v := clientRequest{pick(p.simulation, p.conns), wire.Session{Type: wire.Want, ID: fmt.Sprint(p.lastID), Tariff: pick(p.simulation, p.config.tariffs).Name,
+			Title: pick(p.simulation, []string{"t", "t", "t", "u", "none"}), Key: fmt.Sprint("k", p.lastID), Wait: int64(100 + p.IntN(3900)), Length: 60_000}}
+		if len(p.requests) > 0 && p.oneIn(5) {
+			v.message.Key = pick(p.simulation, p.requests).message.Key
 		}
-		p.asked = append(p.asked, v)
-		p.say(v)
+		p.requests = append(p.requests, v)
+		p.sendClientMessage(v)
 	}
 }
 
-// say lets a viewer say something, by way of the codec.
-func (p *post) say(v viewer) {
-	m, err := wire.DecodeSession(wire.Encode(v.want))
+// sendClientMessage lets a viewer say something, by way of the codec.
+func (p *simDirector) sendClientMessage(v clientRequest) {
+	m, err := wire.DecodeSession(wire.Encode(v.message))
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	if !slices.Contains(p.conns, v.conn) {
 		return
 	}
-	waited := time.Duration(one(p.town, []int{0, 0, 0, 0, 120, 300})) * ms
+	waited := time.Duration(pick(p.simulation, []int{0, 0, 0, 0, 120, 300})) * ms
 	r := witness.Record{What: m.Type, Director: p.name(), Conn: v.conn, ID: m.ID, Tariff: m.Tariff, Title: m.Title, Wait: time.Duration(m.Wait) * ms}
-	for _, t := range p.charter.tariffs {
+	for _, t := range p.config.tariffs {
 		if t.Name == m.Tariff { // what has stood in line for longer than the viewer waits is answered in the same step
 			r.Wait = max(waited, min(r.Wait, t.HardStop)) - waited
 		}
 	}
 	// A key that is shown again takes the session over, and excuses the request that had it.
-	if s := p.loop.keys[m.Key]; m.Type == wire.Want && s != nil && s.conn != nil && s.conn.requests[m.ID] == nil {
-		p.note(witness.Record{What: wire.Leave, Director: p.name(), Conn: s.conn.number, ID: s.request})
+	if s := p.loop.sessionsByKey[m.Key]; m.Type == wire.Want && s != nil && s.conn != nil && s.conn.requests[m.ID] == nil {
+		p.record(witness.Record{What: wire.Leave, Director: p.name(), Conn: s.conn.id, ID: s.request})
 	}
-	p.note(r)
-	p.do(ClientReceived{Conn: v.conn, Message: m, Waited: waited})
+	p.record(r)
+	p.step(ClientReceived{Conn: v.conn, Message: m, Waited: waited})
 }
 
-// nodeAnswers lets a node say something of a leg, or of none that is known any more.
-func (p *post) nodeAnswers() {
+// sendNodeReplies lets a node say something of a leg, or of none that is known any more.
+func (p *simDirector) sendNodeReplies() {
 	var links, legs []uint64
 	for _, link := range p.links(true) {
-		for leg := range p.lines[link].legs {
+		for leg := range p.nodeLinks[link].legs {
 			links, legs = append(links, link), append(legs, leg)
 		}
 	}
 	if len(legs) == 0 {
-		p.do(LinkReceived{Link: p.numbers, Message: wire.Node{Type: wire.Accepted, Leg: 1}}) // of a connection that is no more
+		p.step(LinkReceived{Link: p.lastID, Message: wire.Node{Type: wire.Accepted, Leg: 1}}) // of a connection that is no more
 		return
 	}
 	order := make([]int, len(legs))
@@ -518,8 +518,8 @@
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(legs[a], legs[b]) })
 	for range 1 + p.IntN(2) {
-		i := one(p.town, order)
-		l := p.lines[links[i]]
+		i := pick(p.simulation, order)
+		l := p.nodeLinks[links[i]]
 		if l == nil {
 			return
 		}
@@ -527,109 +527,109 @@
 		if !there {
 			return
 		}
-		m := wire.Node{Type: one(p.town, p.charter.says), Leg: legs[i]}
+		m := wire.Node{Type: pick(p.simulation, p.config.nodeReplies), Leg: legs[i]}
 		switch {
 		case m.Type == wire.Note:
-			m.Kind, m.Value = 1+p.IntN(4), one(p.town, []float64{0, 0.3, 0.9, 1.2, 3, 1e6})
+			m.Kind, m.Value = 1+p.IntN(4), pick(p.simulation, []float64{0, 0.3, 0.9, 1.2, 3, 1e6})
 		case m.Type == wire.Accepted:
-			if was.plays || p.now > was.until {
+			if was.plays || p.now > was.expiresAt {
 				return
 			}
-			l.legs[legs[i]] = onNode{plays: true}
+			l.legs[legs[i]] = simLeg{plays: true}
 		case m.Type == wire.Full && was.plays: // no node takes that back
 			return
 		default:
 			delete(l.legs, legs[i])
-			if p.charter.rule == witness.RuleOnce && !was.plays {
-				p.bites++
+			if p.config.rule == witness.RuleOnce && !was.plays {
+				p.opportunities++
 			}
 		}
 		if m.Type != wire.Note {
-			p.note(witness.Record{What: m.Type, Node: l.m.name, Conn: l.conn, Director: p.name(), Leg: m.Leg})
+			p.record(witness.Record{What: m.Type, Node: l.node.name, Conn: l.conn, Director: p.name(), Leg: m.Leg})
 		}
-		if p.odds(3) {
-			m.Load = &wire.Load{Streams: new(one(p.town, []float64{0, 5, 1e6})), Link: new(p.Float64() * 2)}
+		if p.oneIn(3) {
+			m.Load = &wire.Load{Streams: new(pick(p.simulation, []float64{0, 5, 1e6})), Link: new(p.Float64() * 2)}
 		}
-		p.do(LinkReceived{Link: links[i], Message: m})
+		p.step(LinkReceived{Link: links[i], Message: m})
 	}
 }
 
-// connected ends a try to reach a node.
-func (p *post) connected(link uint64) {
-	l := p.lines[link]
+// finishConnect ends a try to reach a node.
+func (p *simDirector) finishConnect(link uint64) {
+	l := p.nodeLinks[link]
 	if l == nil {
 		return
 	}
-	if !l.m.up || p.odds(5) {
-		delete(p.lines, link)
-		p.do(LinkFailed{Node: l.m.name, Link: link})
+	if !l.node.up || p.oneIn(5) {
+		delete(p.nodeLinks, link)
+		p.step(LinkFailed{Node: l.node.name, Link: link})
 		return
 	}
-	p.numbers++
-	l.made, l.conn = true, p.numbers
-	p.do(LinkConnected{Node: l.m.name, Link: link})
-	if p.lines[link] == nil || p.odds(12) { // no greeting: what waits for it is cut off in its time
+	p.lastID++
+	l.connected, l.conn = true, p.lastID
+	p.step(LinkConnected{Node: l.node.name, Link: link})
+	if p.nodeLinks[link] == nil || p.oneIn(12) { // no greeting: what waits for it is cut off in its time
 		return
 	}
-	hello := wire.Node{Type: wire.Hello, Start: l.m.start}
-	if p.charter.ages && l.m.born >= 0 {
-		hello.Age = max(1, (p.now - l.m.born).Milliseconds())
+	hello := wire.Node{Type: wire.Hello, Start: l.node.incarnation}
+	if p.config.reportAges && l.node.startedAt >= 0 {
+		hello.Age = max(1, (p.now - l.node.startedAt).Milliseconds())
 	}
-	p.do(LinkReceived{Link: link, Message: hello})
+	p.step(LinkReceived{Link: link, Message: hello})
 }
 
-// nodeTurns ends a node's process or starts it anew, under the same name.
-func (w *town) nodeTurns(m *machine) {
+// toggleNode ends a node's process or starts it anew, under the same name.
+func (w *simulation) toggleNode(m *simNode) {
 	if m.up {
 		m.up = false
-		w.note(witness.Record{What: witness.Died, Node: m.name})
-		for _, p := range w.posts {
+		w.record(witness.Record{What: witness.Died, Node: m.name})
+		for _, p := range w.directors {
 			for _, link := range p.links(true) {
-				if l := p.lines[link]; l != nil && l.m == m {
-					p.lose(link)
+				if l := p.nodeLinks[link]; l != nil && l.node == m {
+					p.loseLink(link)
 				}
 			}
 		}
 		return
 	}
-	m.up, m.born, m.startedInSpan = true, w.now, true
-	if m.start += uint64(1 + w.IntN(3)); w.odds(4) { // another number, not a higher one
-		m.start = w.Uint64N(50) + 100
+	m.up, m.startedAt, m.startedInRun = true, w.now, true
+	if m.incarnation += uint64(1 + w.IntN(3)); w.oneIn(4) { // another number, not a higher one
+		m.incarnation = w.Uint64N(50) + 100
 	}
-	w.note(witness.Record{What: witness.Started, Node: m.name, Places: w.charter.ramp.MaxStreams[0]})
+	w.record(witness.Record{What: witness.Started, Node: m.name, Places: w.config.ramp.MaxStreams[0]})
 }
 
-// listTurns lets the list say something new of a node, to some directors now and to the others later.
-func (w *town) listTurns(m *machine) {
-	m.before = m.entry
+// changeEntry lets the list say something new of a node, to some directors now and to the others later.
+func (w *simulation) changeEntry(m *simNode) {
+	m.previousEntry = m.entry
 	m.entry.State = wire.Up
-	if m.before.State == wire.Up {
-		m.entry.State = one(w, []string{wire.Up, wire.Draining, wire.Removed})
+	if m.previousEntry.State == wire.Up {
+		m.entry.State = pick(w, []string{wire.Up, wire.Draining, wire.Removed})
 	}
-	if m.entry.Start = m.start; w.odds(6) { // somewhere else, or of another size, under the same name
+	if m.entry.Start = m.incarnation; w.oneIn(6) { // somewhere else, or of another size, under the same name
 		m.entry.Cell, m.entry.Weight = w.IntN(8), 0.5+2*w.Float64()
 		m.entry.Address = fmt.Sprint("a:", w.IntN(100))
 	}
-	for _, p := range w.posts {
+	for _, p := range w.directors {
 		switch {
-		case p.ended || w.odds(3): // it hears with the next whole list
-		case w.odds(4): // twice, the earlier word last
-			p.tell(wire.List{Type: wire.Update, Nodes: []wire.Entry{p.sight(m, m.entry)}})
-			p.tell(wire.List{Type: wire.Update, Nodes: []wire.Entry{p.sight(m, m.before)}})
+		case p.ended || w.oneIn(3): // it hears with the next whole list
+		case w.oneIn(4): // twice, the earlier word last
+			p.sendList(wire.List{Type: wire.Update, Nodes: []wire.Entry{p.withAge(m, m.entry)}})
+			p.sendList(wire.List{Type: wire.Update, Nodes: []wire.Entry{p.withAge(m, m.previousEntry)}})
 		default:
-			p.tell(wire.List{Type: wire.Update, Nodes: []wire.Entry{p.sight(m, m.entry)}})
+			p.sendList(wire.List{Type: wire.Update, Nodes: []wire.Entry{p.withAge(m, m.entry)}})
 		}
 	}
 }
 
-// play goes through a town's days and lets the witness judge them.
-func (w *town) play() witness.Verdict {
-	w.pass(1100 * ms)
-	for range w.charter.steps {
+// run goes through a town's days and lets the witness judge them.
+func (w *simulation) run() witness.Verdict {
+	w.advance(1100 * ms)
+	for range w.config.steps {
 		w.step()
 	}
-	w.pass(5 * time.Second)
-	c := w.charter
+	w.advance(5 * time.Second)
+	c := w.config
 	terms := witness.Terms{Tariffs: map[string]witness.Tariff{}, Grace: 0, Warmup: c.ramp.Warmup, ColdFrom: c.ramp.InitialShare, Multiple: c.ramp.OverloadMultiple,
 		TipAfter: c.ramp.OverloadWindow, Most: c.legs.MaxLegs, Spare: c.legs.MinRetries, Share: c.legs.RetryRatio, Span: c.legs.Window}
 	for _, t := range c.tariffs {
@@ -639,23 +639,23 @@
 	return witness.Check(terms, w.records)
 }
 
-// goHome lets everybody go and looks for what is left on the books.
-func (w *town) goHome() {
-	for _, p := range w.posts {
+// shutDown lets everybody go and looks for what is left on the books.
+func (w *simulation) shutDown() {
+	for _, p := range w.directors {
 		for _, conn := range slices.Clone(p.conns) {
-			p.leave(conn)
+			p.disconnectClient(conn)
 		}
 	}
-	w.pass(5 * time.Second)
-	for _, p := range w.posts {
+	w.advance(5 * time.Second)
+	for _, p := range w.directors {
 		for _, link := range p.links(true) {
-			if p.lines[link] != nil {
-				p.lose(link)
+			if p.nodeLinks[link] != nil {
+				p.loseLink(link)
 			}
 		}
-		if l := p.loop; len(l.sessions)+len(l.keys)+len(l.legs)+l.owed+l.playing != 0 || l.counts.OddMove != 0 {
+		if l := p.loop; len(l.sessions)+len(l.sessionsByKey)+len(l.legs)+l.owed+l.playing != 0 || l.counts.IllegalTransitions != 0 {
 			w.t.Fatalf("%s: left on the books: %d sessions, %d keys, %d legs, %d owed, %d playing; %d odd moves", p.name(), len(l.sessions),
-				len(l.keys), len(l.legs), l.owed, l.playing, l.counts.OddMove)
+				len(l.sessionsByKey), len(l.legs), l.owed, l.playing, l.counts.IllegalTransitions)
 		}
 	}
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -160,7 +160,7 @@
 			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.playerClosed(at, o.Conn, "turned away", witness.ByPeer) })
 		case director.CloseClient:
 			p.hear(at, director.ClientLost{Conn: o.Conn})
-			why := fmt.Sprintf("closed by peer: %d %s", o.Code, o.Why)
+			why := fmt.Sprintf("closed by peer: %d %s", o.Code, o.Reason)
 			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.playerClosed(at, o.Conn, why, witness.ByPeer) })
 			delete(p.lasts, playerWay(o.Conn))
 		case director.ProbeClient:
@@ -169,8 +169,8 @@
 			m := w.machine[o.Node]
 			p.nodes[o.Link] = m
 			dialled := at
-			p.send(at, linkWay(o.Link), func(at time.Duration) { w.dial(at, p, boot, m, o.Link, dialled+o.Within) })
-		case director.SendServer:
+			p.send(at, linkWay(o.Link), func(at time.Duration) { w.dial(at, p, boot, m, o.Link, dialled+o.Timeout) })
+		case director.SendNode:
 			raw := wire.Encode(o.Message)
 			p.send(at, linkWay(o.Link), func(at time.Duration) { w.nodeHears(at, wayTo{p.number, boot, o.Link}, raw) })
 		case director.ProbeLink:
@@ -178,7 +178,7 @@
 			if since := w.deaf[p.nodes[o.Link]]; since >= 0 { // as it was when the window began
 				quiet = at - max(since, p.heard[o.Link])
 			}
-			p.hear(at, director.LinkAlive{Link: o.Link, Quiet: quiet})
+			p.hear(at, director.LinkAlive{Link: o.Link, IdleFor: quiet})
 		case director.CloseLink:
 			p.send(at, linkWay(o.Link), func(at time.Duration) { w.hungUp(at, wayTo{p.number, boot, o.Link}) })
 			p.forget(o.Link)
@@ -188,11 +188,11 @@
 		case director.Withdraw: // what was sent has left: the kernel has it
 		case director.Log:
 			if w.opt.Say != nil {
-				line := o.Words
+				line := o.Text
 				// Whether anybody listens must change nothing: no chance is drawn for it.
 				p.out = append(p.out, sent{at + w.opt.Network.Low, func(at time.Duration) { w.say(at, "%s: %s", p.name, line) }})
 			}
-		case director.Ended:
+		case director.ShutdownComplete:
 			p.up, p.end = false, true
 		}
 	}
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(h.Nodes) != 8 || len(h.Titles) != 2 || h.Nodes[3].State != wire.Draining || h.Manners.Connect != 400*time.Millisecond || h.Legs.MaxLegs != 3 {
+	if len(h.Nodes) != 8 || len(h.Titles) != 2 || h.Nodes[3].State != wire.Draining || h.Manners.ConnectTimeout != 400*time.Millisecond || h.Legs.MaxLegs != 3 {
 		t.Errorf("%+v", h.Nodes)
 	}
 	b.Reset()
--- a/internal/platform/closing_test.go
+++ b/internal/platform/closing_test.go
@@ -43,7 +43,7 @@
 			}
 			p.wait("the account does not come out even", func() bool {
 				c := p.d.Counts()
-				return c.Gone == 0 && c.Taken == 1 && c.Played+c.Errored+c.Nacked == 1
+				return c.Abandoned == 0 && c.Taken == 1 && c.Played+c.Errored+c.Nacked == 1
 			})
 			for rule, n := range p.d.Counts().Violations() {
 				if n > 0 {
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -111,7 +111,7 @@
 			}
 			p.wait("the account does not come out even", func() bool {
 				c := p.d.Counts()
-				return c.Legs == 2 && c.Played == 2 && c.OddMove == 0 && c.Overdue == 0
+				return c.Legs == 2 && c.Played == 2 && c.IllegalTransitions == 0 && c.Overdue == 0
 			})
 		})
 	}
@@ -133,7 +133,7 @@
 			v.passed()
 			p.wait("it was not taken", func() bool { return p.d.Counts().Taken == 2 })
 			leave(v)
-			p.wait("its end was not seen", func() bool { return p.d.Counts().Gone == 1 })
+			p.wait("its end was not seen", func() bool { return p.d.Counts().Abandoned == 1 })
 			last.send(aSetup(3, paid))
 			last.passed()
 			p.nodes[0].says(ended(sessionID(1), causeEnded)) // the seat comes back
@@ -179,7 +179,7 @@
 			p.wait("no attempt has failed", func() bool { return p.d.Counts().Legs == 1 })
 			v.passed()
 			leave(v)
-			p.wait("its end was not seen", func() bool { return p.d.Counts().Gone == 1 })
+			p.wait("its end was not seen", func() bool { return p.d.Counts().Abandoned == 1 })
 			board.Write(event(5, 1, 0, p.nodes[1].ln.Addr().String())) // and is back: an attempt could begin there
 			last.send(aSetup(3, place))
 			last.expect(kindAnswer, 3, codeDescription)
@@ -210,7 +210,7 @@
 			last.expect(kindAnswer, 3, codeDescription)
 			p.wait("the account does not come out even", func() bool {
 				c := p.d.Counts()
-				return c.Gone == 1 && c.Played == 1 && c.Legs == 2 && c.OddMove == 0
+				return c.Abandoned == 1 && c.Played == 1 && c.Legs == 2 && c.IllegalTransitions == 0
 			})
 		})
 	}
@@ -454,7 +454,7 @@
 			v.send(aSetup(2, paid)) // there is no seat for it
 			p.wait("it was not taken", func() bool { return p.d.Counts().Taken == 2 })
 			leave(v)
-			p.wait("its end was not seen", func() bool { return p.d.Counts().Gone == 1 })
+			p.wait("its end was not seen", func() bool { return p.d.Counts().Abandoned == 1 })
 			last.send(aSetup(3, paid))
 			last.passed()
 			p.nodes[0].says(ended(sessionID(1), causeEnded))
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -60,7 +60,7 @@
 	switch m.kind {
 	case kindSetup:
 		s, err := readSetup(m)
-		in.Brought = &director.Brought{Base: s.home, Copies: s.copies, Description: s.description, Playing: s.at}
+		in.Details = &director.RequestDetails{Base: s.home, Copies: s.copies, Description: s.description, PlayingOn: s.at}
 		if err == nil && (s.home >= f.trade.Family.Cells || s.copies > f.trade.Family.Cells) {
 			err = errors.New("there are not so many cells")
 		}
@@ -68,7 +68,7 @@
 			err = errors.New("it has no id")
 		}
 		if err != nil {
-			in.Brought.Wrong, in.Brought.Playing = err.Error(), ""
+			in.Details.InvalidReason, in.Details.PlayingOn = err.Error(), ""
 		}
 		in.Message = wire.Session{
 			Type: wire.Want, ID: id, Key: id, Tariff: s.class, Title: s.title, Top: &s.top, Wait: s.wait,
@@ -101,9 +101,9 @@
 		return release(session, causeErrored)
 	case wire.Over:
 		switch m.Why {
-		case director.WhyEnded:
+		case director.ReasonEnded:
 			return release(session, causeEnded)
-		case director.WhyEndedElsewhere:
+		case director.ReasonEndedElsewhere:
 			return release(session, causeMoved)
 		}
 		return release(session, causeLost)
@@ -195,7 +195,7 @@
 }
 
 // ToNode words what a media node is to do.
-func (f *Front) ToNode(o director.SendServer) []byte {
+func (f *Front) ToNode(o director.SendNode) []byte {
 	m := o.Message
 	switch m.Type {
 	case wire.Setup:
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -131,9 +131,9 @@
 				}
 			}
 			closed = closed || o.Idle
-		case director.Ended:
+		case director.ShutdownComplete:
 			c.ended = true
-		case director.SendServer:
+		case director.SendNode:
 			w := c.owed[o.Message.Session]
 			if w == nil {
 				continue
@@ -275,7 +275,7 @@
 			case what == 8 && len(ids) > 0:
 				id := rapid.SampledFrom(ids).Draw(t, "left")
 				c.owed[id].left = true
-				c.do(director.ClientReceived{Conn: c.conn, Message: wire.Session{Type: wire.Leave, ID: id}, Brought: &director.Brought{}})
+				c.do(director.ClientReceived{Conn: c.conn, Message: wire.Session{Type: wire.Leave, ID: id}, Details: &director.RequestDetails{}})
 			case what == 9:
 				i := rapid.IntRange(0, 3).Draw(t, "node")
 				c.drains[nodeName(uint32(i))] = true
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -194,8 +194,8 @@
 	if connect <= 0 {
 		connect = time.Second
 	}
-	h.Manners = director.Manners{
-		AnswerAhead: answerAhead, Connect: connect, PerConnection: perViewer, Greetless: true, Loose: true,
+	h.Manners = director.Options{
+		AnswerMargin: answerAhead, ConnectTimeout: connect, SessionsPerConnection: perViewer, NoHello: true, Detached: true,
 	}
 	h.Pace = reach.ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 64}
 	h.Pace.IdleTimeout = time.Duration(keepPart * float64(simwire.SecondsToDuration(t.Permissions.Idle)))
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -99,7 +99,7 @@
 	return raw
 }
 
-func (t *traced) ToNode(o director.SendServer) []byte {
+func (t *traced) ToNode(o director.SendNode) []byte {
 	raw := t.Front.ToNode(o)
 	if t.level == TraceBytes {
 		t.line(">node %s on %d %.300q", o.Message.Session, o.Link, raw)
