--- a/cmd/fordusher/platform.go
+++ b/cmd/fordusher/platform.go
@@ -53,7 +53,7 @@
 	log := logger(lines).Level(level)
 	day := clock.NewSteady(time.Now)
 	house := posting.House(day.Now())
-	var front daemon.Front = platform.NewFront(posting, house, day.Now)
+	var front daemon.Protocol = platform.NewFront(posting, house, day.Now)
 	if c.Trace || c.TraceKinds {
 		stop := make(chan struct{})
 		defer close(stop)
@@ -63,7 +63,7 @@
 		}
 		front = platform.Traced(front, traceLevel, os.Stderr, time.Now, stop)
 	}
-	d, err := daemon.StartAt(front, house, strconv.FormatInt(time.Now().UnixMilli(), 36), seed, posting.Module(seed), log)
+	d, err := daemon.StartWithProtocol(front, house, strconv.FormatInt(time.Now().UnixMilli(), 36), seed, posting.Module(seed), log)
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 				continue
 			}
 			log.Info().Str("board", next.Board).Msg("the file was read again")
-			d.MoveList(next.Board)
+			d.SetDiscoveryAddress(next.Board)
 		case <-d.Done():
 			return nil
 		}
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -11,27 +11,27 @@
 	"fordusher/internal/wire"
 )
 
-// A crowder answers each answer with what it does for ever: another request, or leaving and coming again.
-type crowder struct {
-	leaves bool
-	n      atomic.Int64
+// A floodClient answers each answer with what it does for ever: another request, or leaving and coming again.
+type floodClient struct {
+	cancels bool
+	n       atomic.Int64
 }
 
-func (g *crowder) Opened(*transport.Conn)                  {}
-func (g *crowder) Closed(*transport.Conn, error, []uint64) {}
+func (g *floodClient) Opened(*transport.Conn)                  {}
+func (g *floodClient) Closed(*transport.Conn, error, []uint64) {}
 
-func (g *crowder) Message(c *transport.Conn, raw []byte) {
+func (g *floodClient) Message(c *transport.Conn, raw []byte) {
 	if m, err := wire.DecodeSession(raw); err == nil && m.Type != wire.Rung && m.Type != wire.Over {
-		if g.leaves {
+		if g.cancels {
 			c.Send(wire.Encode(wire.Session{Type: wire.Leave, ID: m.ID}), 0)
 		}
-		c.Send(g.want(), 0)
+		c.Send(g.nextRequest(), 0)
 	}
 }
 
-func (g *crowder) want() []byte {
+func (g *floodClient) nextRequest() []byte {
 	n, title := g.n.Add(1), "none"
-	if g.leaves {
+	if g.cancels {
 		title = "t"
 	}
 	return wire.Encode(wire.Session{Type: wire.Want, ID: fmt.Sprint(n), Tariff: "clip", Title: title, Key: fmt.Sprintf("%p-%d", g, n), Wait: 2000})
@@ -45,16 +45,16 @@
 		open  int
 	}{{"alone", 0, 0}, {"greedy", 10, 400}, {"greedy", 50, 400}, {"leaving", 5, 1}, {"leaving", 20, 1}} {
 		b.Run(fmt.Sprint(x.what, "=", x.conns), func(b *testing.B) {
-			p := open(b, 20, `"inbox": 64`, `"inbox": 512`)
+			p := newFixture(b, 20, `"inbox": 64`, `"inbox": 512`)
 			for range x.conns {
-				g := &crowder{leaves: x.what == "leaving"}
+				g := &floodClient{cancels: x.what == "leaving"}
 				c, err := transport.Dial(p.d.Address(), wire.SessionProtocol, 2*time.Second,
 					transport.Bounds{Message: 1 << 20, Queue: 1 << 22, Write: 5 * time.Second}, g, nil)
 				if err != nil {
 					b.Fatal(err)
 				}
 				for range x.open {
-					c.Send(g.want(), 0)
+					c.Send(g.nextRequest(), 0)
 				}
 			}
 			time.Sleep(300 * ms)
@@ -62,7 +62,7 @@
 			var took []time.Duration
 			for i := 0; b.Loop(); i++ {
 				began := time.Now()
-				c.Send(want(fmt.Sprint("m", i), "clip"), 0)
+				c.Send(requestMessage(fmt.Sprint("m", i), "clip"), 0)
 				in.answer(b)
 				took = append(took, time.Since(began))
 				c.Send(wire.Encode(wire.Session{Type: wire.Leave, ID: fmt.Sprint("m", i)}), 0)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -22,69 +22,69 @@
 
 // Daemon is a running director.
 type Daemon struct {
-	house  *conf.House
-	front  Front
-	loop   *director.Loop
-	log    zerolog.Logger
-	began  time.Time
-	seed   uint64
-	server *transport.Server
+	config    *conf.House
+	protocol  Protocol
+	loop      *director.Loop
+	log       zerolog.Logger
+	startedAt time.Time
+	seed      uint64
+	server    *transport.Server
 
-	inbox inbox
-	quit  chan struct{} // closed by Kill
-	done  chan struct{} // closed when the loop has ended
-	once  sync.Once
+	inbox    inbox
+	quit     chan struct{} // closed by Kill
+	done     chan struct{} // closed when the loop has ended
+	killOnce sync.Once
 
 	// Only the loop's goroutine touches these.
-	players map[uint64]*transport.Conn // emptied as connections close
-	links   map[uint64]*transport.Conn // emptied as connections end
-	list    *transport.Conn
+	clients   map[uint64]*transport.Conn // emptied as connections close
+	links     map[uint64]*transport.Conn // emptied as connections end
+	discovery *transport.Conn
 
-	listAt atomic.Pointer[string] // where the list's source is
-	moved  chan struct{}          // it is elsewhere now
+	discoveryAddress atomic.Pointer[string] // where the list's source is
+	discoveryMoved   chan struct{}          // it is elsewhere now
 
-	lastConn atomic.Uint64
-	seen     atomic.Pointer[snapshot]
-	refused  [3]atomic.Int64 // malformed messages of players, nodes, the list
-	complain [3]rate.Sometimes
-	flooded  atomic.Int64
-	overfull atomic.Int64 // requests refused for want of room in the inbox
-	deafened atomic.Int64
-	skew     atomic.Int64 // by Jump
-	late     lateness     // of the loop's goroutine
-	pauses   pauses       // of the process; the loop's goroutine
+	lastConnID         atomic.Uint64
+	lastSnapshot       atomic.Pointer[snapshot]
+	malformedCounts    [3]atomic.Int64 // malformed messages of players, nodes, the list
+	malformedLogLimits [3]rate.Sometimes
+	floodCloses        atomic.Int64
+	inboxFullRejects   atomic.Int64 // requests refused for want of room in the inbox
+	inputEndedCount    atomic.Int64
+	clockOffset        atomic.Int64  // by Jump
+	loopLateness       lateness      // of the loop's goroutine
+	pauses             pauseDetector // of the process; the loop's goroutine
 }
 
 // Start runs a director around a module. Boot is a word that no other run of this director has used.
 func Start(house *conf.House, boot string, seed uint64, module director.Decider, log zerolog.Logger) (*Daemon, error) {
-	return StartAt(sockets{house}, house, boot, seed, module, log)
+	return StartWithProtocol(webSocketProtocol{house}, house, boot, seed, module, log)
 }
 
-// StartAt is Start for a front other than the project's own protocols.
-func StartAt(front Front, house *conf.House, boot string, seed uint64, module director.Decider, log zerolog.Logger) (*Daemon, error) {
+// StartWithProtocol is Start for a front other than the project's own protocols.
+func StartWithProtocol(front Protocol, house *conf.House, boot string, seed uint64, module director.Decider, log zerolog.Logger) (*Daemon, error) {
 	d := &Daemon{
-		house: house, front: front, moved: make(chan struct{}, 1), loop: house.Loop(boot, seed, module), log: log, began: time.Now(), seed: seed,
+		config: house, protocol: front, discoveryMoved: make(chan struct{}, 1), loop: house.Loop(boot, seed, module), log: log, startedAt: time.Now(), seed: seed,
 		inbox: inbox{wake: make(chan struct{}, 1)},
 		quit:  make(chan struct{}), done: make(chan struct{}),
-		players: map[uint64]*transport.Conn{}, links: map[uint64]*transport.Conn{},
+		clients: map[uint64]*transport.Conn{}, links: map[uint64]*transport.Conn{},
 	}
-	for i := range d.complain {
-		d.complain[i] = rate.Sometimes{First: 3, Interval: complainEvery}
+	for i := range d.malformedLogLimits {
+		d.malformedLogLimits[i] = rate.Sometimes{First: 3, Interval: malformedLogInterval}
 	}
-	d.seen.Store(&snapshot{})
+	d.lastSnapshot.Store(&snapshot{})
 	var err error
-	d.listAt.Store(&house.List)
-	d.server, err = front.Listen(players{d})
+	d.discoveryAddress.Store(&house.List)
+	d.server, err = front.Listen(clientHandler{d})
 	if err != nil {
 		return nil, err
 	}
 	if len(house.Nodes) > 0 || len(house.Titles) > 0 { // until the list's source is heard, if there is one
-		d.inbox.put(item{in: director.DiscoveryReceived{Message: wire.List{Type: wire.Whole, Nodes: house.Nodes, Titles: house.Titles}}})
+		d.inbox.put(item{input: director.DiscoveryReceived{Message: wire.List{Type: wire.Whole, Nodes: house.Nodes, Titles: house.Titles}}})
 	}
 	d.loop.Observe(d.logEvent)
 	go d.run()
 	if house.List != "" {
-		go d.follow()
+		go d.followDiscovery()
 	}
 	log.Info().Str("listen", d.server.Address()).Msg(house.Describe())
 	return d, nil
@@ -98,17 +98,19 @@
 	return d.server.Attach(n, peer, out)
 }
 
-// Room tells how many players' connections there were at the last look, and how many of them were busy.
-func (d *Daemon) Room() (used, busy int) {
-	s := d.seen.Load()
-	return s.used, s.busy
+// ConnectionUsage tells how many players' connections there were at the last look, and how many of them were busy.
+func (d *Daemon) ConnectionUsage() (used, busy int) {
+	s := d.lastSnapshot.Load()
+	return s.usedConnections, s.busyConnections
 }
 
-// Jump lets the director's clock jump ahead, as if the process had stood still for so long: for
+// AdvanceClock lets the director's clock jump ahead, as if the process had stood still for so long: for
 // measurements.
-func (d *Daemon) Jump(by time.Duration) { d.skew.Add(int64(by)) }
+func (d *Daemon) AdvanceClock(by time.Duration) { d.clockOffset.Add(int64(by)) }
 
-func (d *Daemon) now() time.Duration { return time.Since(d.began) + time.Duration(d.skew.Load()) }
+func (d *Daemon) now() time.Duration {
+	return time.Since(d.startedAt) + time.Duration(d.clockOffset.Load())
+}
 
 func (d *Daemon) run() {
 	defer close(d.done)
@@ -118,23 +120,23 @@
 	var snapped time.Duration
 	ended := false
 	for !ended {
-		batch = d.inbox.take(batch)
+		batch = d.inbox.takeBatch(batch)
 		for i := range batch {
-			ended = d.take(batch[i]) || ended
+			ended = d.handle(batch[i]) || ended
 			batch[i] = item{}
 		}
 		now := d.now()
 		if next := d.loop.Next(); next <= now {
-			d.late.note(now, now-next)
+			d.loopLateness.observe(now, now-next)
 			runtime.Gosched() // what is due may come in many slices; whoever reads from peers gets a turn between them
-			ended = d.carryOut(d.loop.Step(now, director.Tick{})) || ended
+			ended = d.execute(d.loop.Step(now, director.Tick{})) || ended
 		}
-		if now >= snapped+snapEvery || ended {
+		if now >= snapped+snapshotInterval || ended {
 			snapped = now
-			if d.house.Room.MaxMemory > 0 {
-				ended = d.carryOut(d.loop.Step(now, director.MemoryUsage{Bytes: used()})) || ended
+			if d.config.Room.MaxMemory > 0 {
+				ended = d.execute(d.loop.Step(now, director.MemoryUsage{Bytes: memoryInUse()})) || ended
 			}
-			d.snap()
+			d.updateSnapshot()
 		}
 		if ended {
 			break
@@ -142,61 +144,61 @@
 		if len(batch) > 0 {
 			select {
 			case <-d.quit:
-				d.cut()
+				d.closeAll()
 				return
 			default:
 			}
 			continue
 		}
-		waits, from := min(max(0, d.loop.Next()-d.now()), lookMost), time.Now()
+		waits, from := min(max(0, d.loop.Next()-d.now()), maxLoopWait), time.Now()
 		timer.Reset(waits)
 		select {
 		case <-d.inbox.wake:
 		case <-timer.C:
 		case <-d.quit:
-			d.cut()
+			d.closeAll()
 			return
 		}
-		d.pauses.waited(from, time.Now(), waits)
+		d.pauses.observe(from, time.Now(), waits)
 	}
-	d.farewell()
+	d.drainConnections()
 }
 
-// take hands one thing that happened to the loop.
-func (d *Daemon) take(i item) (ended bool) {
+// handle hands one thing that happened to the loop.
+func (d *Daemon) handle(i item) (ended bool) {
 	if i.peer != nil {
 		i.peer.pending.Add(-1)
 	}
-	switch e := i.in.(type) {
+	switch e := i.input.(type) {
 	case director.ClientReceived:
-		if d.house.Manners.Linger == 0 && asks(e) && (i.peer.left.Load() || d.inbox.undone(i.peer, e.Message.ID)) {
+		if d.config.Manners.Linger == 0 && isNewRequest(e) && (i.peer.disconnected.Load() || d.inbox.wasCancelled(i.peer, e.Message.ID)) {
 			return false // who left while the request waited here is owed nothing, and nothing is begun for it
 		}
-		e.Waited = time.Since(d.pauses.sent(i.came))
-		i.in = e
+		e.Waited = time.Since(d.pauses.earliestSent(i.receivedAt))
+		i.input = e
 	case director.ClientConnecting:
-		d.players[e.Conn] = i.conn
+		d.clients[e.Conn] = i.conn
 	case director.ClientLost:
-		delete(d.players, e.Conn)
+		delete(d.clients, e.Conn)
 	case director.LinkConnected:
 		d.links[e.Link] = i.conn
 	case director.LinkLost:
 		delete(d.links, e.Link)
 	case director.DiscoveryConnected:
-		d.list = i.conn
+		d.discovery = i.conn
 	case director.DiscoveryLost:
-		d.list = nil
+		d.discovery = nil
 	}
-	return d.carryOut(d.loop.Step(d.now(), i.in))
+	return d.execute(d.loop.Step(d.now(), i.input))
 }
 
-// carryOut does what the loop wants done.
-func (d *Daemon) carryOut(outs []director.Output) (ended bool) {
+// execute does what the loop wants done.
+func (d *Daemon) execute(outs []director.Output) (ended bool) {
 	var stay []uint64
 	for _, o := range outs {
 		switch o := o.(type) {
 		case director.SendClient:
-			c, raw := d.players[o.Conn], d.front.ToPlayer(o)
+			c, raw := d.clients[o.Conn], d.protocol.EncodeClient(o)
 			if c == nil || raw == nil {
 			} else if o.Message.Type == wire.Rung { // advice: the next one makes it worthless
 				c.Advise(raw, o.CoalesceKey)
@@ -204,15 +206,15 @@
 				c.Send(raw, 0)
 			}
 		case director.AcceptClient:
-			if c := d.players[o.Conn]; c != nil {
+			if c := d.clients[o.Conn]; c != nil {
 				c.Accept()
 			}
 		case director.RejectClient:
-			if c := d.players[o.Conn]; c != nil {
+			if c := d.clients[o.Conn]; c != nil {
 				c.Reject(o.RetryAfter, o.Reason)
 			}
 		case director.CloseClient:
-			if c := d.players[o.Conn]; c == nil {
+			if c := d.clients[o.Conn]; c == nil {
 			} else if p, ok := c.Cookie().(*peer); ok && o.Idle && p.pending.Load() > 0 {
 				stay = append(stay, o.Conn)
 			} else if o.Code == 0 && !c.Queued() {
@@ -224,23 +226,23 @@
 			c := d.links[o.Link]
 			switch {
 			case o.Setup == 0 && c != nil:
-				c.Send(d.front.ToNode(o), 0)
-			case o.Setup != 0 && (c == nil || !c.SendWithin(d.front.ToNode(o), o.Setup, setUpWaitsMost)):
-				d.inbox.put(item{in: director.Withdrawn{Leg: o.Setup}}) // never queued, so never sent
+				c.Send(d.protocol.EncodeNode(o), 0)
+			case o.Setup != 0 && (c == nil || !c.SendWithin(d.protocol.EncodeNode(o), o.Setup, maxSetupWriteDelay)):
+				d.inbox.put(item{input: director.Withdrawn{Leg: o.Setup}}) // never queued, so never sent
 			}
 		case director.Withdraw:
 			if c := d.links[o.Link]; c != nil && c.Withdraw(o.Leg) {
-				d.inbox.put(item{in: director.Withdrawn{Leg: o.Leg}})
+				d.inbox.put(item{input: director.Withdrawn{Leg: o.Leg}})
 			}
 		case director.ProbeLink:
 			if c := d.links[o.Link]; c != nil {
 				c.Ping()
-				d.inbox.put(item{in: director.LinkAlive{Link: o.Link, IdleFor: c.Quiet()}})
+				d.inbox.put(item{input: director.LinkAlive{Link: o.Link, IdleFor: c.Quiet()}})
 			}
 		case director.ProbeClient:
-			if c := d.players[o.Conn]; c != nil {
+			if c := d.clients[o.Conn]; c != nil {
 				c.Ping()
-				d.inbox.put(item{in: director.ClientAlive{Conn: o.Conn, IdleFor: c.Quiet()}})
+				d.inbox.put(item{input: director.ClientAlive{Conn: o.Conn, IdleFor: c.Quiet()}})
 			}
 		case director.CloseLink:
 			if c := d.links[o.Link]; c != nil {
@@ -249,9 +251,9 @@
 		case director.Connect:
 			go d.connect(o)
 		case director.SendDiscovery:
-			if d.list != nil {
-				if raw := d.front.ToList(o.Message); raw != nil {
-					d.list.Send(raw, 0)
+			if d.discovery != nil {
+				if raw := d.protocol.EncodeDiscovery(o.Message); raw != nil {
+					d.discovery.Send(raw, 0)
 				}
 			}
 		case director.Log:
@@ -263,7 +265,7 @@
 		}
 	}
 	for _, conn := range stay { // before what it said is taken
-		ended = d.carryOut(d.loop.Step(d.now(), director.ClientStillActive{Conn: conn})) || ended
+		ended = d.execute(d.loop.Step(d.now(), director.ClientStillActive{Conn: conn})) || ended
 	}
 	return ended
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -24,18 +24,18 @@
 
 const ms = time.Millisecond
 
-// A place is one director with stand-ins around it.
-type place struct {
-	t      testing.TB
-	d      *Daemon
-	host   *node.Host
-	list   *list.Source
-	record *witness.Recorder
+// A fixture is one director with stand-ins around it.
+type fixture struct {
+	t         testing.TB
+	d         *Daemon
+	host      *node.Host
+	discovery *list.Source
+	recorder  *witness.Recorder
 }
 
-func open(t testing.TB, nodes int, change ...string) *place {
+func newFixture(t testing.TB, nodes int, change ...string) *fixture {
 	t.Helper()
-	p := &place{t: t, record: &witness.Recorder{}}
+	p := &fixture{t: t, recorder: &witness.Recorder{}}
 	var machines []node.Machine
 	for i := range nodes {
 		machines = append(machines, node.Machine{Name: fmt.Sprint("n", i), Kind: "box", Places: 50, Link: 1e5, Cores: 2, Work: 2 * ms})
@@ -43,7 +43,7 @@
 	site := node.Site{Uplinks: []float64{1e6}, Warmup: time.Second, ColdFrom: 0.5, Multiple: 4, TipAfter: time.Second,
 		Late: 100 * ms, Every: time.Second, Refresh: 100 * ms}
 	var err error
-	if p.host, err = node.Open(node.NewFarm(1, site, machines), p.record, nil); err != nil {
+	if p.host, err = node.Open(node.NewFarm(1, site, machines), p.recorder, nil); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.host.Close)
@@ -51,16 +51,16 @@
 	for i, m := range machines {
 		entries = append(entries, wire.Entry{Node: m.Name, Address: p.host.Address(m.Name), State: wire.Up, Kind: "box", Weight: 1, Cell: i, Start: 1})
 	}
-	if p.list, err = list.Open(p.record, entries, []wire.Title{{Title: "t", Copies: 8}}); err != nil {
+	if p.discovery, err = list.Open(p.recorder, entries, []wire.Title{{Title: "t", Copies: 8}}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(p.list.Close)
-	p.d = start(t, p.list.Address(), change...)
-	p.settle(nodes)
+	t.Cleanup(p.discovery.Close)
+	p.d = startDaemon(t, p.discovery.Address(), change...)
+	p.waitForLinks(nodes)
 	return p
 }
 
-func start(t testing.TB, listAddress string, change ...string) *Daemon {
+func startDaemon(t testing.TB, listAddress string, change ...string) *Daemon {
 	t.Helper()
 	text := `{"director": {"name": "d", "me": 0, "directors": 1}, "listen": "127.0.0.1:0", "list": {"address": "` + listAddress + `"},
 		"tariffs": {"clip": {"goal_time": "1s", "hard_stop": "2s"}, "exam": {"goal_time": "1s", "hard_stop": "2s", "paid": true}},
@@ -83,14 +83,14 @@
 	return d
 }
 
-// settle waits until the director is connected to its nodes.
-func (p *place) settle(links int) {
+// waitForLinks waits until the director is connected to its nodes.
+func (p *fixture) waitForLinks(links int) {
 	p.t.Helper()
-	within(p.t, "connections to all nodes", func() bool { return p.d.seen.Load().links == links })
+	eventually(p.t, "connections to all nodes", func() bool { return p.d.lastSnapshot.Load().links == links })
 	time.Sleep(120 * ms) // past the caution of a director that has just started
 }
 
-func within(t testing.TB, what string, ok func() bool) {
+func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(ms) {
 		if time.Now().After(end) {
@@ -101,12 +101,12 @@
 
 // A client is a bare player's connection.
 type client struct {
-	in     chan string
-	closed chan error
+	received chan string
+	closed   chan error
 }
 
 func (p *client) Opened(*transport.Conn)                          {}
-func (p *client) Message(_ *transport.Conn, m []byte)             { p.in <- string(m) }
+func (p *client) Message(_ *transport.Conn, m []byte)             { p.received <- string(m) }
 func (p *client) Closed(_ *transport.Conn, why error, _ []uint64) { p.closed <- why }
 
 func dial(t testing.TB, address string) (*transport.Conn, *client) {
@@ -120,14 +120,14 @@
 	return c, p
 }
 
-func want(id, tariff string) []byte {
+func requestMessage(id, tariff string) []byte {
 	return wire.Encode(wire.Session{Type: wire.Want, ID: id, Tariff: tariff, Title: "t", Key: "k" + id, Wait: 2000, Length: 60_000})
 }
 
 func (p *client) answer(t testing.TB) wire.Session {
 	t.Helper()
 	select {
-	case raw := <-p.in:
+	case raw := <-p.received:
 		m, err := wire.DecodeSession([]byte(raw))
 		if err != nil {
 			t.Fatal(err)
@@ -147,7 +147,7 @@
 		select {
 		case why := <-p.closed:
 			return why
-		case <-p.in:
+		case <-p.received:
 		case <-time.After(10 * time.Second):
 			t.Fatal("not closed")
 		}
@@ -155,9 +155,9 @@
 }
 
 func TestRequestPlaysOverSockets(t *testing.T) {
-	p := open(t, 3)
+	p := newFixture(t, 3)
 	c, in := dial(t, p.d.Address())
-	c.Send(want("1", "exam"), 0)
+	c.Send(requestMessage("1", "exam"), 0)
 	if m := in.answer(t); m.Type != wire.Plays || m.Address == "" {
 		t.Fatal(m)
 	}
@@ -174,7 +174,7 @@
 
 // Malformed, oversized and flooding players are closed with a reason that says why, and nobody else notices.
 func TestBadPlayersAreClosedAndCounted(t *testing.T) {
-	p := open(t, 2)
+	p := newFixture(t, 2)
 	other, heard := dial(t, p.d.Address())
 	for text, want := range map[string]string{
 		"{":                                     "1007",
@@ -188,10 +188,10 @@
 			t.Errorf("%.30q: %v, wanted %s", text, why, want)
 		}
 	}
-	if n := p.d.refused[0].Load(); n != 2 {
+	if n := p.d.malformedCounts[0].Load(); n != 2 {
 		t.Error(n, "malformed messages counted")
 	}
-	other.Send(want("1", "clip"), 0)
+	other.Send(requestMessage("1", "clip"), 0)
 	if m := heard.answer(t); m.Type != wire.Plays {
 		t.Fatal(m)
 	}
@@ -201,7 +201,7 @@
 // told of is bounded, in number and in length.
 func TestMalformedMessagesAreToldOfAgain(t *testing.T) {
 	lines := make(chan string, 1000)
-	p := open(t, 1)
+	p := newFixture(t, 1)
 	p.d.log = zerolog.New(writer(func(b []byte) { lines <- string(b) })).Level(zerolog.InfoLevel) // as the program writes it
 	long := `{"t":"` + strings.Repeat("\u00e9\xff", 500) + `"}`
 	for range 50 {
@@ -248,7 +248,7 @@
 			time.AfterFunc(time.Second, func() { c.Close() })
 		}
 	}()
-	d := start(t, ln.Addr().String())
+	d := startDaemon(t, ln.Addr().String())
 	for range 2 { // it comes back
 		select {
 		case <-visits:
@@ -256,9 +256,9 @@
 			t.Fatal("the list is not asked again")
 		}
 	}
-	within(t, "the malformed list is counted", func() bool { return d.refused[2].Load() > 0 })
+	eventually(t, "the malformed list is counted", func() bool { return d.malformedCounts[2].Load() > 0 })
 	c, in := dial(t, d.Address())
-	c.Send(want("1", "clip"), 0)
+	c.Send(requestMessage("1", "clip"), 0)
 	if m := in.answer(t); m.Type != wire.Nack || m.Why != "unknown title" {
 		t.Fatal(m)
 	}
@@ -266,9 +266,9 @@
 
 // A node whose connection died without a word: the session on it is over within three signs of life.
 func TestHalfOpenNodeIsNoticed(t *testing.T) {
-	p := open(t, 1)
+	p := newFixture(t, 1)
 	c, in := dial(t, p.d.Address())
-	c.Send(want("1", "clip"), 0)
+	c.Send(requestMessage("1", "clip"), 0)
 	if m := in.answer(t); m.Type != wire.Plays {
 		t.Fatal(m)
 	}
@@ -279,21 +279,21 @@
 		}
 	}
 	p.host.Do(node.Fault{Node: "n0", Start: true})
-	p.settle(1)
+	p.waitForLinks(1)
 }
 
 // An order to stop: the set-up under way is answered, the session that plays is ended, and the director
 // is gone within its term.
 func TestStopAnswersAndEnds(t *testing.T) {
-	p := open(t, 2)
+	p := newFixture(t, 2)
 	c, in := dial(t, p.d.Address())
-	c.Send(want("1", "clip"), 0)
+	c.Send(requestMessage("1", "clip"), 0)
 	if m := in.answer(t); m.Type != wire.Plays {
 		t.Fatal(m)
 	}
 	p.host.Do(node.Fault{Slow: new(100.0)}) // set-ups take a fifth of a second
-	c.Send(want("2", "exam"), 0)
-	within(t, "the set-up is out", func() bool { return p.d.seen.Load().owed == 1 })
+	c.Send(requestMessage("2", "exam"), 0)
+	eventually(t, "the set-up is out", func() bool { return p.d.lastSnapshot.Load().owed == 1 })
 	began := time.Now()
 	p.d.Stop()
 	got := map[string]string{}
@@ -326,7 +326,7 @@
 
 // A peer that floods the inbox holds no more of it than its bound, and others are answered meanwhile.
 func TestFloodOfOnePeerIsCutOff(t *testing.T) {
-	p := open(t, 2)
+	p := newFixture(t, 2)
 	c, _ := dial(t, p.d.Address())
 	leave := wire.Encode(wire.Session{Type: wire.Leave, ID: "none"})
 	for range 200_000 {
@@ -335,11 +335,11 @@
 		}
 	}
 	other, heard := dial(t, p.d.Address())
-	other.Send(want("1", "clip"), 0)
+	other.Send(requestMessage("1", "clip"), 0)
 	if m := heard.answer(t); m.Type != wire.Plays {
 		t.Fatal(m)
 	}
-	if n := p.d.inbox.waits(); n > 64+10 {
+	if n := p.d.inbox.queueLength(); n > 64+10 {
 		t.Fatal(n, "items wait")
 	}
 }
@@ -349,53 +349,53 @@
 func TestInboxOrder(t *testing.T) {
 	b := inbox{wake: make(chan struct{}, 1)}
 	for i := range 5000 {
-		b.stand(item{in: director.ClientReceived{Conn: uint64(i)}, peer: &peer{}})
+		b.enqueueClient(item{input: director.ClientReceived{Conn: uint64(i)}, peer: &peer{}})
 	}
 	var batch []item
 	next := uint64(0)
-	for round := 0; b.waits() > 0; round++ {
-		b.put(item{in: director.Withdrawn{Leg: uint64(round)}})
-		batch = b.take(batch)
-		if w, ok := batch[0].in.(director.Withdrawn); !ok || w.Leg != uint64(round) || len(batch) > turn+1 {
+	for round := 0; b.queueLength() > 0; round++ {
+		b.put(item{input: director.Withdrawn{Leg: uint64(round)}})
+		batch = b.takeBatch(batch)
+		if w, ok := batch[0].input.(director.Withdrawn); !ok || w.Leg != uint64(round) || len(batch) > batchSize+1 {
 			t.Fatalf("round %d begins with %+v of %d", round, batch[0], len(batch))
 		}
 		for _, i := range batch[1:] {
-			if got := i.in.(director.ClientReceived).Conn; got != next {
+			if got := i.input.(director.ClientReceived).Conn; got != next {
 				t.Fatalf("%d comes before %d", got, next)
 			}
 			next++
 		}
 	}
-	if next != 5000 || cap(b.line) > 16_384 || len(b.line) != 0 {
-		t.Fatal(next, "taken,", len(b.line), "left of", cap(b.line))
+	if next != 5000 || cap(b.queue) > 16_384 || len(b.queue) != 0 {
+		t.Fatal(next, "taken,", len(b.queue), "left of", cap(b.queue))
 	}
 }
 
 // Who had asked for much stood before everybody who came later, with all of it.
 func TestGreedyPlayersWaitBehindThemselves(t *testing.T) {
 	b := inbox{wake: make(chan struct{}, 1)}
-	greedy, modest := []*peer{{number: 1}, {number: 2}}, &peer{number: 3}
+	greedy, modest := []*peer{{id: 1}, {id: 2}}, &peer{id: 3}
 	for i := range 500 {
 		for _, p := range greedy {
-			b.stand(item{in: director.ClientLost{Conn: uint64(i)}, peer: p})
+			b.enqueueClient(item{input: director.ClientLost{Conn: uint64(i)}, peer: p})
 		}
 	}
-	b.stand(item{in: director.ClientLost{}, peer: modest})
-	taken := b.take(nil)
+	b.enqueueClient(item{input: director.ClientLost{}, peer: modest})
+	taken := b.takeBatch(nil)
 	if at := slices.IndexFunc(taken, func(i item) bool { return i.peer == modest }); at < 0 || at > len(greedy) {
 		t.Fatal("the modest one's turn is", at, "of", len(taken))
 	}
 	next := map[*peer]uint64{}
-	for ; len(taken) > 0; taken = b.take(nil) {
+	for ; len(taken) > 0; taken = b.takeBatch(nil) {
 		for _, i := range taken {
-			if c := i.in.(director.ClientLost).Conn; c != next[i.peer] {
-				t.Fatalf("player %d: %d comes before %d", i.peer.number, c, next[i.peer])
+			if c := i.input.(director.ClientLost).Conn; c != next[i.peer] {
+				t.Fatalf("player %d: %d comes before %d", i.peer.id, c, next[i.peer])
 			}
 			next[i.peer]++
 		}
 	}
-	if next[greedy[0]] != 500 || next[greedy[1]] != 500 || len(b.line) != 0 {
-		t.Fatal(next, len(b.line))
+	if next[greedy[0]] != 500 || next[greedy[1]] != 500 || len(b.queue) != 0 {
+		t.Fatal(next, len(b.queue))
 	}
 }
 
@@ -406,8 +406,8 @@
 		{time.Second, 80 * ms, 80 * ms}, {2 * time.Second, 5 * ms, 80 * ms}, {14 * time.Second, 0, 80 * ms},
 		{17 * time.Second, 20 * ms, 80 * ms}, {33 * time.Second, 0, 20 * ms}, {49 * time.Second, 0, 0},
 	} {
-		l.note(x.now, x.late)
-		if got := max(l.now, l.before); got != x.want {
+		l.observe(x.now, x.late)
+		if got := max(l.current, l.previous); got != x.want {
 			t.Fatalf("at %v: %v, wanted %v", x.now, got, x.want)
 		}
 	}
--- a/internal/daemon/discovery.go
+++ b/internal/daemon/discovery.go
@@ -8,18 +8,18 @@
 	"fordusher/reach"
 )
 
-// MoveList says that the list's source is at another address from now on.
-func (d *Daemon) MoveList(address string) {
-	d.listAt.Store(&address)
+// SetDiscoveryAddress says that the list's source is at another address from now on.
+func (d *Daemon) SetDiscoveryAddress(address string) {
+	d.discoveryAddress.Store(&address)
 	select {
-	case d.moved <- struct{}{}:
+	case d.discoveryMoved <- struct{}{}:
 	default:
 	}
 }
 
-// follow keeps the connection to the list's source.
-func (d *Daemon) follow() {
-	pace := d.house.Pace
+// followDiscovery keeps the connection to the list's source.
+func (d *Daemon) followDiscovery() {
+	pace := d.config.Pace
 	pace.OnDemand = false // the list's source is needed all the time
 	r := reach.New(d.seed, pace)
 	plan := r.Step(d.now(), reach.Event{Kind: reach.Listed})
@@ -33,7 +33,7 @@
 			select {
 			case <-d.quit:
 				return
-			case <-d.moved: // it was tried where it is no more
+			case <-d.discoveryMoved: // it was tried where it is no more
 				plan = r.Step(d.now(), reach.Event{Kind: reach.Listed})
 				continue
 			case <-time.After(max(0, plan.NextTimer-d.now())):
@@ -41,8 +41,8 @@
 			plan = r.Step(d.now(), reach.Event{Kind: reach.TimerFired})
 			continue
 		}
-		h := &source{d: d, gone: make(chan struct{})}
-		conn, err := d.front.DialList(*d.listAt.Load(), time.Second, h)
+		h := &discoveryHandler{d: d, closed: make(chan struct{})}
+		conn, err := d.protocol.DialDiscovery(*d.discoveryAddress.Load(), time.Second, h)
 		if err != nil {
 			d.log.Warn().Err(err).Msg("the list can't be reached; the last one stays in force")
 			plan = r.Step(d.now(), reach.Event{Kind: reach.ConnectFailed})
@@ -53,12 +53,12 @@
 			select {
 			case <-d.quit:
 				return
-			case <-h.gone:
+			case <-h.closed:
 				ended = true
-			case <-d.moved:
+			case <-d.discoveryMoved:
 				conn.Cut()
-			case <-time.After(snapEvery):
-				if quiet := d.house.ListQuiet; quiet > 0 && conn.Quiet() > quiet {
+			case <-time.After(snapshotInterval):
+				if quiet := d.config.ListQuiet; quiet > 0 && conn.Quiet() > quiet {
 					d.log.Warn().Dur("quiet", quiet).Msg("the list's source says nothing any more: it is connected to again")
 					conn.Cut()
 				}
@@ -68,28 +68,28 @@
 	}
 }
 
-type source struct {
-	d    *Daemon
-	peer peer
-	gone chan struct{}
+type discoveryHandler struct {
+	d      *Daemon
+	peer   peer
+	closed chan struct{}
 }
 
-func (h *source) Opened(c *transport.Conn) {
-	h.d.inbox.put(item{in: director.DiscoveryConnected{}, conn: c})
+func (h *discoveryHandler) Opened(c *transport.Conn) {
+	h.d.inbox.put(item{input: director.DiscoveryConnected{}, conn: c})
 }
 
-func (h *source) Message(c *transport.Conn, raw []byte) {
-	m, err := h.d.front.FromList(raw)
+func (h *discoveryHandler) Message(c *transport.Conn, raw []byte) {
+	m, err := h.d.protocol.DecodeDiscovery(raw)
 	if err != nil {
 		h.d.malformed(c, 2, err)
 		return
 	}
 	if m.Type != "" {
-		h.d.hand(c, &h.peer, director.DiscoveryReceived{Message: m})
+		h.d.enqueueBounded(c, &h.peer, director.DiscoveryReceived{Message: m})
 	}
 }
 
-func (h *source) Closed(*transport.Conn, error, []uint64) {
-	h.d.inbox.put(item{in: director.DiscoveryLost{}})
-	close(h.gone)
+func (h *discoveryHandler) Closed(*transport.Conn, error, []uint64) {
+	h.d.inbox.put(item{input: director.DiscoveryLost{}})
+	close(h.closed)
 }
--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -13,22 +13,22 @@
 
 func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1)} }
 
-// said is what a player says of a request; a request that brings a node plays there already.
-func said(p *peer, kind, id, playing string) item {
+// messageItem is what a player says of a request; a request that brings a node plays there already.
+func messageItem(p *peer, kind, id, playing string) item {
 	p.pending.Add(1)
-	return item{peer: p, in: director.ClientReceived{Conn: p.number, Message: wire.Session{Type: kind, ID: id},
+	return item{peer: p, input: director.ClientReceived{Conn: p.id, Message: wire.Session{Type: kind, ID: id},
 		Details: &director.RequestDetails{PlayingOn: playing}}}
 }
 
-func knocked(p *peer) item {
+func connectingItem(p *peer) item {
 	p.pending.Add(1)
-	return item{peer: p, in: director.ClientConnecting{Conn: p.number}}
+	return item{peer: p, input: director.ClientConnecting{Conn: p.id}}
 }
 
-// words tells what was taken in a few letters each.
-func words(items []item) (all []string) {
+// describeItems tells what was taken in a few letters each.
+func describeItems(items []item) (all []string) {
 	for _, i := range items {
-		switch e := i.in.(type) {
+		switch e := i.input.(type) {
 		case director.ClientConnecting:
 			all = append(all, fmt.Sprintf("%d knocks", e.Conn))
 		case director.ClientReceived:
@@ -48,48 +48,48 @@
 		want   []string
 	}{
 		"cancelled in line": {func(b *inbox, p *peer) {
-			b.stand(said(p, wire.Want, "a", ""))
-			b.stand(said(p, wire.Want, "b", ""))
-			b.cancel(said(p, wire.Leave, "a", ""), "a")
+			b.enqueueClient(messageItem(p, wire.Want, "a", ""))
+			b.enqueueClient(messageItem(p, wire.Want, "b", ""))
+			b.cancel(messageItem(p, wire.Leave, "a", ""), "a")
 		}, []string{"1 want b"}},
 		"cancelled once taken": {func(b *inbox, p *peer) {
-			b.stand(said(p, wire.Want, "b", ""))
-			b.cancel(said(p, wire.Leave, "a", ""), "a")
+			b.enqueueClient(messageItem(p, wire.Want, "b", ""))
+			b.cancel(messageItem(p, wire.Leave, "a", ""), "a")
 		}, []string{"1 leave a", "1 want b"}},
 		"cancelled before it was let in": {func(b *inbox, p *peer) {
-			b.stand(knocked(p))
-			b.stand(said(p, wire.Want, "a", ""))
-			b.cancel(said(p, wire.Leave, "a", ""), "a")
+			b.enqueueClient(connectingItem(p))
+			b.enqueueClient(messageItem(p, wire.Want, "a", ""))
+			b.cancel(messageItem(p, wire.Leave, "a", ""), "a")
 		}, []string{"1 knocks"}},
 		"closed in line": {func(b *inbox, p *peer) {
-			b.stand(said(p, wire.Want, "a", ""))
-			b.stand(said(p, wire.Want, "b", ""))
-			b.close(item{in: director.ClientLost{Conn: 1}, peer: p}, false)
+			b.enqueueClient(messageItem(p, wire.Want, "a", ""))
+			b.enqueueClient(messageItem(p, wire.Want, "b", ""))
+			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, false)
 		}, []string{"1 closed"}},
 		"closed before it was let in": {func(b *inbox, p *peer) {
-			b.stand(knocked(p))
-			b.stand(said(p, wire.Want, "a", ""))
-			b.close(item{in: director.ClientLost{Conn: 1}, peer: p}, false)
+			b.enqueueClient(connectingItem(p))
+			b.enqueueClient(messageItem(p, wire.Want, "a", ""))
+			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, false)
 		}, []string{"1 knocks", "1 closed"}},
 		"an ending keeps its place behind the knock": {func(b *inbox, p *peer) {
-			b.stand(knocked(p))
-			b.cancel(said(p, wire.Leave, "a", ""), "a")
-			b.close(item{in: director.ClientLost{Conn: 1}, peer: p}, false)
+			b.enqueueClient(connectingItem(p))
+			b.cancel(messageItem(p, wire.Leave, "a", ""), "a")
+			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, false)
 		}, []string{"1 knocks", "1 leave a", "1 closed"}},
 		"what plays is handed over first": {func(b *inbox, p *peer) {
-			b.stand(said(p, wire.Want, "a", "s-1"))
-			b.cancel(said(p, wire.Leave, "a", ""), "a")
-			b.close(item{in: director.ClientLost{Conn: 1}, peer: p}, false)
+			b.enqueueClient(messageItem(p, wire.Want, "a", "s-1"))
+			b.cancel(messageItem(p, wire.Leave, "a", ""), "a")
+			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, false)
 		}, []string{"1 want a", "1 leave a", "1 closed"}},
 		"who may come again is still owed": {func(b *inbox, p *peer) {
-			b.stand(said(p, wire.Want, "a", ""))
-			b.close(item{in: director.ClientLost{Conn: 1}, peer: p}, true)
+			b.enqueueClient(messageItem(p, wire.Want, "a", ""))
+			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, true)
 		}, []string{"1 want a", "1 closed"}},
 	} {
-		b, p := newInbox(), &peer{number: 1}
+		b, p := newInbox(), &peer{id: 1}
 		c.script(b, p)
-		taken := b.take(nil)
-		if got := words(taken); fmt.Sprint(got) != fmt.Sprint(c.want) {
+		taken := b.takeBatch(nil)
+		if got := describeItems(taken); fmt.Sprint(got) != fmt.Sprint(c.want) {
 			t.Errorf("%s: %q, wanted %q", name, got, c.want)
 		}
 		counted := 0
@@ -98,8 +98,8 @@
 				counted++
 			}
 		}
-		if n := int(p.pending.Load()); n != counted || b.waits() != 0 || len(b.line) != 0 {
-			t.Errorf("%s: %d of %d counted, %d wait, %d in line", name, n, counted, b.waits(), len(b.line))
+		if n := int(p.pending.Load()); n != counted || b.queueLength() != 0 || len(b.queue) != 0 {
+			t.Errorf("%s: %d of %d counted, %d wait, %d in line", name, n, counted, b.queueLength(), len(b.queue))
 		}
 	}
 }
@@ -107,35 +107,35 @@
 // A request that is in the loop's hand already, with others before it, is passed over once it is cancelled; one that
 // comes under the same id after that is not.
 func TestACancelReachesTheBatchInHand(t *testing.T) {
-	b, p := newInbox(), &peer{number: 1}
-	b.stand(said(p, wire.Want, "a", ""))
-	b.stand(said(p, wire.Want, "b", ""))
-	if n := len(b.take(nil)); n != 2 {
+	b, p := newInbox(), &peer{id: 1}
+	b.enqueueClient(messageItem(p, wire.Want, "a", ""))
+	b.enqueueClient(messageItem(p, wire.Want, "b", ""))
+	if n := len(b.takeBatch(nil)); n != 2 {
 		t.Fatalf("%d taken", n)
 	}
-	b.cancel(said(p, wire.Leave, "b", ""), "b")
+	b.cancel(messageItem(p, wire.Leave, "b", ""), "b")
 	p.pending.Add(-1)
-	if b.undone(p, "a") {
+	if b.wasCancelled(p, "a") {
 		t.Fatal("the other one is passed over")
 	}
 	p.pending.Add(-1)
-	if !b.undone(p, "b") {
+	if !b.wasCancelled(p, "b") {
 		t.Fatal("it is not passed over")
 	}
-	b.take(nil) // the word itself
+	b.takeBatch(nil) // the word itself
 	p.pending.Add(-1)
-	b.stand(said(p, wire.Want, "b", ""))
-	b.take(nil)
+	b.enqueueClient(messageItem(p, wire.Want, "b", ""))
+	b.takeBatch(nil)
 	p.pending.Add(-1)
-	if b.undone(p, "b") || len(p.undone) != 0 {
+	if b.wasCancelled(p, "b") || len(p.cancelled) != 0 {
 		t.Fatal("a later one under the same id is passed over")
 	}
 	p.pending.Add(1) // something of it is in hand for as long as this goes on
-	for i := range 10 * turn {
-		b.cancel(said(p, wire.Leave, fmt.Sprint(i), ""), fmt.Sprint(i))
+	for i := range 10 * batchSize {
+		b.cancel(messageItem(p, wire.Leave, fmt.Sprint(i), ""), fmt.Sprint(i))
 	}
-	if len(p.undone) > turn || !b.undone(p, fmt.Sprint(10*turn-1)) {
-		t.Fatalf("%d are kept", len(p.undone))
+	if len(p.cancelled) > batchSize || !b.wasCancelled(p, fmt.Sprint(10*batchSize-1)) {
+		t.Fatalf("%d are kept", len(p.cancelled))
 	}
 }
 
@@ -149,7 +149,7 @@
 		next := 0
 		var waiting []map[string]bool
 		for i := range players {
-			players[i] = &peer{number: uint64(i)}
+			players[i] = &peer{id: uint64(i)}
 			waiting = append(waiting, map[string]bool{})
 		}
 		check := func(taken []item) {
@@ -157,7 +157,7 @@
 				if i.peer != nil {
 					i.peer.pending.Add(-1)
 				}
-				e, ok := i.in.(director.ClientReceived)
+				e, ok := i.input.(director.ClientReceived)
 				if !ok || e.Message.Type != wire.Want {
 					continue
 				}
@@ -172,29 +172,29 @@
 			p := players[k]
 			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
 			case what < 2:
-				check(b.take(nil))
+				check(b.takeBatch(nil))
 			case left[k]:
 			case what < 6:
 				next++
 				id := fmt.Sprint(next)
 				waiting[k][id] = true
-				b.stand(said(p, wire.Want, id, ""))
+				b.enqueueClient(messageItem(p, wire.Want, id, ""))
 			case what < 9:
 				id := fmt.Sprint(rapid.IntRange(1, next+1).Draw(t, "id"))
 				delete(waiting[k], id)
-				b.cancel(said(p, wire.Leave, id, ""), id)
+				b.cancel(messageItem(p, wire.Leave, id, ""), id)
 			default:
 				left[k] = true
 				clear(waiting[k])
-				b.close(item{in: director.ClientLost{Conn: p.number}, peer: p}, false)
+				b.disconnect(item{input: director.ClientLost{Conn: p.id}, peer: p}, false)
 			}
 		}
-		for b.waits() > 0 || len(b.first) > 0 {
-			check(b.take(nil))
+		for b.queueLength() > 0 || len(b.priority) > 0 {
+			check(b.takeBatch(nil))
 		}
 		for k, p := range players {
-			if n := p.pending.Load(); n != 0 || len(p.said) != 0 || len(waiting[k]) != 0 {
-				t.Fatalf("player %d: %d pending, %d said, %d never taken", k, n, len(p.said), len(waiting[k]))
+			if n := p.pending.Load(); n != 0 || len(p.queued) != 0 || len(waiting[k]) != 0 {
+				t.Fatalf("player %d: %d pending, %d said, %d never taken", k, n, len(p.queued), len(waiting[k]))
 			}
 		}
 	})
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -19,11 +19,11 @@
 	"fordusher/internal/wire"
 )
 
-const shake = "GET / HTTP/1.1\r\nHost: d\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\n" +
+const upgradeRequest = "GET / HTTP/1.1\r\nHost: d\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\n" +
 	"Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Protocol: " + wire.SessionProtocol + "\r\n\r\n"
 
-// knock tries a handshake and returns the HTTP answer's status and its Retry-After.
-func knock(t *testing.T, address string) (status, retry string) {
+// tryUpgrade tries a handshake and returns the HTTP answer's status and its Retry-After.
+func tryUpgrade(t *testing.T, address string) (status, retry string) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -31,7 +31,7 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	io.WriteString(c, shake)
+	io.WriteString(c, upgradeRequest)
 	buf := make([]byte, 1024)
 	n, _ := c.Read(buf)
 	head := string(buf[:n])
@@ -47,31 +47,31 @@
 // No room: newcomers are answered 503 with a time to come back, who plays goes on, and once somebody has
 // left there is room again.
 func TestNoRoomIsSaidAtTheHandshake(t *testing.T) {
-	p := open(t, 1, `"limits": {`, `"limits": {"connections": 20, "handshakes": 20, `)
+	p := newFixture(t, 1, `"limits": {`, `"limits": {"connections": 20, "handshakes": 20, `)
 	var conns []*transport.Conn
 	for i := range 19 { // 95%: full
 		c, in := dial(t, p.d.Address())
-		c.Send(want(fmt.Sprint(i), "clip"), 0)
+		c.Send(requestMessage(fmt.Sprint(i), "clip"), 0)
 		if m := in.answer(t); m.Type != wire.Plays {
 			t.Fatal(m)
 		}
 		conns = append(conns, c)
 	}
-	if status, retry := knock(t, p.d.Address()); status != "503" || retry == "" {
+	if status, retry := tryUpgrade(t, p.d.Address()); status != "503" || retry == "" {
 		t.Fatal(status, retry)
 	}
-	if _, busy := p.d.Room(); busy != 19 {
-		within(t, "nobody who plays is let go", func() bool { _, busy := p.d.Room(); return busy == 19 })
+	if _, busy := p.d.ConnectionUsage(); busy != 19 {
+		eventually(t, "nobody who plays is let go", func() bool { _, busy := p.d.ConnectionUsage(); return busy == 19 })
 	}
 	for _, c := range conns[:10] {
 		c.Close(1000, "")
 	}
-	within(t, "room again", func() bool {
-		status, _ := knock(t, p.d.Address())
+	eventually(t, "room again", func() bool {
+		status, _ := tryUpgrade(t, p.d.Address())
 		return status == "101"
 	})
 	p.d.Stop()
-	within(t, "nobody is let in by a director that closes", func() bool {
+	eventually(t, "nobody is let in by a director that closes", func() bool {
 		c, err := net.Dial("tcp", p.d.Address())
 		if err != nil {
 			return true
@@ -83,9 +83,9 @@
 
 // Idle players are let go, longest idle first, with 1013 and a time to come back; the one with a session stays.
 func TestIdleGoFirstAndAreToldWhenToComeBack(t *testing.T) {
-	p := open(t, 1, `"limits": {`, `"limits": {"connections": 20, "handshakes": 20, `)
+	p := newFixture(t, 1, `"limits": {`, `"limits": {"connections": 20, "handshakes": 20, `)
 	busy, playing := dial(t, p.d.Address())
-	busy.Send(want("1", "clip"), 0)
+	busy.Send(requestMessage("1", "clip"), 0)
 	if m := playing.answer(t); m.Type != wire.Plays {
 		t.Fatal(m)
 	}
@@ -109,7 +109,7 @@
 // Handshakes that never come whole hold no more than their bound and are cut off; others get in meanwhile
 // or are reset at once, and connect once the slow ones are gone.
 func TestSlowHandshakesAreBounded(t *testing.T) {
-	p := open(t, 1, `"limits": {`, `"limits": {"connections": 1000, "handshakes": 16, "players": {"handshake": "300ms"}, `)
+	p := newFixture(t, 1, `"limits": {`, `"limits": {"connections": 1000, "handshakes": 16, "players": {"handshake": "300ms"}, `)
 	for range 40 {
 		c, err := net.Dial("tcp", p.d.Address())
 		if errors.Is(err, syscall.ECONNRESET) { // over the bound: the reset may be there before connect returns
@@ -121,7 +121,7 @@
 		defer c.Close()
 		io.WriteString(c, "GET / HT")
 	}
-	within(t, "a player gets in", func() bool {
+	eventually(t, "a player gets in", func() bool {
 		c, err := transport.Dial(p.d.Address(), wire.SessionProtocol, 500*ms, transport.Bounds{Message: 4096, Queue: 4096},
 			&client{make(chan string, 10), make(chan error, 1)}, nil)
 		if err == nil {
@@ -133,18 +133,18 @@
 
 // Players that connect and never read, while others are served as ever.
 func TestNeverReadersCostOthersNothing(t *testing.T) {
-	p := open(t, 2)
+	p := newFixture(t, 2)
 	for range 300 {
 		c, err := net.Dial("tcp", p.d.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		io.WriteString(c, shake)
+		io.WriteString(c, upgradeRequest)
 	}
 	for i := range 50 {
 		c, in := dial(t, p.d.Address())
-		c.Send(want(fmt.Sprint(i), "clip"), 0)
+		c.Send(requestMessage(fmt.Sprint(i), "clip"), 0)
 		if m := in.answer(t); m.Type != wire.Plays {
 			t.Fatal(i, m)
 		}
@@ -154,7 +154,7 @@
 // A player that makes the director write and reads nothing is cut off by a reset: an orderly close would
 // wait in the kernel behind what the player does not read, and so would what is unsent.
 func TestNeverReaderIsReset(t *testing.T) {
-	p := open(t, 1, `"inbox": 64`, `"inbox": 1000000`)
+	p := newFixture(t, 1, `"inbox": 64`, `"inbox": 1000000`)
 	// Set before it connects: a window that shrinks afterwards makes the kernel drop what the director has sent into it,
 	// the acknowledgements in it included, and at times both sides then wait for each other.
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	io.WriteString(c, shake)
+	io.WriteString(c, upgradeRequest)
 	time.Sleep(100 * ms) // the handshake has to be answered before anything else comes
 	ask := ws.MustCompileFrame(ws.MaskFrame(ws.NewTextFrame(wire.Encode(wire.Session{Type: wire.Want, ID: "1", Tariff: "clip", Title: "none", Key: "k", Wait: 1000}))))
 	c.SetWriteDeadline(time.Now().Add(20 * time.Second))
@@ -177,12 +177,12 @@
 	if !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 		t.Fatal(err)
 	}
-	within(t, "forgotten", func() bool { used, _ := p.d.Room(); return used == 0 })
+	eventually(t, "forgotten", func() bool { used, _ := p.d.ConnectionUsage(); return used == 0 })
 }
 
 // The process stood still for longer than three signs of life: nobody is closed for it.
 func TestStallClosesNobody(t *testing.T) {
-	p := open(t, 1, `"ping": "100ms"`, `"ping": "100ms", "ping_players": "200ms"`)
+	p := newFixture(t, 1, `"ping": "100ms"`, `"ping": "100ms", "ping_players": "200ms"`)
 	over := make(chan struct{})
 	t.Cleanup(func() { close(over) })
 	network := transport.NewNetwork(over)
@@ -201,30 +201,30 @@
 				gone <- string(b)
 			}
 		})
-		c.Feed([]byte(shake))
+		c.Feed([]byte(upgradeRequest))
 	}
-	within(t, "all are in", func() bool { used, _ := p.d.Room(); return used >= 500 })
-	p.d.Jump(5 * time.Second)
+	eventually(t, "all are in", func() bool { used, _ := p.d.ConnectionUsage(); return used >= 500 })
+	p.d.AdvanceClock(5 * time.Second)
 	time.Sleep(1500 * ms)
 	select {
 	case b := <-gone:
 		t.Fatalf("closed: %q", b)
 	default:
 	}
-	if used, _ := p.d.Room(); used < 500 {
+	if used, _ := p.d.ConnectionUsage(); used < 500 {
 		t.Fatal(used)
 	}
 }
 
 // A player that floods pings is worked off or cut off; others are answered meanwhile.
 func TestFloodOfPingsDisturbsNobody(t *testing.T) {
-	p := open(t, 1)
+	p := newFixture(t, 1)
 	c, err := net.Dial("tcp", p.d.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	io.WriteString(c, shake)
+	io.WriteString(c, upgradeRequest)
 	stop := make(chan bool)
 	defer close(stop)
 	go func() {
@@ -243,7 +243,7 @@
 	}()
 	for i := range 20 {
 		o, in := dial(t, p.d.Address())
-		o.Send(want(fmt.Sprint(i), "clip"), 0)
+		o.Send(requestMessage(fmt.Sprint(i), "clip"), 0)
 		if m := in.answer(t); m.Type != wire.Plays {
 			t.Fatal(i, m)
 		}
@@ -253,23 +253,23 @@
 // The room is full while the director is ordered to stop: who plays has its time, newcomers are told that it
 // closes, and it ends within its term.
 func TestFullWhileClosing(t *testing.T) {
-	p := open(t, 1, `"limits": {`, `"limits": {"connections": 20, "handshakes": 20, `)
+	p := newFixture(t, 1, `"limits": {`, `"limits": {"connections": 20, "handshakes": 20, `)
 	for i := range 19 {
 		c, in := dial(t, p.d.Address())
-		c.Send(want(fmt.Sprint(i), "clip"), 0)
+		c.Send(requestMessage(fmt.Sprint(i), "clip"), 0)
 		if m := in.answer(t); m.Type != wire.Plays {
 			t.Fatal(m)
 		}
 	}
 	p.d.Stop()
-	within(t, "newcomers are turned away", func() bool {
+	eventually(t, "newcomers are turned away", func() bool {
 		c, err := net.Dial("tcp", p.d.Address())
 		if err != nil {
 			return true // it has ended already
 		}
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(5 * time.Second))
-		io.WriteString(c, shake)
+		io.WriteString(c, upgradeRequest)
 		head := make([]byte, 12)
 		n, err := io.ReadFull(c, head)
 		return err != nil && n == 0 || string(head[9:12]) == "503"
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -13,45 +13,45 @@
 
 // lateness is the loop's greatest lateness in a span and in the one before, so that who looks changes nothing.
 type lateness struct {
-	now, before time.Duration
-	ends        time.Duration
+	current, previous time.Duration
+	windowEnd         time.Duration
 }
 
-// lateSpan is longer than the usual time between two looks at the metrics.
-const lateSpan = 15 * time.Second
+// latenessWindow is longer than the usual time between two looks at the metrics.
+const latenessWindow = 15 * time.Second
 
-func (l *lateness) note(now, late time.Duration) {
-	if now >= l.ends {
-		l.before, l.now, l.ends = l.now, 0, now+lateSpan
+func (l *lateness) observe(now, late time.Duration) {
+	if now >= l.windowEnd {
+		l.previous, l.current, l.windowEnd = l.current, 0, now+latenessWindow
 	}
-	l.now = max(l.now, late)
+	l.current = max(l.current, late)
 }
 
 type snapshot struct {
-	counts                     director.Counts
-	owed, playing, legs, links int
-	players                    int
-	late                       time.Duration
-	used, busy                 int
-	mode                       limits.Mode
+	counts                           director.Counts
+	owed, playing, legs, links       int
+	clients                          int
+	lateness                         time.Duration
+	usedConnections, busyConnections int
+	mode                             limits.Mode
 }
 
-// snapEvery is how often the figures for metrics are renewed.
-const snapEvery = 200 * time.Millisecond
+// snapshotInterval is how often the figures for metrics are renewed.
+const snapshotInterval = 200 * time.Millisecond
 
-// used is what the program holds of the machine's memory.
-func used() int64 {
+// memoryInUse is what the program holds of the machine's memory.
+func memoryInUse() int64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(sample)
 	return int64(sample[0].Value.Uint64() - sample[1].Value.Uint64())
 }
 
-func (d *Daemon) snap() {
-	d.late.note(d.now(), 0)
-	s := &snapshot{players: len(d.players), late: max(d.late.now, d.late.before)}
-	s.used, s.busy, s.mode = d.loop.ConnectionUsage()
+func (d *Daemon) updateSnapshot() {
+	d.loopLateness.observe(d.now(), 0)
+	s := &snapshot{clients: len(d.clients), lateness: max(d.loopLateness.current, d.loopLateness.previous)}
+	s.usedConnections, s.busyConnections, s.mode = d.loop.ConnectionUsage()
 	s.counts, s.owed, s.playing, s.legs, s.links = d.loop.Counts()
-	d.seen.Store(s)
+	d.lastSnapshot.Store(s)
 }
 
 // Describe and Collect make a Daemon a prometheus.Collector.
@@ -59,7 +59,7 @@
 
 // Collect reads the figures that the loop last left.
 func (d *Daemon) Collect(ch chan<- prometheus.Metric) {
-	s := d.seen.Load()
+	s := d.lastSnapshot.Load()
 	c := &s.counts
 	for _, x := range []struct {
 		name, help string
@@ -83,9 +83,9 @@
 		{"stalls_total", "times that the loop was late by more than 100 ms", prometheus.CounterValue, float64(c.Stalls)},
 		{"unfit_total", "messages that this kind of peer does not send", prometheus.CounterValue, float64(c.UnknownMessages)},
 		{"malformed_total", "malformed messages", prometheus.CounterValue,
-			float64(d.refused[0].Load() + d.refused[1].Load() + d.refused[2].Load())},
-		{"overfull_total", "requests refused because too many of their connection waited", prometheus.CounterValue, float64(d.overfull.Load())},
-		{"flooded_total", "connections closed for too many messages", prometheus.CounterValue, float64(d.flooded.Load())},
+			float64(d.malformedCounts[0].Load() + d.malformedCounts[1].Load() + d.malformedCounts[2].Load())},
+		{"overfull_total", "requests refused because too many of their connection waited", prometheus.CounterValue, float64(d.inboxFullRejects.Load())},
+		{"flooded_total", "connections closed for too many messages", prometheus.CounterValue, float64(d.floodCloses.Load())},
 		{"accept_complaints_total", "failures that the transport noted", prometheus.CounterValue, float64(transport.Complaints())},
 		{"answers_owed", "requests without an answer yet", prometheus.GaugeValue, float64(s.owed)},
 		{"sessions_playing", "sessions that play", prometheus.GaugeValue, float64(s.playing)},
@@ -93,13 +93,13 @@
 		{"node_connections", "connections to nodes", prometheus.GaugeValue, float64(s.links)},
 		{"players_turned_away_total", "players not let in", prometheus.CounterValue, float64(c.ClientsRejected)},
 		{"requests_pressed_total", "requests nacked because they had waited too long for the loop", prometheus.CounterValue, float64(c.RequestsShed)},
-		{"requests_waiting", "what stands in line for the loop", prometheus.GaugeValue, float64(d.inbox.waits())},
+		{"requests_waiting", "what stands in line for the loop", prometheus.GaugeValue, float64(d.inbox.queueLength())},
 		{"players_let_go_total", "idle players let go", prometheus.CounterValue, float64(c.ClientsEvicted)},
 		{"room_mode", "0 normal, 1 saving, 2 full", prometheus.GaugeValue, float64(s.mode)},
-		{"player_connections_busy", "players with a session or an answer owed", prometheus.GaugeValue, float64(s.busy)},
-		{"player_connections", "connections of players", prometheus.GaugeValue, float64(s.players)},
-		{"client_input_ended_total", "clients from whom nothing more could be read", prometheus.CounterValue, float64(d.deafened.Load())},
-		{"loop_late_seconds", "greatest lateness of the loop in the last 15 to 30 s", prometheus.GaugeValue, s.late.Seconds()},
+		{"player_connections_busy", "players with a session or an answer owed", prometheus.GaugeValue, float64(s.busyConnections)},
+		{"player_connections", "connections of players", prometheus.GaugeValue, float64(s.clients)},
+		{"client_input_ended_total", "clients from whom nothing more could be read", prometheus.CounterValue, float64(d.inputEndedCount.Load())},
+		{"loop_late_seconds", "greatest lateness of the loop in the last 15 to 30 s", prometheus.GaugeValue, s.lateness.Seconds()},
 	} {
 		ch <- prometheus.MustNewConstMetric(prometheus.NewDesc("fordusher_"+x.name, x.help, nil, nil), x.kind, x.value)
 	}
@@ -114,4 +114,4 @@
 }
 
 // Counts returns what the loop has counted, as of the last 200 ms.
-func (d *Daemon) Counts() director.Counts { return d.seen.Load().counts }
+func (d *Daemon) Counts() director.Counts { return d.lastSnapshot.Load().counts }
--- a/internal/load/idle.go
+++ b/internal/load/idle.go
@@ -276,7 +276,7 @@
 		}
 	}
 	for end := time.Now().Add(time.Minute); ; time.Sleep(10 * time.Millisecond) {
-		if used, _ := d.Room(); used >= x.Connections || time.Now().After(end) {
+		if used, _ := d.ConnectionUsage(); used >= x.Connections || time.Now().After(end) {
 			break
 		}
 	}
@@ -289,7 +289,7 @@
 	// comes every so often.
 	go func() {
 		time.Sleep(s.Warm + x.For/4)
-		d.Jump(x.Ping)
+		d.AdvanceClock(x.Ping)
 	}()
 	stop := make(chan bool)
 	drained := make(chan int)
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -414,7 +414,7 @@
 	idle, busy := p.viewer(), p.viewer()
 	idle.send(release(77, causeEnded)) // knocks, and asks for nothing
 	idle.expect(kindHeard, 77, 0)
-	p.wait("it was not let in", func() bool { used, _ := p.d.Room(); return used == 1 })
+	p.wait("it was not let in", func() bool { used, _ := p.d.ConnectionUsage(); return used == 1 })
 	time.Sleep(300 * time.Millisecond) // idle for long enough to make place
 	busy.send(aSetup(1, atHome))
 	<-g.entered
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -44,14 +44,14 @@
 	return transport.DialPlain(address, within, splitRTSP, f.house.Door.Nodes, h)
 }
 
-// DialList connects to the notice board.
-func (f *Front) DialList(address string, within time.Duration, h transport.Handler) (*transport.Conn, error) {
+// DialDiscovery connects to the notice board.
+func (f *Front) DialDiscovery(address string, within time.Duration, h transport.Handler) (*transport.Conn, error) {
 	return transport.DialPlain(address, within, splitBoard, f.house.Door.List, h)
 }
 
-// FromPlayer reads a viewers' message. What can't be used of a set-up reaches the loop all the same, which knows
+// DecodeClient reads a viewers' message. What can't be used of a set-up reaches the loop all the same, which knows
 // whether its id is in use.
-func (f *Front) FromPlayer(raw []byte) (in director.ClientReceived, reply []byte, err error) {
+func (f *Front) DecodeClient(raw []byte) (in director.ClientReceived, reply []byte, err error) {
 	m, err := readViewer(raw)
 	if err != nil {
 		return in, nil, err
@@ -88,8 +88,8 @@
 	return in, nil, fmt.Errorf("unknown message %d", m.kind)
 }
 
-// ToPlayer words an answer, or the end of a session. Viewers are told nothing of rungs.
-func (f *Front) ToPlayer(o director.SendClient) []byte {
+// EncodeClient words an answer, or the end of a session. Viewers are told nothing of rungs.
+func (f *Front) EncodeClient(o director.SendClient) []byte {
 	m := o.Message
 	session := sessionNumber(m.ID)
 	switch m.Type {
@@ -116,8 +116,8 @@
 	"quality": policy.DeliveredShare, "profile": policy.CurrentRung, "nic": policy.LinkLoad, "tor": policy.UplinkLoad,
 }
 
-// FromNode reads a media node's message.
-func (f *Front) FromNode(raw []byte) (in director.LinkReceived, reply []byte, err error) {
+// DecodeNode reads a media node's message.
+func (f *Front) DecodeNode(raw []byte) (in director.LinkReceived, reply []byte, err error) {
 	m, err := readRTSP(raw)
 	if err != nil {
 		return in, nil, err
@@ -194,8 +194,8 @@
 	return &wire.Load{Streams: told(load.Streams), Link: told(load.Link), Uplink: told(load.Uplink)}, nil
 }
 
-// ToNode words what a media node is to do.
-func (f *Front) ToNode(o director.SendNode) []byte {
+// EncodeNode words what a media node is to do.
+func (f *Front) EncodeNode(o director.SendNode) []byte {
 	m := o.Message
 	switch m.Type {
 	case wire.Setup:
@@ -218,9 +218,9 @@
 	return nil
 }
 
-// FromList reads an event of the notice board. One that was had already is nothing; one that leaves others out ends
+// DecodeDiscovery reads an event of the notice board. One that was had already is nothing; one that leaves others out ends
 // the connection, so that they are asked for.
-func (f *Front) FromList(raw []byte) (m wire.List, err error) {
+func (f *Front) DecodeDiscovery(raw []byte) (m wire.List, err error) {
 	x, err := readFrame(raw)
 	if err != nil {
 		return m, err
@@ -254,8 +254,8 @@
 	return m, nil
 }
 
-// ToList asks the notice board for what is later than the last event.
-func (f *Front) ToList(m wire.List) []byte {
+// EncodeDiscovery asks the notice board for what is later than the last event.
+func (f *Front) EncodeDiscovery(m wire.List) []byte {
 	if m.Type != wire.Listen {
 		return nil
 	}
--- a/internal/platform/program_test.go
+++ b/internal/platform/program_test.go
@@ -221,7 +221,7 @@
 	if around != nil {
 		module = around(module)
 	}
-	p.d, err = daemon.StartAt(watched{front, &p.ends}, house, "b", 1, module, zerolog.Nop())
+	p.d, err = daemon.StartWithProtocol(watched{front, &p.ends}, house, "b", 1, module, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -519,7 +519,7 @@
 	if from, _ = b.next(t); from != 4 {
 		t.Fatalf("asked from %d", from)
 	}
-	p.d.MoveList(moved.ln.Addr().String())
+	p.d.SetDiscoveryAddress(moved.ln.Addr().String())
 	if from, c = moved.next(t); from != 4 {
 		t.Fatalf("asked from %d", from)
 	}
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -244,7 +244,7 @@
 				wait := rapid.SampledFrom([]int{30, 200, 900, 3000, 60000}).Draw(t, "wait")
 				raw := aSetup(uint64(step+1), map[byte]string{codeClass: fmt.Sprintf("class-%d", k), codeWait: fmt.Sprint(wait),
 					codePlace: fmt.Sprintf("home:%d;copies:1;top:2", rapid.IntRange(0, posting.trade.Family.Cells-1).Draw(t, "home"))})
-				in, _, err := front.FromPlayer(raw)
+				in, _, err := front.DecodeClient(raw)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -24,7 +24,7 @@
 // traced is a front that writes down the messages that cross it, one a line: the Unix time in seconds, whom it is
 // from or to, and what it says. By it one compares what the director believes with what passes on the sockets.
 type traced struct {
-	daemon.Front
+	daemon.Protocol
 	level TraceLevel
 	mu    sync.Mutex
 	out   *bufio.Writer
@@ -32,8 +32,8 @@
 }
 
 // Traced writes what crosses a front to out, in batches of a tenth of a second, until stop is closed.
-func Traced(f daemon.Front, level TraceLevel, out io.Writer, now func() time.Time, stop <-chan struct{}) daemon.Front {
-	t := &traced{Front: f, level: level, out: bufio.NewWriter(out), now: now}
+func Traced(f daemon.Protocol, level TraceLevel, out io.Writer, now func() time.Time, stop <-chan struct{}) daemon.Protocol {
+	t := &traced{Protocol: f, level: level, out: bufio.NewWriter(out), now: now}
 	go func() {
 		for ended := false; !ended; {
 			select {
@@ -55,8 +55,8 @@
 	t.mu.Unlock()
 }
 
-func (t *traced) FromPlayer(raw []byte) (in director.ClientReceived, reply []byte, err error) {
-	in, reply, err = t.Front.FromPlayer(raw)
+func (t *traced) DecodeClient(raw []byte) (in director.ClientReceived, reply []byte, err error) {
+	in, reply, err = t.Protocol.DecodeClient(raw)
 	switch {
 	case t.level == TraceBytes:
 		t.line("viewer> %s %.300q %v", in.Message.ID, raw, err)
@@ -66,8 +66,8 @@
 	return in, reply, err
 }
 
-func (t *traced) FromNode(raw []byte) (in director.LinkReceived, reply []byte, err error) {
-	in, reply, err = t.Front.FromNode(raw)
+func (t *traced) DecodeNode(raw []byte) (in director.LinkReceived, reply []byte, err error) {
+	in, reply, err = t.Protocol.DecodeNode(raw)
 	switch {
 	case t.level == TraceBytes:
 		t.line("node> %s %.400q %v", in.Message.Session, raw, err)
@@ -79,8 +79,8 @@
 	return in, reply, err
 }
 
-func (t *traced) FromList(raw []byte) (m wire.List, err error) {
-	m, err = t.Front.FromList(raw)
+func (t *traced) DecodeDiscovery(raw []byte) (m wire.List, err error) {
+	m, err = t.Protocol.DecodeDiscovery(raw)
 	if t.level == TraceBytes {
 		t.line("board> %d %+v %v", m.Serial, m.Nodes, err)
 	} else if m.Type != "" {
@@ -89,8 +89,8 @@
 	return m, err
 }
 
-func (t *traced) ToPlayer(o director.SendClient) []byte {
-	raw := t.Front.ToPlayer(o)
+func (t *traced) EncodeClient(o director.SendClient) []byte {
+	raw := t.Protocol.EncodeClient(o)
 	if t.level == TraceBytes {
 		t.line(">viewer %s on %d %s %s %.200q", o.Message.ID, o.Conn, o.Message.Type, o.Message.Why, raw)
 	} else if raw != nil {
@@ -99,8 +99,8 @@
 	return raw
 }
 
-func (t *traced) ToNode(o director.SendNode) []byte {
-	raw := t.Front.ToNode(o)
+func (t *traced) EncodeNode(o director.SendNode) []byte {
+	raw := t.Protocol.EncodeNode(o)
 	if t.level == TraceBytes {
 		t.line(">node %s on %d %.300q", o.Message.Session, o.Link, raw)
 	} else if o.Message.Type != wire.Rung {
