--- a/cmd/fordusher/import.go
+++ b/cmd/fordusher/import.go
@@ -158,7 +158,7 @@
 
 // plan writes the way from the earlier file to the new one.
 func (c *haproxyCommand) plan(before []byte, result *importer.Result) error {
-	old, err := conf.Read(c.Against, before)
+	old, err := conf.Decode(c.Against, before)
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 	if name == "" {
 		name = "the import"
 	}
-	now, err := conf.Read(name, []byte(b.String()))
+	now, err := conf.Decode(name, []byte(b.String()))
 	if err != nil {
 		return fmt.Errorf("a plan needs all blanks filled in: %w", err)
 	}
@@ -191,7 +191,7 @@
 
 // planBetween asks the planner for the way from one house's nodes to another's, and lets its checker go
 // over what it says.
-func planBetween(old, now *conf.House, t planTerms) ([]planLine, error) {
+func planBetween(old, now *conf.Config, t planTerms) ([]planLine, error) {
 	terms := turnover.Constraints{Cells: now.Fleet.Cells, Racks: now.Fleet.Racks, MaxPerRack: t.PerRack, MaxPerTitle: t.PerTitle, MaxWarming: t.Cold,
 		Warmup: now.Ramp.Warmup, DrainTime: t.Drain, PropagationDelay: t.Notice}
 	if old.Fleet.Cells != now.Fleet.Cells || old.Fleet.Racks != now.Fleet.Racks {
--- a/cmd/fordusher/serve.go
+++ b/cmd/fordusher/serve.go
@@ -69,21 +69,21 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err != nil {
 		return fmt.Errorf("the limit on descriptors: %w", err)
 	}
-	room, fitted := house.Room.FitDescriptors(int(min(descriptors.Cur, 1<<30)), house.Fleet.Cells)
+	room, fitted := house.Capacity.FitDescriptors(int(min(descriptors.Cur, 1<<30)), house.Fleet.Cells)
 	if fitted != "" {
 		logger.Info().Msg(fitted)
 	}
-	house.Room, house.Door.Players.Pending = room, room.MaxHandshakes
-	d, err := daemon.Start(house, c.Boot, c.Seed, house.Module(c.Seed), logger)
+	house.Capacity, house.ConnectionLimits.Clients.Pending = room, room.MaxHandshakes
+	d, err := daemon.Start(house, c.Boot, c.Seed, house.NewDecider(c.Seed), logger)
 	if err != nil {
 		return err
 	}
 	told := ready{Listen: d.Address()}
-	if house.Metrics != "" {
-		ln, err := net.Listen("tcp", house.Metrics)
+	if house.MetricsAddress != "" {
+		ln, err := net.Listen("tcp", house.MetricsAddress)
 		if err != nil {
 			d.Kill()
-			return fmt.Errorf("metrics at %s: %w", house.Metrics, err)
+			return fmt.Errorf("metrics at %s: %w", house.MetricsAddress, err)
 		}
 		reg := prometheus.NewRegistry()
 		reg.MustRegister(d, collectors.NewGoCollector(), prometheus.NewCounterFunc(prometheus.CounterOpts{
@@ -145,6 +145,6 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %s\n", c.File, house.Describe())
+	fmt.Printf("%s: %s\n", c.File, house.Summary())
 	return nil
 }
--- a/cmd/fordusher/standins.go
+++ b/cmd/fordusher/standins.go
@@ -29,7 +29,7 @@
 		return all, err
 	}
 	if err := json.Unmarshal(raw, &all); err != nil {
-		house, bad := conf.Read(c.File, raw)
+		house, bad := conf.Decode(c.File, raw)
 		if bad != nil {
 			return all, fmt.Errorf("neither a list (%v) nor a director's file: %w", err, bad)
 		}
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -24,16 +24,16 @@
 `
 
 func TestGoodFileIsRead(t *testing.T) {
-	h, err := Read("f", []byte(good))
+	h, err := Decode("f", []byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if h.Ladder.Rates[1] != 200 || h.Ladder.Rates[2] != 400 || h.Tariffs[1].Name != "exam" || !h.Tariffs[1].AtMostOnce ||
 		h.Tariffs[1].HardStop != 2*time.Second || h.Tariffs[0].Top != 2 || h.Ramp.MaxStreams[0] != 18 ||
-		h.Grace != 250*time.Millisecond || h.Door.Nodes.Queue != 64<<10 || h.Door.Nodes.Write != 100*time.Millisecond {
+		h.DrainGrace != 250*time.Millisecond || h.ConnectionLimits.Nodes.Queue != 64<<10 || h.ConnectionLimits.Nodes.Write != 100*time.Millisecond {
 		t.Fatalf("%+v", h)
 	}
-	if h.Module(1) == nil || h.Loop("b", 1, h.Module(1)) == nil {
+	if h.NewDecider(1) == nil || h.NewLoop("b", 1, h.NewDecider(1)) == nil {
 		t.Fatal("nothing runs by it")
 	}
 }
@@ -72,7 +72,7 @@
 		if text == good {
 			t.Fatalf("%q is not in the file", c.old)
 		}
-		_, err := Read("f", []byte(text))
+		_, err := Decode("f", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s:\n  got    %v\n  wanted %s", c.new, err, c.want)
 		}
@@ -81,7 +81,7 @@
 
 func TestAllMistakesAtOnceInTheirOrder(t *testing.T) {
 	text := strings.NewReplacer(`"me": 0`, `"me": 7`, `"800ms"`, `"800"`, `"racks"`, `"rakcs"`).Replace(good)
-	_, err := Read("f", []byte(text))
+	_, err := Decode("f", []byte(text))
 	problems, ok := errors.AsType[Problems](err)
 	if !ok || len(problems) != 4 { // a key misspelt is also a key missing
 		t.Fatal(err)
@@ -96,7 +96,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(good))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if h, err := Read("f", text); (h == nil) == (err == nil) {
+		if h, err := Decode("f", text); (h == nil) == (err == nil) {
 			t.Fatal("neither a house nor an error")
 		}
 	})
--- a/internal/conf/reader.go
+++ b/internal/conf/reader.go
@@ -34,17 +34,17 @@
 	return strings.Join(lines, "\n")
 }
 
-// A Reader reads JSON with comments and trailing commas, keeps where everything stands, and collects what
+// A Parser reads JSON with comments and trailing commas, keeps where everything stands, and collects what
 // is wrong instead of ending at the first.
-type Reader struct {
+type Parser struct {
 	file     string
 	starts   []int // of lines
 	problems Problems
 }
 
 // Parse reads a whole text, which has to be one object.
-func Parse(file string, text []byte) (*Reader, *Object) {
-	r := &Reader{file: file, starts: []int{0}}
+func Parse(file string, text []byte) (*Parser, *Object) {
+	r := &Parser{file: file, starts: []int{0}}
 	for i, b := range text {
 		if b == '\n' {
 			r.starts = append(r.starts, i+1)
@@ -59,7 +59,7 @@
 }
 
 // syntax turns the parser's message, which names line and column in its own way, into a problem.
-func (r *Reader) syntax(err error) {
+func (r *Parser) syntax(err error) {
 	text := strings.TrimPrefix(err.Error(), "hujson: ")
 	var line, col int
 	if n, _ := fmt.Sscanf(text, "line %d, column %d:", &line, &col); n == 2 {
@@ -70,17 +70,17 @@
 	r.problems = append(r.problems, Problem{r.file, line, col, text})
 }
 
-// Wrong notes a problem at an offset.
-func (r *Reader) Wrong(at int, format string, args ...any) {
+// AddProblem notes a problem at an offset.
+func (r *Parser) AddProblem(at int, format string, args ...any) {
 	line := sort.SearchInts(r.starts, at+1)
 	r.problems = append(r.problems, Problem{r.file, line, at - r.starts[line-1] + 1, fmt.Sprintf(format, args...)})
 }
 
 // Line is the line of an offset, from 1.
-func (r *Reader) Line(at int) int { return sort.SearchInts(r.starts, at+1) }
+func (r *Parser) Line(at int) int { return sort.SearchInts(r.starts, at+1) }
 
 // Err is what is wrong, in the file's order, or nil.
-func (r *Reader) Err() error {
+func (r *Parser) Err() error {
 	if len(r.problems) == 0 {
 		return nil
 	}
@@ -92,30 +92,30 @@
 
 // An Object is a JSON object that is being read. A key that nobody asks for is a problem.
 type Object struct {
-	r       *Reader
-	At      int
+	r       *Parser
+	Offset  int
 	names   []string
 	members map[string]hujson.ObjectMember
 	asked   map[string]bool
 	absent  bool
 }
 
-func (r *Reader) empty(at int) *Object {
-	return &Object{r: r, At: at, members: map[string]hujson.ObjectMember{}, asked: map[string]bool{}, absent: true}
+func (r *Parser) empty(at int) *Object {
+	return &Object{r: r, Offset: at, members: map[string]hujson.ObjectMember{}, asked: map[string]bool{}, absent: true}
 }
 
-func (r *Reader) object(v hujson.Value, what string) *Object {
+func (r *Parser) object(v hujson.Value, what string) *Object {
 	o := r.empty(v.StartOffset)
 	raw, ok := v.Value.(*hujson.Object)
 	if !ok {
-		r.Wrong(v.StartOffset, "%s has to be an object { }", what)
+		r.AddProblem(v.StartOffset, "%s has to be an object { }", what)
 		return o
 	}
 	o.absent = false
 	for _, m := range raw.Members {
 		name := m.Name.Value.(hujson.Literal).String()
 		if first, twice := o.members[name]; twice {
-			r.Wrong(m.Name.StartOffset, "%q stands here again; line %d has it already", name, r.Line(first.Name.StartOffset))
+			r.AddProblem(m.Name.StartOffset, "%q stands here again; line %d has it already", name, r.Line(first.Name.StartOffset))
 			continue
 		}
 		o.names = append(o.names, name)
@@ -127,19 +127,19 @@
 // Names are the object's keys, in the file's order.
 func (o *Object) Names() []string { return o.names }
 
-// Where is the offset of a key's value, or of the object where it has none.
-func (o *Object) Where(name string) int {
+// OffsetOf is the offset of a key's value, or of the object where it has none.
+func (o *Object) OffsetOf(name string) int {
 	if m, ok := o.members[name]; ok {
 		return m.Value.StartOffset
 	}
-	return o.At
+	return o.Offset
 }
 
 // Has tells whether the object has a key.
 func (o *Object) Has(name string) bool { _, ok := o.members[name]; return ok }
 
-// Done notes every key that nobody asked for, with the nearest one that is known.
-func (o *Object) Done() {
+// ReportUnknownKeys notes every key that nobody asked for, with the nearest one that is known.
+func (o *Object) ReportUnknownKeys() {
 	for _, name := range o.names {
 		if o.asked[name] {
 			continue
@@ -154,7 +154,7 @@
 		if near != "" {
 			hint = fmt.Sprintf("; did you mean %q?", near)
 		}
-		o.r.Wrong(o.members[name].Name.StartOffset, "unknown key %q%s", name, hint)
+		o.r.AddProblem(o.members[name].Name.StartOffset, "unknown key %q%s", name, hint)
 	}
 }
 
@@ -173,24 +173,24 @@
 	o.asked[name] = true
 	m, ok := o.members[name]
 	if !ok && need && !o.absent {
-		o.r.Wrong(o.At, "%q is missing", name)
+		o.r.AddProblem(o.Offset, "%q is missing", name)
 	}
 	if l, isLiteral := m.Value.Value.(hujson.Literal); ok && isLiteral && l.Kind() == 'n' {
-		o.r.Wrong(m.Value.StartOffset, "%q is not filled in yet", name)
+		o.r.AddProblem(m.Value.StartOffset, "%q is not filled in yet", name)
 		return m.Value, false
 	}
 	return m.Value, ok
 }
 
-// Skip leaves a key to somebody else.
-func (o *Object) Skip(name string) { o.asked[name] = true }
+// MarkKnown leaves a key to somebody else.
+func (o *Object) MarkKnown(name string) { o.asked[name] = true }
 
 // Object reads a key that holds an object; without it an empty one is returned, and its own keys that
 // have to be there are not asked for.
 func (o *Object) Object(name string, need bool) *Object {
 	v, ok := o.value(name, need)
 	if !ok {
-		return o.r.empty(o.At)
+		return o.r.empty(o.Offset)
 	}
 	return o.r.object(v, fmt.Sprintf("%q", name))
 }
@@ -203,7 +203,7 @@
 	}
 	list, ok := v.Value.(*hujson.Array)
 	if !ok {
-		o.r.Wrong(v.StartOffset, "%q has to be a list [ ]", name)
+		o.r.AddProblem(v.StartOffset, "%q has to be a list [ ]", name)
 		return
 	}
 	for i, e := range list.Elements {
@@ -238,7 +238,7 @@
 	}
 	l, ok := literal(v, '"')
 	if !ok {
-		o.r.Wrong(v.StartOffset, "%q has to be text in quotes", name)
+		o.r.AddProblem(v.StartOffset, "%q has to be text in quotes", name)
 		return missing
 	}
 	return l.String()
@@ -250,21 +250,21 @@
 		if l, ok := literal(v, '"'); ok {
 			all = append(all, l.String())
 		} else {
-			o.r.Wrong(at, "%s[%d] has to be text in quotes", name, i)
+			o.r.AddProblem(at, "%s[%d] has to be text in quotes", name, i)
 		}
 	})
 	return all
 }
 
-// Flag reads true or false.
-func (o *Object) Flag(name string, missing bool) bool {
+// Bool reads true or false.
+func (o *Object) Bool(name string, missing bool) bool {
 	v, ok := o.value(name, false)
 	if !ok {
 		return missing
 	}
 	l, ok := literal(v, 't')
 	if !ok {
-		o.r.Wrong(v.StartOffset, "%q has to be true or false", name)
+		o.r.AddProblem(v.StartOffset, "%q has to be true or false", name)
 		return missing
 	}
 	return l.Bool()
@@ -282,13 +282,13 @@
 func (o *Object) number(v hujson.Value, name string, missing, least, most float64) float64 {
 	l, ok := literal(v, '0')
 	if !ok {
-		o.r.Wrong(v.StartOffset, "%q has to be a number without a unit", name)
+		o.r.AddProblem(v.StartOffset, "%q has to be a number without a unit", name)
 		return missing
 	}
 	if x := l.Float(); x >= least && x <= most {
 		return x
 	}
-	o.r.Wrong(v.StartOffset, "%q is %s; it has to lie within %g to %g", name, l, least, most)
+	o.r.AddProblem(v.StartOffset, "%q is %s; it has to lie within %g to %g", name, l, least, most)
 	return missing
 }
 
@@ -300,33 +300,33 @@
 	return all
 }
 
-// Whole reads a whole number within bounds.
-func (o *Object) Whole(name string, missing, least, most int, need bool) int {
+// Int reads a whole number within bounds.
+func (o *Object) Int(name string, missing, least, most int, need bool) int {
 	x := o.Number(name, float64(missing), float64(least), float64(most), need)
 	if x != math.Trunc(x) {
-		o.r.Wrong(o.Where(name), "%q is %g; it has to be a whole number", name, x)
+		o.r.AddProblem(o.OffsetOf(name), "%q is %g; it has to be a whole number", name, x)
 		return missing
 	}
 	return int(x)
 }
 
-// Span reads a duration with its unit ("250ms", "1.5s", "2m") within bounds.
-func (o *Object) Span(name string, missing, least, most time.Duration, need bool) time.Duration {
+// Duration reads a duration with its unit ("250ms", "1.5s", "2m") within bounds.
+func (o *Object) Duration(name string, missing, least, most time.Duration, need bool) time.Duration {
 	v, ok := o.value(name, need)
 	if !ok {
 		return missing
 	}
 	l, ok := literal(v, '"')
 	if !ok {
-		o.r.Wrong(v.StartOffset, "%q has to be a duration with its unit in quotes, as in \"250ms\" or \"1.5s\"", name)
+		o.r.AddProblem(v.StartOffset, "%q has to be a duration with its unit in quotes, as in \"250ms\" or \"1.5s\"", name)
 		return missing
 	}
 	d, err := time.ParseDuration(l.String())
 	switch {
 	case err != nil:
-		o.r.Wrong(v.StartOffset, "%q is %s; a duration has a unit (ms, s, m, h), as in \"250ms\" or \"1.5s\"", name, l)
+		o.r.AddProblem(v.StartOffset, "%q is %s; a duration has a unit (ms, s, m, h), as in \"250ms\" or \"1.5s\"", name, l)
 	case d < least || d > most:
-		o.r.Wrong(v.StartOffset, "%q is %v; it has to lie within %v to %v", name, d, least, most)
+		o.r.AddProblem(v.StartOffset, "%q is %v; it has to lie within %v to %v", name, d, least, most)
 	default:
 		return d
 	}
@@ -348,7 +348,7 @@
 			}
 		}
 	}
-	o.r.Wrong(v.StartOffset, "%q has to be a rate with its unit in quotes (B/s, kB/s, MB/s, kbit/s, Mbit/s, Gbit/s), as in \"700kB/s\"", name)
+	o.r.AddProblem(v.StartOffset, "%q has to be a rate with its unit in quotes (B/s, kB/s, MB/s, kbit/s, Mbit/s, Gbit/s), as in \"700kB/s\"", name)
 	return 0
 }
 
@@ -379,13 +379,13 @@
 			n, found := strings.CutSuffix(text, unit)
 			if x, err := strconv.Atoi(strings.TrimSpace(n)); found && err == nil {
 				if x*by < least || x*by > most {
-					o.r.Wrong(v.StartOffset, "%q is %s; it has to lie within %dkB to %dkB", name, text, least>>10, most>>10)
+					o.r.AddProblem(v.StartOffset, "%q is %s; it has to lie within %dkB to %dkB", name, text, least>>10, most>>10)
 					return missing
 				}
 				return x * by
 			}
 		}
 	}
-	o.r.Wrong(v.StartOffset, "%q has to be a size with its unit in quotes (kB, MB, GB), as in \"64kB\"", name)
+	o.r.AddProblem(v.StartOffset, "%q has to be a size with its unit in quotes (kB, MB, GB), as in \"64kB\"", name)
 	return missing
 }
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -47,7 +47,7 @@
 	if in.Message.Type == "" {
 		return
 	}
-	if isNewRequest(in) && int(p.pending.Load()) >= h.d.config.Door.Inbox {
+	if isNewRequest(in) && int(p.pending.Load()) >= h.d.config.ConnectionLimits.InboxSize {
 		h.d.rejectRequest(c, in)
 		return
 	}
@@ -55,7 +55,7 @@
 		return
 	}
 	in.Conn = p.id
-	if i := (item{input: in, peer: p}); in.Message.Type == wire.Leave && h.d.config.Manners.Linger == 0 {
+	if i := (item{input: in, peer: p}); in.Message.Type == wire.Leave && h.d.config.ProtocolOptions.Linger == 0 {
 		h.d.inbox.cancel(i, in.Message.ID)
 	} else {
 		h.d.inbox.enqueueClient(i)
@@ -77,6 +77,6 @@
 func (h clientHandler) Closed(c *transport.Conn, why error, _ []uint64) {
 	if p, ok := c.Cookie().(*peer); ok {
 		p.disconnected.Store(true)
-		h.d.inbox.disconnect(item{input: director.ClientLost{Conn: p.id, Reason: truncate(why.Error())}, peer: p}, h.d.config.Manners.Linger > 0)
+		h.d.inbox.disconnect(item{input: director.ClientLost{Conn: p.id, Reason: truncate(why.Error())}, peer: p}, h.d.config.ProtocolOptions.Linger > 0)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -22,7 +22,7 @@
 
 // Daemon is a running director.
 type Daemon struct {
-	config    *conf.House
+	config    *conf.Config
 	protocol  Protocol
 	loop      *director.Loop
 	log       zerolog.Logger
@@ -56,14 +56,14 @@
 }
 
 // Start runs a director around a module. Boot is a word that no other run of this director has used.
-func Start(house *conf.House, boot string, seed uint64, module director.Decider, log zerolog.Logger) (*Daemon, error) {
+func Start(house *conf.Config, boot string, seed uint64, module director.Decider, log zerolog.Logger) (*Daemon, error) {
 	return StartWithProtocol(webSocketProtocol{house}, house, boot, seed, module, log)
 }
 
 // StartWithProtocol is Start for a front other than the project's own protocols.
-func StartWithProtocol(front Protocol, house *conf.House, boot string, seed uint64, module director.Decider, log zerolog.Logger) (*Daemon, error) {
+func StartWithProtocol(front Protocol, house *conf.Config, boot string, seed uint64, module director.Decider, log zerolog.Logger) (*Daemon, error) {
 	d := &Daemon{
-		config: house, protocol: front, discoveryMoved: make(chan struct{}, 1), loop: house.Loop(boot, seed, module), log: log, startedAt: time.Now(), seed: seed,
+		config: house, protocol: front, discoveryMoved: make(chan struct{}, 1), loop: house.NewLoop(boot, seed, module), log: log, startedAt: time.Now(), seed: seed,
 		inbox: inbox{wake: make(chan struct{}, 1)},
 		quit:  make(chan struct{}), done: make(chan struct{}),
 		clients: map[uint64]*transport.Conn{}, links: map[uint64]*transport.Conn{},
@@ -73,7 +73,7 @@
 	}
 	d.lastSnapshot.Store(&snapshot{})
 	var err error
-	d.discoveryAddress.Store(&house.List)
+	d.discoveryAddress.Store(&house.DiscoveryAddress)
 	d.server, err = front.Listen(clientHandler{d})
 	if err != nil {
 		return nil, err
@@ -83,10 +83,10 @@
 	}
 	d.loop.Observe(d.logEvent)
 	go d.run()
-	if house.List != "" {
+	if house.DiscoveryAddress != "" {
 		go d.followDiscovery()
 	}
-	log.Info().Str("listen", d.server.Address()).Msg(house.Describe())
+	log.Info().Str("listen", d.server.Address()).Msg(house.Summary())
 	return d, nil
 }
 
@@ -133,7 +133,7 @@
 		}
 		if now >= snapped+snapshotInterval || ended {
 			snapped = now
-			if d.config.Room.MaxMemory > 0 {
+			if d.config.Capacity.MaxMemory > 0 {
 				ended = d.execute(d.loop.Step(now, director.MemoryUsage{Bytes: memoryInUse()})) || ended
 			}
 			d.updateSnapshot()
@@ -171,7 +171,7 @@
 	}
 	switch e := i.input.(type) {
 	case director.ClientReceived:
-		if d.config.Manners.Linger == 0 && isNewRequest(e) && (i.peer.disconnected.Load() || d.inbox.wasCancelled(i.peer, e.Message.ID)) {
+		if d.config.ProtocolOptions.Linger == 0 && isNewRequest(e) && (i.peer.disconnected.Load() || d.inbox.wasCancelled(i.peer, e.Message.ID)) {
 			return false // who left while the request waited here is owed nothing, and nothing is begun for it
 		}
 		e.Waited = time.Since(d.pauses.earliestSent(i.receivedAt))
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -71,11 +71,11 @@
 	for i := 0; i+1 < len(change); i += 2 {
 		text = strings.Replace(text, change[i], change[i+1], 1)
 	}
-	house, err := conf.Read("d.jsonc", []byte(text))
+	house, err := conf.Decode("d.jsonc", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := Start(house, "b", 1, house.Module(1), zerolog.Nop())
+	d, err := Start(house, "b", 1, house.NewDecider(1), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/discovery.go
+++ b/internal/daemon/discovery.go
@@ -19,7 +19,7 @@
 
 // followDiscovery keeps the connection to the list's source.
 func (d *Daemon) followDiscovery() {
-	pace := d.config.Pace
+	pace := d.config.ReconnectPolicy
 	pace.OnDemand = false // the list's source is needed all the time
 	r := reach.New(d.seed, pace)
 	plan := r.Step(d.now(), reach.Event{Kind: reach.Listed})
@@ -58,7 +58,7 @@
 			case <-d.discoveryMoved:
 				conn.Cut()
 			case <-time.After(snapshotInterval):
-				if quiet := d.config.ListQuiet; quiet > 0 && conn.Quiet() > quiet {
+				if quiet := d.config.DiscoveryReadTimeout; quiet > 0 && conn.Quiet() > quiet {
 					d.log.Warn().Dur("quiet", quiet).Msg("the list's source says nothing any more: it is connected to again")
 					conn.Cut()
 				}
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -30,18 +30,18 @@
 }
 
 // webSocketProtocol is the project's own protocols over WebSocket.
-type webSocketProtocol struct{ config *conf.House }
+type webSocketProtocol struct{ config *conf.Config }
 
 func (f webSocketProtocol) Listen(h transport.Handler) (*transport.Server, error) {
-	return transport.Serve(f.config.Listen, wire.SessionProtocol, f.config.Door.Players, h)
+	return transport.Serve(f.config.ListenAddress, wire.SessionProtocol, f.config.ConnectionLimits.Clients, h)
 }
 
 func (f webSocketProtocol) DialNode(address string, within time.Duration, h transport.Handler) (*transport.Conn, error) {
-	return transport.Dial(address, wire.NodeProtocol, within, f.config.Door.Nodes, h, nil)
+	return transport.Dial(address, wire.NodeProtocol, within, f.config.ConnectionLimits.Nodes, h, nil)
 }
 
 func (f webSocketProtocol) DialDiscovery(address string, within time.Duration, h transport.Handler) (*transport.Conn, error) {
-	return transport.Dial(address, wire.ListProtocol, within, f.config.Door.List, h, nil)
+	return transport.Dial(address, wire.ListProtocol, within, f.config.ConnectionLimits.Discovery, h, nil)
 }
 
 func (webSocketProtocol) DecodeClient(raw []byte) (in director.ClientReceived, reply []byte, err error) {
--- a/internal/daemon/misuse.go
+++ b/internal/daemon/misuse.go
@@ -19,7 +19,7 @@
 // reserveInboxSlot counts one more message of a peer that waits, and closes the peer's connection where that is too
 // many.
 func (d *Daemon) reserveInboxSlot(c *transport.Conn, p *peer) bool {
-	if p.pending.Add(1) <= int32(d.config.Door.Inbox) {
+	if p.pending.Add(1) <= int32(d.config.ConnectionLimits.InboxSize) {
 		return true
 	}
 	p.pending.Add(-1)
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -34,7 +34,7 @@
 func (d *Daemon) drainConnections() {
 	d.server.Refusing(true)
 	d.server.Each(func(c *transport.Conn) { c.Close(closeGoingAway, "director closes") }) // what has come in part is no request
-	for end := time.Now().Add(d.config.Door.Players.Write * 2); time.Now().Before(end); {
+	for end := time.Now().Add(d.config.ConnectionLimits.Clients.Write * 2); time.Now().Before(end); {
 		open := 0
 		d.server.Each(func(*transport.Conn) { open++ })
 		if open == 0 {
--- a/internal/day/baseline.go
+++ b/internal/day/baseline.go
@@ -11,10 +11,10 @@
 
 // Baselines are deciders to measure the module against, behind the same loop: they know the list and
 // drains, and keep a paid session from a second set-up, but judge nothing.
-var Baselines = map[string]func(h *conf.House, seed uint64) director.Decider{
-	"random-lowest": func(h *conf.House, seed uint64) director.Decider { return newBaseline(h, seed, atRandom) },
-	"least-middle":  func(h *conf.House, seed uint64) director.Decider { return newBaseline(h, seed, leastFirst) },
-	"round-robin":   func(h *conf.House, seed uint64) director.Decider { return newBaseline(h, seed, inTurn) },
+var Baselines = map[string]func(h *conf.Config, seed uint64) director.Decider{
+	"random-lowest": func(h *conf.Config, seed uint64) director.Decider { return newBaseline(h, seed, atRandom) },
+	"least-middle":  func(h *conf.Config, seed uint64) director.Decider { return newBaseline(h, seed, leastFirst) },
+	"round-robin":   func(h *conf.Config, seed uint64) director.Decider { return newBaseline(h, seed, inTurn) },
 }
 
 // choice is how a baseline picks a holder.
@@ -28,7 +28,7 @@
 
 // A baseline sets up at once on some holder and never looks back.
 type baseline struct {
-	house    *conf.House
+	house    *conf.Config
 	chance   *rand.Rand
 	how      choice
 	turn     int
@@ -45,7 +45,7 @@
 	ran  bool
 }
 
-func newBaseline(h *conf.House, seed uint64, how choice) *baseline {
+func newBaseline(h *conf.Config, seed uint64, how choice) *baseline {
 	return &baseline{house: h, chance: rand.New(rand.NewPCG(seed, 5)), how: how, nodes: map[string]policy.NodeEntry{},
 		streams: map[string]float64{}, sessions: map[uint64]*plain{}}
 }
@@ -108,7 +108,7 @@
 		if s.ran && t.AtMostOnce {
 			return []policy.Action{policy.Fail{ID: s.ID}}
 		}
-		return []policy.Action{policy.Nack{ID: s.ID, Backoff: b.house.Tidings.MaxBackoff}}
+		return []policy.Action{policy.Nack{ID: s.ID, Backoff: b.house.ReportTiming.MaxBackoff}}
 	}
 	at, rung := holders[b.chance.IntN(len(holders))], t.Floor
 	if b.how == inTurn {
--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -51,7 +51,7 @@
 	Worth    []float64
 	Plan     []Told
 
-	house  *conf.House // of an imported fleet; nil: the script's own
+	house  *conf.Config // of an imported fleet; nil: the script's own
 	facts  houseFacts
 	chance *rand.Rand
 }
@@ -94,7 +94,7 @@
 }
 
 // LayImported lays out the place that a director's file describes: its nodes behind stand-ins, its titles.
-func LayImported(s *Script, seed uint64, h *conf.House, plan []Told) (*Layout, error) {
+func LayImported(s *Script, seed uint64, h *conf.Config, plan []Told) (*Layout, error) {
 	if len(h.Nodes) == 0 || len(h.Titles) == 0 {
 		return nil, fmt.Errorf("the director's file has %d nodes and %d titles: a day needs some of both", len(h.Nodes), len(h.Titles))
 	}
@@ -118,14 +118,14 @@
 		}
 	}
 	for _, e := range all {
-		kind := slices.Index(h.Machines, e.Kind)
+		kind := slices.Index(h.MachineKinds, e.Kind)
 		if kind < 0 {
 			return nil, fmt.Errorf("node %s is of kind %q, which fleet.machines does not have", e.Node, e.Kind)
 		}
 		y.machine(e, h.Fleet.Racks, int(h.Ramp.MaxStreams[kind]), h.Fleet.LinkUnit*e.Weight)
 	}
 	y.Site = node.Site{Warmup: h.Ramp.Warmup, ColdFrom: h.Ramp.InitialShare, Multiple: h.Ramp.OverloadMultiple, TipAfter: h.Ramp.OverloadWindow,
-		Late: h.Tidings.Delay, Every: h.Tidings.Interval, Refresh: 300 * time.Millisecond, Worth: y.Worth, StallCost: stallCost}
+		Late: h.ReportTiming.Delay, Every: h.ReportTiming.Interval, Refresh: 300 * time.Millisecond, Worth: y.Worth, StallCost: stallCost}
 	for range h.Fleet.Racks {
 		y.Site.Uplinks = append(y.Site.Uplinks, h.Fleet.Uplink*(0.85+0.3*y.chance.Float64()))
 	}
@@ -136,11 +136,11 @@
 func DirectorName(i int) string { return "director-" + strconv.Itoa(i) }
 
 // House is what a director is told at its start, and, of the script's own place, the text that says so.
-func (y *Layout) House(i int, list string) (*conf.House, []byte, error) {
+func (y *Layout) House(i int, list string) (*conf.Config, []byte, error) {
 	name := DirectorName(i)
 	if y.house != nil {
 		h := *y.house
-		h.Name, h.Peers.Index, h.Peers.Directors, h.Listen, h.List, h.Metrics = name, i, y.Script.Directors, "127.0.0.1:0", list, ""
+		h.Name, h.Peers.Index, h.Peers.Directors, h.ListenAddress, h.DiscoveryAddress, h.MetricsAddress = name, i, y.Script.Directors, "127.0.0.1:0", list, ""
 		h.Nodes, h.Titles = nil, nil // the list has them
 		return &h, nil, nil
 	}
@@ -150,12 +150,12 @@
 	if err := houseTemplate.Execute(&text, facts); err != nil {
 		return nil, nil, err
 	}
-	house, err := conf.Read(name+".jsonc", text.Bytes())
+	house, err := conf.Decode(name+".jsonc", text.Bytes())
 	return house, text.Bytes(), err
 }
 
 // Viewer is the viewer of a number; hot is the share of them that want one of two titles.
-func (y *Layout) Viewer(h *conf.House, number int, hot float64) (player.Viewer, *rand.Rand) {
+func (y *Layout) Viewer(h *conf.Config, number int, hot float64) (player.Viewer, *rand.Rand) {
 	r := rand.New(rand.NewPCG(y.Seed, uint64(number)+1000))
 	v := player.Viewer{Number: number + 1, Key: strconv.FormatUint(r.Uint64(), 36)}
 	i := 0
@@ -195,9 +195,9 @@
 }
 
 // Terms are the figures of the rules, as directors of a house were told them.
-func Terms(h *conf.House, slack time.Duration) witness.Terms {
+func Terms(h *conf.Config, slack time.Duration) witness.Terms {
 	t := witness.Terms{
-		Tariffs: map[string]witness.Tariff{}, Grace: h.Grace, Warmup: h.Ramp.Warmup, ColdFrom: h.Ramp.InitialShare,
+		Tariffs: map[string]witness.Tariff{}, Grace: h.DrainGrace, Warmup: h.Ramp.Warmup, ColdFrom: h.Ramp.InitialShare,
 		Multiple: h.Ramp.OverloadMultiple, TipAfter: h.Ramp.OverloadWindow, Most: h.Legs.MaxLegs, Spare: h.Legs.MinRetries, Share: h.Legs.RetryRatio,
 		Span: h.Legs.Window, Slack: slack,
 	}
--- a/internal/day/rig.go
+++ b/internal/day/rig.go
@@ -26,14 +26,14 @@
 type Options struct {
 	Seed     uint64
 	Log      zerolog.Logger
-	Progress func(line string)                                 // a line now and then; may be nil
-	Module   func(h *conf.House, seed uint64) director.Decider // nil: the module
+	Progress func(line string)                                  // a line now and then; may be nil
+	Module   func(h *conf.Config, seed uint64) director.Decider // nil: the module
 	// Unguarded is for tests: the loop sends what a module that is broken on purpose wants sent.
 	Unguarded bool
 	Wrap      func(d director.Decider) director.Decider // for tests that break it; may be nil
 	Launch    Launcher                                  // nil: everything in this process
 	Slack     time.Duration                             // of the witness; 0: 100 ms
-	House     *conf.House                               // a director's file with nodes and titles to play instead of the script's own; may be nil
+	House     *conf.Config                              // a director's file with nodes and titles to play instead of the script's own; may be nil
 	Plan      []Told                                    // what the list says in the course of the day
 }
 
@@ -76,7 +76,7 @@
 	fleet  Fleet
 	list   *list.Source
 	crowd  *player.Crowd
-	first  *conf.House
+	first  *conf.Config
 
 	mu        sync.Mutex
 	directors []*post
@@ -168,7 +168,7 @@
 }
 
 // post starts a director of a house; its text is for one in a process of its own.
-func (g *rig) post(p *post, house *conf.House, text []byte) (err error) {
+func (g *rig) post(p *post, house *conf.Config, text []byte) (err error) {
 	g.mu.Lock()
 	g.boots++
 	boot, seed := strconv.Itoa(g.boots), g.opt.Seed*1000+uint64(g.boots)
@@ -180,8 +180,8 @@
 	if g.opt.Launch != nil {
 		d, err = g.opt.Launch.Director(text, p.name, boot, seed)
 	} else {
-		house.Unguarded = g.opt.Unguarded
-		var module director.Decider = house.Module(seed)
+		house.DisableGuard = g.opt.Unguarded
+		var module director.Decider = house.NewDecider(seed)
 		if g.opt.Module != nil {
 			module = g.opt.Module(house, seed)
 		}
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -80,59 +80,59 @@
 		return nil, err
 	}
 	s := &Script{
-		Length:    o.Span("length", 20*time.Second, time.Second, time.Hour, false),
-		Requests:  o.Whole("requests", 2000, 1, 10_000_000, false),
-		Directors: o.Whole("directors", 3, 1, 300, false),
-		Nodes:     o.Whole("nodes", 24, 1, 1000, false),
-		Racks:     o.Whole("racks", 4, 1, 1000, false),
-		Titles:    o.Whole("titles", 40, 1, 100_000, false),
+		Length:    o.Duration("length", 20*time.Second, time.Second, time.Hour, false),
+		Requests:  o.Int("requests", 2000, 1, 10_000_000, false),
+		Directors: o.Int("directors", 3, 1, 300, false),
+		Nodes:     o.Int("nodes", 24, 1, 1000, false),
+		Racks:     o.Int("racks", 4, 1, 1000, false),
+		Titles:    o.Int("titles", 40, 1, 100_000, false),
 		Load:      o.Number("load", 0.85, 0.01, 10, false),
-		Seed:      uint64(o.Whole("seed", 0, 0, 1<<53, false)),
+		Seed:      uint64(o.Int("seed", 0, 0, 1<<53, false)),
 	}
 	if s.Racks > s.Nodes {
-		r.Wrong(o.Where("racks"), "there are %d racks for %d nodes", s.Racks, s.Nodes)
+		r.AddProblem(o.OffsetOf("racks"), "there are %d racks for %d nodes", s.Racks, s.Nodes)
 	}
 	v := o.Object("viewers", false)
-	s.Mean = v.Span("mean_length", 3*time.Second, 100*time.Millisecond, time.Hour, false)
+	s.Mean = v.Duration("mean_length", 3*time.Second, 100*time.Millisecond, time.Hour, false)
 	s.Habit = player.Habit{
 		Returns:   v.Number("returns", 0.88, 0, 1, false),
-		PauseLow:  v.Span("pause_low", 200*time.Millisecond, 0, time.Hour, false),
-		PauseHigh: v.Span("pause_high", 1200*time.Millisecond, 0, time.Hour, false),
+		PauseLow:  v.Duration("pause_low", 200*time.Millisecond, 0, time.Hour, false),
+		PauseHigh: v.Duration("pause_high", 1200*time.Millisecond, 0, time.Hour, false),
 		Heeds:     v.Number("heeds", 0.8, 0, 1, false),
 		Hasty:     v.Number("hasty", 0.04, 0, 1, false),
 		Repeats:   v.Number("repeats", 0.02, 0, 1, false),
 		Drops:     v.Number("drops", 0.03, 0, 1, false),
 	}
 	if s.Habit.PauseLow > s.Habit.PauseHigh {
-		r.Wrong(v.Where("pause_low"), "pause_low is %v, longer than pause_high, which is %v", s.Habit.PauseLow, s.Habit.PauseHigh)
+		r.AddProblem(v.OffsetOf("pause_low"), "pause_low is %v, longer than pause_high, which is %v", s.Habit.PauseLow, s.Habit.PauseHigh)
 	}
-	v.Done()
+	v.ReportUnknownKeys()
 	l := o.Object("list", false)
-	s.NoticeLow = l.Span("notice_low", 200*time.Millisecond, 0, time.Hour, false)
-	s.NoticeHigh = l.Span("notice_high", 900*time.Millisecond, 0, time.Hour, false)
-	s.SilentNotice = l.Span("silent_notice", 3*time.Second, 0, time.Hour, false)
+	s.NoticeLow = l.Duration("notice_low", 200*time.Millisecond, 0, time.Hour, false)
+	s.NoticeHigh = l.Duration("notice_high", 900*time.Millisecond, 0, time.Hour, false)
+	s.SilentNotice = l.Duration("silent_notice", 3*time.Second, 0, time.Hour, false)
 	if s.NoticeLow > s.NoticeHigh {
-		r.Wrong(l.Where("notice_low"), "notice_low is %v, longer than notice_high, which is %v", s.NoticeLow, s.NoticeHigh)
+		r.AddProblem(l.OffsetOf("notice_low"), "notice_low is %v, longer than notice_high, which is %v", s.NoticeLow, s.NoticeHigh)
 	}
-	l.Done()
+	l.ReportUnknownKeys()
 	o.Objects("troubles", false, func(_ int, t *conf.Object) {
 		x := Trouble{
 			Kind:  t.Text("kind", "", true),
-			At:    t.Span("at", 0, 0, time.Hour, true),
-			For:   t.Span("for", time.Second, time.Millisecond, time.Hour, false),
+			At:    t.Duration("at", 0, 0, time.Hour, true),
+			For:   t.Duration("for", time.Second, time.Millisecond, time.Hour, false),
 			Share: t.Number("share", 0.1, 0, 1, false),
 			Size:  t.Number("size", defaultSize(t.Text("kind", "", false)), 0, 1000, false),
 		}
 		if x.Kind != "" && !slices.Contains(Kinds, x.Kind) {
-			r.Wrong(t.Where("kind"), "unknown trouble %q; the troubles are %s", x.Kind, strings.Join(Kinds, ", "))
+			r.AddProblem(t.OffsetOf("kind"), "unknown trouble %q; the troubles are %s", x.Kind, strings.Join(Kinds, ", "))
 		}
 		if x.At >= s.Length {
-			r.Wrong(t.Where("at"), "%s begins at %v, but the day ends at %v", x.Kind, x.At, s.Length)
+			r.AddProblem(t.OffsetOf("at"), "%s begins at %v, but the day ends at %v", x.Kind, x.At, s.Length)
 		}
-		t.Done()
+		t.ReportUnknownKeys()
 		s.Troubles = append(s.Troubles, x)
 	})
-	o.Done()
+	o.ReportUnknownKeys()
 	if err := r.Err(); err != nil {
 		return nil, err
 	}
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -33,10 +33,10 @@
 	Network Network // zero: half a millisecond to two
 	Workers int     // cores; 0: one. It changes nothing but the time that a day takes
 	Until   time.Duration
-	Module  func(h *conf.House, seed uint64) director.Decider // nil: the module
-	Say     func(line string)                                 // a line for each action; may be nil
-	Actions []day.Action                                      // in place of the script's timeline; nil: that
-	House   *conf.House                                       // as in day.Options
+	Module  func(h *conf.Config, seed uint64) director.Decider // nil: the module
+	Say     func(line string)                                  // a line for each action; may be nil
+	Actions []day.Action                                       // in place of the script's timeline; nil: that
+	House   *conf.Config                                       // as in day.Options
 	Plan    []day.Told
 }
 
@@ -216,9 +216,9 @@
 	if p.w.opt.Module != nil {
 		module = p.w.opt.Module(house, seed)
 	} else {
-		module = house.Module(seed)
+		module = house.NewDecider(seed)
 	}
-	p.loop = house.Loop(fmt.Sprint(p.boot), seed, module)
+	p.loop = house.NewLoop(fmt.Sprint(p.boot), seed, module)
 	p.began, p.up, p.stale = at, true, true
 	p.in = events{}
 	p.lasts, p.heard, p.nodes = map[uint64]time.Duration{}, map[uint64]time.Duration{}, map[uint64]int{}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -167,7 +167,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for name, module := range map[string]func(h *conf.House, seed uint64) director.Decider{"module": nil, "baseline": day.Baselines["least-middle"]} {
+		for name, module := range map[string]func(h *conf.Config, seed uint64) director.Decider{"module": nil, "baseline": day.Baselines["least-middle"]} {
 			r, err := Run(s, uint64(seed), Options{Workers: 4, Module: module})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -49,8 +49,8 @@
 	}
 	x := &Experiment{
 		Name:     o.Text("name", "", true),
-		Seeds:    o.Whole("seeds", 10, 2, 10_000, false),
-		From:     o.Whole("from", 1, 1, 1e9, false),
+		Seeds:    o.Int("seeds", 10, 2, 10_000, false),
+		From:     o.Int("from", 1, 1, 1e9, false),
 		Policies: o.Texts("policies", false),
 	}
 	for _, n := range o.Numbers("directors", 1, 1000) {
@@ -63,10 +63,10 @@
 	}
 	for _, p := range x.Policies {
 		if p != ModulePolicy && day.Baselines[p] == nil {
-			r.Wrong(o.Where("policies"), "there is no policy %q; there are %s and %s", p, ModulePolicy, strings.Join(names(day.Baselines), ", "))
+			r.AddProblem(o.OffsetOf("policies"), "there is no policy %q; there are %s and %s", p, ModulePolicy, strings.Join(names(day.Baselines), ", "))
 		}
 	}
-	o.Done()
+	o.ReportUnknownKeys()
 	if err := r.Err(); err != nil {
 		return nil, err
 	}
@@ -145,7 +145,7 @@
 		d := &t.Days[i]
 		s := *x.Script
 		s.Directors, s.Load = d.Directors, d.Load
-		var module func(h *conf.House, seed uint64) director.Decider
+		var module func(h *conf.Config, seed uint64) director.Decider
 		if d.Policy != ModulePolicy {
 			module = day.Baselines[d.Policy]
 		}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -35,7 +35,7 @@
 	opt     Options
 	script  *day.Script
 	layout  *day.Layout
-	house   *conf.House
+	house   *conf.Config
 	chance  *rand.Rand
 	posts   []*post
 	events  events
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -162,11 +162,11 @@
 	if err := r.House(&b, []string{"hall.cfg"}); err != nil {
 		t.Fatal(err)
 	}
-	h, err := conf.Read("d.json", []byte(b.String()))
+	h, err := conf.Decode("d.json", []byte(b.String()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(h.Nodes) != 8 || len(h.Titles) != 2 || h.Nodes[3].State != wire.Draining || h.Manners.ConnectTimeout != 400*time.Millisecond || h.Legs.MaxLegs != 3 {
+	if len(h.Nodes) != 8 || len(h.Titles) != 2 || h.Nodes[3].State != wire.Draining || h.ProtocolOptions.ConnectTimeout != 400*time.Millisecond || h.Legs.MaxLegs != 3 {
 		t.Errorf("%+v", h.Nodes)
 	}
 	b.Reset()
@@ -174,7 +174,7 @@
 	if err := bare.House(&b, []string{"hall.cfg"}); err != nil {
 		t.Fatal(err)
 	}
-	_, err = conf.Read("d.json", []byte(b.String()))
+	_, err = conf.Decode("d.json", []byte(b.String()))
 	problems, ok := err.(conf.Problems)
 	if !ok || len(problems) != len(bare.tree.blanks("")) {
 		t.Fatal(err)
--- a/internal/importer/overlay.go
+++ b/internal/importer/overlay.go
@@ -42,21 +42,21 @@
 	servers := o.Object("servers", false)
 	for _, pattern := range servers.Names() {
 		s := servers.Object(pattern, true)
-		p := &place{order: len(v.servers), pattern: pattern, at: servers.Where(pattern), cell: -1, cellFrom: -1}
+		p := &place{order: len(v.servers), pattern: pattern, at: servers.OffsetOf(pattern), cell: -1, cellFrom: -1}
 		if _, err := path.Match(pattern, "a/b"); err != nil {
-			r.Wrong(p.at, "%q is no pattern", pattern)
+			r.AddProblem(p.at, "%q is no pattern", pattern)
 		}
 		if s.Has("cell") {
-			p.cell = s.Whole("cell", 0, 0, 1e6, false)
+			p.cell = s.Int("cell", 0, 0, 1e6, false)
 		}
 		if s.Has("cell_from") {
-			p.cellFrom = s.Whole("cell_from", 0, 0, 1e6, false)
+			p.cellFrom = s.Int("cell_from", 0, 0, 1e6, false)
 		}
 		p.zone, p.kind, p.address = s.Text("zone", "", false), s.Text("kind", "", false), s.Text("address", "", false)
 		if p.cell >= 0 && p.cellFrom >= 0 {
-			r.Wrong(p.at, "cell and cell_from: one of the two")
+			r.AddProblem(p.at, "cell and cell_from: one of the two")
 		}
-		s.Done()
+		s.ReportUnknownKeys()
 		v.servers = append(v.servers, p)
 		if strings.ContainsAny(pattern, `*?[\`) {
 			v.globs = append(v.globs, p)
@@ -68,10 +68,10 @@
 		"closing", "limits", "titles"}
 	for _, name := range o.Names() {
 		if slices.Contains(known, name) {
-			o.Skip(name)
+			o.MarkKnown(name)
 		}
 	}
-	o.Done()
+	o.ReportUnknownKeys()
 	if err := r.Err(); err != nil {
 		return nil, err
 	}
--- a/internal/load/idle.go
+++ b/internal/load/idle.go
@@ -232,12 +232,12 @@
 	if err != nil {
 		return nil, err
 	}
-	house, err := conf.Read("load.jsonc", text)
+	house, err := conf.Decode("load.jsonc", text)
 	if err != nil {
 		return nil, err
 	}
-	house.Room.MaxConnections, house.Room.MaxHandshakes, house.Room.HeartbeatInterval = x.Connections*2, x.Connections, x.Ping
-	d, err := daemon.Start(house, "1", 1, house.Module(1), zerolog.Nop())
+	house.Capacity.MaxConnections, house.Capacity.MaxHandshakes, house.Capacity.HeartbeatInterval = x.Connections*2, x.Connections, x.Ping
+	d, err := daemon.Start(house, "1", 1, house.NewDecider(1), zerolog.Nop())
 	if err != nil {
 		return nil, err
 	}
@@ -341,9 +341,9 @@
 }
 
 // record measures what the loop and the limits hold for a connection, its timer in it, without transport.
-func (x Million) record(house *conf.House) float64 {
+func (x Million) record(house *conf.Config) float64 {
 	before := inUse()
-	l := house.Loop("1", 1, house.Module(1))
+	l := house.NewLoop("1", 1, house.NewDecider(1))
 	for i := range x.Connections {
 		at := netip.AddrFrom4([4]byte{127, byte(1 + i>>16), byte(i >> 8), byte(i)})
 		l.Step(time.Duration(i), director.ClientConnecting{Conn: uint64(i + 1), Address: at})
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -90,51 +90,51 @@
 	}
 	s := &Scenario{
 		Name:      o.Text("name", "", true),
-		Directors: o.Whole("directors", 1, 1, 300, false),
-		Cores:     o.Whole("cores", 1, 1, 1000, false),
-		Clients:   o.Whole("clients", 1, 1, 300, false),
-		Nodes:     o.Whole("nodes", 20, 1, 1000, false),
-		Racks:     o.Whole("racks", 4, 1, 1000, false),
-		Titles:    o.Whole("titles", 50, 1, 100_000, false),
-		Playing:   o.Whole("playing", 1000, 1, 10_000_000, false),
-		Ping:      o.Span("ping", 10*time.Second, 10*time.Millisecond, time.Hour, false),
-		Room:      o.Whole("room", 18_000, 1, 10_000_000, false),
-		Warm:      o.Span("warm", 3*time.Second, 0, time.Hour, false),
-		For:       o.Span("for", 10*time.Second, time.Second, time.Hour, false),
-		Repeats:   o.Whole("repeats", 1, 1, 100, false),
-		Seed:      uint64(o.Whole("seed", 1, 0, 1<<31, false)),
+		Directors: o.Int("directors", 1, 1, 300, false),
+		Cores:     o.Int("cores", 1, 1, 1000, false),
+		Clients:   o.Int("clients", 1, 1, 300, false),
+		Nodes:     o.Int("nodes", 20, 1, 1000, false),
+		Racks:     o.Int("racks", 4, 1, 1000, false),
+		Titles:    o.Int("titles", 50, 1, 100_000, false),
+		Playing:   o.Int("playing", 1000, 1, 10_000_000, false),
+		Ping:      o.Duration("ping", 10*time.Second, 10*time.Millisecond, time.Hour, false),
+		Room:      o.Int("room", 18_000, 1, 10_000_000, false),
+		Warm:      o.Duration("warm", 3*time.Second, 0, time.Hour, false),
+		For:       o.Duration("for", 10*time.Second, time.Second, time.Hour, false),
+		Repeats:   o.Int("repeats", 1, 1, 100, false),
+		Seed:      uint64(o.Int("seed", 1, 0, 1<<31, false)),
 	}
 	if s.Racks > s.Nodes {
-		r.Wrong(o.Where("racks"), "there are %d racks for %d nodes", s.Racks, s.Nodes)
+		r.AddProblem(o.OffsetOf("racks"), "there are %d racks for %d nodes", s.Racks, s.Nodes)
 	}
 	var names []string
 	o.Objects("parts", true, func(_ int, p *conf.Object) {
 		x := Part{Kind: p.Text("kind", "", true)}
 		x.Name = p.Text("name", x.Kind, false)
-		x.Connections = p.Whole("connections", 1, 1, 10_000_000, false)
+		x.Connections = p.Int("connections", 1, 1, 10_000_000, false)
 		x.Rate = p.Number("rate", 0, 0, 1_000_000, slices.Contains([]string{KindSetups, KindChatter, KindReconnects}, x.Kind))
-		x.Length = p.Span("length", time.Second, time.Millisecond, time.Hour, false)
+		x.Length = p.Duration("length", time.Second, time.Millisecond, time.Hour, false)
 		x.Bytes = p.Bytes("bytes", 200<<10, 1, 1<<30)
 		if x.Kind != "" && !slices.Contains(kinds, x.Kind) {
-			r.Wrong(p.Where("kind"), "unknown kind %q; the kinds are %s", x.Kind, strings.Join(kinds, ", "))
+			r.AddProblem(p.OffsetOf("kind"), "unknown kind %q; the kinds are %s", x.Kind, strings.Join(kinds, ", "))
 		}
 		if slices.Contains(names, x.Name) {
-			r.Wrong(p.Where("name"), "two parts are called %q; give one of them a name of its own", x.Name)
+			r.AddProblem(p.OffsetOf("name"), "two parts are called %q; give one of them a name of its own", x.Name)
 		}
 		names = append(names, x.Name)
-		p.Done()
+		p.ReportUnknownKeys()
 		s.Parts = append(s.Parts, x)
 	})
 	s.Without = o.Texts("without", false)
 	for _, w := range s.Without {
 		if !slices.Contains(names, w) {
-			r.Wrong(o.Where("without"), "there is no part %q", w)
+			r.AddProblem(o.OffsetOf("without"), "there is no part %q", w)
 		}
 	}
 	if len(s.Parts) == 0 && o.Has("parts") {
-		r.Wrong(o.Where("parts"), "a scenario needs a part")
+		r.AddProblem(o.OffsetOf("parts"), "a scenario needs a part")
 	}
-	o.Done()
+	o.ReportUnknownKeys()
 	if err := r.Err(); err != nil {
 		return nil, err
 	}
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -20,7 +20,7 @@
 // A Protocol is the platform's protocol for a daemon: it turns bytes into the loop's words and back, message by message,
 // and keeps nothing of sessions.
 type Protocol struct {
-	config   *conf.House
+	config   *conf.Config
 	settings *simwire.Config
 	now      func() time.Time
 
@@ -30,23 +30,23 @@
 }
 
 // NewProtocol makes the front of a posting; now is the clock that the notice board's times are of.
-func NewProtocol(p *StartConfig, house *conf.House, now func() time.Time) *Protocol {
+func NewProtocol(p *StartConfig, house *conf.Config, now func() time.Time) *Protocol {
 	return &Protocol{config: house, settings: p.parsedSettings, now: now, lastEvent: p.InitialDiscovery.Revision}
 }
 
 // Listen accepts viewers.
 func (f *Protocol) Listen(h transport.Handler) (*transport.Server, error) {
-	return transport.ServePlain(f.config.Listen, splitClientMessage, f.config.Door.Players, h)
+	return transport.ServePlain(f.config.ListenAddress, splitClientMessage, f.config.ConnectionLimits.Clients, h)
 }
 
 // DialNode connects to a media node.
 func (f *Protocol) DialNode(address string, within time.Duration, h transport.Handler) (*transport.Conn, error) {
-	return transport.DialPlain(address, within, splitRTSP, f.config.Door.Nodes, h)
+	return transport.DialPlain(address, within, splitRTSP, f.config.ConnectionLimits.Nodes, h)
 }
 
 // DialDiscovery connects to the notice board.
 func (f *Protocol) DialDiscovery(address string, within time.Duration, h transport.Handler) (*transport.Conn, error) {
-	return transport.DialPlain(address, within, splitFrame, f.config.Door.List, h)
+	return transport.DialPlain(address, within, splitFrame, f.config.ConnectionLimits.Discovery, h)
 }
 
 // DecodeClient reads a viewers' message. What can't be used of a set-up reaches the loop all the same, which knows
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -225,7 +225,7 @@
 		}
 		house := posting.Config(time.Now())
 		c := &loopModel{T: t, posting: posting, owed: map[string]*pendingAnswer{}, links: map[uint64]string{}, open: map[uint64]bool{},
-			drains: map[string]bool{}, loop: house.Loop("b", 1, posting.NewDecider(1))}
+			drains: map[string]bool{}, loop: house.NewLoop("b", 1, posting.NewDecider(1))}
 		c.do(director.DiscoveryReceived{Message: wire.List{Type: wire.Whole, Nodes: house.Nodes}})
 		c.enter()
 		classes := posting.parsedSettings.Tariffs()
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -179,11 +179,11 @@
 )
 
 // Config is what the loop and the daemon are told.
-func (p *StartConfig) Config(now time.Time) *conf.House {
+func (p *StartConfig) Config(now time.Time) *conf.Config {
 	t := p.parsedSettings
 	tariffs := t.Tariffs()
-	h := &conf.House{
-		Name: p.Name, Listen: p.Listen, List: p.DiscoveryAddress, ListQuiet: discoverySilenceTimeout, Ladder: t.Ladder(), Machines: t.Kinds,
+	h := &conf.Config{
+		Name: p.Name, ListenAddress: p.Listen, DiscoveryAddress: p.DiscoveryAddress, DiscoveryReadTimeout: discoverySilenceTimeout, Ladder: t.Ladder(), MachineKinds: t.Kinds,
 	}
 	goals := make([]time.Duration, len(tariffs))
 	for i, x := range tariffs {
@@ -196,35 +196,35 @@
 	if connect <= 0 {
 		connect = time.Second
 	}
-	h.Manners = director.Options{
+	h.ProtocolOptions = director.Options{
 		AnswerMargin: answerMargin, ConnectTimeout: connect, SessionsPerConnection: maxRequestsPerConnection, NoHello: true, Detached: true,
 	}
-	h.Pace = reach.ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 64}
-	h.Pace.IdleTimeout = time.Duration(idleTimeoutFraction * float64(simwire.SecondsToDuration(t.Permissions.Idle)))
+	h.ReconnectPolicy = reach.ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 64}
+	h.ReconnectPolicy.IdleTimeout = time.Duration(idleTimeoutFraction * float64(simwire.SecondsToDuration(t.Permissions.Idle)))
 	if every := simwire.SecondsToDuration(t.Family.ReportInterval); every > 0 { // a node with sessions is heard so often
-		h.Pace.HeartbeatInterval = (every + time.Second) / 3
+		h.ReconnectPolicy.HeartbeatInterval = (every + time.Second) / 3
 	}
-	h.Term = closing.Policy{Timeout: p.shutdownTimeout(), BatchInterval: 200 * time.Millisecond, MinDuration: p.minShutdownTime(), CloseTimeout: p.clientCloseTimeout()}
+	h.ShutdownPolicy = closing.Policy{Timeout: p.shutdownTimeout(), BatchInterval: 200 * time.Millisecond, MinDuration: p.minShutdownTime(), CloseTimeout: p.clientCloseTimeout()}
 	sockets := p.Limits.Sockets
 	if sockets == 0 {
 		sockets = 1024
 	}
 	silent := max(minPendingConnections, sockets/pendingDescriptorShare)
-	h.Room = limits.Capacity{
+	h.Capacity = limits.Capacity{
 		MaxConnections: sockets, MaxHandshakes: sockets, HeartbeatInterval: pingDisabledInterval, IdleTimeout: time.Second, HandshakeTimeout: firstMessageTimeout,
 		MaxRetryAfter: time.Second, DisplaceIdleAfter: 250 * time.Millisecond, MaxDescriptors: sockets, ReservedDescriptors: reservedDescriptors, PreHandshakeDescriptors: silent,
 	}
-	h.Pace.OnDemand = !h.Room.FitsNodes(t.Family.Cells)
+	h.ReconnectPolicy.OnDemand = !h.Capacity.FitsNodes(t.Family.Cells)
 	if p.Limits.MemoryMB > 0 {
-		h.Room.MaxMemory = int64(float64(p.Limits.MemoryMB<<20) * memoryFraction)
+		h.Capacity.MaxMemory = int64(float64(p.Limits.MemoryMB<<20) * memoryFraction)
 	}
 	h.Queue = limits.QueuePolicy{MaxWait: limits.MaxQueueWait(goals), MaxRetryAfter: time.Second}
-	h.Door = conf.Door{
-		Players: transport.Bounds{Message: maxMessageSize, Queue: clientQueueBytes, Write: writeTimeout, Handshake: firstMessageTimeout,
+	h.ConnectionLimits = conf.ConnectionLimits{
+		Clients: transport.Bounds{Message: maxMessageSize, Queue: clientQueueBytes, Write: writeTimeout, Handshake: firstMessageTimeout,
 			Kernel: kernelBufferBytes, Pending: silent},
-		Nodes: transport.Bounds{Message: maxMessageSize, Queue: nodeQueueBytes, Write: writeTimeout},
-		List:  transport.Bounds{Message: maxFrameSize, Queue: nodeQueueBytes, Write: writeTimeout},
-		Inbox: maxInboxPerPeer,
+		Nodes:     transport.Bounds{Message: maxMessageSize, Queue: nodeQueueBytes, Write: writeTimeout},
+		Discovery: transport.Bounds{Message: maxFrameSize, Queue: nodeQueueBytes, Write: writeTimeout},
+		InboxSize: maxInboxPerPeer,
 	}
 	named := map[string]int{}
 	for _, x := range p.InitialDiscovery.Updates { // the state that they come to
