--- a/cmd/fordusher/logging.go
+++ b/cmd/fordusher/logging.go
@@ -15,14 +15,14 @@
 const envLogLevel = "FORDUSHER_LOG_LEVEL"
 
 // logLevel reads how much is logged, and the pace that this takes.
-func logLevel(getenv func(string) string) (zerolog.Level, herald.Pace, error) {
+func logLevel(getenv func(string) string) (zerolog.Level, herald.RateLimit, error) {
 	switch level := getenv(envLogLevel); level {
 	case "", "info":
-		return zerolog.InfoLevel, herald.Usual, nil
+		return zerolog.InfoLevel, herald.DefaultRate, nil
 	case "debug":
-		return zerolog.DebugLevel, herald.Verbose, nil
+		return zerolog.DebugLevel, herald.VerboseRate, nil
 	default:
-		return 0, herald.Pace{}, fmt.Errorf("%s is %q; it has to be info or debug", envLogLevel, level)
+		return 0, herald.RateLimit{}, fmt.Errorf("%s is %q; it has to be info or debug", envLogLevel, level)
 	}
 }
 
--- a/cmd/fordusher/platform.go
+++ b/cmd/fordusher/platform.go
@@ -51,7 +51,7 @@
 	lines := herald.New(os.Stderr, pace)
 	defer lines.Close(time.Second)
 	log := logger(lines).Level(level)
-	day := clock.NewSteady(time.Now)
+	day := clock.NewMonotonicClock(time.Now)
 	house := posting.Config(day.Now())
 	var front daemon.Protocol = platform.NewProtocol(posting, house, day.Now)
 	if c.Trace || c.TraceKinds {
--- a/cmd/fordusher/serve.go
+++ b/cmd/fordusher/serve.go
@@ -88,7 +88,7 @@
 		reg := prometheus.NewRegistry()
 		reg.MustRegister(d, collectors.NewGoCollector(), prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "fordusher_log_lines_left_out_total", Help: "log lines left out: too many at once, or nobody read them",
-		}, func() float64 { return float64(lines.LeftOut()) }))
+		}, func() float64 { return float64(lines.Dropped()) }))
 		server := &http.Server{Handler: figures(reg), ReadHeaderTimeout: 5 * time.Second, WriteTimeout: lookMost, IdleTimeout: lookMost}
 		go server.Serve(ln)
 		defer server.Close()
--- a/internal/alarm/alarm.go
+++ b/internal/alarm/alarm.go
@@ -21,8 +21,8 @@
 	what T
 }
 
-// Alarms is a set of them. It is not for use by several goroutines at once.
-type Alarms[T any] struct {
+// Queue is a set of them. It is not for use by several goroutines at once.
+type Queue[T any] struct {
 	entries []entry[T] // as many as were set at one time
 	free    []int32    // places of entries that are not set
 	queue   queue[T]
@@ -30,10 +30,10 @@
 }
 
 // Len counts the alarms that are set.
-func (a *Alarms[T]) Len() int { return len(a.queue.order) }
+func (a *Queue[T]) Len() int { return len(a.queue.order) }
 
 // Add sets an alarm.
-func (a *Alarms[T]) Add(at time.Duration, what T) Handle {
+func (a *Queue[T]) Add(at time.Duration, what T) Handle {
 	i := int32(len(a.entries))
 	if n := len(a.free); n > 0 {
 		i, a.free = a.free[n-1], a.free[:n-1]
@@ -50,14 +50,14 @@
 }
 
 // find is the place of an alarm that is set.
-func (a *Alarms[T]) find(h Handle) (i int32, ok bool) {
+func (a *Queue[T]) find(h Handle) (i int32, ok bool) {
 	i = int32(h&(1<<32-1)) - 1
 	ok = i >= 0 && a.entries[i].spot >= 0 && uint32(a.entries[i].seq) == uint32(h>>32)
 	return i, ok
 }
 
-// Move sets an alarm to another time. It says false where it is not set any more.
-func (a *Alarms[T]) Move(h Handle, at time.Duration) bool {
+// Reschedule sets an alarm to another time. It says false where it is not set any more.
+func (a *Queue[T]) Reschedule(h Handle, at time.Duration) bool {
 	i, ok := a.find(h)
 	if ok {
 		a.entries[i].at = at
@@ -67,14 +67,14 @@
 }
 
 // Cancel calls an alarm off.
-func (a *Alarms[T]) Cancel(h Handle) {
+func (a *Queue[T]) Cancel(h Handle) {
 	if i, ok := a.find(h); ok {
 		a.remove(a.entries[i].spot)
 	}
 }
 
-// First is when the next alarm rings; ok is false where none is set.
-func (a *Alarms[T]) First() (at time.Duration, ok bool) {
+// NextDeadline is when the next alarm rings; ok is false where none is set.
+func (a *Queue[T]) NextDeadline() (at time.Duration, ok bool) {
 	if a.Len() == 0 {
 		return 0, false
 	}
@@ -82,13 +82,13 @@
 }
 
 // Pop takes the next alarm off, which there must be.
-func (a *Alarms[T]) Pop() T {
+func (a *Queue[T]) Pop() T {
 	what := a.entries[a.queue.order[0]].what
 	a.remove(0)
 	return what
 }
 
-func (a *Alarms[T]) remove(spot int32) {
+func (a *Queue[T]) remove(spot int32) {
 	q, last := &a.queue, len(a.queue.order)-1
 	q.Swap(int(spot), last)
 	i := q.order[last]
--- a/internal/alarm/alarm_test.go
+++ b/internal/alarm/alarm_test.go
@@ -23,7 +23,7 @@
 // and a handle that rang or was called off touches nobody else's, though its place is another's by then.
 func TestAlarmsRingInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var a Alarms[int]
+		var a Queue[int]
 		var want []*set
 		var old []Handle
 		for n := range rapid.IntRange(1, 200).Draw(t, "n") {
@@ -33,7 +33,7 @@
 				want = append(want, &set{at, n, a.Add(at, n)})
 			case what == 3:
 				w := rapid.SampledFrom(want).Draw(t, "one")
-				if w.at = at; !a.Move(w.handle, at) {
+				if w.at = at; !a.Reschedule(w.handle, at) {
 					t.Fatal("not moved")
 				}
 			case what == 4:
@@ -43,7 +43,7 @@
 				want = slices.Delete(want, i, i+1)
 			default:
 				slices.SortFunc(want, func(x, y *set) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.seq, y.seq)) })
-				if first, ok := a.First(); !ok || first != want[0].at {
+				if first, ok := a.NextDeadline(); !ok || first != want[0].at {
 					t.Fatal("first is", first, ok)
 				}
 				if got := a.Pop(); got != want[0].seq {
@@ -53,7 +53,7 @@
 				want = want[1:]
 			}
 			for _, h := range old {
-				if a.Cancel(h); a.Move(h, 0) {
+				if a.Cancel(h); a.Reschedule(h, 0) {
 					t.Fatal("an alarm that is off was moved")
 				}
 			}
@@ -68,13 +68,13 @@
 	for _, n := range []int{10_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := rand.New(rand.NewPCG(1, 1))
-			var a Alarms[int32]
+			var a Queue[int32]
 			all := make([]Handle, n)
 			for i := range all {
 				all[i] = a.Add(time.Duration(r.Int64N(int64(time.Minute))), int32(i))
 			}
 			for b.Loop() {
-				a.Move(all[r.IntN(n)], time.Duration(r.Int64N(int64(time.Minute))))
+				a.Reschedule(all[r.IntN(n)], time.Duration(r.Int64N(int64(time.Minute))))
 			}
 		})
 	}
--- a/internal/clock/steady.go
+++ b/internal/clock/steady.go
@@ -4,17 +4,17 @@
 
 import "time"
 
-// Steady tells the time of day from one reading of the wall clock and the monotonic clock since. A step of the wall
+// MonotonicClock tells the time of day from one reading of the wall clock and the monotonic clock since. A step of the wall
 // clock after that reading changes nothing of what it tells.
-type Steady struct {
+type MonotonicClock struct {
 	wall  time.Time // the reading
 	began time.Time // the same moment on the monotonic clock
 }
 
-// NewSteady reads the wall clock once. In a program wall is time.Now.
-func NewSteady(wall func() time.Time) *Steady {
-	return &Steady{wall: wall().Round(0), began: time.Now()} // Round(0) leaves the wall clock's reading alone
+// NewMonotonicClock reads the wall clock once. In a program wall is time.Now.
+func NewMonotonicClock(wall func() time.Time) *MonotonicClock {
+	return &MonotonicClock{wall: wall().Round(0), began: time.Now()} // Round(0) leaves the wall clock's reading alone
 }
 
 // Now is the time of day.
-func (s *Steady) Now() time.Time { return s.wall.Add(time.Since(s.began)) }
+func (s *MonotonicClock) Now() time.Time { return s.wall.Add(time.Since(s.began)) }
--- a/internal/clock/steady_test.go
+++ b/internal/clock/steady_test.go
@@ -9,7 +9,7 @@
 func TestStepsOfTheWallClockAreNotSeen(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	wall := start
-	s := NewSteady(func() time.Time { return wall })
+	s := NewMonotonicClock(func() time.Time { return wall })
 	began := time.Now()
 	for _, step := range []time.Duration{time.Hour, -2 * time.Hour, 5 * time.Second} {
 		wall = wall.Add(step)
--- a/internal/director/deadlines.go
+++ b/internal/director/deadlines.go
@@ -17,10 +17,10 @@
 // answers come first, those whose hard stop was first before the others.
 func (l *Loop) runDueTimers() {
 	isDue := func() bool {
-		at, ok := l.timers.First()
+		at, ok := l.timers.NextDeadline()
 		return ok && at <= l.now
 	}
-	if at, ok := l.timers.First(); ok && l.now-at > stallThreshold {
+	if at, ok := l.timers.NextDeadline(); ok && l.now-at > stallThreshold {
 		l.counts.Stalls++
 		var late []timer
 		for isDue() {
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -157,7 +157,7 @@
 		return l.now
 	}
 	next := time.Duration(math.MaxInt64)
-	if at, ok := l.timers.First(); ok {
+	if at, ok := l.timers.NextDeadline(); ok {
 		next = at
 	}
 	if at, ok := l.limits.NextTimer(); ok {
--- a/internal/director/timers.go
+++ b/internal/director/timers.go
@@ -24,4 +24,4 @@
 	id   uint64
 }
 
-type timerQueue = alarm.Alarms[timer]
+type timerQueue = alarm.Queue[timer]
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -45,13 +45,13 @@
 
 // events are what happens, each at its time; those of one time happen in the order in which they were put.
 type events struct {
-	alarm.Alarms[func(at time.Duration)]
+	alarm.Queue[func(at time.Duration)]
 }
 
 func (q *events) put(at time.Duration, do func(at time.Duration)) { q.Add(at, do) }
 
 func (q *events) next() time.Duration {
-	if at, ok := q.First(); ok {
+	if at, ok := q.NextDeadline(); ok {
 		return at
 	}
 	return math.MaxInt64
--- a/internal/herald/herald.go
+++ b/internal/herald/herald.go
@@ -15,20 +15,20 @@
 	"golang.org/x/time/rate"
 )
 
-// Pace is what is written at most: so many lines at once, and so many a second from then on.
-type Pace struct{ Burst, Steady int }
+// RateLimit is what is written at most: so many lines at once, and so many a second from then on.
+type RateLimit struct{ Burst, PerSecond int }
 
 // The paces of a log that tells of changes of mode, and of one that tells of each request.
 var (
-	Usual   = Pace{Burst: 200, Steady: 10}
-	Verbose = Pace{Burst: 20_000, Steady: 5000}
+	DefaultRate = RateLimit{Burst: 200, PerSecond: 10}
+	VerboseRate = RateLimit{Burst: 20_000, PerSecond: 5000}
 )
 
 // waiting is how many lines that wait for a reader are kept, the first ones; the later ones are left out.
 const waiting = 1024
 
-// Herald is a writer of lines. Its methods may be called by any goroutine.
-type Herald struct {
+// Writer is a writer of lines. Its methods may be called by any goroutine.
+type Writer struct {
 	out  io.Writer
 	done chan struct{}
 
@@ -42,14 +42,14 @@
 }
 
 // New starts writing to out, which may be slow, or stand still for ever, at a pace.
-func New(out io.Writer, pace Pace) *Herald {
-	h := &Herald{out: out, done: make(chan struct{}), pace: rate.NewLimiter(rate.Limit(pace.Steady), pace.Burst), wake: make(chan struct{}, 1)}
+func New(out io.Writer, pace RateLimit) *Writer {
+	h := &Writer{out: out, done: make(chan struct{}), pace: rate.NewLimiter(rate.Limit(pace.PerSecond), pace.Burst), wake: make(chan struct{}, 1)}
 	go h.run()
 	return h
 }
 
 // Write takes a line, or leaves it out and counts it. It never waits and never fails.
-func (h *Herald) Write(line []byte) (int, error) {
+func (h *Writer) Write(line []byte) (int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.closed || len(h.queue) >= waiting || !h.pace.AllowN(time.Now(), 1) {
@@ -61,15 +61,15 @@
 	return len(line), nil
 }
 
-func (h *Herald) rouse() {
+func (h *Writer) rouse() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
-// LeftOut is how many lines were left out so far.
-func (h *Herald) LeftOut() uint64 {
+// Dropped is how many lines were left out so far.
+func (h *Writer) Dropped() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.left
@@ -78,7 +78,7 @@
 // sayEvery is how often it is said how many lines were left out.
 const sayEvery = time.Second
 
-func (h *Herald) run() {
+func (h *Writer) run() {
 	defer close(h.done)
 	tick := time.NewTicker(sayEvery)
 	defer tick.Stop()
@@ -98,7 +98,7 @@
 }
 
 // take is what is to be written now, with a line on what was left out since the last one.
-func (h *Herald) take() (lines [][]byte, ended bool) {
+func (h *Writer) take() (lines [][]byte, ended bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	lines, h.queue = h.queue, nil
@@ -111,7 +111,7 @@
 }
 
 // Close writes what waits, for as long as that may take at most, and takes nothing more.
-func (h *Herald) Close(within time.Duration) {
+func (h *Writer) Close(within time.Duration) {
 	h.mu.Lock()
 	h.closed = true
 	h.rouse()
--- a/internal/herald/herald_test.go
+++ b/internal/herald/herald_test.go
@@ -41,7 +41,7 @@
 // is told how many are missing.
 func TestStormBehindAReaderThatStandsStill(t *testing.T) {
 	p := &page{free: make(chan struct{})}
-	h := New(p, Usual)
+	h := New(p, DefaultRate)
 	const lines = 100_000
 	began := time.Now()
 	for i := range lines {
@@ -50,13 +50,13 @@
 	if took := time.Since(began); took > 5*time.Second {
 		t.Fatal("writers waited", took)
 	}
-	left := h.LeftOut()
-	if left < uint64(lines-Usual.Burst-1000) || left > uint64(lines-Usual.Burst) {
+	left := h.Dropped()
+	if left < uint64(lines-DefaultRate.Burst-1000) || left > uint64(lines-DefaultRate.Burst) {
 		t.Fatal(left, "left out")
 	}
 	close(p.free)
 	p.has(t, "line 0.\n")
-	p.has(t, fmt.Sprintf("line %d.\n", Usual.Burst-1))
+	p.has(t, fmt.Sprintf("line %d.\n", DefaultRate.Burst-1))
 	p.has(t, fmt.Sprintf("%d since the start", left))
 	h.Close(time.Second)
 }
@@ -64,7 +64,7 @@
 // What was written before the end is there after it, and an end does not wait for a reader that never reads.
 func TestCloseWritesWhatWaitsAndDoesNotWaitForEver(t *testing.T) {
 	p := &page{free: make(chan struct{})}
-	h := New(p, Usual)
+	h := New(p, DefaultRate)
 	fmt.Fprintln(h, "last")
 	h.Close(10 * time.Millisecond)
 	close(p.free)
--- a/internal/loopback/address.go
+++ b/internal/loopback/address.go
@@ -12,15 +12,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// An Address is a TCP address at which anybody may listen with SO_REUSEADDR, as package net does, and which the system
+// An ReservedAddress is a TCP address at which anybody may listen with SO_REUSEADDR, as package net does, and which the system
 // gives to no outgoing connection until Close. While nobody listens at it, connections to it are refused.
-type Address struct {
+type ReservedAddress struct {
 	descriptor int
 	port       int
 }
 
 // Reserve takes an address of 127.0.0.1 with a port that nobody uses.
-func Reserve() (*Address, error) {
+func Reserve() (*ReservedAddress, error) {
 	descriptor, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("reserve an address: socket: %w", err)
@@ -30,7 +30,7 @@
 		unix.Close(descriptor)
 		return nil, fmt.Errorf("reserve an address: %w", err)
 	}
-	return &Address{descriptor, port}, nil
+	return &ReservedAddress{descriptor, port}, nil
 }
 
 // bind binds a socket to a free port, which others may bind with SO_REUSEADDR as long as the socket does not listen.
@@ -49,7 +49,7 @@
 }
 
 // String returns the address as host:port.
-func (a *Address) String() string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(a.port)) }
+func (a *ReservedAddress) String() string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(a.port)) }
 
 // Close gives the address back. Who listens at it is not affected.
-func (a *Address) Close() error { return unix.Close(a.descriptor) }
+func (a *ReservedAddress) Close() error { return unix.Close(a.descriptor) }
--- a/internal/soak/director.go
+++ b/internal/soak/director.go
@@ -27,7 +27,7 @@
 	fleet     *fleet
 	ledger    *ledger
 	discovery *discovery
-	address   *loopback.Address
+	address   *loopback.ReservedAddress
 	config    string
 	folder    string
 
--- a/internal/standin/node/farm.go
+++ b/internal/standin/node/farm.go
@@ -146,7 +146,7 @@
 	nodes  map[string]*machine
 	order  []*machine
 	racks  []rack
-	queue  alarm.Alarms[due]
+	queue  alarm.Queue[due]
 	now    time.Duration
 	out    []Out
 	starts uint64
@@ -189,7 +189,7 @@
 
 // Next is when Step wants to be called at the latest; ok is false where nothing is due.
 func (f *Farm) Next() (at time.Duration, ok bool) {
-	return f.queue.First()
+	return f.queue.NextDeadline()
 }
 
 func (f *Farm) push(d due) { f.queue.Add(d.at, d) }
@@ -202,7 +202,7 @@
 }
 
 func (f *Farm) advance(now time.Duration) {
-	for at, ok := f.queue.First(); ok && at <= now; at, ok = f.queue.First() {
+	for at, ok := f.queue.NextDeadline(); ok && at <= now; at, ok = f.queue.NextDeadline() {
 		d := f.queue.Pop()
 		f.now = max(f.now, d.at)
 		f.happen(d)
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -174,7 +174,7 @@
 	addresses []address // a place is used again once nobody of it is connected
 	byAddr    map[netip.Addr]int32
 	freeAddr  []int32
-	timers    alarm.Alarms[int32]
+	timers    alarm.Queue[int32]
 	now       time.Duration
 	memory    int64
 	nodes     int // descriptors that connections to nodes hold
@@ -206,7 +206,7 @@
 
 // NextTimer is when Step wants a Ring at the latest; ok is false where nothing is due.
 func (l *Limits) NextTimer() (at time.Duration, ok bool) {
-	at, ok = l.timers.First()
+	at, ok = l.timers.NextDeadline()
 	if l.due > 0 && (!ok || l.due < at) {
 		return l.due, true
 	}
@@ -406,7 +406,7 @@
 func (l *Limits) shook(i int32) {
 	l.shaking--
 	l.conns[i].heard = l.now
-	l.timers.Move(l.conns[i].timer, together(l.now+time.Duration(l.chance.Int64N(int64(l.room.HeartbeatInterval)))+1))
+	l.timers.Reschedule(l.conns[i].timer, together(l.now+time.Duration(l.chance.Int64N(int64(l.room.HeartbeatInterval)))+1))
 }
 
 // rest puts a connection at the end of the idle.
@@ -456,12 +456,12 @@
 // expire works off a slice of the timers that are due.
 func (l *Limits) expire() {
 	for range expireSteps {
-		if at, ok := l.timers.First(); !ok || at > l.now {
+		if at, ok := l.timers.NextDeadline(); !ok || at > l.now {
 			return
 		}
 		l.expired(l.timers.Pop())
 	}
-	at, ok := l.timers.First()
+	at, ok := l.timers.NextDeadline()
 	l.plan.More = ok && at <= l.now
 }
 
--- a/reach/reach.go
+++ b/reach/reach.go
@@ -93,9 +93,9 @@
 type Connector struct {
 	pace   ReconnectPolicy
 	chance *rand.Rand
-	nodes  map[int]*node     // emptied as nodes are unlisted
-	turns  alarm.Alarms[int] // of idle nodes
-	outs   int               // tries under way
+	nodes  map[int]*node    // emptied as nodes are unlisted
+	turns  alarm.Queue[int] // of idle nodes
+	outs   int              // tries under way
 	plan   Plan
 }
 
@@ -197,7 +197,7 @@
 
 // fill starts the tries that are due, the longest due first, as far as there is room.
 func (r *Connector) fill(now time.Duration) {
-	for due, ok := r.turns.First(); ok; due, ok = r.turns.First() {
+	for due, ok := r.turns.NextDeadline(); ok; due, ok = r.turns.NextDeadline() {
 		if due > now {
 			r.plan.NextTimer = due
 			return
