--- a/cmd/fordusher/import.go
+++ b/cmd/fordusher/import.go
@@ -51,9 +51,9 @@
 
 // A planLine is one line of a plan's file: when, counted from its start, and what the list is to say.
 type planLine struct {
-	At    string      `json:"at"`
-	What  string      `json:"what"`
-	Entry *wire.Entry `json:"entry"`
+	At    string          `json:"at"`
+	What  string          `json:"what"`
+	Entry *wire.NodeEntry `json:"entry"`
 }
 
 func (c *haproxyCommand) Run() error {
@@ -199,13 +199,13 @@
 	}
 	var titles []turnover.Title
 	for _, t := range now.Titles {
-		titles = append(titles, turnover.Title{Name: t.Title, FirstCell: t.Base, Copies: t.Copies})
+		titles = append(titles, turnover.Title{Name: t.Title, FirstCell: t.FirstCell, Copies: t.Copies})
 	}
-	entries := map[string]wire.Entry{}
-	side := func(from []wire.Entry) (all []turnover.Node) {
+	entries := map[string]wire.NodeEntry{}
+	side := func(from []wire.NodeEntry) (all []turnover.Node) {
 		for _, e := range from {
 			all = append(all, turnover.Node{Name: e.Node, Cell: e.Cell, Up: e.State == wire.Up, Weight: e.Weight,
-				Identity: e.Address + " " + e.Kind + " " + e.Zone})
+				Identity: e.Address + " " + e.MachineKind + " " + e.Zone})
 		}
 		return all
 	}
@@ -220,7 +220,7 @@
 	for _, e := range old.Nodes {
 		entries[e.Node] = e
 	}
-	next := map[string]wire.Entry{}
+	next := map[string]wire.NodeEntry{}
 	for _, e := range now.Nodes {
 		next[e.Node] = e
 	}
@@ -265,7 +265,7 @@
 			err = errors.New("no entry")
 		}
 		if err == nil {
-			_, err = wire.DecodeList(wire.Encode(wire.List{Type: wire.Update, Nodes: []wire.Entry{*l.Entry}}))
+			_, err = wire.DecodeDiscoveryMessage(wire.Encode(wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{*l.Entry}}))
 		}
 		if err == nil && len(at) > 0 && d < slices.Max(at) {
 			err = errors.New("earlier than the line above")
--- a/cmd/fordusher/log_test.go
+++ b/cmd/fordusher/log_test.go
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	for _, id := range []string{"1", "2", "3"} {
-		c.Send(wire.Encode(wire.Session{Type: wire.Want, ID: id, Tariff: "clip", Title: "none", Key: "k" + id, Wait: 1000}), 0)
+		c.Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip", Title: "none", Key: "k" + id, WaitMS: 1000}), 0)
 		soon(t, "an answer", heard)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
--- a/cmd/fordusher/main_test.go
+++ b/cmd/fordusher/main_test.go
@@ -99,7 +99,7 @@
 
 // SIGTERM: a session that plays is told, and the process exits 0 within its term.
 func TestServeEndsInGoodOrder(t *testing.T) {
-	source, err := list.Open(witness.Nobody, nil, []wire.Title{{Title: "t", Copies: 1}})
+	source, err := list.Open(witness.Nobody, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,12 +118,12 @@
 	if err != nil || json.Unmarshal(line, &told) != nil || told.Metrics == "" {
 		t.Fatal(string(line), err)
 	}
-	p := &printer{in: make(chan wire.Session, 10), closed: make(chan error, 1)}
+	p := &printer{in: make(chan wire.SessionMessage, 10), closed: make(chan error, 1)}
 	conn, err := transport.Dial(told.Listen, wire.SessionProtocol, 5*time.Second, transport.Bounds{Message: 4096, Queue: 4096, Write: time.Second}, p, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn.Send(wire.Encode(wire.Session{Type: wire.Want, ID: "1", Tariff: "clip", Title: "t", Key: "k", Wait: 1500}), 0)
+	conn.Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "clip", Title: "t", Key: "k", WaitMS: 1500}), 0)
 	time.Sleep(50 * time.Millisecond) // held: there is no node
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -176,7 +176,7 @@
 // Descriptors run out while players connect: who is connected is served as before, and once some have gone
 // others get in. Accepting pauses meanwhile instead of spinning.
 func TestDescriptorsRunOut(t *testing.T) {
-	source, err := list.Open(witness.Nobody, nil, []wire.Title{{Title: "t", Copies: 1}})
+	source, err := list.Open(witness.Nobody, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,7 +204,7 @@
 	}
 	bounds := transport.Bounds{Message: 4096, Queue: 4096, Write: time.Second}
 	join := func(within time.Duration) (*transport.Conn, *printer, error) {
-		p := &printer{in: make(chan wire.Session, 10), closed: make(chan error, 1)}
+		p := &printer{in: make(chan wire.SessionMessage, 10), closed: make(chan error, 1)}
 		c, err := transport.Dial(told.Listen, wire.SessionProtocol, within, bounds, p, nil)
 		return c, p, err
 	}
@@ -223,7 +223,7 @@
 	if len(conns) < 20 || len(conns) > 64 {
 		t.Fatal(len(conns), "connected")
 	}
-	conns[0].Send(wire.Encode(wire.Session{Type: wire.Want, ID: "1", Tariff: "clip", Title: "none", Key: "k", Wait: 1500}), 0)
+	conns[0].Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "clip", Title: "none", Key: "k", WaitMS: 1500}), 0)
 	select {
 	case m := <-first.in:
 		if m.Type != wire.Nack {
--- a/cmd/fordusher/standins.go
+++ b/cmd/fordusher/standins.go
@@ -23,7 +23,7 @@
 }
 
 // read reads the list's nodes and titles from either form of file.
-func (c *rosterCommand) read() (all wire.List, err error) {
+func (c *rosterCommand) read() (all wire.DiscoveryMessage, err error) {
 	raw, err := os.ReadFile(c.File)
 	if err != nil {
 		return all, err
@@ -33,10 +33,10 @@
 		if bad != nil {
 			return all, fmt.Errorf("neither a list (%v) nor a director's file: %w", err, bad)
 		}
-		all = wire.List{Nodes: house.Nodes, Titles: house.Titles}
+		all = wire.DiscoveryMessage{Nodes: house.Nodes, Titles: house.Titles}
 	}
-	all.Type = wire.Whole
-	if _, err := wire.DecodeList(wire.Encode(all)); err != nil {
+	all.Type = wire.Snapshot
+	if _, err := wire.DecodeDiscoveryMessage(wire.Encode(all)); err != nil {
 		return all, fmt.Errorf("%s: %w", c.File, err)
 	}
 	return all, nil
@@ -78,18 +78,18 @@
 	}
 	in := bufio.NewScanner(os.Stdin)
 	for line := 1; in.Scan(); line++ {
-		var e wire.Entry
+		var e wire.NodeEntry
 		err := json.Unmarshal(in.Bytes(), &e)
 		if err == nil {
-			_, err = wire.DecodeList(wire.Encode(wire.List{Type: wire.Update, Nodes: []wire.Entry{e}}))
+			_, err = wire.DecodeDiscoveryMessage(wire.Encode(wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{e}}))
 		}
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "line %d: %v\n", line, err)
 			continue
 		}
 		born := time.Duration(0)
-		if e.Age > 0 {
-			born = witness.Clock() - time.Duration(e.Age)*time.Millisecond
+		if e.UptimeMS > 0 {
+			born = witness.Clock() - time.Duration(e.UptimeMS)*time.Millisecond
 		}
 		source.Set(e, born, 0)
 	}
@@ -112,15 +112,15 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	p := &printer{in: make(chan wire.Session, 64), closed: make(chan error, 1)}
-	bounds := transport.Bounds{Message: wire.SessionMost, Queue: 64 << 10, Write: time.Second}
+	p := &printer{in: make(chan wire.SessionMessage, 64), closed: make(chan error, 1)}
+	bounds := transport.Bounds{Message: wire.MaxSessionMessageBytes, Queue: 64 << 10, Write: time.Second}
 	conn, err := transport.Dial(c.Director, wire.SessionProtocol, 2*time.Second, bounds, p, nil)
 	if err != nil {
 		return err
 	}
 	defer conn.Close(1000, "bye")
-	conn.Send(wire.Encode(wire.Session{Type: wire.Want, ID: "1", Tariff: c.Tariff, Title: c.Title, Key: c.Key,
-		Wait: c.Wait.Milliseconds(), Length: c.Length.Milliseconds()}), 0)
+	conn.Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: c.Tariff, Title: c.Title, Key: c.Key,
+		WaitMS: c.Wait.Milliseconds(), LengthMS: c.Length.Milliseconds()}), 0)
 	began := time.Now()
 	end := time.NewTimer(c.Wait + c.Length + time.Second)
 	defer end.Stop()
@@ -128,7 +128,7 @@
 		select {
 		case m := <-p.in:
 			fmt.Printf("%8.1f ms  %s\n", float64(time.Since(began).Microseconds())/1000, wire.Encode(m))
-			if m.Type == wire.Nack || m.Type == wire.Errored || m.Type == wire.Over {
+			if m.Type == wire.Nack || m.Type == wire.Errored || m.Type == wire.SessionEnded {
 				return nil
 			}
 		case err := <-p.closed:
@@ -136,21 +136,21 @@
 		case <-end.C:
 			return fmt.Errorf("not over after %v", c.Wait+c.Length+time.Second)
 		case <-ctx.Done():
-			conn.Send(wire.Encode(wire.Session{Type: wire.Leave, ID: "1"}), 0)
+			conn.Send(wire.Encode(wire.SessionMessage{Type: wire.Cancel, ID: "1"}), 0)
 			return nil
 		}
 	}
 }
 
 type printer struct {
-	in     chan wire.Session
+	in     chan wire.SessionMessage
 	closed chan error
 }
 
 func (p *printer) Opened(*transport.Conn) {}
 
 func (p *printer) Message(_ *transport.Conn, raw []byte) {
-	if m, err := wire.DecodeSession(raw); err == nil {
+	if m, err := wire.DecodeSessionMessage(raw); err == nil {
 		select {
 		case p.in <- m:
 		default:
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -25,12 +25,12 @@
 
 	Name                 string
 	Peers                policy.Peers
-	ListenAddress        string        // address for players
-	MetricsAddress       string        // address for metrics; empty: none
-	DiscoveryAddress     string        // address of the list's source; empty: there is none, Nodes and Titles are all there is
-	DiscoveryReadTimeout time.Duration // silent for longer, it is connected to again; 0: it may be silent
-	Nodes                []wire.Entry  // in force until the list's source is heard
-	Titles               []wire.Title
+	ListenAddress        string           // address for players
+	MetricsAddress       string           // address for metrics; empty: none
+	DiscoveryAddress     string           // address of the list's source; empty: there is none, Nodes and Titles are all there is
+	DiscoveryReadTimeout time.Duration    // silent for longer, it is connected to again; 0: it may be silent
+	Nodes                []wire.NodeEntry // in force until the list's source is heard
+	Titles               []wire.TitlePlacement
 	Tariffs              []director.Tariff
 	Ladder               policy.Ladder
 	Fleet                policy.Fleet
@@ -241,21 +241,21 @@
 	addresses := map[string]string{}
 	for _, name := range o.Names() {
 		n := o.Object(name, true)
-		e := wire.Entry{
-			Node:    name,
-			Address: address(r, n, "address", true),
-			State:   n.Text("state", wire.Up, false),
-			Kind:    n.Text("kind", "", true),
-			Zone:    n.Text("zone", "", false),
-			Weight:  n.Number("weight", 1, 1e-6, 1e6, false),
-			Cell:    n.Int("cell", 0, 0, last, true),
+		e := wire.NodeEntry{
+			Node:        name,
+			Address:     address(r, n, "address", true),
+			State:       n.Text("state", wire.Up, false),
+			MachineKind: n.Text("kind", "", true),
+			Zone:        n.Text("zone", "", false),
+			Weight:      n.Number("weight", 1, 1e-6, 1e6, false),
+			Cell:        n.Int("cell", 0, 0, last, true),
 		}
 		n.ReportUnknownKeys()
 		if e.State != wire.Up && e.State != wire.Draining {
 			r.AddProblem(n.OffsetOf("state"), "state is %q; a node here is %q or %q", e.State, wire.Up, wire.Draining)
 		}
-		if e.Kind != "" && !slices.Contains(h.MachineKinds, e.Kind) && len(h.MachineKinds) > 0 {
-			r.AddProblem(n.OffsetOf("kind"), "fleet.machines has no %q", e.Kind)
+		if e.MachineKind != "" && !slices.Contains(h.MachineKinds, e.MachineKind) && len(h.MachineKinds) > 0 {
+			r.AddProblem(n.OffsetOf("kind"), "fleet.machines has no %q", e.MachineKind)
 		}
 		if other, twice := addresses[e.Address]; twice && e.Address != "" {
 			r.AddProblem(n.OffsetOf("address"), "node %q has this address already", other)
@@ -278,10 +278,10 @@
 func (h *Config) titles(r *Parser, o *Object) {
 	for _, name := range o.Names() {
 		t := o.Object(name, true)
-		h.Titles = append(h.Titles, wire.Title{
-			Title:  name,
-			Base:   t.Int("base", 0, 0, h.lastCell(), true),
-			Copies: t.Int("copies", 1, 1, h.lastCell()+1, true),
+		h.Titles = append(h.Titles, wire.TitlePlacement{
+			Title:     name,
+			FirstCell: t.Int("base", 0, 0, h.lastCell(), true),
+			Copies:    t.Int("copies", 1, 1, h.lastCell()+1, true),
 		})
 		t.ReportUnknownKeys()
 	}
@@ -348,10 +348,10 @@
 		}
 		return b
 	}
-	h.ConnectionLimits.Clients = read(players, wire.SessionMost, 64<<10)
+	h.ConnectionLimits.Clients = read(players, wire.MaxSessionMessageBytes, 64<<10)
 	h.ConnectionLimits.Clients.Kernel = players.Bytes("kernel", 16<<10, 0, 64<<20)
-	h.ConnectionLimits.Nodes = read(nodes, wire.NodeMost, 1<<20)
-	h.ConnectionLimits.Discovery = transport.Bounds{Message: wire.ListMost, Queue: 64 << 10, Write: time.Second, Handshake: 5 * time.Second}
+	h.ConnectionLimits.Nodes = read(nodes, wire.MaxNodeMessageBytes, 1<<20)
+	h.ConnectionLimits.Discovery = transport.Bounds{Message: wire.MaxDiscoveryMessageBytes, Queue: 64 << 10, Write: time.Second, Handshake: 5 * time.Second}
 	h.Capacity.MaxConnections = o.Int("connections", 15_000, 1, 10_000_000, false)
 	h.Capacity.MaxPerAddress = o.Int("per_address", 0, 0, 10_000_000, false)
 	h.Capacity.MaxHandshakes = o.Int("handshakes", 1024, 1, 10_000_000, false)
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -21,9 +21,9 @@
 func (g *floodClient) Closed(*transport.Conn, error, []uint64) {}
 
 func (g *floodClient) Message(c *transport.Conn, raw []byte) {
-	if m, err := wire.DecodeSession(raw); err == nil && m.Type != wire.Rung && m.Type != wire.Over {
+	if m, err := wire.DecodeSessionMessage(raw); err == nil && m.Type != wire.Rung && m.Type != wire.SessionEnded {
 		if g.cancels {
-			c.Send(wire.Encode(wire.Session{Type: wire.Leave, ID: m.ID}), 0)
+			c.Send(wire.Encode(wire.SessionMessage{Type: wire.Cancel, ID: m.ID}), 0)
 		}
 		c.Send(g.nextRequest(), 0)
 	}
@@ -34,7 +34,7 @@
 	if g.cancels {
 		title = "t"
 	}
-	return wire.Encode(wire.Session{Type: wire.Want, ID: fmt.Sprint(n), Tariff: "clip", Title: title, Key: fmt.Sprintf("%p-%d", g, n), Wait: 2000})
+	return wire.Encode(wire.SessionMessage{Type: wire.Request, ID: fmt.Sprint(n), Tariff: "clip", Title: title, Key: fmt.Sprintf("%p-%d", g, n), WaitMS: 2000})
 }
 
 // What a modest player waits beside connections that each keep 400 requests open, or ask and leave at once, for ever.
@@ -65,7 +65,7 @@
 				c.Send(requestMessage(fmt.Sprint("m", i), "clip"), 0)
 				in.answer(b)
 				took = append(took, time.Since(began))
-				c.Send(wire.Encode(wire.Session{Type: wire.Leave, ID: fmt.Sprint("m", i)}), 0)
+				c.Send(wire.Encode(wire.SessionMessage{Type: wire.Cancel, ID: fmt.Sprint("m", i)}), 0)
 			}
 			slices.Sort(took)
 			b.ReportMetric(float64(took[len(took)/2].Microseconds())/1000, "ms-p50")
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -11,8 +11,8 @@
 // rejectRequest answers a request for which there is no room in the inbox. The loop never hears of it, so it has never run.
 func (d *Daemon) rejectRequest(c *transport.Conn, in director.ClientReceived) {
 	d.inboxFullRejects.Add(1)
-	c.Send(d.protocol.EncodeClient(director.SendClient{Message: wire.Session{
-		Type: wire.Nack, ID: in.Message.ID, Backoff: d.config.Queue.MaxRetryAfter.Milliseconds(), Why: "too many requests at once"}}), 0)
+	c.Send(d.protocol.EncodeClient(director.SendClient{Message: wire.SessionMessage{
+		Type: wire.Nack, ID: in.Message.ID, BackoffMS: d.config.Queue.MaxRetryAfter.Milliseconds(), Reason: "too many requests at once"}}), 0)
 }
 
 type clientHandler struct{ d *Daemon }
@@ -55,7 +55,7 @@
 		return
 	}
 	in.Conn = p.id
-	if i := (item{input: in, peer: p}); in.Message.Type == wire.Leave && h.d.config.ProtocolOptions.Linger == 0 {
+	if i := (item{input: in, peer: p}); in.Message.Type == wire.Cancel && h.d.config.ProtocolOptions.Linger == 0 {
 		h.d.inbox.cancel(i, in.Message.ID)
 	} else {
 		h.d.inbox.enqueueClient(i)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	if len(house.Nodes) > 0 || len(house.Titles) > 0 { // until the list's source is heard, if there is one
-		d.inbox.put(item{input: director.DiscoveryReceived{Message: wire.List{Type: wire.Whole, Nodes: house.Nodes, Titles: house.Titles}}})
+		d.inbox.put(item{input: director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Snapshot, Nodes: house.Nodes, Titles: house.Titles}}})
 	}
 	d.loop.Observe(d.logEvent)
 	go d.run()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -47,11 +47,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(p.host.Close)
-	var entries []wire.Entry
+	var entries []wire.NodeEntry
 	for i, m := range machines {
-		entries = append(entries, wire.Entry{Node: m.Name, Address: p.host.Address(m.Name), State: wire.Up, Kind: "box", Weight: 1, Cell: i, Start: 1})
+		entries = append(entries, wire.NodeEntry{Node: m.Name, Address: p.host.Address(m.Name), State: wire.Up, MachineKind: "box", Weight: 1, Cell: i, Incarnation: 1})
 	}
-	if p.discovery, err = list.Open(p.recorder, entries, []wire.Title{{Title: "t", Copies: 8}}); err != nil {
+	if p.discovery, err = list.Open(p.recorder, entries, []wire.TitlePlacement{{Title: "t", Copies: 8}}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.discovery.Close)
@@ -121,14 +121,14 @@
 }
 
 func requestMessage(id, tariff string) []byte {
-	return wire.Encode(wire.Session{Type: wire.Want, ID: id, Tariff: tariff, Title: "t", Key: "k" + id, Wait: 2000, Length: 60_000})
+	return wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: tariff, Title: "t", Key: "k" + id, WaitMS: 2000, LengthMS: 60_000})
 }
 
-func (p *client) answer(t testing.TB) wire.Session {
+func (p *client) answer(t testing.TB) wire.SessionMessage {
 	t.Helper()
 	select {
 	case raw := <-p.received:
-		m, err := wire.DecodeSession([]byte(raw))
+		m, err := wire.DecodeSessionMessage([]byte(raw))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -138,7 +138,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("no answer")
 	}
-	return wire.Session{}
+	return wire.SessionMessage{}
 }
 
 func (p *client) end(t *testing.T) error {
@@ -158,7 +158,7 @@
 	p := newFixture(t, 3)
 	c, in := dial(t, p.d.Address())
 	c.Send(requestMessage("1", "exam"), 0)
-	if m := in.answer(t); m.Type != wire.Plays || m.Address == "" {
+	if m := in.answer(t); m.Type != wire.Playing || m.Address == "" {
 		t.Fatal(m)
 	}
 	families, err := func() (n int, err error) {
@@ -177,10 +177,10 @@
 	p := newFixture(t, 2)
 	other, heard := dial(t, p.d.Address())
 	for text, want := range map[string]string{
-		"{":                                     "1007",
-		`{"t":"want","id":"1"}`:                 "1007 want needs",
-		`{"t":"plays","id":"1"}`:                "1008 players do not say plays",
-		strings.Repeat("x", wire.SessionMost+1): "1009",
+		"{":                      "1007",
+		`{"t":"want","id":"1"}`:  "1007 want needs",
+		`{"t":"plays","id":"1"}`: "1008 players do not say plays",
+		strings.Repeat("x", wire.MaxSessionMessageBytes+1): "1009",
 	} {
 		c, in := dial(t, p.d.Address())
 		c.Send([]byte(text), 0)
@@ -192,7 +192,7 @@
 		t.Error(n, "malformed messages counted")
 	}
 	other.Send(requestMessage("1", "clip"), 0)
-	if m := heard.answer(t); m.Type != wire.Plays {
+	if m := heard.answer(t); m.Type != wire.Playing {
 		t.Fatal(m)
 	}
 }
@@ -259,7 +259,7 @@
 	eventually(t, "the malformed list is counted", func() bool { return d.malformedCounts[2].Load() > 0 })
 	c, in := dial(t, d.Address())
 	c.Send(requestMessage("1", "clip"), 0)
-	if m := in.answer(t); m.Type != wire.Nack || m.Why != "unknown title" {
+	if m := in.answer(t); m.Type != wire.Nack || m.Reason != "unknown title" {
 		t.Fatal(m)
 	}
 }
@@ -269,11 +269,11 @@
 	p := newFixture(t, 1)
 	c, in := dial(t, p.d.Address())
 	c.Send(requestMessage("1", "clip"), 0)
-	if m := in.answer(t); m.Type != wire.Plays {
+	if m := in.answer(t); m.Type != wire.Playing {
 		t.Fatal(m)
 	}
 	p.host.Do(node.Fault{Node: "n0", Silent: new(true)})
-	for m := in.answer(t); m.Type != wire.Over; m = in.answer(t) {
+	for m := in.answer(t); m.Type != wire.SessionEnded; m = in.answer(t) {
 		if m.Type != wire.Rung {
 			t.Fatal(m)
 		}
@@ -288,7 +288,7 @@
 	p := newFixture(t, 2)
 	c, in := dial(t, p.d.Address())
 	c.Send(requestMessage("1", "clip"), 0)
-	if m := in.answer(t); m.Type != wire.Plays {
+	if m := in.answer(t); m.Type != wire.Playing {
 		t.Fatal(m)
 	}
 	p.host.Do(node.Fault{Slow: new(100.0)}) // set-ups take a fifth of a second
@@ -299,13 +299,13 @@
 	got := map[string]string{}
 	for len(got) < 2 {
 		if m := in.answer(t); m.Type != wire.Rung {
-			got[m.ID+m.Type] = m.Why
+			got[m.ID+m.Type] = m.Reason
 		}
 	}
-	if _, played := got["2"+wire.Plays]; !played {
+	if _, played := got["2"+wire.Playing]; !played {
 		t.Fatal("the set-up that was owed an answer has none that plays: ", got)
 	}
-	if why := got["1"+wire.Over]; why != "director closes" {
+	if why := got["1"+wire.SessionEnded]; why != "director closes" {
 		t.Fatal(got)
 	}
 	if why := in.end(t); !strings.Contains(why.Error(), "1001") {
@@ -328,7 +328,7 @@
 func TestFloodOfOnePeerIsCutOff(t *testing.T) {
 	p := newFixture(t, 2)
 	c, _ := dial(t, p.d.Address())
-	leave := wire.Encode(wire.Session{Type: wire.Leave, ID: "none"})
+	leave := wire.Encode(wire.SessionMessage{Type: wire.Cancel, ID: "none"})
 	for range 200_000 {
 		if !c.Send(leave, 0) {
 			break
@@ -336,7 +336,7 @@
 	}
 	other, heard := dial(t, p.d.Address())
 	other.Send(requestMessage("1", "clip"), 0)
-	if m := heard.answer(t); m.Type != wire.Plays {
+	if m := heard.answer(t); m.Type != wire.Playing {
 		t.Fatal(m)
 	}
 	if n := p.d.inbox.queueLength(); n > 64+10 {
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -21,12 +21,12 @@
 	// there is one, goes out at once. An error ends the connection.
 	DecodeClient(raw []byte) (in director.ClientReceived, reply []byte, err error)
 	DecodeNode(raw []byte) (in director.LinkReceived, reply []byte, err error)
-	DecodeDiscovery(raw []byte) (wire.List, error)
+	DecodeDiscovery(raw []byte) (wire.DiscoveryMessage, error)
 
 	// What the protocol has no words for is nil.
 	EncodeClient(o director.SendClient) []byte
 	EncodeNode(o director.SendNode) []byte
-	EncodeDiscovery(m wire.List) []byte
+	EncodeDiscovery(m wire.DiscoveryMessage) []byte
 }
 
 // webSocketProtocol is the project's own protocols over WebSocket.
@@ -41,23 +41,25 @@
 }
 
 func (f webSocketProtocol) DialDiscovery(address string, within time.Duration, h transport.Handler) (*transport.Conn, error) {
-	return transport.Dial(address, wire.ListProtocol, within, f.config.ConnectionLimits.Discovery, h, nil)
+	return transport.Dial(address, wire.DiscoveryProtocol, within, f.config.ConnectionLimits.Discovery, h, nil)
 }
 
 func (webSocketProtocol) DecodeClient(raw []byte) (in director.ClientReceived, reply []byte, err error) {
-	in.Message, err = wire.DecodeSession(raw)
+	in.Message, err = wire.DecodeSessionMessage(raw)
 	return in, nil, err
 }
 
 func (webSocketProtocol) DecodeNode(raw []byte) (in director.LinkReceived, reply []byte, err error) {
-	in.Message, err = wire.DecodeNode(raw)
+	in.Message, err = wire.DecodeNodeMessage(raw)
 	return in, nil, err
 }
 
-func (webSocketProtocol) DecodeDiscovery(raw []byte) (wire.List, error) { return wire.DecodeList(raw) }
+func (webSocketProtocol) DecodeDiscovery(raw []byte) (wire.DiscoveryMessage, error) {
+	return wire.DecodeDiscoveryMessage(raw)
+}
 
 func (webSocketProtocol) EncodeClient(o director.SendClient) []byte { return wire.Encode(o.Message) }
 
 func (webSocketProtocol) EncodeNode(o director.SendNode) []byte { return wire.Encode(o.Message) }
 
-func (webSocketProtocol) EncodeDiscovery(m wire.List) []byte { return wire.Encode(m) }
+func (webSocketProtocol) EncodeDiscovery(m wire.DiscoveryMessage) []byte { return wire.Encode(m) }
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -181,7 +181,7 @@
 
 // isNewRequest tells whether a player asks for a session that does not play yet.
 func isNewRequest(e director.ClientReceived) bool {
-	return e.Message.Type == wire.Want && (e.Details == nil || e.Details.PlayingOn == "")
+	return e.Message.Type == wire.Request && (e.Details == nil || e.Details.PlayingOn == "")
 }
 
 // queueLength is how many stand in line.
--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -16,7 +16,7 @@
 // messageItem is what a player says of a request; a request that brings a node plays there already.
 func messageItem(p *peer, kind, id, playing string) item {
 	p.pending.Add(1)
-	return item{peer: p, input: director.ClientReceived{Conn: p.id, Message: wire.Session{Type: kind, ID: id},
+	return item{peer: p, input: director.ClientReceived{Conn: p.id, Message: wire.SessionMessage{Type: kind, ID: id},
 		Details: &director.RequestDetails{PlayingOn: playing}}}
 }
 
@@ -48,41 +48,41 @@
 		want   []string
 	}{
 		"cancelled in line": {func(b *inbox, p *peer) {
-			b.enqueueClient(messageItem(p, wire.Want, "a", ""))
-			b.enqueueClient(messageItem(p, wire.Want, "b", ""))
-			b.cancel(messageItem(p, wire.Leave, "a", ""), "a")
+			b.enqueueClient(messageItem(p, wire.Request, "a", ""))
+			b.enqueueClient(messageItem(p, wire.Request, "b", ""))
+			b.cancel(messageItem(p, wire.Cancel, "a", ""), "a")
 		}, []string{"1 want b"}},
 		"cancelled once taken": {func(b *inbox, p *peer) {
-			b.enqueueClient(messageItem(p, wire.Want, "b", ""))
-			b.cancel(messageItem(p, wire.Leave, "a", ""), "a")
+			b.enqueueClient(messageItem(p, wire.Request, "b", ""))
+			b.cancel(messageItem(p, wire.Cancel, "a", ""), "a")
 		}, []string{"1 leave a", "1 want b"}},
 		"cancelled before it was let in": {func(b *inbox, p *peer) {
 			b.enqueueClient(connectingItem(p))
-			b.enqueueClient(messageItem(p, wire.Want, "a", ""))
-			b.cancel(messageItem(p, wire.Leave, "a", ""), "a")
+			b.enqueueClient(messageItem(p, wire.Request, "a", ""))
+			b.cancel(messageItem(p, wire.Cancel, "a", ""), "a")
 		}, []string{"1 knocks"}},
 		"closed in line": {func(b *inbox, p *peer) {
-			b.enqueueClient(messageItem(p, wire.Want, "a", ""))
-			b.enqueueClient(messageItem(p, wire.Want, "b", ""))
+			b.enqueueClient(messageItem(p, wire.Request, "a", ""))
+			b.enqueueClient(messageItem(p, wire.Request, "b", ""))
 			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, false)
 		}, []string{"1 closed"}},
 		"closed before it was let in": {func(b *inbox, p *peer) {
 			b.enqueueClient(connectingItem(p))
-			b.enqueueClient(messageItem(p, wire.Want, "a", ""))
+			b.enqueueClient(messageItem(p, wire.Request, "a", ""))
 			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, false)
 		}, []string{"1 knocks", "1 closed"}},
 		"an ending keeps its place behind the knock": {func(b *inbox, p *peer) {
 			b.enqueueClient(connectingItem(p))
-			b.cancel(messageItem(p, wire.Leave, "a", ""), "a")
+			b.cancel(messageItem(p, wire.Cancel, "a", ""), "a")
 			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, false)
 		}, []string{"1 knocks", "1 leave a", "1 closed"}},
 		"what plays is handed over first": {func(b *inbox, p *peer) {
-			b.enqueueClient(messageItem(p, wire.Want, "a", "s-1"))
-			b.cancel(messageItem(p, wire.Leave, "a", ""), "a")
+			b.enqueueClient(messageItem(p, wire.Request, "a", "s-1"))
+			b.cancel(messageItem(p, wire.Cancel, "a", ""), "a")
 			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, false)
 		}, []string{"1 want a", "1 leave a", "1 closed"}},
 		"who may come again is still owed": {func(b *inbox, p *peer) {
-			b.enqueueClient(messageItem(p, wire.Want, "a", ""))
+			b.enqueueClient(messageItem(p, wire.Request, "a", ""))
 			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, true)
 		}, []string{"1 want a", "1 closed"}},
 	} {
@@ -108,12 +108,12 @@
 // comes under the same id after that is not.
 func TestACancelReachesTheBatchInHand(t *testing.T) {
 	b, p := newInbox(), &peer{id: 1}
-	b.enqueueClient(messageItem(p, wire.Want, "a", ""))
-	b.enqueueClient(messageItem(p, wire.Want, "b", ""))
+	b.enqueueClient(messageItem(p, wire.Request, "a", ""))
+	b.enqueueClient(messageItem(p, wire.Request, "b", ""))
 	if n := len(b.takeBatch(nil)); n != 2 {
 		t.Fatalf("%d taken", n)
 	}
-	b.cancel(messageItem(p, wire.Leave, "b", ""), "b")
+	b.cancel(messageItem(p, wire.Cancel, "b", ""), "b")
 	p.pending.Add(-1)
 	if b.wasCancelled(p, "a") {
 		t.Fatal("the other one is passed over")
@@ -124,7 +124,7 @@
 	}
 	b.takeBatch(nil) // the word itself
 	p.pending.Add(-1)
-	b.enqueueClient(messageItem(p, wire.Want, "b", ""))
+	b.enqueueClient(messageItem(p, wire.Request, "b", ""))
 	b.takeBatch(nil)
 	p.pending.Add(-1)
 	if b.wasCancelled(p, "b") || len(p.cancelled) != 0 {
@@ -132,7 +132,7 @@
 	}
 	p.pending.Add(1) // something of it is in hand for as long as this goes on
 	for i := range 10 * batchSize {
-		b.cancel(messageItem(p, wire.Leave, fmt.Sprint(i), ""), fmt.Sprint(i))
+		b.cancel(messageItem(p, wire.Cancel, fmt.Sprint(i), ""), fmt.Sprint(i))
 	}
 	if len(p.cancelled) > batchSize || !b.wasCancelled(p, fmt.Sprint(10*batchSize-1)) {
 		t.Fatalf("%d are kept", len(p.cancelled))
@@ -158,7 +158,7 @@
 					i.peer.pending.Add(-1)
 				}
 				e, ok := i.input.(director.ClientReceived)
-				if !ok || e.Message.Type != wire.Want {
+				if !ok || e.Message.Type != wire.Request {
 					continue
 				}
 				if !waiting[e.Conn][e.Message.ID] {
@@ -178,11 +178,11 @@
 				next++
 				id := fmt.Sprint(next)
 				waiting[k][id] = true
-				b.enqueueClient(messageItem(p, wire.Want, id, ""))
+				b.enqueueClient(messageItem(p, wire.Request, id, ""))
 			case what < 9:
 				id := fmt.Sprint(rapid.IntRange(1, next+1).Draw(t, "id"))
 				delete(waiting[k], id)
-				b.cancel(messageItem(p, wire.Leave, id, ""), id)
+				b.cancel(messageItem(p, wire.Cancel, id, ""), id)
 			default:
 				left[k] = true
 				clear(waiting[k])
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -52,7 +52,7 @@
 	for i := range 19 { // 95%: full
 		c, in := dial(t, p.d.Address())
 		c.Send(requestMessage(fmt.Sprint(i), "clip"), 0)
-		if m := in.answer(t); m.Type != wire.Plays {
+		if m := in.answer(t); m.Type != wire.Playing {
 			t.Fatal(m)
 		}
 		conns = append(conns, c)
@@ -86,7 +86,7 @@
 	p := newFixture(t, 1, `"limits": {`, `"limits": {"connections": 20, "handshakes": 20, `)
 	busy, playing := dial(t, p.d.Address())
 	busy.Send(requestMessage("1", "clip"), 0)
-	if m := playing.answer(t); m.Type != wire.Plays {
+	if m := playing.answer(t); m.Type != wire.Playing {
 		t.Fatal(m)
 	}
 	var idle []*client
@@ -145,7 +145,7 @@
 	for i := range 50 {
 		c, in := dial(t, p.d.Address())
 		c.Send(requestMessage(fmt.Sprint(i), "clip"), 0)
-		if m := in.answer(t); m.Type != wire.Plays {
+		if m := in.answer(t); m.Type != wire.Playing {
 			t.Fatal(i, m)
 		}
 	}
@@ -167,7 +167,7 @@
 	defer c.Close()
 	io.WriteString(c, upgradeRequest)
 	time.Sleep(100 * ms) // the handshake has to be answered before anything else comes
-	ask := ws.MustCompileFrame(ws.MaskFrame(ws.NewTextFrame(wire.Encode(wire.Session{Type: wire.Want, ID: "1", Tariff: "clip", Title: "none", Key: "k", Wait: 1000}))))
+	ask := ws.MustCompileFrame(ws.MaskFrame(ws.NewTextFrame(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "clip", Title: "none", Key: "k", WaitMS: 1000}))))
 	c.SetWriteDeadline(time.Now().Add(20 * time.Second))
 	for range 200_000 { // each is answered as before; the reset ends this
 		if _, err = c.Write(ask); err != nil {
@@ -244,7 +244,7 @@
 	for i := range 20 {
 		o, in := dial(t, p.d.Address())
 		o.Send(requestMessage(fmt.Sprint(i), "clip"), 0)
-		if m := in.answer(t); m.Type != wire.Plays {
+		if m := in.answer(t); m.Type != wire.Playing {
 			t.Fatal(i, m)
 		}
 	}
@@ -257,7 +257,7 @@
 	for i := range 19 {
 		c, in := dial(t, p.d.Address())
 		c.Send(requestMessage(fmt.Sprint(i), "clip"), 0)
-		if m := in.answer(t); m.Type != wire.Plays {
+		if m := in.answer(t); m.Type != wire.Playing {
 			t.Fatal(m)
 		}
 	}
--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -46,8 +46,8 @@
 	Seed     uint64
 	Site     node.Site
 	Machines []node.Machine
-	Entries  []wire.Entry // of the machines, addresses and starts left out; Removed: not there at first
-	Titles   []wire.Title
+	Entries  []wire.NodeEntry // of the machines, addresses and starts left out; Removed: not there at first
+	Titles   []wire.TitlePlacement
 	Worth    []float64
 	Plan     []Told
 
@@ -73,7 +73,7 @@
 		uplinks = append(uplinks, y.facts.Uplink*(0.85+0.3*y.chance.Float64()))
 	}
 	for i := range s.Nodes {
-		y.machine(wire.Entry{Node: "node-" + strconv.Itoa(i), State: wire.Up, Kind: "box", Zone: "hall", Weight: 1, Cell: i}, s.Racks, y.facts.Places, link)
+		y.machine(wire.NodeEntry{Node: "node-" + strconv.Itoa(i), State: wire.Up, MachineKind: "box", Zone: "hall", Weight: 1, Cell: i}, s.Racks, y.facts.Places, link)
 	}
 	y.Site = node.Site{
 		Uplinks: uplinks, Warmup: 5 * time.Second, ColdFrom: 0.4, Multiple: 4, TipAfter: time.Second,
@@ -82,14 +82,14 @@
 	}
 	copies := max(min(3, s.Nodes), s.Nodes/5)
 	for i := range s.Titles {
-		y.Titles = append(y.Titles, wire.Title{Title: "title-" + strconv.Itoa(i), Base: y.chance.IntN(s.Nodes), Copies: copies})
+		y.Titles = append(y.Titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i), FirstCell: y.chance.IntN(s.Nodes), Copies: copies})
 	}
 	return y
 }
 
-func (y *Layout) machine(e wire.Entry, racks, places int, link float64) {
+func (y *Layout) machine(e wire.NodeEntry, racks, places int, link float64) {
 	y.Entries = append(y.Entries, e)
-	y.Machines = append(y.Machines, node.Machine{Name: e.Node, Kind: e.Kind, Rack: e.Cell % racks, Places: places,
+	y.Machines = append(y.Machines, node.Machine{Name: e.Node, Kind: e.MachineKind, Rack: e.Cell % racks, Places: places,
 		Link: link * (0.85 + 0.3*y.chance.Float64()), Cores: 2, Work: 3 * time.Millisecond})
 }
 
@@ -118,9 +118,9 @@
 		}
 	}
 	for _, e := range all {
-		kind := slices.Index(h.MachineKinds, e.Kind)
+		kind := slices.Index(h.MachineKinds, e.MachineKind)
 		if kind < 0 {
-			return nil, fmt.Errorf("node %s is of kind %q, which fleet.machines does not have", e.Node, e.Kind)
+			return nil, fmt.Errorf("node %s is of kind %q, which fleet.machines does not have", e.Node, e.MachineKind)
 		}
 		y.machine(e, h.Fleet.Racks, int(h.Ramp.MaxStreams[kind]), h.Fleet.LinkUnit*e.Weight)
 	}
--- a/internal/day/rig.go
+++ b/internal/day/rig.go
@@ -40,7 +40,7 @@
 // Told is a line of the list at a time of the day.
 type Told struct {
 	At    time.Duration
-	Entry wire.Entry
+	Entry wire.NodeEntry
 }
 
 // A Director that runs somewhere.
@@ -80,9 +80,9 @@
 
 	mu        sync.Mutex
 	directors []*post
-	entries   []wire.Entry // as the list has the machines, or will
-	rate      float64      // of arrivals, times the usual
-	hot       float64      // share of arrivals that want one of a few titles
+	entries   []wire.NodeEntry // as the list has the machines, or will
+	rate      float64          // of arrivals, times the usual
+	hot       float64          // share of arrivals that want one of a few titles
 	boots     int
 	began     time.Time
 	waiting   sync.WaitGroup
@@ -126,7 +126,7 @@
 		return err
 	}
 	g.entries = slices.Clone(y.Entries)
-	var entries []wire.Entry
+	var entries []wire.NodeEntry
 	for i, e := range y.Entries {
 		if e.State == wire.Removed { // the plan adds it
 			g.fleet.Do(node.Fault{Node: e.Node, Die: true})
@@ -148,12 +148,12 @@
 }
 
 // entry is the list's line of a machine, in a state, as the machine is now.
-func (g *rig) entry(machine int, state string) wire.Entry {
+func (g *rig) entry(machine int, state string) wire.NodeEntry {
 	g.mu.Lock()
 	e := g.entries[machine]
 	g.mu.Unlock()
 	e.State, e.Address = state, g.fleet.Address(e.Node)
-	e.Start, _ = g.fleet.Start(e.Node)
+	e.Incarnation, _ = g.fleet.Start(e.Node)
 	return e
 }
 
--- a/internal/day/timeline.go
+++ b/internal/day/timeline.go
@@ -29,8 +29,8 @@
 type Word struct {
 	Machine int
 	State   string
-	Entry   *wire.Entry // what else changes; nil: nothing
-	Born    bool        // it has started just now
+	Entry   *wire.NodeEntry // what else changes; nil: nothing
+	Born    bool            // it has started just now
 	Late    time.Duration
 }
 
--- a/internal/director/answer.go
+++ b/internal/director/answer.go
@@ -9,7 +9,7 @@
 // Answers.
 
 // settleAnswer marks a session's answer as given, or as no longer owed where there is none.
-func (l *Loop) settleAnswer(s *session, answer *wire.Session, description ...byte) {
+func (l *Loop) settleAnswer(s *session, answer *wire.SessionMessage, description ...byte) {
 	if answer != nil && !l.mayAnswer(s, answer.Type) {
 		return
 	}
@@ -24,23 +24,23 @@
 	if r := s.conn.requests[s.request]; r != nil {
 		r.answer = answer
 	}
-	l.requestEvent(RequestAnswered, s, answer.Type+" "+answer.Why)
+	l.requestEvent(RequestAnswered, s, answer.Type+" "+answer.Reason)
 	l.emit(SendClient{Conn: s.conn.id, Message: *answer, Description: description})
 }
 
 func (l *Loop) answerNack(s *session, backoff time.Duration, why string) {
 	l.counts.Nacked++
-	l.settleAnswer(s, &wire.Session{Type: wire.Nack, Backoff: backoff.Milliseconds(), Why: why})
+	l.settleAnswer(s, &wire.SessionMessage{Type: wire.Nack, BackoffMS: backoff.Milliseconds(), Reason: why})
 }
 
 func (l *Loop) answerError(s *session, why string) {
 	l.counts.Errored++
-	l.settleAnswer(s, &wire.Session{Type: wire.Errored, Why: why})
+	l.settleAnswer(s, &wire.SessionMessage{Type: wire.Errored, Reason: why})
 }
 
-func (l *Loop) playsMessage(s *session) wire.Session {
-	return wire.Session{
-		Type: wire.Plays, ID: s.request, Session: s.name, Node: s.leg.node.name, Address: s.leg.node.address,
+func (l *Loop) playsMessage(s *session) wire.SessionMessage {
+	return wire.SessionMessage{
+		Type: wire.Playing, ID: s.request, Session: s.name, Node: s.leg.node.name, Address: s.leg.node.address,
 		Ticket: s.name, Rung: s.rung,
 	}
 }
--- a/internal/director/attempt.go
+++ b/internal/director/attempt.go
@@ -90,9 +90,9 @@
 	l.setLegPhase(g, legSent)
 	g.link, g.node.lastUsed = g.node.link, l.now
 	l.attemptEvent(AttemptSent, g, "")
-	l.emit(SendNode{Link: g.link, Setup: g.id, Message: wire.Node{
+	l.emit(SendNode{Link: g.link, Setup: g.id, Message: wire.NodeMessage{
 		Type: wire.Setup, Leg: g.id, Session: s.name, Tariff: l.tariffs[s.tariff].Name, Title: s.title,
-		Rung: s.rung, Rate: l.sessionRate(s), Within: max(1, (g.deadline - l.now).Milliseconds()), Length: s.length.Milliseconds(),
+		Rung: s.rung, RateKB: l.sessionRate(s), StartWithinMS: max(1, (g.deadline - l.now).Milliseconds()), LengthMS: s.length.Milliseconds(),
 	}, Description: s.description})
 }
 
@@ -111,14 +111,14 @@
 	}
 	if s.phase == sessionPlaying && s.conn != nil {
 		l.emit(SendClient{Conn: s.conn.id, CoalesceKey: s.id,
-			Message: wire.Session{Type: wire.Rung, ID: s.request, Session: s.name, Rung: s.rung}})
+			Message: wire.SessionMessage{Type: wire.Rung, ID: s.request, Session: s.name, Rung: s.rung}})
 	}
 }
 
 func (l *Loop) sendRung(g *leg) {
 	if g.rungPending = !g.node.connected; !g.rungPending { // else once there is a connection
 		s := g.session
-		l.emit(SendNode{Link: g.node.link, Message: wire.Node{Type: wire.Rung, Leg: g.id, Session: s.name, Rung: s.rung, Rate: l.sessionRate(s)}})
+		l.emit(SendNode{Link: g.node.link, Message: wire.NodeMessage{Type: wire.Rung, Leg: g.id, Session: s.name, Rung: s.rung, RateKB: l.sessionRate(s)}})
 	}
 }
 
@@ -146,7 +146,7 @@
 }
 
 // legAccepted starts a session on its node.
-func (l *Loop) legAccepted(g *leg, load *wire.Load, description []byte) {
+func (l *Loop) legAccepted(g *leg, load *wire.NodeLoad, description []byte) {
 	s := g.session
 	if g.phase != legSent || s.answered {
 		l.counts.LateAnswers++ // twice, or for a session that has its answer
@@ -176,7 +176,7 @@
 }
 
 // endLeg ends a leg, tells the module what is true of it, and the player if its session ends by it.
-func (l *Loop) endLeg(g *leg, f legOutcome, load *wire.Load) {
+func (l *Loop) endLeg(g *leg, f legOutcome, load *wire.NodeLoad) {
 	if g.phase == legOver {
 		return
 	}
@@ -217,7 +217,7 @@
 }
 
 // loadOf reads a node's report; what it does not tell is negative.
-func loadOf(r *wire.Load) policy.Load {
+func loadOf(r *wire.NodeLoad) policy.Load {
 	load := policy.NoLoad
 	if r == nil {
 		return load
--- a/internal/director/bench_test.go
+++ b/internal/director/bench_test.go
@@ -24,7 +24,7 @@
 		}
 		conn := uint64(1 + sessions)
 		s.connectClient(conn)
-		s.step(ClientReceived{Conn: conn, Message: wire.Session{Type: wire.Want, ID: "1", Tariff: "clip", Title: "t", Key: fmt.Sprint("key-", conn), Wait: 5000, Length: 60_000}})
+		s.step(ClientReceived{Conn: conn, Message: wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "clip", Title: "t", Key: fmt.Sprint("key-", conn), WaitMS: 5000, LengthMS: 60_000}})
 		for _, g := range s.setups() {
 			s.step(legReply(g, wire.Accepted))
 		}
--- a/internal/director/client.go
+++ b/internal/director/client.go
@@ -29,8 +29,8 @@
 
 // A request is a want of a player under its own id.
 type request struct {
-	session *session      // nil once that is over
-	answer  *wire.Session // the final answer, once given
+	session *session             // nil once that is over
+	answer  *wire.SessionMessage // the final answer, once given
 }
 
 // Players.
@@ -119,7 +119,7 @@
 func (l *Loop) clientReceived(e ClientReceived) {
 	c := l.conns[e.Conn]
 	if c == nil { // it closed a moment ago, or was not let in
-		if s := l.sessionsByKey[e.Message.ID]; l.options.Detached && e.Message.Type == wire.Leave && s != nil && s.answered {
+		if s := l.sessionsByKey[e.Message.ID]; l.options.Detached && e.Message.Type == wire.Cancel && s != nil && s.answered {
 			l.endDetached(s, e.Conn) // what plays belongs to no connection, and its ending neither
 		}
 		return
@@ -141,7 +141,7 @@
 	}
 	r := c.requests[m.ID]
 	switch m.Type {
-	case wire.Want:
+	case wire.Request:
 		if r != nil { // a repetition: answered as before, never taken twice
 			l.counts.Repeated++
 			if r.answer != nil {
@@ -150,7 +150,7 @@
 			return
 		}
 		l.takeRequest(c, m, e.Waited, nil)
-	case wire.Leave:
+	case wire.Cancel:
 		if r != nil && r.session != nil {
 			l.abandonSession(r.session, "cancelled by the client")
 		}
--- a/internal/director/closing_test.go
+++ b/internal/director/closing_test.go
@@ -33,7 +33,7 @@
 	}
 	if !closed {
 		s.step(detachedReply(s.onlySetup().Link, "a", wire.Accepted))
-		s.onlyAnswer(wire.Plays)
+		s.onlyAnswer(wire.Playing)
 	}
 }
 
--- a/internal/director/connections.go
+++ b/internal/director/connections.go
@@ -139,7 +139,7 @@
 		n.idleTimer = l.timers.Add(l.now+l.reconnectPolicy.IdleTimeout, timer{timerIdle, e.Link})
 	}
 	if !l.options.NoHello {
-		l.emit(SendNode{Link: e.Link, Message: wire.Node{Type: wire.Hello, Director: l.name}})
+		l.emit(SendNode{Link: e.Link, Message: wire.NodeMessage{Type: wire.Hello, Director: l.name}})
 	}
 	l.stepConnector(reach.Event{Node: n.index, Kind: reach.Connected})
 	if n.dialedAddress != n.address { // the list has moved it meanwhile
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -219,7 +219,7 @@
 			l.endLeg(g, outcomeWithdrawn, nil)
 		}
 	case DiscoveryConnected:
-		l.emit(SendDiscovery{wire.List{Type: wire.Listen, Director: l.name}})
+		l.emit(SendDiscovery{wire.DiscoveryMessage{Type: wire.Subscribe, Director: l.name}})
 	case DiscoveryReceived:
 		l.discoveryReceived(e.Message)
 	case DiscoveryLost:
@@ -286,7 +286,7 @@
 	case policy.SetTimer:
 		l.timers.Add(a.At, timer{timerPolicy, 0})
 	case policy.PollServerList:
-		l.emit(SendDiscovery{wire.List{Type: wire.Listen, Director: l.name}})
+		l.emit(SendDiscovery{wire.DiscoveryMessage{Type: wire.Subscribe, Director: l.name}})
 	case policy.Log:
 		l.emit(Log{a.Message})
 	}
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -13,16 +13,16 @@
 	s := newHarness(t, 3)
 	s.request("1", "exam")
 	g := s.onlySetup()
-	if g.Message.Rung < 1 || g.Message.Rate < 200 || g.Message.Tariff != "exam" {
+	if g.Message.Rung < 1 || g.Message.RateKB < 200 || g.Message.Tariff != "exam" {
 		t.Fatal(g.Message)
 	}
 	s.step(legReply(g, wire.Accepted))
-	if a := s.onlyAnswer(wire.Plays); a.ID != "1" || a.Session != g.Message.Session || a.Address == "" {
+	if a := s.onlyAnswer(wire.Playing); a.ID != "1" || a.Session != g.Message.Session || a.Address == "" {
 		t.Fatal(a)
 	}
 	s.advance(5 * time.Second)
 	s.step(legReply(g, wire.Ended))
-	if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].Why != "ended" {
+	if over := s.clientMessages(wire.SessionEnded); len(over) != 1 || over[0].Reason != "ended" {
 		t.Fatal(over)
 	}
 	s.requireNoState()
@@ -43,7 +43,7 @@
 		t.Fatal("the first leg is not called off", e)
 	}
 	s.step(legReply(all[1], wire.Accepted))
-	s.onlyAnswer(wire.Plays)
+	s.onlyAnswer(wire.Playing)
 
 	s = newHarness(t, 3)
 	s.request("1", "exam")
@@ -69,11 +69,11 @@
 		s := newHarness(t, 3)
 		s.request("1", "exam")
 		g := s.onlySetup()
-		leave := func() { s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: "1"}}) }
+		leave := func() { s.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Cancel, ID: "1"}}) }
 		if answerFirst {
 			s.step(legReply(g, wire.Accepted))
 			leave()
-			s.onlyAnswer(wire.Plays)
+			s.onlyAnswer(wire.Playing)
 		} else {
 			leave()
 			s.step(legReply(g, wire.Accepted))
@@ -97,7 +97,7 @@
 	g := s.onlySetup()
 	s.now += 1950 * ms
 	s.step(legReply(g, wire.Accepted))
-	s.onlyAnswer(wire.Plays)
+	s.onlyAnswer(wire.Playing)
 
 	s = newHarness(t, 3)
 	s.request("1", "exam")
@@ -149,11 +149,11 @@
 		t.Fatal("never asked for a sign of life")
 	}
 	s.step(LinkAlive{g.Link, 2 * time.Second})
-	if len(s.clientMessages(wire.Over)) != 0 {
+	if len(s.clientMessages(wire.SessionEnded)) != 0 {
 		t.Fatal("given up too early")
 	}
 	s.step(LinkAlive{g.Link, 3100 * ms})
-	if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].Why != "node lost" {
+	if over := s.clientMessages(wire.SessionEnded); len(over) != 1 || over[0].Reason != "node lost" {
 		t.Fatal(over)
 	}
 	s.requireNoState()
@@ -165,8 +165,8 @@
 	g := s.onlySetup()
 	s.step(legReply(g, wire.Accepted))
 	s.step(legReply(g, wire.Accepted)) // twice
-	s.onlyAnswer(wire.Plays)
-	s.step(LinkReceived{Link: g.Link, Message: wire.Node{Type: wire.Accepted, Leg: 999}}) // of nobody
+	s.onlyAnswer(wire.Playing)
+	s.step(LinkReceived{Link: g.Link, Message: wire.NodeMessage{Type: wire.Accepted, Leg: 999}}) // of nobody
 	if e := s.endedLegs(); len(e) != 1 || e[0] != 999 {
 		t.Fatal("who plays for nobody is not ended", e)
 	}
@@ -174,8 +174,8 @@
 	if other == g.Link {
 		other = s.links[nodeName(1)]
 	}
-	s.step(LinkReceived{Link: other, Message: wire.Node{Type: wire.Ended, Leg: g.Setup}}) // of another node's leg
-	if len(s.clientMessages(wire.Over)) != 0 {
+	s.step(LinkReceived{Link: other, Message: wire.NodeMessage{Type: wire.Ended, Leg: g.Setup}}) // of another node's leg
+	if len(s.clientMessages(wire.SessionEnded)) != 0 {
 		t.Fatal("another node ended it")
 	}
 	if c := s.loop.counts; c.LateAnswers != 1 || c.Unexpected != 2 {
@@ -192,7 +192,7 @@
 	s.step(legReply(g, wire.Full))
 	s.advance(3 * time.Second)
 	s.onlySetup()
-	if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].Why != "node lost" || s.loop.counts.NeverRan[1] != 0 {
+	if over := s.clientMessages(wire.SessionEnded); len(over) != 1 || over[0].Reason != "node lost" || s.loop.counts.NeverRan[1] != 0 {
 		t.Fatal(over)
 	}
 	s.requireNoState()
@@ -212,7 +212,7 @@
 	}
 	e := upEntry(at)
 	e.State = wire.Draining
-	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{e}}})
 	if w := s.withdrawals(); len(w) != 1 || w[0] != g.Setup {
 		t.Fatal(w)
 	}
@@ -238,7 +238,7 @@
 	}
 	e := upEntry(0)
 	e.State = wire.Draining
-	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{e}}})
 	s.connectNode(nodeName(0))
 	s.advance(3 * time.Second)
 	if len(s.setups()) != 0 {
@@ -255,7 +255,7 @@
 	s.advance(20 * ms)
 	s.connectNode(nodeName(0))
 	s.step(legReply(s.onlySetup(), wire.Accepted))
-	s.onlyAnswer(wire.Plays)
+	s.onlyAnswer(wire.Playing)
 
 	s = newHarness(t, 1)
 	s.step(LinkLost{Link: s.links[nodeName(0)]})
@@ -276,7 +276,7 @@
 	s.request("1", "exam")
 	g := s.onlySetup()
 	s.step(legReply(g, wire.Accepted))
-	s.onlyAnswer(wire.Plays)
+	s.onlyAnswer(wire.Playing)
 	s.request("1", "exam")
 	a := s.answers()
 	if len(a) != 2 || a[0] != a[1] || len(s.setups()) != 1 {
@@ -287,29 +287,29 @@
 // A viewer whose connection broke finds the same session again by its key: in set-up and while it plays,
 // with no second leg. After the linger it is gone.
 func TestBrokenConnectionIsResumed(t *testing.T) {
-	key := func(k string) func(*wire.Session) { return func(m *wire.Session) { m.Key = k } }
+	key := func(k string) func(*wire.SessionMessage) { return func(m *wire.SessionMessage) { m.Key = k } }
 	s := newHarness(t, 3)
 	s.request("1", "exam", key("k"))
 	g := s.onlySetup()
 	s.step(ClientLost{Conn: 1})
 	s.connectClient(2)
-	s.step(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Want, ID: "9", Tariff: "exam", Title: "t", Key: "k", Wait: 5000}})
+	s.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Request, ID: "9", Tariff: "exam", Title: "t", Key: "k", WaitMS: 5000}})
 	s.step(legReply(g, wire.Accepted))
-	if a := s.onlyAnswer(wire.Plays); a.ID != "9" {
+	if a := s.onlyAnswer(wire.Playing); a.ID != "9" {
 		t.Fatal(a)
 	}
 	// While the second connection still stands, a third one takes the session over.
 	s.connectClient(3)
-	s.step(ClientReceived{Conn: 3, Message: wire.Session{Type: wire.Want, ID: "7", Tariff: "exam", Title: "t", Key: "k", Wait: 5000}})
+	s.step(ClientReceived{Conn: 3, Message: wire.SessionMessage{Type: wire.Request, ID: "7", Tariff: "exam", Title: "t", Key: "k", WaitMS: 5000}})
 	if a := s.answers(); len(a) != 2 || a[1].ID != "7" || a[1].Session != a[0].Session {
 		t.Fatal(a)
 	}
-	if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].Why != "taken over" {
+	if over := s.clientMessages(wire.SessionEnded); len(over) != 1 || over[0].Reason != "taken over" {
 		t.Fatal(over)
 	}
 	s.onlySetup()
 	// The key with another title is somebody else's.
-	s.step(ClientReceived{Conn: 3, Message: wire.Session{Type: wire.Want, ID: "8", Tariff: "clip", Title: "t", Key: "k", Wait: 5000}})
+	s.step(ClientReceived{Conn: 3, Message: wire.SessionMessage{Type: wire.Request, ID: "8", Tariff: "clip", Title: "t", Key: "k", WaitMS: 5000}})
 	if a := s.answers(); len(a) != 3 || a[2].Type != wire.Errored {
 		t.Fatal(a)
 	}
@@ -328,10 +328,10 @@
 // A viewer who comes again with less patience is answered by it.
 func TestResumedRequestKeepsItsOwnTime(t *testing.T) {
 	s := newHarness(t, 3)
-	s.request("1", "exam", func(m *wire.Session) { m.Key = "k" })
+	s.request("1", "exam", func(m *wire.SessionMessage) { m.Key = "k" })
 	s.step(ClientLost{Conn: 1})
 	s.connectClient(2)
-	s.step(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Want, ID: "1", Tariff: "exam", Title: "t", Key: "k", Wait: 500}})
+	s.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "exam", Title: "t", Key: "k", WaitMS: 500}})
 	s.advance(451 * ms)
 	s.onlyAnswer(wire.Errored)
 	s.advance(3 * time.Second)
@@ -342,20 +342,20 @@
 func TestRequestsThatCannotBeTaken(t *testing.T) {
 	s := newHarness(t, 3)
 	s.request("1", "nothing")
-	s.request("2", "clip", func(m *wire.Session) { m.Title = "other" })
+	s.request("2", "clip", func(m *wire.SessionMessage) { m.Title = "other" })
 	for _, id := range []string{"3", "4", "5", "6"} {
 		s.request(id, "clip")
 	}
 	s.request("7", "clip") // one more than a connection may have
 	got := map[string]string{}
 	for _, a := range s.answers() {
-		got[a.ID] = a.Type + ": " + a.Why
+		got[a.ID] = a.Type + ": " + a.Reason
 	}
 	if len(got) != 3 || got["1"] != "errored: unknown tariff" || got["2"] != "nack: unknown title" ||
 		got["7"] != "nack: too many sessions on this connection" {
 		t.Fatal(got)
 	}
-	s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Plays, ID: "1"}})
+	s.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Playing, ID: "1"}})
 	if c, ok := s.lastOutputs[len(s.lastOutputs)-1].(CloseClient); !ok || c.Code != 1008 {
 		t.Fatal(s.lastOutputs)
 	}
@@ -386,18 +386,18 @@
 	s.clearOutputs()
 	s.step(Stop{})
 	s.request("5", "clip")
-	if a := s.onlyAnswer(wire.Nack); a.ID != "5" || a.Why != "director closes" {
+	if a := s.onlyAnswer(wire.Nack); a.ID != "5" || a.Reason != "director closes" {
 		t.Fatal(a)
 	}
 	s.step(legReply(owed, wire.Accepted))
-	if a := s.answers(); len(a) != 2 || a[1].Type != wire.Plays {
+	if a := s.answers(); len(a) != 2 || a[1].Type != wire.Playing {
 		t.Fatal(a)
 	}
 	s.advance(2 * time.Second)
 	if !s.ended {
 		t.Fatal("not ended within the term")
 	}
-	if over := s.clientMessages(wire.Over); len(over) != 4 {
+	if over := s.clientMessages(wire.SessionEnded); len(over) != 4 {
 		t.Fatal(over)
 	}
 }
@@ -419,7 +419,7 @@
 func TestStallSettlesOldestFirst(t *testing.T) {
 	s := newHarness(t, 3)
 	for i, wait := range []int64{1900, 1000, 1500} {
-		s.request(nodeName(i), "exam", func(m *wire.Session) { m.Wait = wait; m.Title = "t"; m.Tariff = "clip" })
+		s.request(nodeName(i), "exam", func(m *wire.SessionMessage) { m.WaitMS = wait; m.Title = "t"; m.Tariff = "clip" })
 	}
 	s.now += 2500 * ms
 	s.step(Tick{})
@@ -437,18 +437,18 @@
 func TestNodeRestartIsReportedToPolicy(t *testing.T) {
 	s := newHarness(t, 1)
 	link := s.links[nodeName(0)]
-	s.step(LinkReceived{Link: link, Message: wire.Node{Type: wire.Hello, Start: 77, Age: 10}})
+	s.step(LinkReceived{Link: link, Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 77, UptimeMS: 10}})
 	if n := s.loop.nodes[nodeName(0)]; n.incarnation != 77 || n.startedAt != s.now-10*ms {
 		t.Fatal(n.incarnation, n.startedAt)
 	}
 	e := upEntry(0)
-	e.Start, e.Age = 77, 500 // the list, later: the same start
-	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
+	e.Incarnation, e.UptimeMS = 77, 500 // the list, later: the same start
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{e}}})
 	if n := s.loop.nodes[nodeName(0)]; n.startedAt != s.now-10*ms || n.link != link {
 		t.Fatal("one start is taken for two")
 	}
-	e.Start, e.Age = 78, 5
-	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 3, Nodes: []wire.Entry{e}}})
+	e.Incarnation, e.UptimeMS = 78, 5
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 3, Nodes: []wire.NodeEntry{e}}})
 	if s.links[nodeName(0)] == link {
 		t.Fatal("the old connection is kept")
 	}
@@ -463,9 +463,9 @@
 	link := s.links[nodeName(0)]
 	off := upEntry(0)
 	off.State = wire.Removed
-	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{off}}})
-	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 3, Nodes: []wire.Entry{upEntry(0)}}})
-	if len(s.clientMessages(wire.Over)) != 0 || s.links[nodeName(0)] != link {
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{off}}})
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 3, Nodes: []wire.NodeEntry{upEntry(0)}}})
+	if len(s.clientMessages(wire.SessionEnded)) != 0 || s.links[nodeName(0)] != link {
 		t.Fatal("the session was lost by it")
 	}
 	s.step(LinkLost{Link: link})
@@ -474,7 +474,7 @@
 	}
 	// Off for good: once the last leg has ended nothing of it is left.
 	s.step(LinkFailed{Node: nodeName(0), Link: s.links[nodeName(0)]})
-	s.step(DiscoveryReceived{wire.List{Type: wire.Whole, Serial: 4, Titles: []wire.Title{{Title: "t", Copies: 8}}}})
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Snapshot, Serial: 4, Titles: []wire.TitlePlacement{{Title: "t", Copies: 8}}}})
 	if len(s.loop.nodes) != 0 || len(s.loop.links) != 0 {
 		t.Fatal(len(s.loop.nodes), len(s.loop.links))
 	}
@@ -554,7 +554,7 @@
 	s.step(legReply(s.onlySetup(), wire.Accepted))
 	s.clearOutputs()
 	stood := func(id string) {
-		s.step(ClientReceived{Conn: 1, Waited: 300 * ms, Message: wire.Session{Type: wire.Want, ID: id, Tariff: "clip", Title: "t", Key: "key-" + id, Wait: 5000}})
+		s.step(ClientReceived{Conn: 1, Waited: 300 * ms, Message: wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip", Title: "t", Key: "key-" + id, WaitMS: 5000}})
 	}
 	for i := range 300 {
 		s.now += ms
@@ -564,18 +564,18 @@
 		}
 		for _, x := range s.loop.sessions {
 			if x.request != "first" {
-				s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: x.request}})
+				s.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Cancel, ID: x.request}})
 			}
 		}
 	}
 	nacks := s.clientMessages(wire.Nack)
-	if len(nacks) < 90 || nacks[0].Why != "busy" || nacks[0].Backoff < 1000 || s.loop.counts.RequestsShed != uint64(len(nacks)) {
+	if len(nacks) < 90 || nacks[0].Reason != "busy" || nacks[0].BackoffMS < 1000 || s.loop.counts.RequestsShed != uint64(len(nacks)) {
 		t.Fatal(len(nacks), s.loop.counts.RequestsShed)
 	}
 	s.clearOutputs()
 	s.connectClient(2)
-	s.step(ClientReceived{Conn: 2, Waited: 300 * ms, Message: wire.Session{Type: wire.Want, ID: "again", Tariff: "clip", Title: "t", Key: "key-first", Wait: 5000}})
-	if len(s.clientMessages(wire.Plays)) != 1 || s.loop.counts.Adopted != 1 {
+	s.step(ClientReceived{Conn: 2, Waited: 300 * ms, Message: wire.SessionMessage{Type: wire.Request, ID: "again", Tariff: "clip", Title: "t", Key: "key-first", WaitMS: 5000}})
+	if len(s.clientMessages(wire.Playing)) != 1 || s.loop.counts.Adopted != 1 {
 		t.Fatal(s.outputs)
 	}
 }
@@ -583,7 +583,7 @@
 // A request whose time ran out while it stood in line is answered in the step that takes it, without a leg.
 func TestDeadlinePassesInQueue(t *testing.T) {
 	s := newHarness(t, 2)
-	s.step(ClientReceived{Conn: 1, Waited: 2 * time.Second, Message: wire.Session{Type: wire.Want, ID: "1", Tariff: "exam", Title: "t", Key: "k", Wait: 2000}})
+	s.step(ClientReceived{Conn: 1, Waited: 2 * time.Second, Message: wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "exam", Title: "t", Key: "k", WaitMS: 2000}})
 	if n := s.clientMessages(wire.Nack); len(n) != 1 || len(s.setups()) != 0 {
 		t.Fatal(s.outputs)
 	}
@@ -601,7 +601,7 @@
 	if len(s.setups()) != 0 {
 		t.Fatal("sent before the node has said which start it is in")
 	}
-	s.step(LinkReceived{Link: s.links[nodeName(0)], Message: wire.Node{Type: wire.Hello, Start: 77, Age: 5}})
+	s.step(LinkReceived{Link: s.links[nodeName(0)], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 77, UptimeMS: 5}})
 	if n := s.loop.counts.NeverRan[3]; n != 1 {
 		t.Fatal(n, "legs taken back")
 	}
@@ -629,22 +629,22 @@
 	s.step(LinkLost{Link: s.links[nodeName(0)]})
 	s.advance(ms)
 	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]})
-	s.step(LinkReceived{Link: s.links[nodeName(0)], Message: wire.Node{Type: wire.Hello, Start: 9, Age: 50}})
+	s.step(LinkReceived{Link: s.links[nodeName(0)], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 9, UptimeMS: 50}})
 	s.advance(2 * time.Second)
 	s.request("1", "clip")
 	g := s.onlySetup()
 	s.step(legReply(g, wire.Accepted))
 	s.clearOutputs()
 	late := upEntry(0)
-	late.Start, late.Age = 8, 5000
-	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{late}}})
-	if len(s.clientMessages(wire.Over)) != 0 {
+	late.Incarnation, late.UptimeMS = 8, 5000
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{late}}})
+	if len(s.clientMessages(wire.SessionEnded)) != 0 {
 		t.Fatal("hung up on a node that runs")
 	}
 	later := upEntry(0)
-	later.Start, later.Age = 10, 20
-	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 3, Nodes: []wire.Entry{later}}})
-	if len(s.clientMessages(wire.Over)) != 1 {
+	later.Incarnation, later.UptimeMS = 10, 20
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 3, Nodes: []wire.NodeEntry{later}}})
+	if len(s.clientMessages(wire.SessionEnded)) != 1 {
 		t.Fatal("kept what leads to a process that has ended")
 	}
 }
@@ -656,16 +656,16 @@
 		s := newHarness(t, 1)
 		s.step(LinkLost{Link: s.links[nodeName(0)]})
 		anew := upEntry(0)
-		anew.Start = 9
-		s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{anew}}})
+		anew.Incarnation = 9
+		s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{anew}}})
 		s.advance(ms)
 		s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]})
-		greeting := wire.Node{Type: wire.Hello, Start: 9}
+		greeting := wire.NodeMessage{Type: wire.Hello, Incarnation: 9}
 		if byList {
-			anew.Age = 10
-			s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 3, Nodes: []wire.Entry{anew}}})
+			anew.UptimeMS = 10
+			s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 3, Nodes: []wire.NodeEntry{anew}}})
 		} else {
-			greeting.Age = 10
+			greeting.UptimeMS = 10
 		}
 		s.step(LinkReceived{Link: s.links[nodeName(0)], Message: greeting})
 		if n := s.loop.nodes[nodeName(0)]; n.entry.StartedAt < s.now-50*ms {
--- a/internal/director/list.go
+++ b/internal/director/list.go
@@ -19,10 +19,10 @@
 	wire.Up: policy.Up, wire.Draining: policy.Draining, wire.Removed: policy.Removed,
 }
 
-func (l *Loop) discoveryReceived(m wire.List) {
+func (l *Loop) discoveryReceived(m wire.DiscoveryMessage) {
 	kind := policy.ListUpdate
 	switch m.Type {
-	case wire.Whole:
+	case wire.Snapshot:
 		kind = policy.ListReplaced
 		named := map[string]bool{}
 		for _, e := range m.Nodes {
@@ -45,7 +45,7 @@
 			delete(l.titles, t.Title)
 			continue
 		}
-		l.titles[t.Title] = title{titleID(t.Title), t.Base, t.Copies}
+		l.titles[t.Title] = title{titleID(t.Title), t.FirstCell, t.Copies}
 	}
 	roster := policy.ServerList{Kind: kind}
 	for _, e := range m.Nodes {
@@ -58,12 +58,12 @@
 		}
 		l.dropNode(n)
 	}
-	l.emit(SendDiscovery{wire.List{Type: wire.Heard, Director: l.name, Serial: m.Serial}})
+	l.emit(SendDiscovery{wire.DiscoveryMessage{Type: wire.Acknowledge, Director: l.name, Serial: m.Serial}})
 }
 
 // affectedNodes are the nodes that a list may have changed.
-func (l *Loop) affectedNodes(m wire.List) map[string]*node {
-	if m.Type == wire.Whole {
+func (l *Loop) affectedNodes(m wire.DiscoveryMessage) map[string]*node {
+	if m.Type == wire.Snapshot {
 		return l.nodes
 	}
 	nodes := make(map[string]*node, len(m.Nodes))
@@ -83,9 +83,9 @@
 }
 
 // updateNode takes a node's line of the list into the books and puts it into the module's words.
-func (l *Loop) updateNode(e wire.Entry) policy.NodeEntry {
+func (l *Loop) updateNode(e wire.NodeEntry) policy.NodeEntry {
 	n := l.nodes[e.Node]
-	born := l.startTimeFromAge(e.Age)
+	born := l.startTimeFromAge(e.UptimeMS)
 	if n == nil && e.State != wire.Removed {
 		n = &node{name: e.Node, startedAt: policy.UnknownStart, legs: map[uint64]*leg{}}
 		if born == policy.UnknownStart && l.listReceived { // it was not on the list before: who knows better says so
@@ -100,7 +100,7 @@
 		}
 		l.nodes[n.name] = n
 	}
-	kind, known := l.kindIndex[e.Kind]
+	kind, known := l.kindIndex[e.MachineKind]
 	if !known {
 		kind = len(l.kindIndex) // no such machine is known: the module takes the least for granted
 	}
@@ -111,15 +111,15 @@
 		return out
 	}
 	moved := e.Address != n.address && e.Address != ""
-	if n.connected && n.linkIncarnation != 0 && e.Start != n.linkIncarnation && e.State != wire.Removed && l.listIsStale(n, e, born, moved) {
+	if n.connected && n.linkIncarnation != 0 && e.Incarnation != n.linkIncarnation && e.State != wire.Removed && l.listIsStale(n, e, born, moved) {
 		// The list is behind: it tells of a start before the one that the node itself has told of. To hang up
 		// for that would break what plays there.
 		out.StartedAt = n.startedAt
 		n.acceptsSessions, n.entry = e.State == wire.Up, out
 		return out
 	}
-	changed := e.Start != n.incarnation
-	if changed && born == policy.UnknownStart && n.incarnation != 0 && e.Start != 0 {
+	changed := e.Incarnation != n.incarnation
+	if changed && born == policy.UnknownStart && n.incarnation != 0 && e.Incarnation != 0 {
 		born = l.now // another start of it was known: this one can't be from long ago
 	}
 	anew := !n.listed || changed || moved
@@ -130,7 +130,7 @@
 		l.nodeRestarted(n)
 	}
 	out.StartedAt = n.startedAt
-	n.setIncarnation(e.Start)
+	n.setIncarnation(e.Incarnation)
 	n.acceptsSessions, n.entry = e.State == wire.Up, out
 	switch {
 	case e.State == wire.Removed:
@@ -139,7 +139,7 @@
 		if moved {
 			n.address = e.Address
 		}
-		if n.connected && (moved || n.linkIncarnation != 0 && n.linkIncarnation != e.Start) {
+		if n.connected && (moved || n.linkIncarnation != 0 && n.linkIncarnation != e.Incarnation) {
 			l.disconnect(n, closedAsMoved) // it leads to what no longer runs
 		}
 		n.listed = true
--- a/internal/director/loose.go
+++ b/internal/director/loose.go
@@ -24,7 +24,7 @@
 
 // An undeliveredEnding is an ending that no player's connection was there for, or none that anything has played on.
 type undeliveredEnding struct {
-	message   wire.Session
+	message   wire.SessionMessage
 	expiresAt time.Duration
 }
 
@@ -44,14 +44,14 @@
 	m := e.Message
 	s := l.sessionsByKey[m.ID]
 	switch m.Type {
-	case wire.Want:
+	case wire.Request:
 		switch {
 		case s != nil && e.Details.PlayingOn != "": // told again of what is held
 		case s != nil && s.conn == c: // one answer is owed, and will be given
 			l.counts.Repeated++
 		case s != nil: // the other request must not notice
 			l.counts.Errored++
-			l.refuseRequest(c, wire.Session{Type: wire.Errored, ID: m.ID, Why: "id is in use"})
+			l.refuseRequest(c, wire.SessionMessage{Type: wire.Errored, ID: m.ID, Reason: "id is in use"})
 		case e.Details.PlayingOn != "":
 			l.adoptPlaying(c, e)
 		default:
@@ -59,7 +59,7 @@
 				l.takeRequest(c, m, e.Waited, e.Details)
 			}
 		}
-	case wire.Leave:
+	case wire.Cancel:
 		switch {
 		case s != nil && s.answered:
 			l.endDetached(s, c.id)
@@ -85,18 +85,18 @@
 // refuseOnRejected answers who was turned away. Endings, and what plays already, need no connection.
 func (l *Loop) refuseOnRejected(c *conn, e ClientReceived) {
 	switch s := l.sessionsByKey[e.Message.ID]; {
-	case e.Message.Type != wire.Want || e.Details.PlayingOn != "":
+	case e.Message.Type != wire.Request || e.Details.PlayingOn != "":
 		l.detachedReceived(c, e)
 	case s != nil:
-		l.refuseRequest(c, wire.Session{Type: wire.Errored, ID: e.Message.ID, Why: "id is in use"})
+		l.refuseRequest(c, wire.SessionMessage{Type: wire.Errored, ID: e.Message.ID, Reason: "id is in use"})
 	default:
-		l.refuseRequest(c, wire.Session{Type: wire.Nack, ID: e.Message.ID, Why: "no room"})
+		l.refuseRequest(c, wire.SessionMessage{Type: wire.Nack, ID: e.Message.ID, Reason: "no room"})
 	}
 }
 
 // refuseRequest answers a request that is not taken.
-func (l *Loop) refuseRequest(c *conn, answer wire.Session) {
-	l.event(Event{Kind: RequestRefused, Request: answer.ID, Conn: c.id, Reason: answer.Why})
+func (l *Loop) refuseRequest(c *conn, answer wire.SessionMessage) {
+	l.event(Event{Kind: RequestRefused, Request: answer.ID, Conn: c.id, Reason: answer.Reason})
 	l.emit(SendClient{Conn: c.id, Message: answer})
 }
 
@@ -127,8 +127,8 @@
 	l.countPlaying(s, c)
 	l.updateLinkNeed(n)
 	top := len(l.ladder.Rates) - 1
-	if m.Top != nil {
-		top = min(top, *m.Top)
+	if m.MaxRung != nil {
+		top = min(top, *m.MaxRung)
 	}
 	l.notifyDecider(policy.Request{
 		ID: s.id, Tariff: tariff, Title: titleID(m.Title), FirstCell: b.Base, Copies: b.Copies, MaxRung: top, Deadline: l.now,
@@ -150,7 +150,7 @@
 // notifyDetachedEnd tells a player that its session has ended: on the connection that it came on, on the one that something
 // played on last, on any such, or once there is one.
 func (l *Loop) notifyDetachedEnd(s *session, why string) {
-	m := wire.Session{Type: wire.Over, ID: s.request, Session: s.name, Why: why}
+	m := wire.SessionMessage{Type: wire.SessionEnded, ID: s.request, Session: s.name, Reason: why}
 	for _, number := range [...]uint64{s.originConn, l.lastProvenConn} {
 		if c := l.conns[number]; c != nil && !c.closing {
 			l.emit(SendClient{Conn: number, Message: m})
@@ -213,9 +213,9 @@
 // sendEnd tells a node to call a leg off, or to end what plays; what plays is told by the next connection where there
 // is none. A set-up ended with its connection.
 func (l *Loop) sendEnd(g *leg) {
-	m, n := wire.Node{Type: wire.End, Leg: g.id, Session: g.session.name}, g.node
+	m, n := wire.NodeMessage{Type: wire.End, Leg: g.id, Session: g.session.name}, g.node
 	if g.phase == legPlaying {
-		m.Why = wire.CalledOff
+		m.Reason = wire.Canceled
 	}
 	switch {
 	case g.phase == legSent:
--- a/internal/director/loose_test.go
+++ b/internal/director/loose_test.go
@@ -21,13 +21,13 @@
 // requestDetached is a request under its session's own name.
 func (s *harness) requestDetached(conn uint64, id, tariff string) {
 	s.t.Helper()
-	s.step(ClientReceived{Conn: conn, Message: wire.Session{Type: wire.Want, ID: id, Key: id, Tariff: tariff, Title: "t", Wait: 5000},
+	s.step(ClientReceived{Conn: conn, Message: wire.SessionMessage{Type: wire.Request, ID: id, Key: id, Tariff: tariff, Title: "t", WaitMS: 5000},
 		Details: &RequestDetails{Base: 0, Copies: 8, Description: []byte("as it came")}})
 }
 
 // detachedReply is what a node says of a session on a connection.
 func detachedReply(link uint64, session, kind string) LinkReceived {
-	return LinkReceived{Link: link, Message: wire.Node{Type: kind, Session: session}, Description: []byte("as the node has it")}
+	return LinkReceived{Link: link, Message: wire.NodeMessage{Type: kind, Session: session}, Description: []byte("as the node has it")}
 }
 
 // playDetached sets a session up on the only node.
@@ -37,7 +37,7 @@
 	s.requestDetached(1, id, tariff)
 	g := s.onlySetup()
 	s.step(detachedReply(g.Link, id, wire.Accepted))
-	s.onlyAnswer(wire.Plays)
+	s.onlyAnswer(wire.Playing)
 	s.clearOutputs()
 	return g
 }
@@ -55,7 +55,7 @@
 			t.Fatalf("%+v", m)
 		}
 	}
-	s.onlyAnswer(wire.Plays)
+	s.onlyAnswer(wire.Playing)
 }
 
 func TestDetachedSessionOutlivesConnections(t *testing.T) {
@@ -64,13 +64,13 @@
 	s.connectClient(2)
 	s.step(ClientLost{Conn: 1})
 	s.step(LinkLost{Link: g.Link})
-	if len(s.clientMessages(wire.Over)) != 0 || s.loop.playing != 1 {
+	if len(s.clientMessages(wire.SessionEnded)) != 0 || s.loop.playing != 1 {
 		t.Fatal("it ended with a connection")
 	}
 	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]})
 	s.step(detachedReply(s.links[nodeName(0)], "a", wire.Ended))
 	s.advance(anyClientDelay) // nothing has played on the only connection there is
-	if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].ID != "a" || over[0].Why != ReasonEnded {
+	if over := s.clientMessages(wire.SessionEnded); len(over) != 1 || over[0].ID != "a" || over[0].Reason != ReasonEnded {
 		t.Fatalf("%+v", over)
 	}
 	s.requireNoState()
@@ -82,19 +82,19 @@
 	g := s.playDetached("a", "clip")
 	s.step(ClientLost{Conn: 1})
 	s.step(detachedReply(g.Link, "a", wire.Ended))
-	if len(s.clientMessages(wire.Over)) != 0 {
+	if len(s.clientMessages(wire.SessionEnded)) != 0 {
 		t.Fatal("told to nobody")
 	}
 	s.connectClient(2)
-	if len(s.clientMessages(wire.Over)) != 0 {
+	if len(s.clientMessages(wire.SessionEnded)) != 0 {
 		t.Fatal("told at once to one who may only hold a connection")
 	}
 	s.advance(anyClientDelay - 1)
-	if len(s.clientMessages(wire.Over)) != 0 {
+	if len(s.clientMessages(wire.SessionEnded)) != 0 {
 		t.Fatal("told too soon to one who may only hold a connection")
 	}
 	s.advance(1)
-	if len(s.clientMessages(wire.Over)) != 1 {
+	if len(s.clientMessages(wire.SessionEnded)) != 1 {
 		t.Fatal("not told")
 	}
 	g = s.playDetachedOn(2, "b")
@@ -102,7 +102,7 @@
 	s.step(detachedReply(g.Link, "b", wire.Ended))
 	s.now += undeliveredRetention
 	s.connectClient(3)
-	if len(s.clientMessages(wire.Over)) != 0 || len(s.loop.undelivered) != 0 {
+	if len(s.clientMessages(wire.SessionEnded)) != 0 || len(s.loop.undelivered) != 0 {
 		t.Fatal("kept for too long")
 	}
 }
@@ -137,7 +137,7 @@
 // endingConns is the connections on which an ending was told.
 func (s *harness) endingConns() (conns []uint64) {
 	for _, o := range s.lastOutputs {
-		if m, ok := o.(SendClient); ok && m.Message.Type == wire.Over {
+		if m, ok := o.(SendClient); ok && m.Message.Type == wire.SessionEnded {
 			conns = append(conns, m.Conn)
 		}
 	}
@@ -192,7 +192,7 @@
 	g := s.playDetached("a", "clip")
 	s.step(LinkLost{Link: g.Link})
 	s.step(LinkFailed{Node: nodeName(0), Link: s.links[nodeName(0)], Refused: true})
-	if over := s.clientMessages(wire.Over); len(over) != 1 {
+	if over := s.clientMessages(wire.SessionEnded); len(over) != 1 {
 		t.Fatalf("%+v", over)
 	}
 	s.requireNoState()
@@ -204,13 +204,13 @@
 	g := s.playDetached("a", "clip")
 	s.step(LinkLost{Link: g.Link})
 	for i := range 3 {
-		if len(s.clientMessages(wire.Over)) != 0 {
+		if len(s.clientMessages(wire.SessionEnded)) != 0 {
 			t.Fatalf("ended after %d tries", i)
 		}
 		s.advance(2 * time.Second)
 		s.step(LinkFailed{Node: nodeName(0), Link: s.links[nodeName(0)]})
 	}
-	if len(s.clientMessages(wire.Over)) != 1 {
+	if len(s.clientMessages(wire.SessionEnded)) != 1 {
 		t.Fatal("it is held to play for ever")
 	}
 	s.requireNoState()
@@ -256,7 +256,7 @@
 		t.Fatal("an answer on another connection was taken")
 	}
 	s.step(detachedReply(g.Link, "b", wire.Accepted))
-	s.onlyAnswer(wire.Plays)
+	s.onlyAnswer(wire.Playing)
 	hung := false
 	for _, o := range s.outputs {
 		if h, ok := o.(CloseLink); ok && h.Link == g.Link {
@@ -267,7 +267,7 @@
 		t.Fatal("the old connection is kept though nothing waits on it")
 	}
 	s.step(detachedReply(check, "a", wire.Ended))
-	if len(s.clientMessages(wire.Over)) != 1 {
+	if len(s.clientMessages(wire.SessionEnded)) != 1 {
 		t.Fatal("an ending on the new connection was not taken")
 	}
 }
@@ -280,7 +280,7 @@
 	g := s.onlySetup()
 	s.requestDetached(1, "a", "exam")
 	s.requestDetached(2, "a", "clip")
-	s.step(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Leave, ID: "a"}})
+	s.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
 	if len(s.setups()) != 1 || len(s.endedLegs()) != 0 {
 		t.Fatal("the first request noticed")
 	}
@@ -290,13 +290,13 @@
 	s.clearOutputs()
 	s.step(detachedReply(g.Link, "a", wire.Accepted))
 	s.step(detachedReply(g.Link, "a", wire.Accepted))
-	s.onlyAnswer(wire.Plays)
+	s.onlyAnswer(wire.Playing)
 }
 
 func TestPlayingSessionsAreAdopted(t *testing.T) {
 	s := newDetachedHarness(t, 1)
 	hand := func(id, node string) {
-		s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Want, ID: id, Key: id, Tariff: "exam", Title: "t"},
+		s.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Request, ID: id, Key: id, Tariff: "exam", Title: "t"},
 			Details: &RequestDetails{Copies: 8, PlayingOn: node}})
 	}
 	hand("a", nodeName(0))
@@ -305,10 +305,10 @@
 		t.Fatal("not held, or answered")
 	}
 	hand("b", "nobody")
-	if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].ID != "b" {
+	if over := s.clientMessages(wire.SessionEnded); len(over) != 1 || over[0].ID != "b" {
 		t.Fatalf("%+v", over)
 	}
-	s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: "a"}})
+	s.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
 	if len(s.endedLegs()) != 1 {
 		t.Fatal("its node was not told")
 	}
@@ -320,9 +320,9 @@
 	g := s.playDetached("a", "clip")
 	s.now += time.Second
 	e := upEntry(0)
-	e.Start, e.Age = 99, 100
-	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Nodes: []wire.Entry{e}}})
-	if len(s.clientMessages(wire.Over)) != 1 || s.links[nodeName(0)] == g.Link {
+	e.Incarnation, e.UptimeMS = 99, 100
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{e}}})
+	if len(s.clientMessages(wire.SessionEnded)) != 1 || s.links[nodeName(0)] == g.Link {
 		t.Fatal("it is held to play, or its connection is kept")
 	}
 	s.requireNoState()
@@ -336,8 +336,8 @@
 	s.step(LinkLost{Link: g.Link})
 	gone := upEntry(0)
 	gone.State = wire.Removed
-	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Nodes: []wire.Entry{gone}}})
-	if len(s.clientMessages(wire.Over)) != 1 {
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{gone}}})
+	if len(s.clientMessages(wire.SessionEnded)) != 1 {
 		t.Fatal("it is held to play")
 	}
 	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]}) // somebody else, at its address
@@ -352,7 +352,7 @@
 	s := newDetachedHarness(t, 1)
 	g := s.playDetached("a", "clip")
 	s.step(LinkLost{Link: g.Link})
-	s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: "a"}})
+	s.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
 	if len(s.endedLegs()) != 0 {
 		t.Fatal("told on no connection")
 	}
@@ -404,7 +404,7 @@
 				case SendClient:
 					w := wants[o.Message.ID]
 					switch o.Message.Type {
-					case wire.Plays:
+					case wire.Playing:
 						w.answers++
 						w.plays = true
 					case wire.Nack:
@@ -414,7 +414,7 @@
 						w.answers++
 					case wire.Errored:
 						w.answers++
-					case wire.Over:
+					case wire.SessionEnded:
 						if w.over++; w.over > 1 || !w.plays {
 							t.Fatalf("%s: told over %d times, plays %v", o.Message.ID, w.over, w.plays)
 						}
@@ -497,7 +497,7 @@
 					do(ClientAccepted{conns})
 				}
 			case k == 11 && w != nil && open[w.conn]:
-				do(ClientReceived{Conn: w.conn, Message: wire.Session{Type: wire.Leave, ID: id}})
+				do(ClientReceived{Conn: w.conn, Message: wire.SessionMessage{Type: wire.Cancel, ID: id}})
 			default:
 				end := s.now + time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms"))*ms
 				for next := s.loop.Next(); next <= end; next = s.loop.Next() {
@@ -537,7 +537,7 @@
 	s := newDetachedHarness(t, 1)
 	s.playDetached("a", "clip")
 	s.requestDetached(1, "b", "clip")
-	stranger := ClientReceived{Conn: 77, Message: wire.Session{Type: wire.Leave, ID: "b"}}
+	stranger := ClientReceived{Conn: 77, Message: wire.SessionMessage{Type: wire.Cancel, ID: "b"}}
 	s.step(stranger)
 	if s.loop.owed != 1 {
 		t.Fatal("a stranger ended what another one waits for")
@@ -563,7 +563,7 @@
 	if got := s.clientMessages(wire.Nack); len(got) != 2 || got[0].ID != "b" || got[1].ID != "c" || len(s.setups()) != 0 {
 		t.Fatalf("%+v, %d set-ups", got, len(s.setups()))
 	}
-	s.step(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Leave, ID: "a"}}) // an ending needs no room
+	s.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}}) // an ending needs no room
 	if s.loop.playing != 0 {
 		t.Fatal("it plays on")
 	}
@@ -610,26 +610,26 @@
 		"its node, ended by itself": func(s *harness, g SendNode) { s.step(detachedReply(g.Link, "a", wire.Ended)) },
 		"its node, ended by its client": func(s *harness, g SendNode) {
 			m := detachedReply(g.Link, "a", wire.Ended)
-			m.Message.Why = wire.CalledOff
+			m.Message.Reason = wire.Canceled
 			s.step(m)
 		},
 		"its node, cut": func(s *harness, g SendNode) {
 			m := detachedReply(g.Link, "a", wire.Ended)
-			m.Message.Why = wire.Lost
+			m.Message.Reason = wire.Lost
 			s.step(m)
 		},
 		"a client on another connection": func(s *harness, g SendNode) {
 			s.connectClient(2)
-			s.step(ClientReceived{Conn: 2, Message: wire.Session{Type: wire.Leave, ID: "a"}})
+			s.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
 		},
 		"a client on a connection that has ended": func(s *harness, g SendNode) {
-			s.step(ClientReceived{Conn: 7, Message: wire.Session{Type: wire.Leave, ID: "a"}})
+			s.step(ClientReceived{Conn: 7, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newDetachedHarness(t, 1)
 			end(s, s.playDetached("a", "clip"))
-			if over := s.clientMessages(wire.Over); len(over) != 1 || over[0].ID != "a" {
+			if over := s.clientMessages(wire.SessionEnded); len(over) != 1 || over[0].ID != "a" {
 				t.Fatalf("told %+v", over)
 			}
 			s.requireNoState()
@@ -637,8 +637,8 @@
 	}
 	s := newDetachedHarness(t, 1)
 	s.playDetached("a", "clip")
-	s.step(ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: "a"}})
-	if over := s.clientMessages(wire.Over); len(over) != 0 {
+	s.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
+	if over := s.clientMessages(wire.SessionEnded); len(over) != 0 {
 		t.Fatalf("who has ended it was told %+v", over)
 	}
 	s.requireNoState()
--- a/internal/director/messages.go
+++ b/internal/director/messages.go
@@ -26,7 +26,7 @@
 	// more than the message holds.
 	ClientReceived struct {
 		Conn    uint64
-		Message wire.Session
+		Message wire.SessionMessage
 		Waited  time.Duration
 		Details *RequestDetails
 	}
@@ -59,7 +59,7 @@
 	// LinkReceived is a message from a node, with what describes the session where it is accepted.
 	LinkReceived struct {
 		Link        uint64
-		Message     wire.Node
+		Message     wire.NodeMessage
 		Description []byte
 	}
 	// LinkAlive says how long ago anything last came from a node.
@@ -84,7 +84,7 @@
 	// DiscoveryConnected says that the list's source is connected.
 	DiscoveryConnected struct{}
 	// DiscoveryReceived is a message from the list.
-	DiscoveryReceived struct{ Message wire.List }
+	DiscoveryReceived struct{ Message wire.DiscoveryMessage }
 	// DiscoveryLost says that the list's source is gone; the last list stays in force.
 	DiscoveryLost struct{}
 	// Tick says that the time asked for by Next has come.
@@ -130,7 +130,7 @@
 	// one of the same Merge that finds it still waiting; an answer never.
 	SendClient struct {
 		Conn        uint64
-		Message     wire.Session
+		Message     wire.SessionMessage
 		CoalesceKey uint64
 		Description []byte // of an answer that it plays, as the node gave it
 	}
@@ -160,7 +160,7 @@
 	SendNode struct {
 		Link        uint64
 		Setup       uint64
-		Message     wire.Node
+		Message     wire.NodeMessage
 		Description []byte // of a set-up, as the player gave it
 	}
 	// Withdraw asks for a leg's set-up back, if not one byte of it was handed to the kernel yet;
@@ -173,7 +173,7 @@
 	// CloseLink ends the connection to a node.
 	CloseLink struct{ Link uint64 }
 	// SendDiscovery sends a message to the list's source.
-	SendDiscovery struct{ Message wire.List }
+	SendDiscovery struct{ Message wire.DiscoveryMessage }
 	// Log is a line for those on call.
 	Log struct{ Text string }
 	// StopAccepting ends the listener: who connects from now on is refused by the system.
--- a/internal/director/need_test.go
+++ b/internal/director/need_test.go
@@ -55,7 +55,7 @@
 		t.Fatalf("sent on %d", g.Link)
 	}
 	s.step(detachedReply(link, "a", wire.Accepted))
-	s.onlyAnswer(wire.Plays)
+	s.onlyAnswer(wire.Playing)
 	s.clearOutputs()
 	s.requestDetached(1, "b", "clip") // the connection stands
 	s.onlySetup()
@@ -68,7 +68,7 @@
 func TestCancelWhileSetupWaitsForConnection(t *testing.T) {
 	for name0, leave := range map[string]Input{
 		"closes":  ClientLost{Conn: 1},
-		"cancels": ClientReceived{Conn: 1, Message: wire.Session{Type: wire.Leave, ID: "a"}},
+		"cancels": ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}},
 	} {
 		s := newOnDemandHarness(t, 1, 0)
 		s.requestDetached(1, "a", "exam")
@@ -95,7 +95,7 @@
 	}
 	s.step(LinkConnected{second[0].Node, second[0].Link})
 	s.step(detachedReply(second[0].Link, "a", wire.Accepted))
-	s.onlyAnswer(wire.Plays)
+	s.onlyAnswer(wire.Playing)
 	if s.loop.nodes[first.Node].suspect {
 		t.Fatal("held against the node")
 	}
@@ -198,7 +198,7 @@
 func TestRepeatedFullListChangesNothing(t *testing.T) {
 	s := newOnDemandHarness(t, 3, 0)
 	whole := func(nodes ...int) DiscoveryReceived {
-		m := wire.List{Type: wire.Whole, Serial: 9, Titles: []wire.Title{{Title: "t", Base: 0, Copies: 8}}}
+		m := wire.DiscoveryMessage{Type: wire.Snapshot, Serial: 9, Titles: []wire.TitlePlacement{{Title: "t", FirstCell: 0, Copies: 8}}}
 		for _, i := range nodes {
 			m.Nodes = append(m.Nodes, upEntry(i))
 		}
@@ -211,7 +211,7 @@
 	s.requestDetached(1, "b", "exam")                 // waits for a connection, or is out
 	s.clearOutputs()
 	s.step(whole(0, 1, 2))
-	if len(s.closedLinks()) != 0 || len(s.connects()) != 0 || len(s.clientMessages(wire.Over, wire.Errored, wire.Nack)) != 0 || s.loop.playing != 1 || s.loop.owed != 1 {
+	if len(s.closedLinks()) != 0 || len(s.connects()) != 0 || len(s.clientMessages(wire.SessionEnded, wire.Errored, wire.Nack)) != 0 || s.loop.playing != 1 || s.loop.owed != 1 {
 		t.Fatalf("%+v", s.outputs)
 	}
 	var rest []int
--- a/internal/director/nodes.go
+++ b/internal/director/nodes.go
@@ -26,13 +26,13 @@
 	connected           bool // connected
 	helloReceived       bool // and the node has said since which start it is in
 	link                uint64
-	linkIncarnation     uint64           // the start that the connection was made to; 0: not told yet
-	reportedStartedAt   time.Duration    // when that was, by the node's own word
-	entry               policy.NodeEntry // as the module last heard it
-	connectedAt         time.Duration    // when the connection was
-	probeLink           uint64           // loose: the connection that is being made beside a doubted one
-	replacedLink        uint64           // loose: the connection before, until the set-ups sent on it have ended
-	pendingEnds         []wire.Node      // loose: what is still to be called off there; emptied by the next connection
+	linkIncarnation     uint64             // the start that the connection was made to; 0: not told yet
+	reportedStartedAt   time.Duration      // when that was, by the node's own word
+	entry               policy.NodeEntry   // as the module last heard it
+	connectedAt         time.Duration      // when the connection was
+	probeLink           uint64             // loose: the connection that is being made beside a doubted one
+	replacedLink        uint64             // loose: the connection before, until the set-ups sent on it have ended
+	pendingEnds         []wire.NodeMessage // loose: what is still to be called off there; emptied by the next connection
 	pingTimer           alarm.Handle
 	idleTimer           alarm.Handle    // looks whether the connection has been idle for too long
 	lastUsed            time.Duration   // when anything last went either way
@@ -71,7 +71,7 @@
 	if g == nil || g.node != n {
 		l.counts.Unexpected++
 		if m.Type == wire.Accepted && !l.options.Detached { // it plays for nobody
-			l.emit(SendNode{Link: e.Link, Message: wire.Node{Type: wire.End, Leg: m.Leg}})
+			l.emit(SendNode{Link: e.Link, Message: wire.NodeMessage{Type: wire.End, Leg: m.Leg}})
 		}
 		return
 	}
@@ -96,7 +96,7 @@
 			l.endLeg(g, outcomeBroken, m.Load)
 			return
 		}
-		if m.Why == wire.Lost {
+		if m.Reason == wire.Lost {
 			l.endLeg(g, outcomeReset, m.Load)
 			return
 		}
@@ -107,15 +107,15 @@
 			l.endLeg(g, outcomeReset, m.Load)
 		case g.phase != legPlaying:
 			l.endLeg(g, outcomeFailed, m.Load)
-		case m.Why == wire.Lost:
+		case m.Reason == wire.Lost:
 			l.endLeg(g, outcomeBroken, m.Load)
-		case m.Why == wire.CalledOff:
+		case m.Reason == wire.Canceled:
 			l.endLeg(g, outcomeEndedElsewhere, m.Load)
 		default:
 			l.endLeg(g, outcomeServed, m.Load)
 		}
-	case wire.Note:
-		l.notifyDecider(policy.Measurement{ID: g.session.id, Node: n.name, Kind: policy.MeasurementKind(m.Kind), Value: m.Value})
+	case wire.Measurement:
+		l.notifyDecider(policy.Measurement{ID: g.session.id, Node: n.name, Kind: policy.MeasurementKind(m.MeasurementKind), Value: m.MeasurementValue})
 	default:
 		l.counts.UnknownMessages++
 	}
@@ -129,16 +129,16 @@
 //
 // Set-ups wait for it: what was meant for a node before it started anew must not reach it unawares, cold as it
 // is then, from all directors at once.
-func (l *Loop) helloReceived(n *node, m wire.Node) {
-	n.linkIncarnation, n.reportedStartedAt = m.Start, l.startTimeFromAge(m.Age)
+func (l *Loop) helloReceived(n *node, m wire.NodeMessage) {
+	n.linkIncarnation, n.reportedStartedAt = m.Incarnation, l.startTimeFromAge(m.UptimeMS)
 	n.helloReceived = true
 	anew := false
-	if m.Start != 0 && n.listed {
-		if n.reportedStartedAt == policy.UnknownStart && n.incarnation != 0 && m.Start != n.incarnation {
+	if m.Incarnation != 0 && n.listed {
+		if n.reportedStartedAt == policy.UnknownStart && n.incarnation != 0 && m.Incarnation != n.incarnation {
 			n.reportedStartedAt = l.now // another start of it was known: this one can't be from long ago
 		}
-		anew = n.reportedStartedAt != policy.UnknownStart && (m.Start != n.incarnation || n.reportedStartedAt > n.startedAt+startTimeTolerance)
-		n.setIncarnation(m.Start)
+		anew = n.reportedStartedAt != policy.UnknownStart && (m.Incarnation != n.incarnation || n.reportedStartedAt > n.startedAt+startTimeTolerance)
+		n.setIncarnation(m.Incarnation)
 		if anew {
 			n.startedAt = n.reportedStartedAt
 			n.entry.StartedAt = n.startedAt
@@ -178,11 +178,11 @@
 // listIsStale tells whether the list speaks of a start before the one that a connected node has told of itself. Where the
 // list tells no age, that is a start known before; of one that was never heard of, the connection knows best as long
 // as the node is still where it leads to.
-func (l *Loop) listIsStale(n *node, e wire.Entry, born time.Duration, moved bool) bool {
+func (l *Loop) listIsStale(n *node, e wire.NodeEntry, born time.Duration, moved bool) bool {
 	if born != policy.UnknownStart {
 		return born < n.reportedStartedAt
 	}
-	return e.Start == n.previousIncarnation || !moved
+	return e.Incarnation == n.previousIncarnation || !moved
 }
 
 // dropNode forgets a node that is off the list once its last leg has ended.
--- a/internal/director/properties_test.go
+++ b/internal/director/properties_test.go
@@ -14,7 +14,7 @@
 
 // defaultSimConfig is a town in which nothing is scarce.
 func defaultSimConfig(rule string) simConfig {
-	return simConfig{rule: rule, directors: 2, nodes: 3, steps: 60, maxBurst: 3, reportAges: true, nodeReplies: []string{wire.Accepted, wire.Accepted, wire.Full, wire.Failed, wire.Ended, wire.Note, wire.Note}, tariffs: testTariffs,
+	return simConfig{rule: rule, directors: 2, nodes: 3, steps: 60, maxBurst: 3, reportAges: true, nodeReplies: []string{wire.Accepted, wire.Accepted, wire.Full, wire.Failed, wire.Ended, wire.Measurement, wire.Measurement}, tariffs: testTariffs,
 		ramp: policy.Ramp{MaxStreams: []float64{100}, Warmup: 2 * time.Second, InitialShare: 0.5, OverloadMultiple: 4, OverloadWindow: 500 * ms},
 		legs: policy.RetryPolicy{MaxLegs: 4}}
 }
--- a/internal/director/replaced_test.go
+++ b/internal/director/replaced_test.go
@@ -12,11 +12,11 @@
 // the new address was dropped, and once the old connection broke it was sought at the old one for ever.
 func TestListWithoutAgesMovesANode(t *testing.T) {
 	s := newHarness(t, 1)
-	s.step(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Hello, Start: 1, Age: 5000}})
+	s.step(LinkReceived{Link: s.links["n0"], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 1, UptimeMS: 5000}})
 	e := upEntry(0)
-	e.Start, e.Address = 7, "b:n0"
+	e.Incarnation, e.Address = 7, "b:n0"
 	s.clearOutputs()
-	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{e}}})
 	s.advance(time.Second)
 	for _, o := range s.outputs {
 		if c, ok := o.(Connect); ok && c.Address == "b:n0" {
@@ -30,11 +30,11 @@
 func TestListWithoutAgesIsStale(t *testing.T) {
 	for _, start := range []uint64{1, 9} {
 		s := newHarness(t, 1)
-		s.step(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Hello, Start: 2, Age: 500}})
+		s.step(LinkReceived{Link: s.links["n0"], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 2, UptimeMS: 500}})
 		e := upEntry(0)
-		e.Start = start
+		e.Incarnation = start
 		s.clearOutputs()
-		s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
+		s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{e}}})
 		for _, o := range s.outputs {
 			if _, ok := o.(CloseLink); ok {
 				t.Fatal("hung up on a node that is there, for start", start)
@@ -48,9 +48,9 @@
 	const absurd = 9_000_000_000_000_000_000
 	s := newHarness(t, 1)
 	e := upEntry(0)
-	e.Age = absurd
-	s.step(DiscoveryReceived{wire.List{Type: wire.Update, Serial: 2, Nodes: []wire.Entry{e}}})
-	s.step(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Hello, Start: 1, Age: absurd}})
+	e.UptimeMS = absurd
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{e}}})
+	s.step(LinkReceived{Link: s.links["n0"], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 1, UptimeMS: absurd}})
 	if born := s.loop.nodes["n0"].startedAt; born != policy.UnknownStart {
 		t.Fatal("started at", born)
 	}
@@ -66,9 +66,9 @@
 	s.onlyAnswer(wire.Errored)
 	s.advance(200 * ms)
 	s.step(LinkConnected{"n0", s.links["n0"]})
-	s.step(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Hello, Start: 2, Age: 5}})
-	s.step(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Full, Leg: g.Setup}})
-	s.step(LinkReceived{Link: s.links["n0"], Message: wire.Node{Type: wire.Accepted, Leg: g.Setup}})
+	s.step(LinkReceived{Link: s.links["n0"], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 2, UptimeMS: 5}})
+	s.step(LinkReceived{Link: s.links["n0"], Message: wire.NodeMessage{Type: wire.Full, Leg: g.Setup}})
+	s.step(LinkReceived{Link: s.links["n0"], Message: wire.NodeMessage{Type: wire.Accepted, Leg: g.Setup}})
 	s.advance(5 * time.Second)
 	s.onlyAnswer(wire.Errored)
 	s.onlySetup()
--- a/internal/director/session.go
+++ b/internal/director/session.go
@@ -71,7 +71,7 @@
 }
 
 // takeRequest takes a request that has waited for the loop for so long.
-func (l *Loop) takeRequest(c *conn, m wire.Session, waited time.Duration, brought *RequestDetails) {
+func (l *Loop) takeRequest(c *conn, m wire.SessionMessage, waited time.Duration, brought *RequestDetails) {
 	l.counts.Taken++
 	r := &request{}
 	if c.requests == nil {
@@ -81,7 +81,7 @@
 	backoff := time.Duration(0)
 	refuse := func(kind, why string, count *uint64) {
 		*count++
-		answer := wire.Session{Type: kind, ID: m.ID, Why: why, Backoff: backoff.Milliseconds()}
+		answer := wire.SessionMessage{Type: kind, ID: m.ID, Reason: why, BackoffMS: backoff.Milliseconds()}
 		r.answer = &answer
 		l.refuseRequest(c, answer)
 		l.retainEndedRequest(c, m.ID)
@@ -92,7 +92,7 @@
 		t, listed = title{titleID(m.Title), brought.Base, brought.Copies}, true
 	}
 	came := l.now - waited
-	stop := came + time.Duration(m.Wait)*time.Millisecond
+	stop := came + time.Duration(m.WaitMS)*time.Millisecond
 	switch {
 	case brought != nil && brought.InvalidReason != "":
 		refuse(wire.Errored, brought.InvalidReason, &l.counts.Errored)
@@ -138,7 +138,7 @@
 	l.lastSession++
 	s := &session{
 		id: l.lastSession, name: l.sessionName(l.lastSession), originConn: c.id, key: m.Key, tariff: tariff, title: m.Title,
-		length: time.Duration(m.Length) * time.Millisecond, deadline: stop, conn: c, request: m.ID,
+		length: time.Duration(m.LengthMS) * time.Millisecond, deadline: stop, conn: c, request: m.ID,
 		rung: l.tariffs[tariff].Floor,
 	}
 	if brought != nil {
@@ -154,8 +154,8 @@
 	l.owed++
 	s.answerTimer = l.timers.Add(stop, timer{timerAnswer, s.id})
 	top := len(l.ladder.Rates) - 1
-	if m.Top != nil {
-		top = min(top, *m.Top)
+	if m.MaxRung != nil {
+		top = min(top, *m.MaxRung)
 	}
 	l.notifyDecider(policy.Request{
 		ID: s.id, Tariff: tariff, Title: t.id, FirstCell: t.base, Copies: t.copies, MaxRung: top, Deadline: stop,
@@ -168,7 +168,7 @@
 func (l *Loop) resumeSession(s *session, c *conn, id string, stop time.Duration) {
 	l.counts.Adopted++
 	if s.conn != nil && s.conn != c {
-		l.emit(SendClient{Conn: s.conn.id, Message: wire.Session{Type: wire.Over, ID: s.request, Session: s.name, Why: "taken over"}})
+		l.emit(SendClient{Conn: s.conn.id, Message: wire.SessionMessage{Type: wire.SessionEnded, ID: s.request, Session: s.name, Reason: "taken over"}})
 	}
 	l.detachFromConn(s)
 	s.conn, s.request = c, id
@@ -229,7 +229,7 @@
 		return
 	}
 	if s.conn != nil {
-		l.emit(SendClient{Conn: s.conn.id, Message: wire.Session{Type: wire.Over, ID: s.request, Session: s.name, Why: why}})
+		l.emit(SendClient{Conn: s.conn.id, Message: wire.SessionMessage{Type: wire.SessionEnded, ID: s.request, Session: s.name, Reason: why}})
 	}
 }
 
--- a/internal/director/stage_test.go
+++ b/internal/director/stage_test.go
@@ -56,11 +56,11 @@
 		limits.Capacity{MaxConnections: 1000, MaxHandshakes: 100, HeartbeatInterval: 10 * time.Second, IdleTimeout: time.Minute, HandshakeTimeout: time.Second, MaxRetryAfter: 10 * time.Second},
 		limits.QueuePolicy{MaxWait: 200 * ms, MaxRetryAfter: 10 * time.Second})
 	change(s.loop)
-	var entries []wire.Entry
+	var entries []wire.NodeEntry
 	for i := range nodes {
 		entries = append(entries, upEntry(i))
 	}
-	s.step(DiscoveryReceived{wire.List{Type: wire.Whole, Serial: 1, Nodes: entries, Titles: []wire.Title{{Title: "t", Base: 0, Copies: 8}}}})
+	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Snapshot, Serial: 1, Nodes: entries, Titles: []wire.TitlePlacement{{Title: "t", FirstCell: 0, Copies: 8}}}})
 	for i := range nodes {
 		if s.links[nodeName(i)] != 0 {
 			s.connectNode(nodeName(i))
@@ -75,8 +75,8 @@
 
 func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
 
-func upEntry(i int) wire.Entry {
-	return wire.Entry{Node: nodeName(i), Address: "a:" + nodeName(i), State: wire.Up, Kind: "box", Weight: 1, Cell: i, Start: uint64(i + 1)}
+func upEntry(i int) wire.NodeEntry {
+	return wire.NodeEntry{Node: nodeName(i), Address: "a:" + nodeName(i), State: wire.Up, MachineKind: "box", Weight: 1, Cell: i, Incarnation: uint64(i + 1)}
 }
 
 // step steps the loop, by way of the codec for messages, as the sockets would.
@@ -116,12 +116,12 @@
 // connectNode connects a node, which says then that it is in a start that the director knows.
 func (s *harness) connectNode(node string) {
 	s.step(LinkConnected{node, s.links[node]})
-	s.step(LinkReceived{Link: s.links[node], Message: wire.Node{Type: wire.Hello}})
+	s.step(LinkReceived{Link: s.links[node], Message: wire.NodeMessage{Type: wire.Hello}})
 }
 
-func (s *harness) request(id, tariff string, change ...func(*wire.Session)) {
+func (s *harness) request(id, tariff string, change ...func(*wire.SessionMessage)) {
 	s.t.Helper()
-	m := wire.Session{Type: wire.Want, ID: id, Tariff: tariff, Title: "t", Key: "key-" + id, Wait: 5000, Length: 60_000}
+	m := wire.SessionMessage{Type: wire.Request, ID: id, Tariff: tariff, Title: "t", Key: "key-" + id, WaitMS: 5000, LengthMS: 60_000}
 	for _, f := range change {
 		f(&m)
 	}
@@ -139,7 +139,7 @@
 }
 
 // clientMessages are the messages of some types that players got since the last forget.
-func (s *harness) clientMessages(types ...string) (all []wire.Session) {
+func (s *harness) clientMessages(types ...string) (all []wire.SessionMessage) {
 	for _, o := range s.outputs {
 		if m, ok := o.(SendClient); ok {
 			for _, t := range types {
@@ -152,8 +152,8 @@
 	return all
 }
 
-func (s *harness) answers() []wire.Session {
-	return s.clientMessages(wire.Plays, wire.Nack, wire.Errored)
+func (s *harness) answers() []wire.SessionMessage {
+	return s.clientMessages(wire.Playing, wire.Nack, wire.Errored)
 }
 
 func (s *harness) endedLegs() (legs []uint64) {
@@ -185,7 +185,7 @@
 }
 
 // onlyAnswer is the only answer, which has to be of a type.
-func (s *harness) onlyAnswer(kind string) wire.Session {
+func (s *harness) onlyAnswer(kind string) wire.SessionMessage {
 	s.t.Helper()
 	all := s.answers()
 	if len(all) != 1 || all[0].Type != kind {
@@ -208,5 +208,5 @@
 }
 
 func legReply(g SendNode, kind string) LinkReceived {
-	return LinkReceived{Link: g.Link, Message: wire.Node{Type: kind, Leg: g.Setup}}
+	return LinkReceived{Link: g.Link, Message: wire.NodeMessage{Type: kind, Leg: g.Setup}}
 }
--- a/internal/director/town_test.go
+++ b/internal/director/town_test.go
@@ -70,8 +70,8 @@
 	incarnation   uint64
 	startedAt     time.Duration // under 0: long ago
 	up            bool
-	entry         wire.Entry // as the list has it
-	previousEntry wire.Entry // as it had it before
+	entry         wire.NodeEntry // as the list has it
+	previousEntry wire.NodeEntry // as it had it before
 	startedInRun  bool
 }
 
@@ -87,14 +87,14 @@
 	nodeLinks      map[uint64]*nodeLink // by link, connected or being connected
 	conns          []uint64
 	requests       []clientRequest
-	unackedEntries map[uint64][]wire.Entry // by serial
+	unackedEntries map[uint64][]wire.NodeEntry // by serial
 	serial         uint64
 	ended          bool
 }
 
 type clientRequest struct {
 	conn    uint64
-	message wire.Session
+	message wire.SessionMessage
 }
 
 // A nodeLink is a connection to a node. While it is stuck, what is sent stays with the director.
@@ -144,7 +144,7 @@
 	c := p.config
 	p.boot++
 	p.startedAt, p.stalledUntil, p.ended = p.now, p.now, false
-	p.nodeLinks, p.conns, p.requests, p.unackedEntries, p.inbox = map[uint64]*nodeLink{}, nil, nil, map[uint64][]wire.Entry{}, nil
+	p.nodeLinks, p.conns, p.requests, p.unackedEntries, p.inbox = map[uint64]*nodeLink{}, nil, nil, map[uint64][]wire.NodeEntry{}, nil
 	g := policyConfig{ramp: c.ramp, legs: c.legs}
 	for _, x := range c.tariffs {
 		g.tariffs = append(g.tariffs, x.Tariff)
@@ -194,9 +194,9 @@
 func (p *simDirector) apply(o Output) {
 	switch o := o.(type) {
 	case SendClient:
-		if k := o.Message.Type; k == wire.Plays || k == wire.Nack || k == wire.Errored {
+		if k := o.Message.Type; k == wire.Playing || k == wire.Nack || k == wire.Errored {
 			p.record(witness.Record{What: k, Director: p.name(), Conn: o.Conn, ID: o.Message.ID, Session: o.Message.Session})
-			if p.config.rule == witness.RuleAnswer && k != wire.Plays {
+			if p.config.rule == witness.RuleAnswer && k != wire.Playing {
 				p.opportunities++
 			}
 		}
@@ -237,10 +237,10 @@
 		p.removeLink(o.Link)
 	case SendDiscovery:
 		switch o.Message.Type {
-		case wire.Listen:
+		case wire.Subscribe:
 			p.record(witness.Record{What: witness.Listens, Director: p.name()})
 			p.sendFullList(false)
-		case wire.Heard:
+		case wire.Acknowledge:
 			for _, e := range p.unackedEntries[o.Message.Serial] {
 				p.record(witness.Record{What: witness.Told, Director: p.name(), Node: e.Node, State: e.State})
 				if p.config.rule == witness.RuleDrain && e.State != wire.Up {
@@ -258,7 +258,7 @@
 func (p *simDirector) deliver(l *nodeLink, o SendNode) {
 	m := o.Message
 	r := witness.Record{What: m.Type, Node: l.node.name, Conn: l.conn, Director: p.name(), Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
-		Title: m.Title, Rung: m.Rung, Within: time.Duration(m.Within) * ms}
+		Title: m.Title, Rung: m.Rung, Within: time.Duration(m.StartWithinMS) * ms}
 	switch m.Type {
 	case wire.Setup:
 		l.legs[m.Leg] = simLeg{expiresAt: p.now + r.Within}
@@ -303,16 +303,16 @@
 }
 
 // withAge is the list's line of a node as a director hears it now.
-func (p *simDirector) withAge(m *simNode, e wire.Entry) wire.Entry {
-	if p.config.reportAges && m.startedAt >= 0 && e.Start == m.incarnation && p.now > m.startedAt {
-		e.Age = max(1, (p.now - m.startedAt).Milliseconds())
+func (p *simDirector) withAge(m *simNode, e wire.NodeEntry) wire.NodeEntry {
+	if p.config.reportAges && m.startedAt >= 0 && e.Incarnation == m.incarnation && p.now > m.startedAt {
+		e.UptimeMS = max(1, (p.now - m.startedAt).Milliseconds())
 	}
 	return e
 }
 
 func (p *simDirector) sendFullList(behind bool) {
-	word := wire.List{Type: wire.Whole, Titles: []wire.Title{{Title: "t", Base: 0, Copies: 8}, {Title: "u", Base: 1, Copies: 7}}}
-	var gone []wire.Entry
+	word := wire.DiscoveryMessage{Type: wire.Snapshot, Titles: []wire.TitlePlacement{{Title: "t", FirstCell: 0, Copies: 8}, {Title: "u", FirstCell: 1, Copies: 7}}}
+	var gone []wire.NodeEntry
 	for _, m := range p.nodes {
 		e := m.entry
 		if behind {
@@ -328,11 +328,11 @@
 }
 
 // sendList hands a director a word of the list, by way of the codec.
-func (p *simDirector) sendList(word wire.List, unnamed ...wire.Entry) {
+func (p *simDirector) sendList(word wire.DiscoveryMessage, unnamed ...wire.NodeEntry) {
 	p.serial++
 	word.Serial = p.serial
 	p.unackedEntries[p.serial] = append(unnamed, word.Nodes...)
-	m, err := wire.DecodeList(wire.Encode(word))
+	m, err := wire.DecodeDiscoveryMessage(wire.Encode(word))
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -388,7 +388,7 @@
 		if len(p.requests) > 0 { // again, or leaving
 			v := pick(w, p.requests)
 			if w.oneIn(2) {
-				v.message = wire.Session{Type: wire.Leave, ID: v.message.ID}
+				v.message = wire.SessionMessage{Type: wire.Cancel, ID: v.message.ID}
 				p.requests = slices.DeleteFunc(p.requests, func(x clientRequest) bool { return x.conn == v.conn && x.message.ID == v.message.ID })
 			}
 			p.sendClientMessage(v)
@@ -466,8 +466,8 @@
 			return // turned away: the director closes
 		}
 		p.lastID++
-		v := clientRequest{pick(p.simulation, p.conns), wire.Session{Type: wire.Want, ID: fmt.Sprint(p.lastID), Tariff: pick(p.simulation, p.config.tariffs).Name,
-			Title: pick(p.simulation, []string{"t", "t", "t", "u", "none"}), Key: fmt.Sprint("k", p.lastID), Wait: int64(100 + p.IntN(3900)), Length: 60_000}}
+		v := clientRequest{pick(p.simulation, p.conns), wire.SessionMessage{Type: wire.Request, ID: fmt.Sprint(p.lastID), Tariff: pick(p.simulation, p.config.tariffs).Name,
+			Title: pick(p.simulation, []string{"t", "t", "t", "u", "none"}), Key: fmt.Sprint("k", p.lastID), WaitMS: int64(100 + p.IntN(3900)), LengthMS: 60_000}}
 		if len(p.requests) > 0 && p.oneIn(5) {
 			v.message.Key = pick(p.simulation, p.requests).message.Key
 		}
@@ -478,7 +478,7 @@
 
 // sendClientMessage lets a viewer say something, by way of the codec.
 func (p *simDirector) sendClientMessage(v clientRequest) {
-	m, err := wire.DecodeSession(wire.Encode(v.message))
+	m, err := wire.DecodeSessionMessage(wire.Encode(v.message))
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -486,15 +486,15 @@
 		return
 	}
 	waited := time.Duration(pick(p.simulation, []int{0, 0, 0, 0, 120, 300})) * ms
-	r := witness.Record{What: m.Type, Director: p.name(), Conn: v.conn, ID: m.ID, Tariff: m.Tariff, Title: m.Title, Wait: time.Duration(m.Wait) * ms}
+	r := witness.Record{What: m.Type, Director: p.name(), Conn: v.conn, ID: m.ID, Tariff: m.Tariff, Title: m.Title, Wait: time.Duration(m.WaitMS) * ms}
 	for _, t := range p.config.tariffs {
 		if t.Name == m.Tariff { // what has stood in line for longer than the viewer waits is answered in the same step
 			r.Wait = max(waited, min(r.Wait, t.HardStop)) - waited
 		}
 	}
 	// A key that is shown again takes the session over, and excuses the request that had it.
-	if s := p.loop.sessionsByKey[m.Key]; m.Type == wire.Want && s != nil && s.conn != nil && s.conn.requests[m.ID] == nil {
-		p.record(witness.Record{What: wire.Leave, Director: p.name(), Conn: s.conn.id, ID: s.request})
+	if s := p.loop.sessionsByKey[m.Key]; m.Type == wire.Request && s != nil && s.conn != nil && s.conn.requests[m.ID] == nil {
+		p.record(witness.Record{What: wire.Cancel, Director: p.name(), Conn: s.conn.id, ID: s.request})
 	}
 	p.record(r)
 	p.step(ClientReceived{Conn: v.conn, Message: m, Waited: waited})
@@ -509,7 +509,7 @@
 		}
 	}
 	if len(legs) == 0 {
-		p.step(LinkReceived{Link: p.lastID, Message: wire.Node{Type: wire.Accepted, Leg: 1}}) // of a connection that is no more
+		p.step(LinkReceived{Link: p.lastID, Message: wire.NodeMessage{Type: wire.Accepted, Leg: 1}}) // of a connection that is no more
 		return
 	}
 	order := make([]int, len(legs))
@@ -527,10 +527,10 @@
 		if !there {
 			return
 		}
-		m := wire.Node{Type: pick(p.simulation, p.config.nodeReplies), Leg: legs[i]}
+		m := wire.NodeMessage{Type: pick(p.simulation, p.config.nodeReplies), Leg: legs[i]}
 		switch {
-		case m.Type == wire.Note:
-			m.Kind, m.Value = 1+p.IntN(4), pick(p.simulation, []float64{0, 0.3, 0.9, 1.2, 3, 1e6})
+		case m.Type == wire.Measurement:
+			m.MeasurementKind, m.MeasurementValue = 1+p.IntN(4), pick(p.simulation, []float64{0, 0.3, 0.9, 1.2, 3, 1e6})
 		case m.Type == wire.Accepted:
 			if was.plays || p.now > was.expiresAt {
 				return
@@ -544,11 +544,11 @@
 				p.opportunities++
 			}
 		}
-		if m.Type != wire.Note {
+		if m.Type != wire.Measurement {
 			p.record(witness.Record{What: m.Type, Node: l.node.name, Conn: l.conn, Director: p.name(), Leg: m.Leg})
 		}
 		if p.oneIn(3) {
-			m.Load = &wire.Load{Streams: new(pick(p.simulation, []float64{0, 5, 1e6})), Link: new(p.Float64() * 2)}
+			m.Load = &wire.NodeLoad{Streams: new(pick(p.simulation, []float64{0, 5, 1e6})), Link: new(p.Float64() * 2)}
 		}
 		p.step(LinkReceived{Link: links[i], Message: m})
 	}
@@ -571,9 +571,9 @@
 	if p.nodeLinks[link] == nil || p.oneIn(12) { // no greeting: what waits for it is cut off in its time
 		return
 	}
-	hello := wire.Node{Type: wire.Hello, Start: l.node.incarnation}
+	hello := wire.NodeMessage{Type: wire.Hello, Incarnation: l.node.incarnation}
 	if p.config.reportAges && l.node.startedAt >= 0 {
-		hello.Age = max(1, (p.now - l.node.startedAt).Milliseconds())
+		hello.UptimeMS = max(1, (p.now - l.node.startedAt).Milliseconds())
 	}
 	p.step(LinkReceived{Link: link, Message: hello})
 }
@@ -606,7 +606,7 @@
 	if m.previousEntry.State == wire.Up {
 		m.entry.State = pick(w, []string{wire.Up, wire.Draining, wire.Removed})
 	}
-	if m.entry.Start = m.incarnation; w.oneIn(6) { // somewhere else, or of another size, under the same name
+	if m.entry.Incarnation = m.incarnation; w.oneIn(6) { // somewhere else, or of another size, under the same name
 		m.entry.Cell, m.entry.Weight = w.IntN(8), 0.5+2*w.Float64()
 		m.entry.Address = fmt.Sprint("a:", w.IntN(100))
 	}
@@ -614,10 +614,10 @@
 		switch {
 		case p.ended || w.oneIn(3): // it hears with the next whole list
 		case w.oneIn(4): // twice, the earlier word last
-			p.sendList(wire.List{Type: wire.Update, Nodes: []wire.Entry{p.withAge(m, m.entry)}})
-			p.sendList(wire.List{Type: wire.Update, Nodes: []wire.Entry{p.withAge(m, m.previousEntry)}})
+			p.sendList(wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{p.withAge(m, m.entry)}})
+			p.sendList(wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{p.withAge(m, m.previousEntry)}})
 		default:
-			p.sendList(wire.List{Type: wire.Update, Nodes: []wire.Entry{p.withAge(m, m.entry)}})
+			p.sendList(wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{p.withAge(m, m.entry)}})
 		}
 	}
 }
--- a/internal/emulator/crowd.go
+++ b/internal/emulator/crowd.go
@@ -109,8 +109,8 @@
 	v := s.v
 	h := w.script.Habit
 	s.asked = at
-	m := wire.Session{Type: wire.Want, ID: s.id, Tariff: v.Tariff, Title: v.Title, Key: fmt.Sprintf("%s-%d", v.Key, v.key), Top: v.Top,
-		Wait: v.Wait.Milliseconds(), Length: v.left.Milliseconds(), Again: v.try > 0}
+	m := wire.SessionMessage{Type: wire.Request, ID: s.id, Tariff: v.Tariff, Title: v.Title, Key: fmt.Sprintf("%s-%d", v.Key, v.key), MaxRung: v.Top,
+		WaitMS: v.Wait.Milliseconds(), LengthMS: v.left.Milliseconds(), Retry: v.try > 0}
 	c.say(at, s, m, witness.Record{Tariff: v.Tariff, Title: v.Title, Wait: v.Wait, Again: v.try > 0})
 	if v.r.Float64() < h.Repeats {
 		c.say(at, s, m, witness.Record{Tariff: v.Tariff})
@@ -127,7 +127,7 @@
 				return
 			}
 			s.leaving = true
-			c.say(at, s, wire.Session{Type: wire.Leave, ID: s.id}, witness.Record{})
+			c.say(at, s, wire.SessionMessage{Type: wire.Cancel, ID: s.id}, witness.Record{})
 			w.events.put(at+100*time.Millisecond, func(at time.Duration) { c.leave(at, s, ending{}) })
 		})
 	}
@@ -138,7 +138,7 @@
 }
 
 // say sends a viewer's message, by way of the codec.
-func (c *crowd) say(at time.Duration, s *seat, m wire.Session, also witness.Record) {
+func (c *crowd) say(at time.Duration, s *seat, m wire.SessionMessage, also witness.Record) {
 	r := c.record(s, m.Type)
 	r.Tariff, r.Title, r.Wait, r.Again = also.Tariff, also.Title, also.Wait, also.Again
 	c.w.add(at, r)
@@ -151,7 +151,7 @@
 		if p.boot != boot || !p.up {
 			return
 		}
-		message, err := wire.DecodeSession(raw)
+		message, err := wire.DecodeSessionMessage(raw)
 		if err != nil {
 			panic(fmt.Sprintf("the model of the viewers said what is no message: %v", err))
 		}
@@ -166,15 +166,15 @@
 	if s == nil || s.over {
 		return
 	}
-	m, err := wire.DecodeSession(raw)
+	m, err := wire.DecodeSessionMessage(raw)
 	if err != nil {
 		w.err = fmt.Errorf("%s told a player what is no message: %w", w.posts[s.post].name, err)
 		return
 	}
 	switch m.Type {
-	case wire.Plays, wire.Nack, wire.Errored:
+	case wire.Playing, wire.Nack, wire.Errored:
 		r := c.record(s, m.Type)
-		r.ID, r.Session, r.Node, r.Rung, r.Why = m.ID, m.Session, m.Node, m.Rung, m.Why
+		r.ID, r.Session, r.Node, r.Rung, r.Why = m.ID, m.Session, m.Node, m.Rung, m.Reason
 		w.add(at, r)
 	}
 	if s.leaving {
@@ -182,14 +182,14 @@
 	}
 	v := s.v
 	switch {
-	case m.Type == wire.Over && s.plays > 0:
-		c.leave(at, s, ending{played: at - s.plays, again: m.Why != "ended"})
+	case m.Type == wire.SessionEnded && s.plays > 0:
+		c.leave(at, s, ending{played: at - s.plays, again: m.Reason != "ended"})
 	case s.plays > 0:
 	case m.Type == wire.Nack:
-		c.leave(at, s, ending{backoff: time.Duration(m.Backoff) * time.Millisecond, again: true})
+		c.leave(at, s, ending{backoff: time.Duration(m.BackoffMS) * time.Millisecond, again: true})
 	case m.Type == wire.Errored:
 		c.leave(at, s, ending{again: !v.Paid})
-	case m.Type == wire.Plays:
+	case m.Type == wire.Playing:
 		c.latency = append(c.latency, at-s.asked)
 		if at-v.began <= v.Goal {
 			c.inTime[m.Session] = true
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -74,7 +74,7 @@
 	n := len(y.Machines)
 	w.down, w.silent, w.hung, w.deaf = make([]bool, n), make([]bool, n), make([]bool, n), make([]time.Duration, n)
 	w.list = &list{w: w, directors: map[int]int{}, entries: slices.Clone(y.Entries)}
-	var listed []wire.Entry
+	var listed []wire.NodeEntry
 	for i, m := range y.Machines {
 		w.machine[m.Name] = i
 		w.deaf[i] = -1
@@ -241,10 +241,10 @@
 }
 
 // entry is the list's line of a machine as it is now.
-func (w *world) entry(at time.Duration, m int, state string) wire.Entry {
+func (w *world) entry(at time.Duration, m int, state string) wire.NodeEntry {
 	e := w.list.entries[m]
 	e.State, e.Address = state, "10.0.0.1:"+fmt.Sprint(1+m)
-	e.Start, _ = w.farm.Start(at, e.Node)
+	e.Incarnation, _ = w.farm.Start(at, e.Node)
 	return e
 }
 
@@ -279,7 +279,7 @@
 	if l == nil {
 		return
 	}
-	m, err := wire.DecodeNode(raw)
+	m, err := wire.DecodeNodeMessage(raw)
 	if err != nil {
 		w.err = fmt.Errorf("director %d sent what is no message: %w", way.post, err)
 		return
@@ -294,12 +294,12 @@
 }
 
 // seen records what crosses a link; notes and greetings prove nothing.
-func (w *world) seen(at time.Duration, l *link, m wire.Node) {
-	if m.Type == wire.Hello || m.Type == wire.Note {
+func (w *world) seen(at time.Duration, l *link, m wire.NodeMessage) {
+	if m.Type == wire.Hello || m.Type == wire.Measurement {
 		return
 	}
 	w.add(at, witness.Record{What: m.Type, Node: w.layout.Machines[l.machine].Name, Conn: l.number, Director: l.name, Session: m.Session, Leg: m.Leg,
-		Tariff: m.Tariff, Title: m.Title, Rung: m.Rung, Within: time.Duration(m.Within) * time.Millisecond, Why: m.Why})
+		Tariff: m.Tariff, Title: m.Title, Rung: m.Rung, Within: time.Duration(m.StartWithinMS) * time.Millisecond, Why: m.Reason})
 }
 
 // hungUp ends a link from the director's side.
@@ -355,7 +355,7 @@
 			if p.boot != boot || !p.up {
 				return
 			}
-			message, err := wire.DecodeNode(raw)
+			message, err := wire.DecodeNodeMessage(raw)
 			if err != nil {
 				panic(fmt.Sprintf("the model of the nodes said what is no message: %v", err))
 			}
@@ -371,9 +371,9 @@
 type list struct {
 	w         *world
 	book      *book.Book
-	entries   []wire.Entry  // of machines, as the list has or will have them
-	directors map[int]int   // boots of the directors that listen
-	rings     time.Duration // the next run that is arranged; 0: none
+	entries   []wire.NodeEntry // of machines, as the list has or will have them
+	directors map[int]int      // boots of the directors that listen
+	rings     time.Duration    // the next run that is arranged; 0: none
 }
 
 func (l *list) set(at time.Duration, word day.Word) {
@@ -421,7 +421,7 @@
 		if p.boot != boot || !p.up {
 			return
 		}
-		m, err := wire.DecodeList(raw)
+		m, err := wire.DecodeDiscoveryMessage(raw)
 		if err != nil {
 			panic(fmt.Sprintf("the model of the list said what is no message: %v", err))
 		}
@@ -431,7 +431,7 @@
 
 // hears takes a director's word.
 func (l *list) hears(at time.Duration, p *post, boot int, raw []byte) {
-	m, err := wire.DecodeList(raw)
+	m, err := wire.DecodeDiscoveryMessage(raw)
 	if err != nil {
 		l.w.err = fmt.Errorf("%s told the list what is no message: %w", p.name, err)
 		return
@@ -440,13 +440,13 @@
 		return
 	}
 	switch m.Type {
-	case wire.Listen:
+	case wire.Subscribe:
 		if _, listens := l.directors[p.number]; !listens {
 			l.w.add(at, witness.Record{What: witness.Listens, Director: m.Director})
 		}
 		l.directors[p.number] = boot
 		l.tell(at, p, boot, wire.Encode(l.book.Whole(at, l.w.layout.Titles)))
-	case wire.Heard:
+	case wire.Acknowledge:
 		for _, e := range l.book.Told(m.Serial) {
 			l.w.add(at, witness.Record{What: witness.Told, Director: m.Director, Node: e.Node, State: e.State})
 		}
--- a/internal/importer/carry.go
+++ b/internal/importer/carry.go
@@ -15,7 +15,7 @@
 
 // A Node is a server that became a node.
 type Node struct {
-	wire.Entry
+	wire.NodeEntry
 	HasCell bool // somebody said in which cell it stands
 	server  *haproxy.Server
 }
@@ -162,7 +162,7 @@
 
 // again is a server whose address a node has already.
 func (w *work) again(s *haproxy.Server, n, first *Node) {
-	if n.State == first.State && n.Weight == first.Weight && n.Kind == first.Kind {
+	if n.State == first.State && n.Weight == first.Weight && n.MachineKind == first.MachineKind {
 		s.Line.Carry("server "+n.Node, "nodes."+first.Node+" (the same address)")
 		return
 	}
@@ -232,19 +232,19 @@
 			l.Skip("server "+name, s.Text+": the address to which the client came is used", "give the address that players reach with --with")
 			return false
 		}
-		n := &Node{server: s, Entry: wire.Entry{Node: name, Address: net.JoinHostPort(at.Host, strconv.Itoa(at.Low)), State: state, Kind: kind,
+		n := &Node{server: s, NodeEntry: wire.NodeEntry{Node: name, Address: net.JoinHostPort(at.Host, strconv.Itoa(at.Low)), State: state, MachineKind: kind,
 			Weight: float64(weight), Zone: place.zone}}
 		if place.kind != "" {
-			n.Kind = place.kind
+			n.MachineKind = place.kind
 		}
 		if place.cell >= 0 {
 			n.Cell, n.HasCell = place.cell, true
 		}
-		if _, known := w.places[n.Kind]; !known {
-			w.places[n.Kind] = 0
-			w.kinds = append(w.kinds, n.Kind)
+		if _, known := w.places[n.MachineKind]; !known {
+			w.places[n.MachineKind] = 0
+			w.kinds = append(w.kinds, n.MachineKind)
 		}
-		if n.Kind == kind {
+		if n.MachineKind == kind {
 			w.places[kind] = most
 		}
 		all = append(all, n)
@@ -678,7 +678,7 @@
 		e := object()
 		e.set(value(n.Address), "address")
 		e.set(value(n.State), "state")
-		e.set(value(n.Kind), "kind")
+		e.set(value(n.MachineKind), "kind")
 		e.set(value(n.Weight), "weight")
 		if n.Zone != "" {
 			e.set(value(n.Zone), "zone")
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -50,7 +50,7 @@
 
 func names(r *Result) (all []string) {
 	for _, n := range r.Nodes {
-		all = append(all, fmt.Sprintf("%s=%s/%s/%g/%s", n.Node, n.Address, n.State, n.Weight, n.Kind))
+		all = append(all, fmt.Sprintf("%s=%s/%s/%g/%s", n.Node, n.Address, n.State, n.Weight, n.MachineKind))
 	}
 	return all
 }
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -263,8 +263,8 @@
 	if c.Kind == KindChatter {
 		length = c.o.Warm + c.o.For
 	}
-	x.Send(wire.Encode(wire.Session{Type: wire.Want, ID: id, Tariff: "clip", Title: "title-" + strconv.Itoa(n%c.o.Titles),
-		Key: fmt.Sprintf("%s-%d-%d-%s", c.Name, c.o.Client, n, id), Wait: 3000, Length: length.Milliseconds()}), 0)
+	x.Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip", Title: "title-" + strconv.Itoa(n%c.o.Titles),
+		Key: fmt.Sprintf("%s-%d-%d-%s", c.Name, c.o.Client, n, id), WaitMS: 3000, LengthMS: length.Milliseconds()}), 0)
 }
 
 func (c *crowd) Opened(*transport.Conn) {}
@@ -280,12 +280,12 @@
 }
 
 func (c *crowd) Message(x *transport.Conn, raw []byte) {
-	m, err := wire.DecodeSession(raw)
+	m, err := wire.DecodeSessionMessage(raw)
 	if err != nil {
 		return
 	}
 	switch m.Type {
-	case wire.Plays:
+	case wire.Playing:
 		if m.ID == "c" {
 			c.mu.Lock()
 			q := c.asked[x]
--- a/internal/load/idle.go
+++ b/internal/load/idle.go
@@ -304,8 +304,8 @@
 			}
 			i := n % len(st.machines)
 			n++
-			e := wire.Entry{Node: st.machines[i].Name, Address: st.host.Address(st.machines[i].Name), Kind: "box", Weight: 1, Cell: i, State: wire.Draining}
-			e.Start, _ = st.host.Start(e.Node)
+			e := wire.NodeEntry{Node: st.machines[i].Name, Address: st.host.Address(st.machines[i].Name), MachineKind: "box", Weight: 1, Cell: i, State: wire.Draining}
+			e.Incarnation, _ = st.host.Start(e.Node)
 			st.list.Set(e, 0, 0)
 			e.State = wire.Up
 			st.list.Set(e, 0, 700*time.Millisecond)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -73,7 +73,7 @@
 	host     *node.Host
 	list     *list.Source
 	machines []node.Machine
-	titles   []wire.Title
+	titles   []wire.TitlePlacement
 }
 
 func (s Setups) open() (*site, error) { return s.openWith(witness.Nobody) }
@@ -101,13 +101,13 @@
 	if err != nil {
 		return nil, err
 	}
-	var entries []wire.Entry
+	var entries []wire.NodeEntry
 	for i, m := range st.machines {
 		start, _ := st.host.Start(m.Name)
-		entries = append(entries, wire.Entry{Node: m.Name, Address: st.host.Address(m.Name), State: wire.Up, Kind: "box", Weight: 1, Cell: i, Start: start})
+		entries = append(entries, wire.NodeEntry{Node: m.Name, Address: st.host.Address(m.Name), State: wire.Up, MachineKind: "box", Weight: 1, Cell: i, Incarnation: start})
 	}
 	for i := range s.Titles {
-		st.titles = append(st.titles, wire.Title{Title: "title-" + strconv.Itoa(i), Base: r.IntN(s.Nodes), Copies: min(6, s.Nodes)})
+		st.titles = append(st.titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i), FirstCell: r.IntN(s.Nodes), Copies: min(6, s.Nodes)})
 	}
 	st.list, err = list.Open(record, entries, st.titles)
 	if err != nil {
@@ -194,7 +194,7 @@
 	}
 }
 
-var bounds = transport.Bounds{Message: wire.NodeMost, Queue: 64 << 20, Write: 10 * time.Second}
+var bounds = transport.Bounds{Message: wire.MaxNodeMessageBytes, Queue: 64 << 20, Write: 10 * time.Second}
 
 // Direct measures players that speak to nodes themselves: what is there without a director.
 func (s Setups) Direct(ctx context.Context) (*Result, error) {
@@ -219,8 +219,8 @@
 	m.from = began + s.Warm
 	length := s.length()
 	due := s.schedule(ctx, began, func(n int, due time.Duration) {
-		conns[n%len(conns)].Send(wire.Encode(wire.Node{Type: wire.Setup, Leg: uint64(due), Session: "s", Tariff: "clip", Title: "t",
-			Rung: 1, Rate: 347, Length: length.Milliseconds()}), 0)
+		conns[n%len(conns)].Send(wire.Encode(wire.NodeMessage{Type: wire.Setup, Leg: uint64(due), Session: "s", Tariff: "clip", Title: "t",
+			Rung: 1, RateKB: 347, LengthMS: length.Milliseconds()}), 0)
 	})
 	time.Sleep(500 * time.Millisecond)
 	return m.result("direct", due), nil
@@ -237,7 +237,7 @@
 func (h *direct) Closed(*transport.Conn, error, []uint64) {}
 func (h *direct) Message(_ *transport.Conn, raw []byte) {
 	now := witness.Clock()
-	m, err := wire.DecodeNode(raw)
+	m, err := wire.DecodeNodeMessage(raw)
 	switch {
 	case err != nil:
 	case m.Type == wire.Accepted:
@@ -306,8 +306,8 @@
 			begin()
 		}
 		id := strconv.FormatInt(int64(due), 36)
-		conns[n%len(conns)].Send(wire.Encode(wire.Session{Type: wire.Want, ID: id, Tariff: "clip", Title: st.titles[n%len(st.titles)].Title,
-			Key: "k" + id, Wait: 3000, Length: length.Milliseconds()}), 0)
+		conns[n%len(conns)].Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip", Title: st.titles[n%len(st.titles)].Title,
+			Key: "k" + id, WaitMS: 3000, LengthMS: length.Milliseconds()}), 0)
 	})
 	time.Sleep(500 * time.Millisecond)
 	return m.result(name, due), nil
@@ -319,12 +319,12 @@
 func (h *through) Closed(*transport.Conn, error, []uint64) {}
 func (h *through) Message(_ *transport.Conn, raw []byte) {
 	now := witness.Clock()
-	m, err := wire.DecodeSession(raw)
+	m, err := wire.DecodeSessionMessage(raw)
 	if err != nil {
 		return
 	}
 	switch m.Type {
-	case wire.Plays:
+	case wire.Playing:
 		if due, err := strconv.ParseInt(m.ID, 36, 64); err == nil {
 			h.m.took(time.Duration(due), now)
 		}
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -70,13 +70,13 @@
 		if err != nil {
 			in.Details.InvalidReason, in.Details.PlayingOn = err.Error(), ""
 		}
-		in.Message = wire.Session{
-			Type: wire.Want, ID: id, Key: id, Tariff: s.class, Title: s.title, Top: &s.maxRung, Wait: s.wait,
-			Length: int64(s.lengthHint),
+		in.Message = wire.SessionMessage{
+			Type: wire.Request, ID: id, Key: id, Tariff: s.class, Title: s.title, MaxRung: &s.maxRung, WaitMS: s.wait,
+			LengthMS: int64(s.lengthHint),
 		}
 		return in, nil, nil
 	case kindRelease:
-		in.Message = wire.Session{Type: wire.Leave, ID: id}
+		in.Message = wire.SessionMessage{Type: wire.Cancel, ID: id}
 		return in, newClientMessage(kindAck, m.session).finish(), m.eachParam(func(byte, []byte) error { return nil })
 	case kindProbe:
 		return in, newClientMessage(kindProbeReply, m.session).param(codeCause, []byte{1}).finish(), nil
@@ -93,14 +93,14 @@
 	m := o.Message
 	session := parseSessionID(m.ID)
 	switch m.Type {
-	case wire.Plays:
+	case wire.Playing:
 		return newClientMessage(kindAnswer, session).param(codeDescription, o.Description).finish()
 	case wire.Nack:
 		return releaseMessage(session, causeNacked)
 	case wire.Errored:
 		return releaseMessage(session, causeErrored)
-	case wire.Over:
-		switch m.Why {
+	case wire.SessionEnded:
+		switch m.Reason {
 		case director.ReasonEnded:
 			return releaseMessage(session, causeEnded)
 		case director.ReasonEndedElsewhere:
@@ -140,7 +140,7 @@
 		case m.status == 454:
 			in.Message.Type = wire.Unsent
 		case m.status == 504:
-			in.Message.Type, in.Message.Why = wire.Failed, wire.Lost
+			in.Message.Type, in.Message.Reason = wire.Failed, wire.Lost
 		default:
 			in.Message.Type = wire.Failed
 		}
@@ -151,9 +151,9 @@
 		switch m.cause() {
 		case causeEnded:
 		case causeMoved:
-			in.Message.Why = wire.CalledOff
+			in.Message.Reason = wire.Canceled
 		default:
-			in.Message.Why = wire.Lost
+			in.Message.Reason = wire.Lost
 		}
 		in.Message.Load, err = f.parseLoadReport(m)
 		return in, newOKResponse(m.headers["cseq"], m.headers["session"]), err
@@ -163,7 +163,7 @@
 		if !known || err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
 			return in, nil, errors.New("a note that can't be read")
 		}
-		in.Message.Type, in.Message.Kind, in.Message.Value = wire.Note, int(kind), value
+		in.Message.Type, in.Message.MeasurementKind, in.Message.MeasurementValue = wire.Measurement, int(kind), value
 	case methodOptions:
 		return in, newOKResponse(m.headers["cseq"], m.headers["session"]), nil
 	}
@@ -171,7 +171,7 @@
 }
 
 // parseLoadReport reads a media node's report, if the message holds one.
-func (f *Protocol) parseLoadReport(m rtspMessage) (*wire.Load, error) {
+func (f *Protocol) parseLoadReport(m rtspMessage) (*wire.NodeLoad, error) {
 	text, ok := m.headers["x-group"]
 	if !ok {
 		return nil, nil
@@ -191,7 +191,7 @@
 		}
 		return &v
 	}
-	return &wire.Load{Streams: told(load.Streams), Link: told(load.Link), Uplink: told(load.Uplink)}, nil
+	return &wire.NodeLoad{Streams: told(load.Streams), Link: told(load.Link), Uplink: told(load.Uplink)}, nil
 }
 
 // EncodeNode words what a media node is to do.
@@ -201,12 +201,12 @@
 	case wire.Setup:
 		w := newRequest(methodSetup, m.Title, seqSetup, m.Session)
 		w.header("X-Service", m.Tariff)
-		w.header("X-Setup-Ms", strconv.FormatInt(m.Within, 10))
+		w.header("X-Setup-Ms", strconv.FormatInt(m.StartWithinMS, 10))
 		w.header("X-Rung", strconv.Itoa(m.Rung))
 		return w.finish(o.Description)
 	case wire.End:
 		w := newRequest(methodTeardown, m.Session, seqTeardown, m.Session)
-		if m.Why != "" {
+		if m.Reason != "" {
 			w.header("Reason", fmt.Sprintf("cause=%d", causeMoved))
 		}
 		return w.finish(nil)
@@ -220,7 +220,7 @@
 
 // DecodeDiscovery reads an event of the notice board. One that was had already is nothing; one that leaves others out ends
 // the connection, so that they are asked for.
-func (f *Protocol) DecodeDiscovery(raw []byte) (m wire.List, err error) {
+func (f *Protocol) DecodeDiscovery(raw []byte) (m wire.DiscoveryMessage, err error) {
 	x, err := parseFrame(raw)
 	if err != nil {
 		return m, err
@@ -236,7 +236,7 @@
 	f.lastEvent, f.awaitingFirstEvent = x.number, false
 	m.Type, m.Serial = wire.Update, x.number
 	if x.kind == frameSnapshot {
-		m.Type = wire.Whole
+		m.Type = wire.Snapshot
 	}
 	now := f.now()
 	name := func(list []string, i int) string {
@@ -246,17 +246,17 @@
 		return ""
 	}
 	for _, r := range x.records {
-		m.Nodes = append(m.Nodes, wire.Entry{
-			Node: nodeName(r.id), Address: r.address.String(), State: nodeStates[r.state], Kind: name(f.settings.Kinds, r.kind),
-			Zone: name(f.settings.Zones, r.zone), Start: r.startedMilli, Age: ageMillis(r.startedMilli, now), Weight: r.weight, Cell: r.cell,
+		m.Nodes = append(m.Nodes, wire.NodeEntry{
+			Node: nodeName(r.id), Address: r.address.String(), State: nodeStates[r.state], MachineKind: name(f.settings.Kinds, r.kind),
+			Zone: name(f.settings.Zones, r.zone), Incarnation: r.startedMilli, UptimeMS: ageMillis(r.startedMilli, now), Weight: r.weight, Cell: r.cell,
 		})
 	}
 	return m, nil
 }
 
 // EncodeDiscovery asks the notice board for what is later than the last event.
-func (f *Protocol) EncodeDiscovery(m wire.List) []byte {
-	if m.Type != wire.Listen {
+func (f *Protocol) EncodeDiscovery(m wire.DiscoveryMessage) []byte {
+	if m.Type != wire.Subscribe {
 		return nil
 	}
 	f.mu.Lock()
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -163,7 +163,7 @@
 				continue
 			}
 			switch o.Message.Type {
-			case wire.Plays, wire.Nack, wire.Errored:
+			case wire.Playing, wire.Nack, wire.Errored:
 				if w.answered || w.left || c.now > w.by {
 					c.Fatalf("%s is answered %s at %v: %+v", w.name, o.Message.Type, c.now, *w)
 				}
@@ -226,7 +226,7 @@
 		house := posting.Config(time.Now())
 		c := &loopModel{T: t, posting: posting, owed: map[string]*pendingAnswer{}, links: map[uint64]string{}, open: map[uint64]bool{},
 			drains: map[string]bool{}, loop: house.NewLoop("b", 1, posting.NewDecider(1))}
-		c.do(director.DiscoveryReceived{Message: wire.List{Type: wire.Whole, Nodes: house.Nodes}})
+		c.do(director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Snapshot, Nodes: house.Nodes}})
 		c.enter()
 		classes := posting.parsedSettings.Tariffs()
 		front := NewProtocol(posting, house, time.Now)
@@ -271,17 +271,17 @@
 				w := c.owed[id]
 				kind := rapid.SampledFrom([]string{wire.Accepted, wire.Full, wire.Failed}).Draw(t, "kind")
 				w.out, w.ran = false, w.ran || kind != wire.Full
-				c.do(director.LinkReceived{Link: w.link, Message: wire.Node{Type: kind, Session: id}})
+				c.do(director.LinkReceived{Link: w.link, Message: wire.NodeMessage{Type: kind, Session: id}})
 			case what == 8 && len(ids) > 0:
 				id := rapid.SampledFrom(ids).Draw(t, "left")
 				c.owed[id].left = true
-				c.do(director.ClientReceived{Conn: c.conn, Message: wire.Session{Type: wire.Leave, ID: id}, Details: &director.RequestDetails{}})
+				c.do(director.ClientReceived{Conn: c.conn, Message: wire.SessionMessage{Type: wire.Cancel, ID: id}, Details: &director.RequestDetails{}})
 			case what == 9:
 				i := rapid.IntRange(0, 3).Draw(t, "node")
 				c.drains[nodeName(uint32(i))] = true
 				e := targets[i].entry(time.Now())
 				e.State = wire.Draining
-				c.do(director.DiscoveryReceived{Message: wire.List{Type: wire.Update, Nodes: []wire.Entry{e}}})
+				c.do(director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{e}}})
 			}
 		}
 		// The order to stop: everything owed is answered, and it ends by itself before it is killed.
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -275,14 +275,14 @@
 	return min(maxClientCloseTime, (p.maxHardStop()+killAfter-max(p.shutdownTimeout(), p.minShutdownTime()))/2)
 }
 
-func (e target) entry(now time.Time) wire.Entry {
+func (e target) entry(now time.Time) wire.NodeEntry {
 	state, known := statesByName[e.State]
 	if !known {
 		state = wire.Draining // nothing is known to be allowed there
 	}
-	return wire.Entry{
-		Node: e.ID, Address: e.Endpoint, State: state, Kind: e.Kind, Zone: e.Zone, Start: uint64(max(0, e.StartedMillis)),
-		Age: ageMillis(uint64(max(0, e.StartedMillis)), now), Weight: e.Weight, Cell: max(0, e.Cell),
+	return wire.NodeEntry{
+		Node: e.ID, Address: e.Endpoint, State: state, MachineKind: e.Kind, Zone: e.Zone, Incarnation: uint64(max(0, e.StartedMillis)),
+		UptimeMS: ageMillis(uint64(max(0, e.StartedMillis)), now), Weight: e.Weight, Cell: max(0, e.Cell),
 	}
 }
 
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -73,13 +73,13 @@
 		t.printf("node> %s %.400q %v", in.Message.Session, raw, err)
 	case err != nil:
 		t.printf("node> %.100q %v", raw, err)
-	case in.Message.Type != "" && in.Message.Type != wire.Note:
-		t.printf("node> %s %s %s", in.Message.Session, in.Message.Type, in.Message.Why)
+	case in.Message.Type != "" && in.Message.Type != wire.Measurement:
+		t.printf("node> %s %s %s", in.Message.Session, in.Message.Type, in.Message.Reason)
 	}
 	return in, reply, err
 }
 
-func (t *tracer) DecodeDiscovery(raw []byte) (m wire.List, err error) {
+func (t *tracer) DecodeDiscovery(raw []byte) (m wire.DiscoveryMessage, err error) {
 	m, err = t.Protocol.DecodeDiscovery(raw)
 	if t.level == TraceBytes {
 		t.printf("board> %d %+v %v", m.Serial, m.Nodes, err)
@@ -92,9 +92,9 @@
 func (t *tracer) EncodeClient(o director.SendClient) []byte {
 	raw := t.Protocol.EncodeClient(o)
 	if t.level == TraceBytes {
-		t.printf(">viewer %s on %d %s %s %.200q", o.Message.ID, o.Conn, o.Message.Type, o.Message.Why, raw)
+		t.printf(">viewer %s on %d %s %s %.200q", o.Message.ID, o.Conn, o.Message.Type, o.Message.Reason, raw)
 	} else if raw != nil {
-		t.printf(">viewer %s on %d %s %s", o.Message.ID, o.Conn, o.Message.Type, o.Message.Why)
+		t.printf(">viewer %s on %d %s %s", o.Message.ID, o.Conn, o.Message.Type, o.Message.Reason)
 	}
 	return raw
 }
--- a/internal/standin/list/book.go
+++ b/internal/standin/list/book.go
@@ -15,11 +15,11 @@
 	changes []change        // not told yet, by time
 	lag     time.Duration
 	serial  uint64
-	told    map[uint64][]wire.Entry // by serial, until every director has heard it; at most keepSerials
+	told    map[uint64][]wire.NodeEntry // by serial, until every director has heard it; at most keepSerials
 }
 
 type line struct {
-	wire.Entry
+	wire.NodeEntry
 	born time.Duration // 0: long ago
 }
 
@@ -31,16 +31,16 @@
 const keepSerials = 4096
 
 // NewBook starts with nodes that have long been there.
-func NewBook(nodes []wire.Entry) *Book {
-	b := &Book{nodes: map[string]line{}, told: map[uint64][]wire.Entry{}}
+func NewBook(nodes []wire.NodeEntry) *Book {
+	b := &Book{nodes: map[string]line{}, told: map[uint64][]wire.NodeEntry{}}
 	for _, e := range nodes {
-		b.nodes[e.Node] = line{Entry: e}
+		b.nodes[e.Node] = line{NodeEntry: e}
 	}
 	return b
 }
 
 // Set changes a node's line, to be told at a time and the lag that there is then.
-func (b *Book) Set(e wire.Entry, born, at time.Duration) {
+func (b *Book) Set(e wire.NodeEntry, born, at time.Duration) {
 	b.changes = append(b.changes, change{at, line{e, born}})
 	slices.SortStableFunc(b.changes, func(x, y change) int { return int(min(1, max(-1, x.at-y.at))) })
 }
@@ -57,8 +57,8 @@
 }
 
 // Due is the update that is to be told now; ok is false where there is none.
-func (b *Book) Due(now time.Duration) (m wire.List, ok bool) {
-	var entries []wire.Entry
+func (b *Book) Due(now time.Duration) (m wire.DiscoveryMessage, ok bool) {
+	var entries []wire.NodeEntry
 	for at, some := b.Next(); some && at <= now; at, some = b.Next() {
 		l := b.changes[0].line
 		b.changes = b.changes[1:]
@@ -71,32 +71,32 @@
 	if len(entries) == 0 {
 		return m, false
 	}
-	return wire.List{Type: wire.Update, Serial: b.keep(entries), Nodes: entries}, true
+	return wire.DiscoveryMessage{Type: wire.Update, Serial: b.keep(entries), Nodes: entries}, true
 }
 
 // Whole is all that there is now.
-func (b *Book) Whole(now time.Duration, titles []wire.Title) wire.List {
-	var all []wire.Entry
+func (b *Book) Whole(now time.Duration, titles []wire.TitlePlacement) wire.DiscoveryMessage {
+	var all []wire.NodeEntry
 	for _, name := range slices.Sorted(maps.Keys(b.nodes)) {
 		all = append(all, b.nodes[name].aged(now))
 	}
-	return wire.List{Type: wire.Whole, Serial: b.keep(all), Nodes: all, Titles: titles}
+	return wire.DiscoveryMessage{Type: wire.Snapshot, Serial: b.keep(all), Nodes: all, Titles: titles}
 }
 
 // Told is what was told under a serial.
-func (b *Book) Told(serial uint64) []wire.Entry { return b.told[serial] }
+func (b *Book) Told(serial uint64) []wire.NodeEntry { return b.told[serial] }
 
-func (b *Book) keep(entries []wire.Entry) uint64 {
+func (b *Book) keep(entries []wire.NodeEntry) uint64 {
 	b.serial++
 	b.told[b.serial] = entries
 	delete(b.told, b.serial-keepSerials)
 	return b.serial
 }
 
-func (l line) aged(now time.Duration) wire.Entry {
-	e := l.Entry
+func (l line) aged(now time.Duration) wire.NodeEntry {
+	e := l.NodeEntry
 	if l.born != 0 {
-		e.Age = max(1, (now - l.born).Milliseconds())
+		e.UptimeMS = max(1, (now - l.born).Milliseconds())
 	}
 	return e
 }
--- a/internal/standin/list/list.go
+++ b/internal/standin/list/list.go
@@ -17,22 +17,22 @@
 	server   *transport.Server
 	record   *witness.Recorder
 	book     *Book
-	titles   []wire.Title
+	titles   []wire.TitlePlacement
 	wake     chan struct{}
 	quit     chan struct{}
 	watchers map[*transport.Conn]string // emptied as connections end
 }
 
-var bounds = transport.Bounds{Message: wire.SessionMost, Queue: 64 << 20, Write: 10 * time.Second, Handshake: 10 * time.Second}
+var bounds = transport.Bounds{Message: wire.MaxSessionMessageBytes, Queue: 64 << 20, Write: 10 * time.Second, Handshake: 10 * time.Second}
 
 // Open starts a source on a loopback port of its own.
-func Open(record *witness.Recorder, nodes []wire.Entry, titles []wire.Title) (*Source, error) {
+func Open(record *witness.Recorder, nodes []wire.NodeEntry, titles []wire.TitlePlacement) (*Source, error) {
 	s := &Source{
 		record: record, book: NewBook(nodes), titles: titles,
 		wake: make(chan struct{}, 1), quit: make(chan struct{}), watchers: map[*transport.Conn]string{},
 	}
 	var err error
-	if s.server, err = transport.Serve("127.0.0.1:0", wire.ListProtocol, bounds, s); err != nil {
+	if s.server, err = transport.Serve("127.0.0.1:0", wire.DiscoveryProtocol, bounds, s); err != nil {
 		return nil, err
 	}
 	go s.run()
@@ -49,7 +49,7 @@
 }
 
 // Set changes a node's line; directors are told after the delay, and the lag that there is then.
-func (s *Source) Set(e wire.Entry, born, after time.Duration) {
+func (s *Source) Set(e wire.NodeEntry, born, after time.Duration) {
 	s.mu.Lock()
 	s.book.Set(e, born, witness.Clock()+after)
 	s.mu.Unlock()
@@ -102,7 +102,7 @@
 
 // Message takes a director's word.
 func (s *Source) Message(c *transport.Conn, raw []byte) {
-	m, err := wire.DecodeList(raw)
+	m, err := wire.DecodeDiscoveryMessage(raw)
 	if err != nil {
 		c.Close(1007, err.Error())
 		return
@@ -110,13 +110,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch m.Type {
-	case wire.Listen:
+	case wire.Subscribe:
 		if s.watchers[c] == "" {
 			s.record.Add(witness.Record{What: witness.Listens, Director: m.Director})
 		}
 		s.watchers[c] = m.Director
 		c.Send(wire.Encode(s.book.Whole(witness.Clock(), s.titles)), 0)
-	case wire.Heard:
+	case wire.Acknowledge:
 		for _, e := range s.book.Told(m.Serial) {
 			s.record.Add(witness.Record{What: witness.Told, Director: m.Director, Node: e.Node, State: e.State})
 		}
--- a/internal/standin/node/farm.go
+++ b/internal/standin/node/farm.go
@@ -61,7 +61,7 @@
 type Out struct {
 	Node    string
 	Link    uint64
-	Message wire.Node
+	Message wire.NodeMessage
 	Cut     bool
 	Fell    bool
 	Earned  *Earning
@@ -113,7 +113,7 @@
 	noting        bool            // its notes are under way
 	free          []time.Duration // when each core is next free
 	sends         []time.Duration // set-ups within the tipping time
-	load          wire.Load       // as last refreshed
+	load          wire.NodeLoad   // as last refreshed
 	loadAt        time.Duration
 	held          []due // what would have happened while it hung
 }
@@ -229,7 +229,7 @@
 	case dueEnd:
 		if s := n.streams[d.key]; s != nil && s.plays && s.ends <= f.now {
 			f.drop(n, d.key)
-			f.tell(n, s.link, wire.Node{Type: wire.Ended, Leg: s.leg, Why: "done", Load: f.loadOf(n)})
+			f.tell(n, s.link, wire.NodeMessage{Type: wire.Ended, Leg: s.leg, Reason: "done", Load: f.loadOf(n)})
 		}
 	case dueNote:
 		f.notes(n)
@@ -272,7 +272,7 @@
 }
 
 // Said takes a director's message.
-func (f *Farm) Said(now time.Duration, node string, link uint64, m wire.Node) []Out {
+func (f *Farm) Said(now time.Duration, node string, link uint64, m wire.NodeMessage) []Out {
 	f.out = f.out[:0]
 	f.advance(now)
 	n := f.nodes[node]
@@ -282,19 +282,19 @@
 	key := [2]uint64{link, m.Leg}
 	switch m.Type {
 	case wire.Hello:
-		hello := wire.Node{Type: wire.Hello, Start: n.start, Load: f.loadOf(n)}
+		hello := wire.NodeMessage{Type: wire.Hello, Incarnation: n.start, Load: f.loadOf(n)}
 		if n.born >= 0 {
-			hello.Age = max(1, (f.now - n.born).Milliseconds())
+			hello.UptimeMS = max(1, (f.now - n.born).Milliseconds())
 		}
 		f.tell(n, link, hello)
 	case wire.Setup:
 		f.setup(n, key, m)
 	case wire.Rung:
 		if s := n.streams[key]; s != nil {
-			f.ask(n, m.Rate-s.rate)
-			s.rung, s.rate = m.Rung, m.Rate
+			f.ask(n, m.RateKB-s.rate)
+			s.rung, s.rate = m.Rung, m.RateKB
 			if s.plays {
-				f.tell(n, link, wire.Node{Type: wire.Note, Leg: s.leg, Kind: 2, Value: float64(s.rung)})
+				f.tell(n, link, wire.NodeMessage{Type: wire.Measurement, Leg: s.leg, MeasurementKind: 2, MeasurementValue: float64(s.rung)})
 			}
 		}
 	case wire.End:
@@ -310,7 +310,7 @@
 	return f.site.ColdFrom + (1-f.site.ColdFrom)*float64(f.now-n.born)/float64(f.site.Warmup)
 }
 
-func (f *Farm) setup(n *machine, key [2]uint64, m wire.Node) {
+func (f *Farm) setup(n *machine, key [2]uint64, m wire.NodeMessage) {
 	if warmth := f.warmth(n); warmth < 1 {
 		n.sends = append(slices.DeleteFunc(n.sends, func(t time.Duration) bool { return t <= f.now-f.site.TipAfter }), f.now)
 		can := f.site.Multiple * float64(n.Places) / f.site.Warmup.Seconds() * warmth * f.site.TipAfter.Seconds()
@@ -323,15 +323,15 @@
 	link, _ := f.asked(n)
 	switch {
 	case n.fail > 0 && f.chance.Float64() < n.fail:
-		f.answer(n, key, wire.Node{Type: wire.Failed, Leg: key[1], Load: f.loadOf(n)})
+		f.answer(n, key, wire.NodeMessage{Type: wire.Failed, Leg: key[1], Load: f.loadOf(n)})
 		return
 	case len(n.streams) >= n.Places, f.site.RefusesFrom > 0 && link >= f.site.RefusesFrom:
-		f.answer(n, key, wire.Node{Type: wire.Full, Leg: key[1], Load: f.loadOf(n)})
+		f.answer(n, key, wire.NodeMessage{Type: wire.Full, Leg: key[1], Load: f.loadOf(n)})
 		return
 	}
-	s := &stream{session: m.Session, tariff: m.Tariff, link: key[0], leg: key[1], rate: m.Rate, rung: m.Rung, length: time.Duration(m.Length) * time.Millisecond}
-	if m.Within > 0 {
-		s.expires = f.now + time.Duration(m.Within)*time.Millisecond
+	s := &stream{session: m.Session, tariff: m.Tariff, link: key[0], leg: key[1], rate: m.RateKB, rung: m.Rung, length: time.Duration(m.LengthMS) * time.Millisecond}
+	if m.StartWithinMS > 0 {
+		s.expires = f.now + time.Duration(m.StartWithinMS)*time.Millisecond
 	}
 	f.drop(n, key)
 	n.streams[key] = s
@@ -355,7 +355,7 @@
 	}
 	if s.expires > 0 && f.now > s.expires {
 		f.drop(n, key)
-		f.answer(n, key, wire.Node{Type: wire.Failed, Leg: s.leg, Load: f.loadOf(n)})
+		f.answer(n, key, wire.NodeMessage{Type: wire.Failed, Leg: s.leg, Load: f.loadOf(n)})
 		return
 	}
 	s.plays = true
@@ -363,11 +363,11 @@
 		s.ends = f.now + s.length
 		f.push(due{at: s.ends, kind: dueEnd, node: n, key: key})
 	}
-	f.answer(n, key, wire.Node{Type: wire.Accepted, Leg: s.leg, Load: f.loadOf(n)})
+	f.answer(n, key, wire.NodeMessage{Type: wire.Accepted, Leg: s.leg, Load: f.loadOf(n)})
 }
 
 // answer tells how a set-up ended, unless that gets lost.
-func (f *Farm) answer(n *machine, key [2]uint64, m wire.Node) {
+func (f *Farm) answer(n *machine, key [2]uint64, m wire.NodeMessage) {
 	if n.lose > 0 && f.chance.Float64() < n.lose {
 		if n.loseReset {
 			f.out = append(f.out, Out{Node: n.Name, Link: key[0], Cut: true})
@@ -380,7 +380,7 @@
 	}
 }
 
-func (f *Farm) tell(n *machine, link uint64, m wire.Node) {
+func (f *Farm) tell(n *machine, link uint64, m wire.NodeMessage) {
 	out := Out{Node: n.Name, Link: link, Message: m}
 	if n.hung {
 		n.held = append(n.held, due{kind: dueTell, node: n, out: out})
@@ -436,11 +436,11 @@
 	return 1 / max(1, link, uplink)
 }
 
-func (f *Farm) loadOf(n *machine) *wire.Load {
+func (f *Farm) loadOf(n *machine) *wire.NodeLoad {
 	if n.load.Link == nil || f.now >= n.loadAt+f.site.Refresh {
 		link, uplink := f.asked(n)
 		noisy := func(x float64) *float64 { return new(x * (0.95 + 0.1*f.chance.Float64())) }
-		n.load = wire.Load{Streams: new(float64(len(n.streams))), Link: noisy(link), Uplink: noisy(uplink)}
+		n.load = wire.NodeLoad{Streams: new(float64(len(n.streams))), Link: noisy(link), Uplink: noisy(uplink)}
 		n.loadAt = f.now
 	}
 	load := n.load
@@ -471,7 +471,7 @@
 		}
 		later := func(kind int, value float64) {
 			f.push(due{at: f.now + f.site.Late, kind: dueTell, node: n, out: Out{Node: n.Name, Link: d.link,
-				Message: wire.Node{Type: wire.Note, Leg: on.leg, Kind: kind, Value: value}}})
+				Message: wire.NodeMessage{Type: wire.Measurement, Leg: on.leg, MeasurementKind: kind, MeasurementValue: value}}})
 		}
 		if f.now >= d.nextPer {
 			d.nextPer = f.now + time.Second
@@ -540,7 +540,7 @@
 		f.starts++
 		n.alive, n.silent, n.hung, n.start, n.born = true, false, false, f.starts, f.now
 		n.slow, n.fail, n.lose, n.twice, n.sends = 1, 0, 0, 0, nil
-		n.load = wire.Load{}
+		n.load = wire.NodeLoad{}
 	}
 }
 
--- a/internal/standin/node/farm_test.go
+++ b/internal/standin/node/farm_test.go
@@ -22,12 +22,12 @@
 	})
 }
 
-func setup(leg uint64, rate float64) wire.Node {
-	return wire.Node{Type: wire.Setup, Leg: leg, Session: "s", Rate: rate, Length: 60_000}
+func setup(leg uint64, rate float64) wire.NodeMessage {
+	return wire.NodeMessage{Type: wire.Setup, Leg: leg, Session: "s", RateKB: rate, LengthMS: 60_000}
 }
 
 // run steps a farm until a time and returns what it says, by type.
-func run(f *Farm, until time.Duration) (said []wire.Node) {
+func run(f *Farm, until time.Duration) (said []wire.NodeMessage) {
 	for at, ok := f.Next(); ok && at <= until; at, ok = f.Next() {
 		for _, o := range f.Step(at) {
 			said = append(said, o.Message)
@@ -36,7 +36,7 @@
 	return said
 }
 
-func count(said []wire.Node, kind string) (n int) {
+func count(said []wire.NodeMessage, kind string) (n int) {
 	for _, m := range said {
 		if m.Type == kind {
 			n++
@@ -77,13 +77,13 @@
 	shares := 0
 	for at, ok := f.Next(); ok && at < 4500*ms; at, ok = f.Next() {
 		for _, o := range f.Step(at) {
-			if o.Message.Kind == 1 {
+			if o.Message.MeasurementKind == 1 {
 				shares++
 				if first == 0 {
 					first = at
 				}
-				if math.Abs(o.Message.Value-0.5) > 1e-9 {
-					t.Fatal(o.Message.Value)
+				if math.Abs(o.Message.MeasurementValue-0.5) > 1e-9 {
+					t.Fatal(o.Message.MeasurementValue)
 				}
 			}
 		}
@@ -91,10 +91,10 @@
 	if first < 1500*ms || shares < 3 || shares > 4 {
 		t.Fatal(first, shares)
 	}
-	f.Said(4500*ms, "a", 1, wire.Node{Type: wire.Rung, Leg: 1, Rate: 100})
+	f.Said(4500*ms, "a", 1, wire.NodeMessage{Type: wire.Rung, Leg: 1, RateKB: 100})
 	after := 0
 	for _, m := range run(f, 12*time.Second) {
-		if m.Kind == 1 && m.Value >= 0.98 {
+		if m.MeasurementKind == 1 && m.MeasurementValue >= 0.98 {
 			after++
 		}
 	}
@@ -109,7 +109,7 @@
 	full := 0
 	for i := range 12 {
 		for _, o := range f.Said(0, "a", 1, setup(uint64(i+1), 1)) {
-			full += count([]wire.Node{o.Message}, wire.Full)
+			full += count([]wire.NodeMessage{o.Message}, wire.Full)
 		}
 	}
 	if full != 2 || f.Streams("a") != 10 {
@@ -188,7 +188,7 @@
 	f.Opened(0, "a", 1)
 	f.Apply(0, Fault{Node: "a", Slow: new(20.0)})
 	m := setup(1, 1)
-	m.Within = 50
+	m.StartWithinMS = 50
 	f.Said(0, "a", 1, m)
 	said := run(f, time.Second)
 	if count(said, wire.Accepted) != 0 || count(said, wire.Failed) != 1 || f.Streams("a") != 0 {
@@ -225,9 +225,9 @@
 				take(due, f.Step(due))
 			}
 			came[leg] = at
-			take(at, f.Said(at, "n", 1, wire.Node{Type: wire.Setup, Leg: leg, Rate: 1}))
+			take(at, f.Said(at, "n", 1, wire.NodeMessage{Type: wire.Setup, Leg: leg, RateKB: 1}))
 			if leg > 1000 {
-				f.Said(at, "n", 1, wire.Node{Type: wire.End, Leg: leg - 1000})
+				f.Said(at, "n", 1, wire.NodeMessage{Type: wire.End, Leg: leg - 1000})
 			}
 		}
 		s := work.Seconds()
--- a/internal/standin/node/host.go
+++ b/internal/standin/node/host.go
@@ -25,7 +25,7 @@
 }
 
 // bounds are the stand-in's own: it is generous, so that it is never what limits a director.
-var bounds = transport.Bounds{Message: wire.NodeMost, Queue: 16 << 20, Write: 5 * time.Second, Handshake: 10 * time.Second}
+var bounds = transport.Bounds{Message: wire.MaxNodeMessageBytes, Queue: 16 << 20, Write: 5 * time.Second, Handshake: 10 * time.Second}
 
 // Open starts every node of a farm on a loopback port of its own. Fell is called when a node was pushed over.
 func Open(farm *Farm, record *witness.Recorder, fell func(node string)) (*Host, error) {
@@ -130,15 +130,15 @@
 }
 
 // seen records a message that is sent or was received; notes and greetings prove nothing.
-func (h *Host) seen(node string, c *transport.Conn, link uint64, m wire.Node) {
+func (h *Host) seen(node string, c *transport.Conn, link uint64, m wire.NodeMessage) {
 	switch m.Type {
-	case wire.Hello, wire.Note:
+	case wire.Hello, wire.Measurement:
 		return
 	}
 	name, _ := c.Cookie().(string)
 	h.record.Add(witness.Record{
 		What: m.Type, Node: node, Conn: link, Director: name, Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
-		Title: m.Title, Rung: m.Rung, Within: time.Duration(m.Within) * time.Millisecond, Why: m.Why,
+		Title: m.Title, Rung: m.Rung, Within: time.Duration(m.StartWithinMS) * time.Millisecond, Why: m.Reason,
 	})
 }
 
@@ -192,7 +192,7 @@
 }
 
 func (d *door) Message(c *transport.Conn, raw []byte) {
-	m, err := wire.DecodeNode(raw)
+	m, err := wire.DecodeNodeMessage(raw)
 	if err != nil {
 		c.Close(1007, err.Error())
 		return
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -58,13 +58,13 @@
 	Viewers int
 }
 
-var bounds = transport.Bounds{Message: wire.SessionMost, Queue: 64 << 10, Write: time.Second, Handshake: time.Second}
+var bounds = transport.Bounds{Message: wire.MaxSessionMessageBytes, Queue: 64 << 10, Write: time.Second, Handshake: time.Second}
 
 // A seat is a viewer's connection.
 type seat struct {
 	conn   *transport.Conn
 	number uint64
-	in     chan wire.Session
+	in     chan wire.SessionMessage
 	closed chan struct{}
 	ours   atomic.Bool
 	crowd  *Crowd
@@ -75,14 +75,14 @@
 func (s *seat) Opened(*transport.Conn) {}
 
 func (s *seat) Message(_ *transport.Conn, raw []byte) {
-	m, err := wire.DecodeSession(raw)
+	m, err := wire.DecodeSessionMessage(raw)
 	if err != nil {
 		return
 	}
 	switch m.Type {
-	case wire.Plays, wire.Nack, wire.Errored:
+	case wire.Playing, wire.Nack, wire.Errored:
 		s.crowd.Record.Add(witness.Record{What: m.Type, Viewer: s.viewer, Conn: s.number, Director: s.name, ID: m.ID,
-			Session: m.Session, Node: m.Node, Rung: m.Rung, Why: m.Why})
+			Session: m.Session, Node: m.Node, Rung: m.Rung, Why: m.Reason})
 	}
 	select {
 	case s.in <- m:
@@ -156,7 +156,7 @@
 	if address == "" {
 		return ending{again: true} // nobody there
 	}
-	s := &seat{number: c.conns.Add(1), in: make(chan wire.Session, 32), closed: make(chan struct{}), crowd: c, viewer: v.Number, name: name}
+	s := &seat{number: c.conns.Add(1), in: make(chan wire.SessionMessage, 32), closed: make(chan struct{}), crowd: c, viewer: v.Number, name: name}
 	conn, err := transport.Dial(address, wire.SessionProtocol, time.Second, bounds, s, nil)
 	if err != nil {
 		return ending{again: true} // the director is not there: nothing was asked
@@ -164,9 +164,9 @@
 	s.conn = conn
 	defer s.leave()
 	id := strconv.Itoa(n + 1)
-	want := wire.Session{Type: wire.Want, ID: id, Tariff: v.Tariff, Title: v.Title, Key: key, Top: v.Top,
-		Wait: v.Wait.Milliseconds(), Length: left.Milliseconds(), Again: n > 0}
-	c.Record.Add(witness.Record{What: wire.Want, Viewer: v.Number, Conn: s.number, Director: name, ID: id, Tariff: v.Tariff,
+	want := wire.SessionMessage{Type: wire.Request, ID: id, Tariff: v.Tariff, Title: v.Title, Key: key, MaxRung: v.Top,
+		WaitMS: v.Wait.Milliseconds(), LengthMS: left.Milliseconds(), Retry: n > 0}
+	c.Record.Add(witness.Record{What: wire.Request, Viewer: v.Number, Conn: s.number, Director: name, ID: id, Tariff: v.Tariff,
 		Title: v.Title, Wait: v.Wait, Again: n > 0})
 	asked := time.Now()
 	conn.Send(wire.Encode(want), 0)
@@ -177,7 +177,7 @@
 	}
 	c.mu.Unlock()
 	if r.Float64() < c.Habit.Repeats {
-		c.Record.Add(witness.Record{What: wire.Want, Viewer: v.Number, Conn: s.number, Director: name, ID: id, Tariff: v.Tariff})
+		c.Record.Add(witness.Record{What: wire.Request, Viewer: v.Number, Conn: s.number, Director: name, ID: id, Tariff: v.Tariff})
 		conn.Send(wire.Encode(want), 0)
 	}
 	patience := time.NewTimer(v.Wait + 400*time.Millisecond) // an answer that comes late is still seen
@@ -193,8 +193,8 @@
 		case <-s.closed:
 			return ending{again: true}
 		case <-hasty:
-			c.Record.Add(witness.Record{What: wire.Leave, Viewer: v.Number, Conn: s.number, Director: name, ID: id})
-			conn.Send(wire.Encode(wire.Session{Type: wire.Leave, ID: id}), 0)
+			c.Record.Add(witness.Record{What: wire.Cancel, Viewer: v.Number, Conn: s.number, Director: name, ID: id})
+			conn.Send(wire.Encode(wire.SessionMessage{Type: wire.Cancel, ID: id}), 0)
 			select { // what crosses is still seen
 			case <-time.After(100 * time.Millisecond):
 			case <-s.closed:
@@ -206,10 +206,10 @@
 		case m := <-s.in:
 			switch m.Type {
 			case wire.Nack:
-				return ending{backoff: time.Duration(m.Backoff) * time.Millisecond, again: true}
+				return ending{backoff: time.Duration(m.BackoffMS) * time.Millisecond, again: true}
 			case wire.Errored:
 				return ending{again: !v.Paid}
-			case wire.Plays:
+			case wire.Playing:
 				c.mu.Lock()
 				c.Latency = append(c.Latency, time.Since(asked))
 				if time.Since(began) <= v.Goal {
@@ -244,8 +244,8 @@
 		case <-end.C:
 			return ending{played: left}
 		case m := <-s.in:
-			if m.Type == wire.Over {
-				return ending{played: time.Since(began), again: m.Why != "ended"}
+			if m.Type == wire.SessionEnded {
+				return ending{played: time.Since(began), again: m.Reason != "ended"}
 			}
 		}
 	}
--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -3,10 +3,10 @@
 import "testing"
 
 func BenchmarkDecodeNode(b *testing.B) {
-	raw := Encode(Node{Type: Accepted, Leg: 123456, Load: &Load{Streams: new(40.0), Link: new(0.4321), Uplink: new(0.5432)}})
+	raw := Encode(NodeMessage{Type: Accepted, Leg: 123456, Load: &NodeLoad{Streams: new(40.0), Link: new(0.4321), Uplink: new(0.5432)}})
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := DecodeNode(raw); err != nil {
+		if _, err := DecodeNodeMessage(raw); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -15,6 +15,6 @@
 func BenchmarkEncodeSession(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		Encode(Session{Type: Plays, ID: "12345", Session: "d.1.abc", Node: "node-1", Address: "127.0.0.1:5555", Ticket: "d.1.abc", Rung: 2})
+		Encode(SessionMessage{Type: Playing, ID: "12345", Session: "d.1.abc", Node: "node-1", Address: "127.0.0.1:5555", Ticket: "d.1.abc", Rung: 2})
 	}
 }
--- a/internal/wire/codec_gen.go
+++ b/internal/wire/codec_gen.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson8255e396DecodeFordusherInternalWire(in *jlexer.Lexer, out *Title) {
+func easyjson8255e396DecodeFordusherInternalWire(in *jlexer.Lexer, out *TitlePlacement) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -41,7 +41,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Base = int(in.Int())
+				out.FirstCell = int(in.Int())
 			}
 		case "copies":
 			if in.IsNull() {
@@ -59,7 +59,7 @@
 		in.Consumed()
 	}
 }
-func easyjson8255e396EncodeFordusherInternalWire(out *jwriter.Writer, in Title) {
+func easyjson8255e396EncodeFordusherInternalWire(out *jwriter.Writer, in TitlePlacement) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -71,7 +71,7 @@
 	{
 		const prefix string = ",\"base\":"
 		out.RawString(prefix)
-		out.Int(int(in.Base))
+		out.Int(int(in.FirstCell))
 	}
 	{
 		const prefix string = ",\"copies\":"
@@ -82,29 +82,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Title) MarshalJSON() ([]byte, error) {
+func (v TitlePlacement) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson8255e396EncodeFordusherInternalWire(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Title) MarshalEasyJSON(w *jwriter.Writer) {
+func (v TitlePlacement) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson8255e396EncodeFordusherInternalWire(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Title) UnmarshalJSON(data []byte) error {
+func (v *TitlePlacement) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson8255e396DecodeFordusherInternalWire(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Title) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *TitlePlacement) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson8255e396DecodeFordusherInternalWire(l, v)
 }
-func easyjson8255e396DecodeFordusherInternalWire1(in *jlexer.Lexer, out *Session) {
+func easyjson8255e396DecodeFordusherInternalWire1(in *jlexer.Lexer, out *SessionMessage) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -151,34 +151,34 @@
 		case "top":
 			if in.IsNull() {
 				in.Skip()
-				out.Top = nil
+				out.MaxRung = nil
 			} else {
-				if out.Top == nil {
-					out.Top = new(int)
+				if out.MaxRung == nil {
+					out.MaxRung = new(int)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.Top = int(in.Int())
+					*out.MaxRung = int(in.Int())
 				}
 			}
 		case "wait_ms":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Wait = int64(in.Int64())
+				out.WaitMS = int64(in.Int64())
 			}
 		case "length_ms":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Length = int64(in.Int64())
+				out.LengthMS = int64(in.Int64())
 			}
 		case "again":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Again = bool(in.Bool())
+				out.Retry = bool(in.Bool())
 			}
 		case "session":
 			if in.IsNull() {
@@ -214,25 +214,25 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Backoff = int64(in.Int64())
+				out.BackoffMS = int64(in.Int64())
 			}
 		case "why":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Why = string(in.String())
+				out.Reason = string(in.String())
 			}
 		case "buffer_s":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Buffer = float64(in.Float64())
+				out.BufferSeconds = float64(in.Float64())
 			}
 		case "stalled_s":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Stalled = float64(in.Float64())
+				out.StalledSeconds = float64(in.Float64())
 			}
 		default:
 			in.SkipRecursive()
@@ -244,7 +244,7 @@
 		in.Consumed()
 	}
 }
-func easyjson8255e396EncodeFordusherInternalWire1(out *jwriter.Writer, in Session) {
+func easyjson8255e396EncodeFordusherInternalWire1(out *jwriter.Writer, in SessionMessage) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -273,25 +273,25 @@
 		out.RawString(prefix)
 		out.String(string(in.Key))
 	}
-	if in.Top != nil {
+	if in.MaxRung != nil {
 		const prefix string = ",\"top\":"
 		out.RawString(prefix)
-		out.Int(int(*in.Top))
+		out.Int(int(*in.MaxRung))
 	}
-	if in.Wait != 0 {
+	if in.WaitMS != 0 {
 		const prefix string = ",\"wait_ms\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Wait))
+		out.Int64(int64(in.WaitMS))
 	}
-	if in.Length != 0 {
+	if in.LengthMS != 0 {
 		const prefix string = ",\"length_ms\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Length))
+		out.Int64(int64(in.LengthMS))
 	}
-	if in.Again {
+	if in.Retry {
 		const prefix string = ",\"again\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Again))
+		out.Bool(bool(in.Retry))
 	}
 	if in.Session != "" {
 		const prefix string = ",\"session\":"
@@ -318,53 +318,53 @@
 		out.RawString(prefix)
 		out.Int(int(in.Rung))
 	}
-	if in.Backoff != 0 {
+	if in.BackoffMS != 0 {
 		const prefix string = ",\"backoff_ms\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Backoff))
+		out.Int64(int64(in.BackoffMS))
 	}
-	if in.Why != "" {
+	if in.Reason != "" {
 		const prefix string = ",\"why\":"
 		out.RawString(prefix)
-		out.String(string(in.Why))
+		out.String(string(in.Reason))
 	}
-	if in.Buffer != 0 {
+	if in.BufferSeconds != 0 {
 		const prefix string = ",\"buffer_s\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Buffer))
+		out.Float64(float64(in.BufferSeconds))
 	}
-	if in.Stalled != 0 {
+	if in.StalledSeconds != 0 {
 		const prefix string = ",\"stalled_s\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Stalled))
+		out.Float64(float64(in.StalledSeconds))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Session) MarshalJSON() ([]byte, error) {
+func (v SessionMessage) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson8255e396EncodeFordusherInternalWire1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Session) MarshalEasyJSON(w *jwriter.Writer) {
+func (v SessionMessage) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson8255e396EncodeFordusherInternalWire1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Session) UnmarshalJSON(data []byte) error {
+func (v *SessionMessage) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson8255e396DecodeFordusherInternalWire1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Session) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *SessionMessage) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson8255e396DecodeFordusherInternalWire1(l, v)
 }
-func easyjson8255e396DecodeFordusherInternalWire2(in *jlexer.Lexer, out *Node) {
+func easyjson8255e396DecodeFordusherInternalWire2(in *jlexer.Lexer, out *NodeMessage) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -424,19 +424,19 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Rate = float64(in.Float64())
+				out.RateKB = float64(in.Float64())
 			}
 		case "within_ms":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Within = int64(in.Int64())
+				out.StartWithinMS = int64(in.Int64())
 			}
 		case "length_ms":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Length = int64(in.Int64())
+				out.LengthMS = int64(in.Int64())
 			}
 		case "load":
 			if in.IsNull() {
@@ -444,7 +444,7 @@
 				out.Load = nil
 			} else {
 				if out.Load == nil {
-					out.Load = new(Load)
+					out.Load = new(NodeLoad)
 				}
 				if in.IsNull() {
 					in.Skip()
@@ -456,31 +456,31 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Start = uint64(in.Uint64())
+				out.Incarnation = uint64(in.Uint64())
 			}
 		case "age_ms":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Age = int64(in.Int64())
+				out.UptimeMS = int64(in.Int64())
 			}
 		case "kind":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Kind = int(in.Int())
+				out.MeasurementKind = int(in.Int())
 			}
 		case "value":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Value = float64(in.Float64())
+				out.MeasurementValue = float64(in.Float64())
 			}
 		case "why":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Why = string(in.String())
+				out.Reason = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -492,7 +492,7 @@
 		in.Consumed()
 	}
 }
-func easyjson8255e396EncodeFordusherInternalWire2(out *jwriter.Writer, in Node) {
+func easyjson8255e396EncodeFordusherInternalWire2(out *jwriter.Writer, in NodeMessage) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -531,78 +531,78 @@
 		out.RawString(prefix)
 		out.Int(int(in.Rung))
 	}
-	if in.Rate != 0 {
+	if in.RateKB != 0 {
 		const prefix string = ",\"rate_kb\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Rate))
+		out.Float64(float64(in.RateKB))
 	}
-	if in.Within != 0 {
+	if in.StartWithinMS != 0 {
 		const prefix string = ",\"within_ms\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Within))
+		out.Int64(int64(in.StartWithinMS))
 	}
-	if in.Length != 0 {
+	if in.LengthMS != 0 {
 		const prefix string = ",\"length_ms\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Length))
+		out.Int64(int64(in.LengthMS))
 	}
 	if in.Load != nil {
 		const prefix string = ",\"load\":"
 		out.RawString(prefix)
 		(*in.Load).MarshalEasyJSON(out)
 	}
-	if in.Start != 0 {
+	if in.Incarnation != 0 {
 		const prefix string = ",\"start\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Start))
+		out.Uint64(uint64(in.Incarnation))
 	}
-	if in.Age != 0 {
+	if in.UptimeMS != 0 {
 		const prefix string = ",\"age_ms\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Age))
+		out.Int64(int64(in.UptimeMS))
 	}
-	if in.Kind != 0 {
+	if in.MeasurementKind != 0 {
 		const prefix string = ",\"kind\":"
 		out.RawString(prefix)
-		out.Int(int(in.Kind))
+		out.Int(int(in.MeasurementKind))
 	}
-	if in.Value != 0 {
+	if in.MeasurementValue != 0 {
 		const prefix string = ",\"value\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Value))
+		out.Float64(float64(in.MeasurementValue))
 	}
-	if in.Why != "" {
+	if in.Reason != "" {
 		const prefix string = ",\"why\":"
 		out.RawString(prefix)
-		out.String(string(in.Why))
+		out.String(string(in.Reason))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Node) MarshalJSON() ([]byte, error) {
+func (v NodeMessage) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson8255e396EncodeFordusherInternalWire2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Node) MarshalEasyJSON(w *jwriter.Writer) {
+func (v NodeMessage) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson8255e396EncodeFordusherInternalWire2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Node) UnmarshalJSON(data []byte) error {
+func (v *NodeMessage) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson8255e396DecodeFordusherInternalWire2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Node) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *NodeMessage) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson8255e396DecodeFordusherInternalWire2(l, v)
 }
-func easyjson8255e396DecodeFordusherInternalWire3(in *jlexer.Lexer, out *Load) {
+func easyjson8255e396DecodeFordusherInternalWire3(in *jlexer.Lexer, out *NodeLoad) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -668,7 +668,7 @@
 		in.Consumed()
 	}
 }
-func easyjson8255e396EncodeFordusherInternalWire3(out *jwriter.Writer, in Load) {
+func easyjson8255e396EncodeFordusherInternalWire3(out *jwriter.Writer, in NodeLoad) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -702,29 +702,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Load) MarshalJSON() ([]byte, error) {
+func (v NodeLoad) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson8255e396EncodeFordusherInternalWire3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Load) MarshalEasyJSON(w *jwriter.Writer) {
+func (v NodeLoad) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson8255e396EncodeFordusherInternalWire3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Load) UnmarshalJSON(data []byte) error {
+func (v *NodeLoad) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson8255e396DecodeFordusherInternalWire3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Load) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *NodeLoad) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson8255e396DecodeFordusherInternalWire3(l, v)
 }
-func easyjson8255e396DecodeFordusherInternalWire4(in *jlexer.Lexer, out *List) {
+func easyjson8255e396DecodeFordusherInternalWire4(in *jlexer.Lexer, out *DiscoveryMessage) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -764,15 +764,15 @@
 				in.Delim('[')
 				if out.Nodes == nil {
 					if !in.IsDelim(']') {
-						out.Nodes = make([]Entry, 0, 0)
+						out.Nodes = make([]NodeEntry, 0, 0)
 					} else {
-						out.Nodes = []Entry{}
+						out.Nodes = []NodeEntry{}
 					}
 				} else {
 					out.Nodes = (out.Nodes)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v1 Entry
+					var v1 NodeEntry
 					if in.IsNull() {
 						in.Skip()
 					} else {
@@ -791,15 +791,15 @@
 				in.Delim('[')
 				if out.Titles == nil {
 					if !in.IsDelim(']') {
-						out.Titles = make([]Title, 0, 2)
+						out.Titles = make([]TitlePlacement, 0, 2)
 					} else {
-						out.Titles = []Title{}
+						out.Titles = []TitlePlacement{}
 					}
 				} else {
 					out.Titles = (out.Titles)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v2 Title
+					var v2 TitlePlacement
 					if in.IsNull() {
 						in.Skip()
 					} else {
@@ -820,7 +820,7 @@
 		in.Consumed()
 	}
 }
-func easyjson8255e396EncodeFordusherInternalWire4(out *jwriter.Writer, in List) {
+func easyjson8255e396EncodeFordusherInternalWire4(out *jwriter.Writer, in DiscoveryMessage) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -871,29 +871,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v List) MarshalJSON() ([]byte, error) {
+func (v DiscoveryMessage) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson8255e396EncodeFordusherInternalWire4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v List) MarshalEasyJSON(w *jwriter.Writer) {
+func (v DiscoveryMessage) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson8255e396EncodeFordusherInternalWire4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *List) UnmarshalJSON(data []byte) error {
+func (v *DiscoveryMessage) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson8255e396DecodeFordusherInternalWire4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *List) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *DiscoveryMessage) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson8255e396DecodeFordusherInternalWire4(l, v)
 }
-func easyjson8255e396DecodeFordusherInternalWire5(in *jlexer.Lexer, out *Entry) {
+func easyjson8255e396DecodeFordusherInternalWire5(in *jlexer.Lexer, out *NodeEntry) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -929,7 +929,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Kind = string(in.String())
+				out.MachineKind = string(in.String())
 			}
 		case "zone":
 			if in.IsNull() {
@@ -941,13 +941,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Start = uint64(in.Uint64())
+				out.Incarnation = uint64(in.Uint64())
 			}
 		case "age_ms":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Age = int64(in.Int64())
+				out.UptimeMS = int64(in.Int64())
 			}
 		case "weight":
 			if in.IsNull() {
@@ -971,7 +971,7 @@
 		in.Consumed()
 	}
 }
-func easyjson8255e396EncodeFordusherInternalWire5(out *jwriter.Writer, in Entry) {
+func easyjson8255e396EncodeFordusherInternalWire5(out *jwriter.Writer, in NodeEntry) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -990,25 +990,25 @@
 		out.RawString(prefix)
 		out.String(string(in.State))
 	}
-	if in.Kind != "" {
+	if in.MachineKind != "" {
 		const prefix string = ",\"kind\":"
 		out.RawString(prefix)
-		out.String(string(in.Kind))
+		out.String(string(in.MachineKind))
 	}
 	if in.Zone != "" {
 		const prefix string = ",\"zone\":"
 		out.RawString(prefix)
 		out.String(string(in.Zone))
 	}
-	if in.Start != 0 {
+	if in.Incarnation != 0 {
 		const prefix string = ",\"start\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Start))
+		out.Uint64(uint64(in.Incarnation))
 	}
-	if in.Age != 0 {
+	if in.UptimeMS != 0 {
 		const prefix string = ",\"age_ms\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Age))
+		out.Int64(int64(in.UptimeMS))
 	}
 	if in.Weight != 0 {
 		const prefix string = ",\"weight\":"
@@ -1024,25 +1024,25 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Entry) MarshalJSON() ([]byte, error) {
+func (v NodeEntry) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson8255e396EncodeFordusherInternalWire5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Entry) MarshalEasyJSON(w *jwriter.Writer) {
+func (v NodeEntry) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson8255e396EncodeFordusherInternalWire5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Entry) UnmarshalJSON(data []byte) error {
+func (v *NodeEntry) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson8255e396DecodeFordusherInternalWire5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Entry) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *NodeEntry) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson8255e396DecodeFordusherInternalWire5(l, v)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestBadMessagesSayWhatIsWrong(t *testing.T) {
-	session := func(raw []byte) error { _, err := DecodeSession(raw); return err }
-	node := func(raw []byte) error { _, err := DecodeNode(raw); return err }
-	list := func(raw []byte) error { _, err := DecodeList(raw); return err }
+	session := func(raw []byte) error { _, err := DecodeSessionMessage(raw); return err }
+	node := func(raw []byte) error { _, err := DecodeNodeMessage(raw); return err }
+	list := func(raw []byte) error { _, err := DecodeDiscoveryMessage(raw); return err }
 	long := strings.Repeat("x", wordMost+1)
 	for _, c := range []struct {
 		decode    func([]byte) error
@@ -42,8 +42,8 @@
 
 // Rung 0 is the lowest, not an absent one.
 func TestLowestTopIsNotTakenForNone(t *testing.T) {
-	m, err := DecodeSession(Encode(Session{Type: Want, ID: "1", Tariff: "a", Title: "b", Key: "k", Wait: 5, Top: new(0)}))
-	if err != nil || m.Top == nil || *m.Top != 0 {
+	m, err := DecodeSessionMessage(Encode(SessionMessage{Type: Request, ID: "1", Tariff: "a", Title: "b", Key: "k", WaitMS: 5, MaxRung: new(0)}))
+	if err != nil || m.MaxRung == nil || *m.MaxRung != 0 {
 		t.Fatal(m, err)
 	}
 }
@@ -69,11 +69,11 @@
 				t.Fatalf("%s, then %s", one, two)
 			}
 		}
-		s, err := DecodeSession(raw)
-		same(s, err, func(b []byte) (any, error) { return DecodeSession(b) })
-		n, err := DecodeNode(raw)
-		same(n, err, func(b []byte) (any, error) { return DecodeNode(b) })
-		l, err := DecodeList(raw)
-		same(l, err, func(b []byte) (any, error) { return DecodeList(b) })
+		s, err := DecodeSessionMessage(raw)
+		same(s, err, func(b []byte) (any, error) { return DecodeSessionMessage(b) })
+		n, err := DecodeNodeMessage(raw)
+		same(n, err, func(b []byte) (any, error) { return DecodeNodeMessage(b) })
+		l, err := DecodeDiscoveryMessage(raw)
+		same(l, err, func(b []byte) (any, error) { return DecodeDiscoveryMessage(b) })
 	})
 }
--- a/internal/witness/check.go
+++ b/internal/witness/check.go
@@ -187,7 +187,7 @@
 
 func (a *account) take(r Record) {
 	switch r.What {
-	case wire.Want:
+	case wire.Request:
 		k := wantKey{r.Conn, r.ID}
 		if w := a.wants[k]; w != nil {
 			w.repeats++
@@ -200,9 +200,9 @@
 		a.wants[k] = w
 		a.order = append(a.order, w)
 		a.conns[r.Conn] = append(a.conns[r.Conn], w)
-	case wire.Plays, wire.Nack, wire.Errored:
+	case wire.Playing, wire.Nack, wire.Errored:
 		a.answer(r)
-	case wire.Leave:
+	case wire.Cancel:
 		if w := a.wants[wantKey{r.Conn, r.ID}]; w != nil && w.excused == 0 {
 			w.excused = r.At
 		}
@@ -295,7 +295,7 @@
 		return
 	}
 	w.answered, w.answer, w.session = r.At, r.What, r.Session
-	if r.Session != "" && r.What != wire.Plays {
+	if r.Session != "" && r.What != wire.Playing {
 		a.sessions[r.Session] = w
 	}
 }
--- a/internal/witness/tally.go
+++ b/internal/witness/tally.go
@@ -25,7 +25,7 @@
 	for _, r := range records {
 		k := wantKey{r.Conn, r.ID}
 		switch r.What {
-		case wire.Want:
+		case wire.Request:
 			if wants[k] != nil {
 				continue
 			}
@@ -36,21 +36,21 @@
 			if r.Again {
 				c.Again++
 			}
-		case wire.Plays, wire.Nack, wire.Errored:
+		case wire.Playing, wire.Nack, wire.Errored:
 			s := wants[k]
 			if s == nil || s.answered {
 				continue
 			}
 			s.answered = true
 			switch r.What {
-			case wire.Plays:
+			case wire.Playing:
 				c.Played++
 			case wire.Nack:
 				c.Nacked++
 			default:
 				c.Errored++
 			}
-		case wire.Leave:
+		case wire.Cancel:
 			if s := wants[k]; s != nil {
 				s.gone = true
 			}
--- a/internal/witness/witness_test.go
+++ b/internal/witness/witness_test.go
@@ -25,7 +25,7 @@
 func (l *log) add(at int, r Record) { r.At = time.Duration(at) * ms; *l = append(*l, r) }
 
 func (l *log) want(at int, conn uint64, tariff string) {
-	l.add(at, Record{What: wire.Want, Conn: conn, ID: "1", Director: "d", Tariff: tariff, Wait: 2 * time.Second})
+	l.add(at, Record{What: wire.Request, Conn: conn, ID: "1", Director: "d", Tariff: tariff, Wait: 2 * time.Second})
 }
 
 func (l *log) answer(at int, conn uint64, what, session string) {
@@ -248,7 +248,7 @@
 	l.setup(101, "a", 19, "s", "clip")
 	l.node(102, wire.End, "a", 19)
 	l.node(110, wire.Accepted, "b", 20)
-	l.answer(111, 1, wire.Plays, "s")
+	l.answer(111, 1, wire.Playing, "s")
 	if v := Check(terms, l); !v.Kept() {
 		t.Fatalf("%+v", v[RuleOnce])
 	}
@@ -267,7 +267,7 @@
 		l.setup(x.setup, "a", 1, "s", "clip")
 		l.add(1000, Record{What: Told, Director: "d", Node: "a", State: wire.Up})
 		l.node(1001, wire.Accepted, "a", 1)
-		l.answer(1002, 1, wire.Plays, "s")
+		l.answer(1002, 1, wire.Playing, "s")
 		if v := Check(terms, l); v.Kept() != x.kept || v[RuleDrain].Checked != 1 {
 			t.Errorf("set-up at %d: %+v", x.setup, v[RuleDrain])
 		}
@@ -278,13 +278,13 @@
 	var l log
 	l.want(0, 1, "clip")
 	l.want(1, 1, "clip")
-	l.answer(10, 1, wire.Plays, "s")
+	l.answer(10, 1, wire.Playing, "s")
 	l.want(0, 2, "clip")
 	l.answer(10, 2, wire.Nack, "")
 	l.want(0, 3, "clip")
 	l.answer(10, 3, wire.Errored, "")
 	l.want(0, 4, "clip")
-	l.add(5, Record{What: wire.Leave, Conn: 4, ID: "1"})
+	l.add(5, Record{What: wire.Cancel, Conn: 4, ID: "1"})
 	l.want(0, 5, "clip")
 	l.add(3000, Record{What: GaveUp, Conn: 5, ID: "1"})
 	l.add(3001, Record{What: Closed, Conn: 5, By: ByUs})
