--- a/cmd/fordusher/log_test.go
+++ b/cmd/fordusher/log_test.go
@@ -63,7 +63,7 @@
 	}()
 	at := soon(t, "the director is ready", told)
 	heard := make(talk, 10)
-	c, err := transport.Dial(at.Listen, wire.SessionProtocol, 5*time.Second, transport.Bounds{Message: 1 << 12, Queue: 1 << 16, Write: time.Second}, heard, nil)
+	c, err := transport.Dial(at.Listen, wire.SessionProtocol, 5*time.Second, transport.Limits{MaxMessageBytes: 1 << 12, MaxQueuedBytes: 1 << 16, WriteTimeout: time.Second}, heard, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fordusher/main_test.go
+++ b/cmd/fordusher/main_test.go
@@ -119,7 +119,7 @@
 		t.Fatal(string(line), err)
 	}
 	p := &printer{in: make(chan wire.SessionMessage, 10), closed: make(chan error, 1)}
-	conn, err := transport.Dial(told.Listen, wire.SessionProtocol, 5*time.Second, transport.Bounds{Message: 4096, Queue: 4096, Write: time.Second}, p, nil)
+	conn, err := transport.Dial(told.Listen, wire.SessionProtocol, 5*time.Second, transport.Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 4096, WriteTimeout: time.Second}, p, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -202,7 +202,7 @@
 	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &few, nil); err != nil {
 		t.Fatal(err)
 	}
-	bounds := transport.Bounds{Message: 4096, Queue: 4096, Write: time.Second}
+	bounds := transport.Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 4096, WriteTimeout: time.Second}
 	join := func(within time.Duration) (*transport.Conn, *printer, error) {
 		p := &printer{in: make(chan wire.SessionMessage, 10), closed: make(chan error, 1)}
 		c, err := transport.Dial(told.Listen, wire.SessionProtocol, within, bounds, p, nil)
@@ -238,7 +238,7 @@
 		t.Fatal("spinning: ", spent, " in a second")
 	}
 	for _, c := range conns[10:] {
-		c.Cut()
+		c.Abort()
 	}
 	for end := time.Now().Add(15 * time.Second); ; {
 		if _, _, err := join(time.Second); err == nil {
--- a/cmd/fordusher/serve.go
+++ b/cmd/fordusher/serve.go
@@ -73,7 +73,7 @@
 	if fitted != "" {
 		logger.Info().Msg(fitted)
 	}
-	house.Capacity, house.ConnectionLimits.Clients.Pending = room, room.MaxHandshakes
+	house.Capacity, house.ConnectionLimits.Clients.MaxPendingHandshakes = room, room.MaxHandshakes
 	d, err := daemon.Start(house, c.Boot, c.Seed, house.NewDecider(c.Seed), logger)
 	if err != nil {
 		return err
--- a/cmd/fordusher/standins.go
+++ b/cmd/fordusher/standins.go
@@ -113,7 +113,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	p := &printer{in: make(chan wire.SessionMessage, 64), closed: make(chan error, 1)}
-	bounds := transport.Bounds{Message: wire.MaxSessionMessageBytes, Queue: 64 << 10, Write: time.Second}
+	bounds := transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 10, WriteTimeout: time.Second}
 	conn, err := transport.Dial(c.Director, wire.SessionProtocol, 2*time.Second, bounds, p, nil)
 	if err != nil {
 		return err
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -49,9 +49,9 @@
 
 // ConnectionLimits is what one peer may cost.
 type ConnectionLimits struct {
-	Clients   transport.Bounds
-	Nodes     transport.Bounds
-	Discovery transport.Bounds
+	Clients   transport.Limits
+	Nodes     transport.Limits
+	Discovery transport.Limits
 	InboxSize int // messages of one peer that wait for the loop
 }
 
@@ -339,40 +339,40 @@
 
 func (h *Config) door(r *Parser, o *Object) {
 	players, nodes := o.Object("players", false), o.Object("nodes", false)
-	read := func(o *Object, message, queue int) transport.Bounds {
-		b := transport.Bounds{
-			Message:   message,
-			Queue:     o.Bytes("queue", queue, 4<<10, 64<<20),
-			Write:     o.Duration("write", min(100*time.Millisecond, h.DrainGrace/2), time.Millisecond, time.Minute, false),
-			Handshake: o.Duration("handshake", 5*time.Second, 10*time.Millisecond, time.Minute, false),
+	read := func(o *Object, message, queue int) transport.Limits {
+		b := transport.Limits{
+			MaxMessageBytes:  message,
+			MaxQueuedBytes:   o.Bytes("queue", queue, 4<<10, 64<<20),
+			WriteTimeout:     o.Duration("write", min(100*time.Millisecond, h.DrainGrace/2), time.Millisecond, time.Minute, false),
+			HandshakeTimeout: o.Duration("handshake", 5*time.Second, 10*time.Millisecond, time.Minute, false),
 		}
 		return b
 	}
 	h.ConnectionLimits.Clients = read(players, wire.MaxSessionMessageBytes, 64<<10)
-	h.ConnectionLimits.Clients.Kernel = players.Bytes("kernel", 16<<10, 0, 64<<20)
+	h.ConnectionLimits.Clients.KernelBufferBytes = players.Bytes("kernel", 16<<10, 0, 64<<20)
 	h.ConnectionLimits.Nodes = read(nodes, wire.MaxNodeMessageBytes, 1<<20)
-	h.ConnectionLimits.Discovery = transport.Bounds{Message: wire.MaxDiscoveryMessageBytes, Queue: 64 << 10, Write: time.Second, Handshake: 5 * time.Second}
+	h.ConnectionLimits.Discovery = transport.Limits{MaxMessageBytes: wire.MaxDiscoveryMessageBytes, MaxQueuedBytes: 64 << 10, WriteTimeout: time.Second, HandshakeTimeout: 5 * time.Second}
 	h.Capacity.MaxConnections = o.Int("connections", 15_000, 1, 10_000_000, false)
 	h.Capacity.MaxPerAddress = o.Int("per_address", 0, 0, 10_000_000, false)
 	h.Capacity.MaxHandshakes = o.Int("handshakes", 1024, 1, 10_000_000, false)
 	h.Capacity.MaxMemory = int64(o.Bytes("memory", 0, 1<<20, 1<<40))
 	h.Capacity.IdleTimeout = o.Duration("patience", 5*time.Minute, time.Second, 24*time.Hour, false)
 	h.Capacity.MaxRetryAfter = o.Duration("retry", 30*time.Second, time.Second, time.Hour, false)
-	h.Capacity.HandshakeTimeout = h.ConnectionLimits.Clients.Handshake
+	h.Capacity.HandshakeTimeout = h.ConnectionLimits.Clients.HandshakeTimeout
 	goals := make([]time.Duration, len(h.Tariffs))
 	for i, t := range h.Tariffs {
 		goals[i] = t.GoalTime
 	}
 	h.Queue.MaxWait = o.Duration("wait", limits.MaxQueueWait(goals), time.Millisecond, time.Minute, false)
 	h.Queue.MaxRetryAfter = h.Capacity.MaxRetryAfter
-	h.ConnectionLimits.Clients.Pending = h.Capacity.MaxHandshakes
+	h.ConnectionLimits.Clients.MaxPendingHandshakes = h.Capacity.MaxHandshakes
 	if h.Capacity.MaxPerAddress > h.Capacity.MaxConnections {
 		r.AddProblem(o.OffsetOf("per_address"), "per_address is %d, more than connections, which is %d", h.Capacity.MaxPerAddress, h.Capacity.MaxConnections)
 	}
 	h.ConnectionLimits.InboxSize = o.Int("inbox", 512, 16, 1<<20, false)
-	if h.ConnectionLimits.Nodes.Write >= h.DrainGrace {
+	if h.ConnectionLimits.Nodes.WriteTimeout >= h.DrainGrace {
 		r.AddProblem(nodes.OffsetOf("write"), "a write to a node may stand still for %v, as long as the drain grace (%v) or longer: "+
-			"rule 3 (drains kept) could not hold", h.ConnectionLimits.Nodes.Write, h.DrainGrace)
+			"rule 3 (drains kept) could not hold", h.ConnectionLimits.Nodes.WriteTimeout, h.DrainGrace)
 	}
 	players.ReportUnknownKeys()
 	nodes.ReportUnknownKeys()
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -30,7 +30,7 @@
 	}
 	if h.Ladder.Rates[1] != 200 || h.Ladder.Rates[2] != 400 || h.Tariffs[1].Name != "exam" || !h.Tariffs[1].AtMostOnce ||
 		h.Tariffs[1].HardStop != 2*time.Second || h.Tariffs[0].Top != 2 || h.Ramp.MaxStreams[0] != 18 ||
-		h.DrainGrace != 250*time.Millisecond || h.ConnectionLimits.Nodes.Queue != 64<<10 || h.ConnectionLimits.Nodes.Write != 100*time.Millisecond {
+		h.DrainGrace != 250*time.Millisecond || h.ConnectionLimits.Nodes.MaxQueuedBytes != 64<<10 || h.ConnectionLimits.Nodes.WriteTimeout != 100*time.Millisecond {
 		t.Fatalf("%+v", h)
 	}
 	if h.NewDecider(1) == nil || h.NewLoop("b", 1, h.NewDecider(1)) == nil {
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -49,7 +49,7 @@
 			for range x.conns {
 				g := &floodClient{cancels: x.what == "leaving"}
 				c, err := transport.Dial(p.d.Address(), wire.SessionProtocol, 2*time.Second,
-					transport.Bounds{Message: 1 << 20, Queue: 1 << 22, Write: 5 * time.Second}, g, nil)
+					transport.Limits{MaxMessageBytes: 1 << 20, MaxQueuedBytes: 1 << 22, WriteTimeout: 5 * time.Second}, g, nil)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -19,11 +19,11 @@
 
 func (h clientHandler) Connecting(c *transport.Conn) {
 	p := &peer{id: h.d.lastConnID.Add(1)}
-	c.SetCookie(p)
+	c.SetUserData(p)
 	var from netip.Addr
-	if a, ok := c.Peer().(interface{ AddrPort() netip.AddrPort }); ok {
+	if a, ok := c.RemoteAddr().(interface{ AddrPort() netip.AddrPort }); ok {
 		from = a.AddrPort().Addr().Unmap()
-	} else if a, err := netip.ParseAddrPort(c.Peer().String()); err == nil {
+	} else if a, err := netip.ParseAddrPort(c.RemoteAddr().String()); err == nil {
 		from = a.Addr().Unmap()
 	}
 	p.pending.Add(1)
@@ -31,11 +31,11 @@
 }
 
 func (h clientHandler) Opened(c *transport.Conn) {
-	h.d.inbox.put(item{input: director.ClientAccepted{Conn: c.Cookie().(*peer).id}})
+	h.d.inbox.put(item{input: director.ClientAccepted{Conn: c.UserData().(*peer).id}})
 }
 
 func (h clientHandler) Message(c *transport.Conn, raw []byte) {
-	p := c.Cookie().(*peer)
+	p := c.UserData().(*peer)
 	in, reply, err := h.d.protocol.DecodeClient(raw)
 	if err != nil {
 		h.d.malformed(c, 0, err)
@@ -64,7 +64,7 @@
 
 // InputEnded says that nothing more is read from a player's connection. The loop closes it once it owes nothing on it.
 func (h clientHandler) InputEnded(c *transport.Conn, why error) {
-	p, ok := c.Cookie().(*peer)
+	p, ok := c.UserData().(*peer)
 	if !ok { // it has not knocked
 		c.Close(closeInvalidData, why.Error())
 		return
@@ -75,7 +75,7 @@
 }
 
 func (h clientHandler) Closed(c *transport.Conn, why error, _ []uint64) {
-	if p, ok := c.Cookie().(*peer); ok {
+	if p, ok := c.UserData().(*peer); ok {
 		p.disconnected.Store(true)
 		h.d.inbox.disconnect(item{input: director.ClientLost{Conn: p.id, Reason: truncate(why.Error())}, peer: p}, h.d.config.ProtocolOptions.Linger > 0)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -94,8 +94,8 @@
 func (d *Daemon) Address() string { return d.server.Address() }
 
 // Attach adds a player's connection in memory; see transport.Server.Attach.
-func (d *Daemon) Attach(n *transport.Network, peer netip.AddrPort, out func(p []byte)) *transport.Conn {
-	return d.server.Attach(n, peer, out)
+func (d *Daemon) Attach(n *transport.MemoryNetwork, peer netip.AddrPort, out func(p []byte)) *transport.Conn {
+	return d.server.AttachInMemory(n, peer, out)
 }
 
 // ConnectionUsage tells how many players' connections there were at the last look, and how many of them were busy.
@@ -201,7 +201,7 @@
 			c, raw := d.clients[o.Conn], d.protocol.EncodeClient(o)
 			if c == nil || raw == nil {
 			} else if o.Message.Type == wire.Rung { // advice: the next one makes it worthless
-				c.Advise(raw, o.CoalesceKey)
+				c.SendReplaceable(raw, o.CoalesceKey)
 			} else {
 				c.Send(raw, 0)
 			}
@@ -215,10 +215,10 @@
 			}
 		case director.CloseClient:
 			if c := d.clients[o.Conn]; c == nil {
-			} else if p, ok := c.Cookie().(*peer); ok && o.Idle && p.pending.Load() > 0 {
+			} else if p, ok := c.UserData().(*peer); ok && o.Idle && p.pending.Load() > 0 {
 				stay = append(stay, o.Conn)
 			} else if o.Code == 0 && !c.Queued() {
-				c.Cut()
+				c.Abort()
 			} else {
 				c.Close(ws.StatusCode(o.Code), o.Reason)
 			}
@@ -231,22 +231,22 @@
 				d.inbox.put(item{input: director.Withdrawn{Leg: o.Setup}}) // never queued, so never sent
 			}
 		case director.Withdraw:
-			if c := d.links[o.Link]; c != nil && c.Withdraw(o.Leg) {
+			if c := d.links[o.Link]; c != nil && c.CancelSend(o.Leg) {
 				d.inbox.put(item{input: director.Withdrawn{Leg: o.Leg}})
 			}
 		case director.ProbeLink:
 			if c := d.links[o.Link]; c != nil {
 				c.Ping()
-				d.inbox.put(item{input: director.LinkAlive{Link: o.Link, IdleFor: c.Quiet()}})
+				d.inbox.put(item{input: director.LinkAlive{Link: o.Link, IdleFor: c.ReadIdleTime()}})
 			}
 		case director.ProbeClient:
 			if c := d.clients[o.Conn]; c != nil {
 				c.Ping()
-				d.inbox.put(item{input: director.ClientAlive{Conn: o.Conn, IdleFor: c.Quiet()}})
+				d.inbox.put(item{input: director.ClientAlive{Conn: o.Conn, IdleFor: c.ReadIdleTime()}})
 			}
 		case director.CloseLink:
 			if c := d.links[o.Link]; c != nil {
-				c.Cut()
+				c.Abort()
 			}
 		case director.Connect:
 			go d.connect(o)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -113,7 +113,7 @@
 	t.Helper()
 	p := &client{make(chan string, 1000), make(chan error, 1)}
 	c, err := transport.Dial(address, wire.SessionProtocol, 2*time.Second,
-		transport.Bounds{Message: 1 << 20, Queue: 1 << 20, Write: 5 * time.Second}, p, nil)
+		transport.Limits{MaxMessageBytes: 1 << 20, MaxQueuedBytes: 1 << 20, WriteTimeout: 5 * time.Second}, p, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -319,7 +319,7 @@
 	if took := time.Since(began); took > 5*time.Second { // the term is 1 s
 		t.Fatal(took)
 	}
-	if _, err := transport.Dial(p.d.Address(), wire.SessionProtocol, 200*ms, transport.Bounds{Message: 100, Queue: 100}, in, nil); err == nil {
+	if _, err := transport.Dial(p.d.Address(), wire.SessionProtocol, 200*ms, transport.Limits{MaxMessageBytes: 100, MaxQueuedBytes: 100}, in, nil); err == nil {
 		t.Fatal("still taking connections")
 	}
 }
--- a/internal/daemon/discovery.go
+++ b/internal/daemon/discovery.go
@@ -56,11 +56,11 @@
 			case <-h.closed:
 				ended = true
 			case <-d.discoveryMoved:
-				conn.Cut()
+				conn.Abort()
 			case <-time.After(snapshotInterval):
-				if quiet := d.config.DiscoveryReadTimeout; quiet > 0 && conn.Quiet() > quiet {
+				if quiet := d.config.DiscoveryReadTimeout; quiet > 0 && conn.ReadIdleTime() > quiet {
 					d.log.Warn().Dur("quiet", quiet).Msg("the list's source says nothing any more: it is connected to again")
-					conn.Cut()
+					conn.Abort()
 				}
 			}
 		}
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -122,10 +122,10 @@
 		io.WriteString(c, "GET / HT")
 	}
 	eventually(t, "a player gets in", func() bool {
-		c, err := transport.Dial(p.d.Address(), wire.SessionProtocol, 500*ms, transport.Bounds{Message: 4096, Queue: 4096},
+		c, err := transport.Dial(p.d.Address(), wire.SessionProtocol, 500*ms, transport.Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 4096},
 			&client{make(chan string, 10), make(chan error, 1)}, nil)
 		if err == nil {
-			c.Cut()
+			c.Abort()
 		}
 		return err == nil
 	})
@@ -185,7 +185,7 @@
 	p := newFixture(t, 1, `"ping": "100ms"`, `"ping": "100ms", "ping_players": "200ms"`)
 	over := make(chan struct{})
 	t.Cleanup(func() { close(over) })
-	network := transport.NewNetwork(over)
+	network := transport.NewMemoryNetwork(over)
 	gone := make(chan string, 1000)
 	for i := range 500 {
 		from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 1)
@@ -196,12 +196,12 @@
 			case first:
 				first = false
 			case b[0] == 0x89:
-				c.Feed([]byte{0x8a, 0x80, 0, 0, 0, 0})
+				c.Receive([]byte{0x8a, 0x80, 0, 0, 0, 0})
 			default:
 				gone <- string(b)
 			}
 		})
-		c.Feed([]byte(upgradeRequest))
+		c.Receive([]byte(upgradeRequest))
 	}
 	eventually(t, "all are in", func() bool { used, _ := p.d.ConnectionUsage(); return used >= 500 })
 	p.d.AdvanceClock(5 * time.Second)
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -86,7 +86,7 @@
 			float64(d.malformedCounts[0].Load() + d.malformedCounts[1].Load() + d.malformedCounts[2].Load())},
 		{"overfull_total", "requests refused because too many of their connection waited", prometheus.CounterValue, float64(d.inboxFullRejects.Load())},
 		{"flooded_total", "connections closed for too many messages", prometheus.CounterValue, float64(d.floodCloses.Load())},
-		{"accept_complaints_total", "failures that the transport noted", prometheus.CounterValue, float64(transport.Complaints())},
+		{"accept_complaints_total", "failures that the transport noted", prometheus.CounterValue, float64(transport.InternalErrors())},
 		{"answers_owed", "requests without an answer yet", prometheus.GaugeValue, float64(s.owed)},
 		{"sessions_playing", "sessions that play", prometheus.GaugeValue, float64(s.playing)},
 		{"legs_out", "legs, set-ups and sessions", prometheus.GaugeValue, float64(s.legs)},
--- a/internal/daemon/misuse.go
+++ b/internal/daemon/misuse.go
@@ -40,7 +40,7 @@
 func (d *Daemon) malformed(c *transport.Conn, who int, err error) {
 	n := d.malformedCounts[who].Add(1)
 	d.malformedLogLimits[who].Do(func() {
-		d.log.Warn().Str("peer", c.Peer().String()).Str("from", [...]string{"player", "node", "list"}[who]).Int64("so_far", n).
+		d.log.Warn().Str("peer", c.RemoteAddr().String()).Str("from", [...]string{"player", "node", "list"}[who]).Int64("so_far", n).
 			Str("error", truncate(err.Error())).Msg("a malformed message")
 	})
 	c.EndInput(err, closeInvalidData)
--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -18,7 +18,7 @@
 	h := &nodeHandler{d: d, node: o.Node, peer: peer{id: o.Link}}
 	if _, err := d.protocol.DialNode(o.Address, o.Timeout, h); err != nil {
 		d.inbox.put(item{input: director.LinkFailed{Node: o.Node, Link: o.Link, Refused: errors.Is(err, syscall.ECONNREFUSED),
-			ResourceExhausted: transport.IsLocal(err)}})
+			ResourceExhausted: transport.IsLocalError(err)}})
 	}
 }
 
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -26,15 +26,15 @@
 		c.Reset()
 	}
 	if d.discovery != nil {
-		d.discovery.Cut()
+		d.discovery.Abort()
 	}
 }
 
 // drainConnections lets what is queued go out, for a short while, and then ends every connection.
 func (d *Daemon) drainConnections() {
-	d.server.Refusing(true)
+	d.server.SetRefusing(true)
 	d.server.Each(func(c *transport.Conn) { c.Close(closeGoingAway, "director closes") }) // what has come in part is no request
-	for end := time.Now().Add(d.config.ConnectionLimits.Clients.Write * 2); time.Now().Before(end); {
+	for end := time.Now().Add(d.config.ConnectionLimits.Clients.WriteTimeout * 2); time.Now().Before(end); {
 		open := 0
 		d.server.Each(func(*transport.Conn) { open++ })
 		if open == 0 {
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -155,7 +155,7 @@
 	wait.Wait()
 	for _, c := range crowds {
 		for _, x := range c.conns {
-			x.Cut()
+			x.Abort()
 		}
 	}
 	return nil
@@ -271,7 +271,7 @@
 
 func (c *crowd) Closed(x *transport.Conn, why error, _ []uint64) {
 	c.tally.open.Add(-1)
-	if transport.Cause(why) != "here" {
+	if transport.CauseLabel(why) != "here" {
 		c.tally.add(func(s *Sample) { s.Lost++ })
 	}
 	c.mu.Lock()
--- a/internal/load/idle.go
+++ b/internal/load/idle.go
@@ -71,7 +71,7 @@
 	var conns []*transport.Conn
 	defer func() {
 		for _, c := range conns {
-			c.Cut()
+			c.Abort()
 		}
 	}()
 	var wait sync.WaitGroup
@@ -253,7 +253,7 @@
 	conns := make([]*transport.Conn, x.Connections)
 	over := make(chan struct{})
 	defer close(over)
-	network := transport.NewNetwork(over)
+	network := transport.NewMemoryNetwork(over)
 	for i := range conns {
 		from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(1 + i>>16), byte(i >> 8), byte(i)}), 1)
 		answered := false
@@ -264,13 +264,13 @@
 				answered = true
 			case len(p) >= 2 && p[0] == 0x89: // a ping: answer it, as a player's machine does
 				pings.Add(1)
-				c.Feed(pong)
+				c.Receive(pong)
 			default:
 				lost.Add(1)
 			}
 		})
 		conns[i] = c
-		c.Feed([]byte(handshake))
+		c.Receive([]byte(handshake))
 		if i%100_000 == 99_999 {
 			say("%d connections", i+1)
 		}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -194,7 +194,7 @@
 	}
 }
 
-var bounds = transport.Bounds{Message: wire.MaxNodeMessageBytes, Queue: 64 << 20, Write: 10 * time.Second}
+var bounds = transport.Limits{MaxMessageBytes: wire.MaxNodeMessageBytes, MaxQueuedBytes: 64 << 20, WriteTimeout: 10 * time.Second}
 
 // Direct measures players that speak to nodes themselves: what is there without a director.
 func (s Setups) Direct(ctx context.Context) (*Result, error) {
@@ -212,7 +212,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer c.Cut()
+		defer c.Abort()
 		conns = append(conns, c)
 	}
 	began = witness.Clock()
@@ -293,7 +293,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer c.Cut()
+		defer c.Abort()
 		conns = append(conns, c)
 	}
 	began := witness.Clock()
--- a/internal/platform/codec_test.go
+++ b/internal/platform/codec_test.go
@@ -148,7 +148,7 @@
 	frame = binary.BigEndian.AppendUint64(frame, 42)
 	frame = append(append(frame, frameUpdate), make([]byte, recordSize)...)
 	for name, x := range map[string]struct {
-		split transport.Split
+		split transport.SplitFunc
 		one   []byte
 	}{
 		"viewer": {splitClientMessage, setupMessage(9, nil)}, "node": {splitRTSP, []byte(testAnswer)}, "board": {splitFrame, frame},
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -36,17 +36,17 @@
 
 // Listen accepts viewers.
 func (f *Protocol) Listen(h transport.Handler) (*transport.Server, error) {
-	return transport.ServePlain(f.config.ListenAddress, splitClientMessage, f.config.ConnectionLimits.Clients, h)
+	return transport.ServeTCP(f.config.ListenAddress, splitClientMessage, f.config.ConnectionLimits.Clients, h)
 }
 
 // DialNode connects to a media node.
 func (f *Protocol) DialNode(address string, within time.Duration, h transport.Handler) (*transport.Conn, error) {
-	return transport.DialPlain(address, within, splitRTSP, f.config.ConnectionLimits.Nodes, h)
+	return transport.DialTCP(address, within, splitRTSP, f.config.ConnectionLimits.Nodes, h)
 }
 
 // DialDiscovery connects to the notice board.
 func (f *Protocol) DialDiscovery(address string, within time.Duration, h transport.Handler) (*transport.Conn, error) {
-	return transport.DialPlain(address, within, splitFrame, f.config.ConnectionLimits.Discovery, h)
+	return transport.DialTCP(address, within, splitFrame, f.config.ConnectionLimits.Discovery, h)
 }
 
 // DecodeClient reads a viewers' message. What can't be used of a set-up reaches the loop all the same, which knows
--- a/internal/platform/program_test.go
+++ b/internal/platform/program_test.go
@@ -153,12 +153,12 @@
 }
 
 func (f countingProtocol) Listen(h transport.Handler) (*transport.Server, error) {
-	return f.Protocol.Listen(countingHandler{h, h.(transport.Gate), f.closedClients})
+	return f.Protocol.Listen(countingHandler{h, h.(transport.AdmissionHandler), f.closedClients})
 }
 
 type countingHandler struct {
 	transport.Handler
-	transport.Gate
+	transport.AdmissionHandler
 	closedClients *atomic.Int32
 }
 
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -220,10 +220,10 @@
 	}
 	h.Queue = limits.QueuePolicy{MaxWait: limits.MaxQueueWait(goals), MaxRetryAfter: time.Second}
 	h.ConnectionLimits = conf.ConnectionLimits{
-		Clients: transport.Bounds{Message: maxMessageSize, Queue: clientQueueBytes, Write: writeTimeout, Handshake: firstMessageTimeout,
-			Kernel: kernelBufferBytes, Pending: silent},
-		Nodes:     transport.Bounds{Message: maxMessageSize, Queue: nodeQueueBytes, Write: writeTimeout},
-		Discovery: transport.Bounds{Message: maxFrameSize, Queue: nodeQueueBytes, Write: writeTimeout},
+		Clients: transport.Limits{MaxMessageBytes: maxMessageSize, MaxQueuedBytes: clientQueueBytes, WriteTimeout: writeTimeout, HandshakeTimeout: firstMessageTimeout,
+			KernelBufferBytes: kernelBufferBytes, MaxPendingHandshakes: silent},
+		Nodes:     transport.Limits{MaxMessageBytes: maxMessageSize, MaxQueuedBytes: nodeQueueBytes, WriteTimeout: writeTimeout},
+		Discovery: transport.Limits{MaxMessageBytes: maxFrameSize, MaxQueuedBytes: nodeQueueBytes, WriteTimeout: writeTimeout},
 		InboxSize: maxInboxPerPeer,
 	}
 	named := map[string]int{}
--- a/internal/platform/viewers.go
+++ b/internal/platform/viewers.go
@@ -84,7 +84,7 @@
 	return size, nil
 }
 
-var _ transport.Split = splitClientMessage
+var _ transport.SplitFunc = splitClientMessage
 
 func parseClientMessage(raw []byte) (clientMessage, error) {
 	if size, err := splitClientMessage(raw); err != nil || size != len(raw) {
--- a/internal/standin/list/list.go
+++ b/internal/standin/list/list.go
@@ -23,7 +23,7 @@
 	watchers map[*transport.Conn]string // emptied as connections end
 }
 
-var bounds = transport.Bounds{Message: wire.MaxSessionMessageBytes, Queue: 64 << 20, Write: 10 * time.Second, Handshake: 10 * time.Second}
+var bounds = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 20, WriteTimeout: 10 * time.Second, HandshakeTimeout: 10 * time.Second}
 
 // Open starts a source on a loopback port of its own.
 func Open(record *witness.Recorder, nodes []wire.NodeEntry, titles []wire.TitlePlacement) (*Source, error) {
--- a/internal/standin/node/host.go
+++ b/internal/standin/node/host.go
@@ -25,7 +25,7 @@
 }
 
 // bounds are the stand-in's own: it is generous, so that it is never what limits a director.
-var bounds = transport.Bounds{Message: wire.MaxNodeMessageBytes, Queue: 16 << 20, Write: 5 * time.Second, Handshake: 10 * time.Second}
+var bounds = transport.Limits{MaxMessageBytes: wire.MaxNodeMessageBytes, MaxQueuedBytes: 16 << 20, WriteTimeout: 5 * time.Second, HandshakeTimeout: 10 * time.Second}
 
 // Open starts every node of a farm on a loopback port of its own. Fell is called when a node was pushed over.
 func Open(farm *Farm, record *witness.Recorder, fell func(node string)) (*Host, error) {
@@ -97,7 +97,7 @@
 			if h.fell != nil {
 				go h.fell(o.Node)
 			}
-			h.servers[o.Node].Refusing(true)
+			h.servers[o.Node].SetRefusing(true)
 			continue
 		}
 		if o.Earned != nil {
@@ -135,7 +135,7 @@
 	case wire.Hello, wire.Measurement:
 		return
 	}
-	name, _ := c.Cookie().(string)
+	name, _ := c.UserData().(string)
 	h.record.Add(witness.Record{
 		What: m.Type, Node: node, Conn: link, Director: name, Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
 		Title: m.Title, Rung: m.Rung, Within: time.Duration(m.StartWithinMS) * time.Millisecond, Why: m.Reason,
@@ -151,22 +151,22 @@
 			continue
 		}
 		if x.Hang != nil { // a process that stands still greets nobody either
-			s.Silent(*x.Hang)
+			s.SetSilent(*x.Hang)
 		}
 		switch {
 		case x.Die:
 			h.record.Add(witness.Record{What: witness.Died, Node: name})
-			s.Refusing(true)
+			s.SetRefusing(true)
 		case x.Silent != nil && *x.Silent:
 			h.silent[name] = true
-			s.Silent(true)
+			s.SetSilent(true)
 		case x.Start:
 			if h.silent[name] {
 				h.record.Add(witness.Record{What: witness.Died, Node: name, Why: "came back anew"})
 			}
 			delete(h.silent, name)
-			s.Silent(false)
-			s.Refusing(false)
+			s.SetSilent(false)
+			s.SetRefusing(false)
 			h.record.Add(witness.Record{What: witness.Started, Node: name, Places: float64(h.farm.nodes[name].Places)})
 		}
 	}
@@ -185,8 +185,8 @@
 	defer d.h.mu.Unlock()
 	d.h.last++
 	d.h.links[d.h.last] = c
-	c.SetNumber(d.h.last)
-	c.SetCookie("")
+	c.SetID(d.h.last)
+	c.SetUserData("")
 	d.h.carryOut(d.h.farm.Opened(d.h.now(), d.node, d.h.last))
 	d.h.stir()
 }
@@ -200,11 +200,11 @@
 	d.h.mu.Lock()
 	defer d.h.mu.Unlock()
 	if m.Type == wire.Hello {
-		c.SetCookie(m.Director)
+		c.SetUserData(m.Director)
 	}
-	d.h.seen(d.node, c, c.Number(), m)
+	d.h.seen(d.node, c, c.ID(), m)
 	if !d.h.silent[d.node] {
-		d.h.carryOut(d.h.farm.Said(d.h.now(), d.node, c.Number(), m))
+		d.h.carryOut(d.h.farm.Said(d.h.now(), d.node, c.ID(), m))
 		d.h.stir()
 	}
 }
@@ -212,11 +212,11 @@
 func (d *door) Closed(c *transport.Conn, _ error, _ []uint64) {
 	d.h.mu.Lock()
 	defer d.h.mu.Unlock()
-	delete(d.h.links, c.Number())
-	if c.Number() == 0 {
+	delete(d.h.links, c.ID())
+	if c.ID() == 0 {
 		return
 	}
-	d.h.record.Add(witness.Record{What: witness.Closed, Node: d.node, Conn: c.Number()})
-	d.h.carryOut(d.h.farm.Closed(d.h.now(), d.node, c.Number()))
+	d.h.record.Add(witness.Record{What: witness.Closed, Node: d.node, Conn: c.ID()})
+	d.h.carryOut(d.h.farm.Closed(d.h.now(), d.node, c.ID()))
 	d.h.stir()
 }
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -58,7 +58,7 @@
 	Viewers int
 }
 
-var bounds = transport.Bounds{Message: wire.MaxSessionMessageBytes, Queue: 64 << 10, Write: time.Second, Handshake: time.Second}
+var bounds = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 10, WriteTimeout: time.Second, HandshakeTimeout: time.Second}
 
 // A seat is a viewer's connection.
 type seat struct {
--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -12,21 +12,21 @@
 
 // The reasons for which connections end, counted by the caller with Cause.
 var (
-	ErrSlow      = errors.New("peer does not read")
-	ErrTooLarge  = errors.New("message too large")
-	ErrProtocol  = errors.New("protocol broken")
-	ErrHandshake = errors.New("handshake failed")
-	ErrPeer      = errors.New("closed by peer")
-	ErrClosed    = errors.New("closed here")
+	ErrSlowPeer      = errors.New("peer does not read")
+	ErrTooLarge      = errors.New("message too large")
+	ErrProtocol      = errors.New("protocol broken")
+	ErrHandshake     = errors.New("handshake failed")
+	ErrClosedByPeer  = errors.New("closed by peer")
+	ErrClosedLocally = errors.New("closed here")
 )
 
-// Cause is a short word for a closing error, for logs and metrics.
-func Cause(err error) string {
+// CauseLabel is a short word for a closing error, for logs and metrics.
+func CauseLabel(err error) string {
 	for _, c := range []struct {
 		err  error
 		word string
-	}{{ErrSlow, "slow"}, {ErrTooLarge, "too_large"}, {ErrProtocol, "protocol"}, {ErrHandshake, "handshake"},
-		{ErrPeer, "peer"}, {ErrClosed, "here"}} {
+	}{{ErrSlowPeer, "slow"}, {ErrTooLarge, "too_large"}, {ErrProtocol, "protocol"}, {ErrHandshake, "handshake"},
+		{ErrClosedByPeer, "peer"}, {ErrClosedLocally, "here"}} {
 		if errors.Is(err, c.err) {
 			return c.word
 		}
@@ -55,7 +55,7 @@
 
 // Close ends the connection after what is queued and a close frame have gone out.
 func (c *Conn) Close(code ws.StatusCode, reason string) {
-	c.end(fmt.Errorf("%w: %s", ErrClosed, reason), code, reason)
+	c.end(fmt.Errorf("%w: %s", ErrClosedLocally, reason), code, reason)
 }
 
 func (c *Conn) end(why error, code ws.StatusCode, reason string) {
@@ -94,8 +94,8 @@
 	return text
 }
 
-// Cut ends the connection at once; what is queued is dropped.
-func (c *Conn) Cut() { c.fail(ErrClosed) }
+// Abort ends the connection at once; what is queued is dropped.
+func (c *Conn) Abort() { c.fail(ErrClosedLocally) }
 
 // Reset ends the connection at once so that the peer sees a reset.
 func (c *Conn) Reset() {
@@ -104,7 +104,7 @@
 		c.np.reset()
 	}
 	c.mu.Unlock()
-	c.fail(ErrClosed)
+	c.fail(ErrClosedLocally)
 }
 
 func (c *Conn) fail(why error) {
@@ -112,7 +112,7 @@
 	if c.why == nil {
 		c.why = why
 	}
-	if errors.Is(why, ErrSlow) && c.usable {
+	if errors.Is(why, ErrSlowPeer) && c.usable {
 		// The peer's window is shut: a closing that waits for it would leave what is unsent in the kernel
 		// for minutes, and the peer would not hear of it.
 		c.np.reset()
--- a/internal/transport/complaints.go
+++ b/internal/transport/complaints.go
@@ -10,8 +10,8 @@
 // that have panicked.
 var complaints atomic.Int64
 
-// Complaints is how often netpoll has complained so far.
-func Complaints() int64 { return complaints.Load() }
+// InternalErrors is how often netpoll has complained so far.
+func InternalErrors() int64 { return complaints.Load() }
 
 type counter struct{}
 
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -16,12 +16,12 @@
 
 // Dial connects to a server and returns once the handshake is done or the time is up. The handler's
 // Opened has been called when it returns without an error; without one nothing of it is ever called.
-func Dial(address, protocol string, within time.Duration, bounds Bounds, handler Handler, cookie any) (*Conn, error) {
+func Dial(address, protocol string, within time.Duration, bounds Limits, handler Handler, cookie any) (*Conn, error) {
 	return DialFrom(netip.Addr{}, address, protocol, within, bounds, handler, cookie)
 }
 
 // DialFrom is Dial from an address of this machine; without one the system chooses.
-func DialFrom(from netip.Addr, address, protocol string, within time.Duration, bounds Bounds, handler Handler, cookie any) (*Conn, error) {
+func DialFrom(from netip.Addr, address, protocol string, within time.Duration, bounds Limits, handler Handler, cookie any) (*Conn, error) {
 	began := time.Now()
 	np, err := dialAgain(within, func(within time.Duration) (netpoll.Connection, error) { return dial(from, address, within) })
 	if err != nil {
@@ -41,7 +41,7 @@
 	c := &Conn{np: newSocket(np), handler: handler, bounds: bounds, client: true, open: true, shook: true, usable: true}
 	c.heard.Store(int64(monotonic()))
 	if cookie != nil {
-		c.SetCookie(cookie)
+		c.SetUserData(cookie)
 	}
 	if br != nil {
 		c.partial = leftover(br)
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -10,9 +10,9 @@
 	"github.com/gobwas/ws"
 )
 
-// A Gate is a Handler that wants to be asked before a handshake is answered: it calls Accept or Reject on
+// A AdmissionHandler is a Handler that wants to be asked before a handshake is answered: it calls Accept or Reject on
 // the connection, then or later, from any goroutine.
-type Gate interface {
+type AdmissionHandler interface {
 	Connecting(c *Conn)
 }
 
--- a/internal/transport/memory.go
+++ b/internal/transport/memory.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Network carries connections in memory, for loads that no machine has descriptors for. Everything above
+// MemoryNetwork carries connections in memory, for loads that no machine has descriptors for. Everything above
 // the carrier is the code that sockets have. One goroutine delivers what servers write, in order.
-type Network struct {
+type MemoryNetwork struct {
 	mu      sync.Mutex
 	waiting []parcel
 	wake    chan struct{}
@@ -20,9 +20,9 @@
 	body []byte
 }
 
-// NewNetwork starts a network; it delivers until stop is closed.
-func NewNetwork(stop <-chan struct{}) *Network {
-	n := &Network{wake: make(chan struct{}, 1)}
+// NewMemoryNetwork starts a network; it delivers until stop is closed.
+func NewMemoryNetwork(stop <-chan struct{}) *MemoryNetwork {
+	n := &MemoryNetwork{wake: make(chan struct{}, 1)}
 	go func() {
 		var batch []parcel
 		for {
@@ -46,7 +46,7 @@
 	return n
 }
 
-func (n *Network) carry(to *memory, body []byte) {
+func (n *MemoryNetwork) carry(to *memory, body []byte) {
 	n.mu.Lock()
 	n.waiting = append(n.waiting, parcel{to, body})
 	n.mu.Unlock()
@@ -59,7 +59,7 @@
 // memory is a carrier without sockets.
 type memory struct {
 	conn    *Conn
-	network *Network
+	network *MemoryNetwork
 	peer    netip.AddrPort
 	out     func(p []byte)
 }
@@ -79,9 +79,9 @@
 
 func (m *memory) Close() error { return m.conn.closed(nil) }
 
-// Attach adds a connection in memory, as from an address; what the server writes goes to out, from the
+// AttachInMemory adds a connection in memory, as from an address; what the server writes goes to out, from the
 // network's goroutine.
-func (s *Server) Attach(n *Network, peer netip.AddrPort, out func(p []byte)) *Conn {
+func (s *Server) AttachInMemory(n *MemoryNetwork, peer netip.AddrPort, out func(p []byte)) *Conn {
 	c := &Conn{handler: s.handler, bounds: s.bounds, server: s, usable: true}
 	c.np = &memory{conn: c, network: n, peer: peer, out: out}
 	s.pending.Add(1)
@@ -91,5 +91,5 @@
 	return c
 }
 
-// Feed takes bytes from the peer of a connection in memory. Calls for one connection must not overlap.
-func (c *Conn) Feed(in []byte) { c.feed(in) }
+// Receive takes bytes from the peer of a connection in memory. Calls for one connection must not overlap.
+func (c *Conn) Receive(in []byte) { c.feed(in) }
--- a/internal/transport/plain.go
+++ b/internal/transport/plain.go
@@ -10,21 +10,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// A Split tells how many bytes at the beginning of what has come are one whole message, 0 where it is not whole yet.
+// A SplitFunc tells how many bytes at the beginning of what has come are one whole message, 0 where it is not whole yet.
 // An error says that the bytes can't be read, now or ever: the connection is ended. It must give the same answers
 // however the bytes are cut, and looks at nothing but them.
-type Split func(in []byte) (size int, err error)
+type SplitFunc func(in []byte) (size int, err error)
 
-// ServePlain is Serve for a protocol without a handshake that frames its messages itself. A peer knocks with its first
+// ServeTCP is Serve for a protocol without a handshake that frames its messages itself. A peer knocks with its first
 // whole message, and until then counts as one whose handshake has not come: beyond Bounds.Pending the one that has
 // been silent for longest is reset, not the newcomer, and all are after Bounds.Handshake. So long may any later
 // message take to come whole.
-func ServePlain(address string, split Split, bounds Bounds, handler Handler) (*Server, error) {
+func ServeTCP(address string, split SplitFunc, bounds Limits, handler Handler) (*Server, error) {
 	return serve(address, "", split, bounds, handler)
 }
 
-// DialPlain is Dial for a protocol without a handshake that frames its messages itself.
-func DialPlain(address string, within time.Duration, split Split, bounds Bounds, handler Handler) (*Conn, error) {
+// DialTCP is Dial for a protocol without a handshake that frames its messages itself.
+func DialTCP(address string, within time.Duration, split SplitFunc, bounds Limits, handler Handler) (*Conn, error) {
 	np, err := dialAgain(within, func(within time.Duration) (netpoll.Connection, error) { return dialPlain(address, within) })
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", address, err)
@@ -84,8 +84,8 @@
 			return nil
 		}
 		size, err := c.split(in)
-		if err == nil && (size > c.bounds.Message || size == 0 && len(in) > c.bounds.Message) {
-			err = fmt.Errorf("%w: over %d bytes", ErrTooLarge, c.bounds.Message)
+		if err == nil && (size > c.bounds.MaxMessageBytes || size == 0 && len(in) > c.bounds.MaxMessageBytes) {
+			err = fmt.Errorf("%w: over %d bytes", ErrTooLarge, c.bounds.MaxMessageBytes)
 		}
 		if err != nil {
 			c.EndInput(fmt.Errorf("%w: %w", ErrProtocol, err), ws.StatusProtocolError)
@@ -97,7 +97,7 @@
 		if !c.open {
 			c.open = true
 			c.cameWhole()
-			if gate, ok := c.handler.(Gate); ok {
+			if gate, ok := c.handler.(AdmissionHandler); ok {
 				gate.Connecting(c)
 			} else {
 				c.handler.Opened(c)
@@ -118,9 +118,9 @@
 		c.begun = nil
 	}
 	c.moved = false
-	if len(c.partial) > 0 && c.begun == nil && c.bounds.Handshake > 0 {
-		c.begun = time.AfterFunc(c.bounds.Handshake, func() {
-			c.EndInput(fmt.Errorf("%w: half a message for %v", ErrSlow, c.bounds.Handshake), ws.StatusPolicyViolation)
+	if len(c.partial) > 0 && c.begun == nil && c.bounds.HandshakeTimeout > 0 {
+		c.begun = time.AfterFunc(c.bounds.HandshakeTimeout, func() {
+			c.EndInput(fmt.Errorf("%w: half a message for %v", ErrSlowPeer, c.bounds.HandshakeTimeout), ws.StatusPolicyViolation)
 		})
 	}
 }
--- a/internal/transport/plain_test.go
+++ b/internal/transport/plain_test.go
@@ -56,17 +56,17 @@
 	t.Fatal(what)
 }
 
-var plainBounds = Bounds{Message: 64, Queue: 1 << 10, Write: time.Second, Handshake: 200 * time.Millisecond, Pending: 3}
+var plainBounds = Limits{MaxMessageBytes: 64, MaxQueuedBytes: 1 << 10, WriteTimeout: time.Second, HandshakeTimeout: 200 * time.Millisecond, MaxPendingHandshakes: 3}
 
 // plainPair serves with one handler and dials with another.
-func plainPair(t *testing.T, server, client Handler, bounds Bounds) *Conn {
+func plainPair(t *testing.T, server, client Handler, bounds Limits) *Conn {
 	t.Helper()
-	s, err := ServePlain("127.0.0.1:0", byLine, plainBounds, server)
+	s, err := ServeTCP("127.0.0.1:0", byLine, plainBounds, server)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	c, err := DialPlain(s.Address(), time.Second, byLine, bounds, client)
+	c, err := DialTCP(s.Address(), time.Second, byLine, bounds, client)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,14 +91,14 @@
 		t.Fatal(err)
 	}
 	defer address.Close()
-	if _, err := DialPlain(address.String(), time.Second, byLine, plainBounds, &heardPlain{}); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := DialTCP(address.String(), time.Second, byLine, plainBounds, &heardPlain{}); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Fatalf("%v", err)
 	}
 }
 
 func TestPlainConnectionsThatSayNothing(t *testing.T) {
 	h := &heardPlain{}
-	s, err := ServePlain("127.0.0.1:0", byLine, plainBounds, h)
+	s, err := ServeTCP("127.0.0.1:0", byLine, plainBounds, h)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,12 +119,12 @@
 		c.Read(make([]byte, 1))
 		return time.Since(began)
 	}
-	if first := ended(silent[0]); first > plainBounds.Handshake {
+	if first := ended(silent[0]); first > plainBounds.HandshakeTimeout {
 		t.Fatalf("the first made no room before %v", first)
 	}
 	silent[1].Write([]byte("\x02a"))
 	h.wait(t, "the message did not come", func() bool { return len(h.said) == 1 })
-	if at := ended(silent[2]); at < plainBounds.Handshake/2 || at > 3*time.Second {
+	if at := ended(silent[2]); at < plainBounds.HandshakeTimeout/2 || at > 3*time.Second {
 		t.Fatalf("silent for %v", at)
 	}
 	silent[1].Write([]byte("\x00"))
@@ -146,8 +146,8 @@
 func TestWhoHasBegunAMessageIsNotCrowdedOut(t *testing.T) {
 	h := &heardPlain{}
 	bounds := plainBounds
-	bounds.Handshake = time.Minute
-	s, err := ServePlain("127.0.0.1:0", byLine, bounds, h)
+	bounds.HandshakeTimeout = time.Minute
+	s, err := ServeTCP("127.0.0.1:0", byLine, bounds, h)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,7 +168,7 @@
 		return n == 1
 	}
 	h.wait(t, "the beginning did not come", heard)
-	for range bounds.Pending + 2 { // more than may be silent
+	for range bounds.MaxPendingHandshakes + 2 { // more than may be silent
 		c, err := net.Dial("tcp", s.Address())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -26,7 +26,7 @@
 	if n == 0 {
 		return nil
 	}
-	if n > burstMost+c.bounds.Message {
+	if n > burstMost+c.bounds.MaxMessageBytes {
 		c.EndInput(fmt.Errorf("%w: %d bytes at once", ErrTooLarge, n), ws.StatusPolicyViolation)
 	}
 	in, err := r.Next(n)
@@ -42,7 +42,7 @@
 func (c *Conn) recover() {
 	if r := recover(); r != nil {
 		complaints.Add(1)
-		c.EndInput(fmt.Errorf("%w: panic: %v", ErrClosed, r), ws.StatusInternalServerError)
+		c.EndInput(fmt.Errorf("%w: panic: %v", ErrClosedLocally, r), ws.StatusInternalServerError)
 	}
 }
 
@@ -105,7 +105,7 @@
 		}
 		head := in[:end+4]
 		c.cameWhole()
-		if gate, ok := c.handler.(Gate); ok && c.server != nil && !c.server.silent.Load() {
+		if gate, ok := c.handler.(AdmissionHandler); ok && c.server != nil && !c.server.silent.Load() {
 			c.mu.Lock()
 			c.head = bytes.Clone(head)
 			c.mu.Unlock()
@@ -140,9 +140,9 @@
 			c.end(fmt.Errorf("%w: %v", ErrProtocol, err), ws.StatusProtocolError, err.Error())
 			return nil
 		}
-		if h.Length > int64(c.bounds.Message) || len(c.message)+int(h.Length) > c.bounds.Message {
-			c.end(fmt.Errorf("%w: over %d bytes", ErrTooLarge, c.bounds.Message), ws.StatusMessageTooBig,
-				fmt.Sprintf("over %d bytes", c.bounds.Message))
+		if h.Length > int64(c.bounds.MaxMessageBytes) || len(c.message)+int(h.Length) > c.bounds.MaxMessageBytes {
+			c.end(fmt.Errorf("%w: over %d bytes", ErrTooLarge, c.bounds.MaxMessageBytes), ws.StatusMessageTooBig,
+				fmt.Sprintf("over %d bytes", c.bounds.MaxMessageBytes))
 			return nil
 		}
 		if len(in) < size+int(h.Length) {
@@ -179,7 +179,7 @@
 	case ws.OpPong:
 	case ws.OpClose:
 		code, reason := ws.ParseCloseFrameData(payload)
-		c.end(fmt.Errorf("%w: %d %s", ErrPeer, code, reason), ws.StatusNormalClosure, "")
+		c.end(fmt.Errorf("%w: %d %s", ErrClosedByPeer, code, reason), ws.StatusNormalClosure, "")
 	case ws.OpBinary:
 		c.end(fmt.Errorf("%w: binary message", ErrProtocol), ws.StatusUnsupportedData, "text messages only")
 	default:
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -15,7 +15,7 @@
 // Server accepts WebSocket connections of one sub-protocol.
 type Server struct {
 	protocol string
-	bounds   Bounds
+	bounds   Limits
 	handler  Handler
 	listener net.Listener
 	loop     netpoll.EventLoop
@@ -27,11 +27,11 @@
 }
 
 // Serve listens at an address and hands connections to the handler until Close.
-func Serve(address, protocol string, bounds Bounds, handler Handler) (*Server, error) {
+func Serve(address, protocol string, bounds Limits, handler Handler) (*Server, error) {
 	return serve(address, protocol, nil, bounds, handler)
 }
 
-func serve(address, protocol string, split Split, bounds Bounds, handler Handler) (*Server, error) {
+func serve(address, protocol string, split SplitFunc, bounds Limits, handler Handler) (*Server, error) {
 	ln, err := listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("listen at %s: %w", address, err)
@@ -43,11 +43,11 @@
 		netpoll.WithOnPrepare(func(np netpoll.Connection) context.Context {
 			c := &Conn{np: newSocket(np), handler: handler, bounds: bounds, server: s, split: split, shook: split != nil, came: time.Now()}
 			n := s.pending.Add(1)
-			if split != nil && bounds.Pending > 0 && int(n) > bounds.Pending {
+			if split != nil && bounds.MaxPendingHandshakes > 0 && int(n) > bounds.MaxPendingHandshakes {
 				s.crowdOut()
 				n = 0
 			}
-			if s.refusing.Load() || bounds.Pending > 0 && int(n) > bounds.Pending {
+			if s.refusing.Load() || bounds.MaxPendingHandshakes > 0 && int(n) > bounds.MaxPendingHandshakes {
 				s.pending.Add(-1)
 				c.server = nil
 				if f, ok := np.(netpoll.Conn); ok {
@@ -56,10 +56,10 @@
 				np.Close()
 				return context.Background()
 			}
-			if f, ok := np.(netpoll.Conn); ok && bounds.Kernel > 0 {
+			if f, ok := np.(netpoll.Conn); ok && bounds.KernelBufferBytes > 0 {
 				// Left alone it grows to megabytes for a peer that asks for much and reads nothing. An error
 				// leaves it as it was.
-				unix.SetsockoptInt(f.Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, bounds.Kernel)
+				unix.SetsockoptInt(f.Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, bounds.KernelBufferBytes)
 			}
 			np.AddCloseCallback(c.closed)
 			c.mu.Lock()
@@ -68,8 +68,8 @@
 			s.mu.Lock()
 			s.conns[c] = true
 			s.mu.Unlock()
-			if bounds.Handshake > 0 {
-				c.cutoff = time.AfterFunc(bounds.Handshake, func() { s.expire(c) })
+			if bounds.HandshakeTimeout > 0 {
+				c.cutoff = time.AfterFunc(bounds.HandshakeTimeout, func() { s.expire(c) })
 			}
 			return context.WithValue(context.Background(), key{}, c)
 		}))
@@ -84,12 +84,12 @@
 // Address is where the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Silent makes the server take bytes and answer nothing of itself (handshakes, pings): half-open, as
+// SetSilent makes the server take bytes and answer nothing of itself (handshakes, pings): half-open, as
 // seen from the other side.
-func (s *Server) Silent(on bool) { s.silent.Store(on) }
+func (s *Server) SetSilent(on bool) { s.silent.Store(on) }
 
-// Refusing makes the server reset whoever connects, as a machine does on which nothing listens.
-func (s *Server) Refusing(on bool) { s.refusing.Store(on) }
+// SetRefusing makes the server reset whoever connects, as a machine does on which nothing listens.
+func (s *Server) SetRefusing(on bool) { s.refusing.Store(on) }
 
 // StopAccepting ends the listener and closes the connections on which nothing has come yet. Who connects from then on is
 // refused by the system.
@@ -97,7 +97,7 @@
 	s.listener.Close()
 	s.Each(func(c *Conn) {
 		if c.heard.Load() == 0 {
-			c.Cut()
+			c.Abort()
 		}
 	})
 }
@@ -119,9 +119,9 @@
 func (s *Server) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
-	s.Each((*Conn).Cut)
+	s.Each((*Conn).Abort)
 	s.loop.Shutdown(ctx)
-	s.Each((*Conn).Cut)
+	s.Each((*Conn).Abort)
 }
 
 func (s *Server) forget(c *Conn) {
@@ -133,6 +133,6 @@
 // expire ends a connection whose handshake took too long.
 func (s *Server) expire(c *Conn) {
 	if !c.whole.Load() {
-		c.turnAway(fmt.Errorf("not done within %v", s.bounds.Handshake))
+		c.turnAway(fmt.Errorf("not done within %v", s.bounds.HandshakeTimeout))
 	}
 }
--- a/internal/transport/stand_test.go
+++ b/internal/transport/stand_test.go
@@ -44,7 +44,7 @@
 	before := descriptors(t)
 	for range dials {
 		split := func(in []byte) (int, error) { return len(in), nil }
-		if _, err := DialPlain(ln.Addr().String(), time.Second, split, Bounds{Message: 100, Queue: 100}, h); err != nil {
+		if _, err := DialTCP(ln.Addr().String(), time.Second, split, Limits{MaxMessageBytes: 100, MaxQueuedBytes: 100}, h); err != nil {
 			t.Fatal(err)
 		}
 		select {
@@ -73,16 +73,16 @@
 	}
 	defer ln.Close()
 	split := func(in []byte) (int, error) { return len(in), nil }
-	c, err := DialPlain(ln.Addr().String(), time.Second, split, Bounds{Message: 100, Queue: 100}, quietHandler{make(chan struct{}, 1)})
+	c, err := DialTCP(ln.Addr().String(), time.Second, split, Limits{MaxMessageBytes: 100, MaxQueuedBytes: 100}, quietHandler{make(chan struct{}, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Cut()
-	if quiet := c.Quiet(); quiet < 0 || quiet > time.Minute {
+	defer c.Abort()
+	if quiet := c.ReadIdleTime(); quiet < 0 || quiet > time.Minute {
 		t.Fatalf("quiet for %v", quiet)
 	}
 	c.heard.Store(int64(monotonic() - time.Hour))
-	if quiet := c.Quiet(); quiet < time.Hour || quiet > time.Hour+time.Minute {
+	if quiet := c.ReadIdleTime(); quiet < time.Hour || quiet > time.Hour+time.Minute {
 		t.Fatalf("quiet for %v after an hour", quiet)
 	}
 	// A reading with a wall clock in it would be decades since 1970.
--- a/internal/transport/syscalls.go
+++ b/internal/transport/syscalls.go
@@ -43,9 +43,9 @@
 	return false
 }
 
-// IsLocal tells whether an error of a dial is trouble of this machine (descriptors, memory, ports, its own network) and so
+// IsLocalError tells whether an error of a dial is trouble of this machine (descriptors, memory, ports, its own network) and so
 // says nothing of the peer.
-func IsLocal(err error) bool {
+func IsLocalError(err error) bool {
 	for _, e := range []syscall.Errno{unix.EMFILE, unix.ENFILE, unix.EADDRNOTAVAIL, unix.EADDRINUSE, unix.ENETUNREACH, unix.ENETDOWN,
 		unix.ECONNABORTED, unix.EPERM, unix.EACCES} {
 		if errors.Is(err, e) {
@@ -68,7 +68,7 @@
 	began, pause := time.Now(), firstDialPause
 	for {
 		c, err := dial(within - time.Since(began))
-		if err == nil || !IsLocal(err) || time.Since(began)+pause > min(within, localTroubleMost) {
+		if err == nil || !IsLocalError(err) || time.Since(began)+pause > min(within, localTroubleMost) {
 			return c, err
 		}
 		time.Sleep(pause)
--- a/internal/transport/syscalls_test.go
+++ b/internal/transport/syscalls_test.go
@@ -100,14 +100,14 @@
 func TestAWriteThatStandsStillEnds(t *testing.T) {
 	inject(t, systemCalls{write: func(int, []byte) (int, error) { return -1, unix.ENOBUFS }})
 	bounds := plainBounds
-	bounds.Write = 100 * time.Millisecond
+	bounds.WriteTimeout = 100 * time.Millisecond
 	ended := &endedPlain{why: make(chan error, 1)}
 	c := plainPair(t, &heardPlain{}, ended, bounds)
 	began := time.Now()
 	c.Send([]byte("\x02a"), 7)
 	select {
 	case why := <-ended.why:
-		if took := time.Since(began); !errors.Is(why, ErrSlow) || took < bounds.Write {
+		if took := time.Since(began); !errors.Is(why, ErrSlowPeer) || took < bounds.WriteTimeout {
 			t.Fatalf("%v after %v", why, took)
 		}
 	case <-time.After(5 * time.Second):
@@ -134,7 +134,7 @@
 // Trouble of this machine while it connects passes: it is tried again within the time there is, and what is told in the
 // end is told from what a server says.
 func TestMomentaryTroubleWhileConnecting(t *testing.T) {
-	s, err := ServePlain("127.0.0.1:0", byLine, plainBounds, &heardPlain{})
+	s, err := ServeTCP("127.0.0.1:0", byLine, plainBounds, &heardPlain{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,14 +149,14 @@
 			}
 			return realCalls.dial(address, within)
 		}})
-		c, err := DialPlain(s.Address(), time.Second, byLine, plainBounds, &heardPlain{})
+		c, err := DialTCP(s.Address(), time.Second, byLine, plainBounds, &heardPlain{})
 		if err != nil {
 			t.Fatalf("%v three times: %v", fault, err)
 		}
-		c.Cut()
+		c.Abort()
 		inject(t, systemCalls{dial: func(string, time.Duration) (net.Conn, error) { return nil, failed() }})
 		began := time.Now()
-		if _, err := DialPlain(s.Address(), 50*time.Millisecond, byLine, plainBounds, &heardPlain{}); !IsLocal(err) {
+		if _, err := DialTCP(s.Address(), 50*time.Millisecond, byLine, plainBounds, &heardPlain{}); !IsLocalError(err) {
 			t.Fatalf("%v throughout is not told as trouble of this machine: %v", fault, err)
 		}
 		if took := time.Since(began); took > time.Second {
@@ -166,7 +166,7 @@
 	for _, fault := range []syscall.Errno{unix.ECONNREFUSED, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET} {
 		tries := 0
 		inject(t, systemCalls{dial: func(string, time.Duration) (net.Conn, error) { tries++; return nil, fault }})
-		if _, err := DialPlain(s.Address(), time.Second, byLine, plainBounds, &heardPlain{}); IsLocal(err) || !errors.Is(err, fault) || tries != 1 {
+		if _, err := DialTCP(s.Address(), time.Second, byLine, plainBounds, &heardPlain{}); IsLocalError(err) || !errors.Is(err, fault) || tries != 1 {
 			t.Fatalf("%v, which speaks of the server: %v after %d tries", fault, err, tries)
 		}
 	}
@@ -188,22 +188,22 @@
 				return realCalls.accept(descriptor)
 			}})
 			h := &heardPlain{echo: true}
-			s, err := ServePlain("127.0.0.1:0", byLine, plainBounds, h)
+			s, err := ServeTCP("127.0.0.1:0", byLine, plainBounds, h)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer s.Close()
 			for range 2 { // and again after it went well
-				before := Complaints()
+				before := InternalErrors()
 				until.Store(int64(monotonic() + trouble))
 				back := &heardPlain{}
-				c, err := DialPlain(s.Address(), time.Second, byLine, plainBounds, back)
+				c, err := DialTCP(s.Address(), time.Second, byLine, plainBounds, back)
 				if err != nil {
 					t.Fatal(err)
 				}
 				c.Send([]byte("\x02a"), 0)
 				back.wait(t, "no answer", func() bool { return len(back.said) == 1 })
-				if Complaints() == before {
+				if InternalErrors() == before {
 					t.Fatal("failed accepts are not counted")
 				}
 				if late := monotonic() - time.Duration(until.Load()); late > 200*time.Millisecond {
@@ -217,7 +217,7 @@
 // A server that is closed while accepting fails lets go of its listener's descriptor and leaves nothing behind.
 func TestCloseWhileAcceptFails(t *testing.T) {
 	inject(t, systemCalls{accept: func(int) (int, unix.Sockaddr, error) { return -1, nil, unix.ENFILE }})
-	s, err := ServePlain("127.0.0.1:0", byLine, plainBounds, &heardPlain{})
+	s, err := ServeTCP("127.0.0.1:0", byLine, plainBounds, &heardPlain{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,17 +238,17 @@
 
 // Who was dialled is known by its address, which the line on a malformed message tells.
 func TestADialledPeerIsKnown(t *testing.T) {
-	s, err := ServePlain("127.0.0.1:0", byLine, plainBounds, &heardPlain{})
+	s, err := ServeTCP("127.0.0.1:0", byLine, plainBounds, &heardPlain{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	c, err := DialPlain(s.Address(), time.Second, byLine, plainBounds, &heardPlain{})
+	c, err := DialTCP(s.Address(), time.Second, byLine, plainBounds, &heardPlain{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Cut()
-	if peer := c.Peer(); peer == nil || peer.String() != s.Address() {
+	defer c.Abort()
+	if peer := c.RemoteAddr(); peer == nil || peer.String() != s.Address() {
 		t.Fatalf("%v, dialled %s", peer, s.Address())
 	}
 }
@@ -284,7 +284,7 @@
 	if server.said[0] != "\x02b" || server.said[1] != "\x02c" {
 		t.Fatalf("%q", server.said)
 	}
-	if c.Withdraw(7) {
+	if c.CancelSend(7) {
 		t.Fatal("what was dropped is withdrawn too")
 	}
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -29,23 +29,23 @@
 	Closed(c *Conn, why error, unsent []uint64)
 }
 
-// Bounds are the limits of a connection.
-type Bounds struct {
-	Message   int           // bytes of a message that is read, fragments together
-	Queue     int           // bytes of messages that wait to be written
-	Write     time.Duration // longest that a write may stand still
-	Handshake time.Duration // longest that a handshake may take
-	Kernel    int           // bytes that the kernel may hold for a peer that does not read; 0: as the system does
-	Pending   int           // connections whose handshake has not come whole yet; more are reset. 0: no bound
+// Limits are the limits of a connection.
+type Limits struct {
+	MaxMessageBytes      int           // bytes of a message that is read, fragments together
+	MaxQueuedBytes       int           // bytes of messages that wait to be written
+	WriteTimeout         time.Duration // longest that a write may stand still
+	HandshakeTimeout     time.Duration // longest that a handshake may take
+	KernelBufferBytes    int           // bytes that the kernel may hold for a peer that does not read; 0: as the system does
+	MaxPendingHandshakes int           // connections whose handshake has not come whole yet; more are reset. 0: no bound
 }
 
 // Conn is a WebSocket connection.
 type Conn struct {
 	np      carrier
 	handler Handler
-	bounds  Bounds
-	client  bool  // this side dialled: it masks, its peer does not
-	split   Split // nil: WebSocket
+	bounds  Limits
+	client  bool      // this side dialled: it masks, its peer does not
+	split   SplitFunc // nil: WebSocket
 	came    time.Time
 	server  *Server
 	cookie  atomic.Value // the handler's own
@@ -77,23 +77,23 @@
 	heard   atomic.Int64 // when anything last came from the peer, by monotonic; 0: never
 }
 
-// Cookie is what SetCookie stored, nil before that.
-func (c *Conn) Cookie() any { return c.cookie.Load() }
+// UserData is what SetCookie stored, nil before that.
+func (c *Conn) UserData() any { return c.cookie.Load() }
 
-// SetCookie stores the handler's own record of the connection; always of the same type.
-func (c *Conn) SetCookie(cookie any) { c.cookie.Store(cookie) }
+// SetUserData stores the handler's own record of the connection; always of the same type.
+func (c *Conn) SetUserData(cookie any) { c.cookie.Store(cookie) }
 
-// Number is what SetNumber stored, 0 before that.
-func (c *Conn) Number() uint64 { return c.number.Load() }
+// ID is what SetNumber stored, 0 before that.
+func (c *Conn) ID() uint64 { return c.number.Load() }
 
-// SetNumber stores the handler's own number of the connection.
-func (c *Conn) SetNumber(n uint64) { c.number.Store(n) }
+// SetID stores the handler's own number of the connection.
+func (c *Conn) SetID(n uint64) { c.number.Store(n) }
 
-// Peer is the other side's address.
-func (c *Conn) Peer() net.Addr { return c.np.RemoteAddr() }
+// RemoteAddr is the other side's address.
+func (c *Conn) RemoteAddr() net.Addr { return c.np.RemoteAddr() }
 
-// Quiet is for how long nothing has come from the peer.
-func (c *Conn) Quiet() time.Duration { return monotonic() - time.Duration(c.heard.Load()) }
+// ReadIdleTime is for how long nothing has come from the peer.
+func (c *Conn) ReadIdleTime() time.Duration { return monotonic() - time.Duration(c.heard.Load()) }
 
 var programStart = time.Now()
 
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -50,7 +50,7 @@
 	return append([]string(nil), e.got...)
 }
 
-var bounds = Bounds{Message: 4096, Queue: 64 << 10, Write: 200 * time.Millisecond, Handshake: 300 * time.Millisecond}
+var bounds = Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 64 << 10, WriteTimeout: 200 * time.Millisecond, HandshakeTimeout: 300 * time.Millisecond}
 
 func start(t *testing.T, h Handler) *Server {
 	t.Helper()
@@ -201,13 +201,13 @@
 	}
 	select {
 	case why := <-server.closed:
-		if !errors.Is(why, ErrSlow) {
+		if !errors.Is(why, ErrSlowPeer) {
 			t.Fatal(why)
 		}
 	case <-time.After(5 * time.Second):
 		t.Fatal("still connected")
 	}
-	if len(server.unsent) == 0 || len(server.unsent) > bounds.Queue/4000+1 {
+	if len(server.unsent) == 0 || len(server.unsent) > bounds.MaxQueuedBytes/4000+1 {
 		t.Fatal(len(server.unsent))
 	}
 }
@@ -224,14 +224,14 @@
 	c.mu.Unlock()
 	c.Send([]byte("a"), 7)
 	c.Send([]byte("b"), 8)
-	if !c.Withdraw(7) || c.Withdraw(7) || c.Withdraw(9) {
+	if !c.CancelSend(7) || c.CancelSend(7) || c.CancelSend(9) {
 		t.Fatal("withdrawal")
 	}
 	go c.write()
 	if f, err := readFrame(r); err != nil || string(f.Payload) != "b" {
 		t.Fatal(f, err)
 	}
-	if c.Withdraw(8) {
+	if c.CancelSend(8) {
 		t.Fatal("withdrawn after it went out")
 	}
 }
@@ -282,12 +282,12 @@
 	if _, err := Dial(s.Address(), "other.v1", time.Second, bounds, newEcho(), nil); !errors.Is(err, ErrHandshake) {
 		t.Error(err)
 	}
-	s.Silent(true)
+	s.SetSilent(true)
 	if _, err := Dial(s.Address(), "test.v1", 100*time.Millisecond, bounds, newEcho(), nil); !errors.Is(err, ErrHandshake) {
 		t.Error(err)
 	}
-	s.Silent(false)
-	s.Refusing(true)
+	s.SetSilent(false)
+	s.SetRefusing(true)
 	if _, err := Dial(s.Address(), "test.v1", time.Second, bounds, newEcho(), nil); err == nil {
 		t.Error("connected to a machine that refuses")
 	}
@@ -301,10 +301,10 @@
 		t.Fatal(err)
 	}
 	(<-server.opened).Close(1013, "later")
-	if why := <-client.closed; !errors.Is(why, ErrPeer) || !strings.Contains(why.Error(), "1013 later") {
+	if why := <-client.closed; !errors.Is(why, ErrClosedByPeer) || !strings.Contains(why.Error(), "1013 later") {
 		t.Fatal(why)
 	}
-	if why := <-server.closed; !errors.Is(why, ErrClosed) {
+	if why := <-server.closed; !errors.Is(why, ErrClosedLocally) {
 		t.Fatal(why)
 	}
 	select {
@@ -348,14 +348,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := Complaints()
+	before := InternalErrors()
 	b.Send([]byte("trip"), 0)
 	select {
 	case <-bad.closed:
 	case <-time.After(5 * time.Second):
 		t.Fatal("the connection stands")
 	}
-	if Complaints() == before {
+	if InternalErrors() == before {
 		t.Fatal("nobody is told")
 	}
 	g.Send([]byte("well"), 0)
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -81,12 +81,12 @@
 	return c.put(frame{tag: tag, expires: monotonic() + within, body: c.frame(ws.OpText, message)}, false)
 }
 
-// Advise queues a message that may be dropped or overtaken: one with the same key that still waits is
+// SendReplaceable queues a message that may be dropped or overtaken: one with the same key that still waits is
 // replaced by it, and nothing is queued where half of the queue's bound is taken. It is for advice, which a
 // later one makes worthless; key 0 replaces nothing.
-func (c *Conn) Advise(message []byte, key uint64) {
+func (c *Conn) SendReplaceable(message []byte, key uint64) {
 	c.mu.Lock()
-	if c.queued*2 > c.bounds.Queue {
+	if c.queued*2 > c.bounds.MaxQueuedBytes {
 		c.mu.Unlock()
 		return
 	}
@@ -144,10 +144,10 @@
 			f = frame{body: f.body[n:]}
 		}
 	}
-	if c.queued+len(f.body) > c.bounds.Queue && !last {
+	if c.queued+len(f.body) > c.bounds.MaxQueuedBytes && !last {
 		queued := c.queued
 		c.mu.Unlock()
-		go c.fail(fmt.Errorf("%w: %d bytes wait", ErrSlow, queued))
+		go c.fail(fmt.Errorf("%w: %d bytes wait", ErrSlowPeer, queued))
 		return false
 	}
 	c.queue = append(c.queue, f)
@@ -165,14 +165,14 @@
 // boundClose makes the kernel give up on a peer that takes nothing, after the write time-out. It is called with the lock
 // held, before an orderly close.
 func (c *Conn) boundClose() {
-	if c.bounds.Write > 0 {
-		c.np.closeWithin(c.bounds.Write)
+	if c.bounds.WriteTimeout > 0 {
+		c.np.closeWithin(c.bounds.WriteTimeout)
 	}
 }
 
-// Withdraw takes a tagged message out of the queue. It says true if not one byte of it was handed to
+// CancelSend takes a tagged message out of the queue. It says true if not one byte of it was handed to
 // the kernel, and none ever will be.
-func (c *Conn) Withdraw(tag uint64) bool {
+func (c *Conn) CancelSend(tag uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, f := range c.queue {
@@ -207,8 +207,8 @@
 		case progress == frameWritten:
 			pause, since = firstWritePause, monotonic()
 			continue
-		case c.bounds.Write > 0 && monotonic()-since > c.bounds.Write:
-			c.fail(fmt.Errorf("%w: a write stood still for %v", ErrSlow, c.bounds.Write))
+		case c.bounds.WriteTimeout > 0 && monotonic()-since > c.bounds.WriteTimeout:
+			c.fail(fmt.Errorf("%w: a write stood still for %v", ErrSlowPeer, c.bounds.WriteTimeout))
 			return
 		case progress == someWritten:
 			pause = firstWritePause
