--- a/cmd/fordusher/import.go
+++ b/cmd/fordusher/import.go
@@ -58,7 +58,7 @@
 
 func (c *haproxyCommand) Run() error {
 	if c.Table {
-		fmt.Print(importer.Page())
+		fmt.Print(importer.RenderMappingTable())
 		return nil
 	}
 	if len(c.Files) == 0 {
@@ -92,11 +92,11 @@
 		if err != nil {
 			return err
 		}
-		earlier, err := importer.ReadEarlier(c.Against, text)
+		earlier, err := importer.ReadPreviousConfig(c.Against, text)
 		if err != nil {
 			return err
 		}
-		changes = result.Against(earlier)
+		changes = result.MergePrevious(earlier)
 		if c.Plan != "" {
 			if err := c.plan(text, result); err != nil {
 				return err
@@ -105,26 +105,26 @@
 	}
 	report := result.Report(changes)
 	if c.Out != "" {
-		if err := writeFile(c.Out, func(w io.Writer) error { return result.House(w, c.Files) }); err != nil {
+		if err := writeFile(c.Out, func(w io.Writer) error { return result.WriteConfig(w, c.Files) }); err != nil {
 			return err
 		}
 	}
-	form := report.Text
+	form := report.WriteText
 	if c.JSON {
-		form = report.JSON
+		form = report.WriteJSON
 	}
 	switch {
 	case c.Report != "":
 		if err := writeFile(c.Report, form); err != nil {
 			return err
 		}
-		fmt.Println(report.Total())
+		fmt.Println(report.Summary())
 	default:
 		if err := form(os.Stdout); err != nil {
 			return err
 		}
 	}
-	if !report.All() {
+	if !report.Complete() {
 		return errSkipped
 	}
 	return nil
@@ -163,7 +163,7 @@
 		return err
 	}
 	var b strings.Builder
-	if err := result.House(&b, c.Files); err != nil {
+	if err := result.WriteConfig(&b, c.Files); err != nil {
 		return err
 	}
 	name := c.Out
--- a/internal/importer/against.go
+++ b/internal/importer/against.go
@@ -11,27 +11,27 @@
 
 // A Change is what is different from an earlier import.
 type Change struct {
-	Node string `json:"node,omitempty"`
-	What string `json:"what"` // added, gone, a key of the node, or a key of the file
-	Was  string `json:"was,omitempty"`
-	Is   string `json:"is,omitempty"`
+	Node   string `json:"node,omitempty"`
+	What   string `json:"what"` // added, gone, a key of the node, or a key of the file
+	Before string `json:"was,omitempty"`
+	After  string `json:"is,omitempty"`
 }
 
 func (c Change) String() string {
 	switch {
 	case c.What == "added" || c.What == "gone":
-		return fmt.Sprintf("node %s %s (%s)", c.Node, c.What, c.Was+c.Is)
+		return fmt.Sprintf("node %s %s (%s)", c.Node, c.What, c.Before+c.After)
 	case c.Node != "":
-		return fmt.Sprintf("node %s: %s was %s, is %s", c.Node, c.What, c.Was, c.Is)
+		return fmt.Sprintf("node %s: %s was %s, is %s", c.Node, c.What, c.Before, c.After)
 	}
-	return fmt.Sprintf("%s: was %s, is %s", c.What, c.Was, c.Is)
+	return fmt.Sprintf("%s: was %s, is %s", c.What, c.Before, c.After)
 }
 
-// An Earlier is a director's file that was imported before and filled in since.
-type Earlier struct{ tree *tree }
+// An PreviousConfig is a director's file that was imported before and filled in since.
+type PreviousConfig struct{ tree *tree }
 
-// ReadEarlier reads it; what is wrong with it comes back as conf.Problems.
-func ReadEarlier(file string, text []byte) (*Earlier, error) {
+// ReadPreviousConfig reads it; what is wrong with it comes back as conf.Problems.
+func ReadPreviousConfig(file string, text []byte) (*PreviousConfig, error) {
 	r, o := conf.Parse(file, text)
 	if err := r.Err(); err != nil {
 		return nil, err
@@ -44,29 +44,29 @@
 	if err != nil {
 		return nil, err // conf.Parse has read it already
 	}
-	return &Earlier{fromJSON(v)}, nil
+	return &PreviousConfig{fromJSON(v)}, nil
 }
 
-// Against fills the blanks of an import with what the earlier file has, and tells what changed. What HAProxy
+// MergePrevious fills the blanks of an import with what the earlier file has, and tells what changed. What HAProxy
 // or the overlay say now stands over what the earlier file says; all else of it is kept.
-func (r *Result) Against(e *Earlier) (changes []Change) {
+func (r *Result) MergePrevious(e *PreviousConfig) (changes []Change) {
 	was, is := e.tree.at("nodes"), r.tree.at("nodes")
 	for _, name := range is.keys {
 		now, before := is.kids[name], was.at(name)
 		if before == nil {
-			changes = append(changes, Change{Node: name, What: "added", Is: text(now.at("address"))})
+			changes = append(changes, Change{Node: name, What: "added", After: text(now.at("address"))})
 			continue
 		}
 		now.fill(before)
 		for _, k := range now.keys {
 			if a, b := text(before.at(k)), text(now.at(k)); a != b {
-				changes = append(changes, Change{Node: name, What: k, Was: a, Is: b})
+				changes = append(changes, Change{Node: name, What: k, Before: a, After: b})
 			}
 		}
 	}
 	for _, name := range was.keys {
 		if is.at(name) == nil {
-			changes = append(changes, Change{Node: name, What: "gone", Was: text(was.at(name, "address"))})
+			changes = append(changes, Change{Node: name, What: "gone", Before: text(was.at(name, "address"))})
 		}
 	}
 	nodes := r.tree.kids["nodes"]
@@ -105,7 +105,7 @@
 		case a.kids != nil && b.kids != nil:
 			differ(a, b, key, changes)
 		case a.kids == nil && b.kids == nil && a.leaf != b.leaf:
-			*changes = append(*changes, Change{What: key, Was: a.leaf, Is: b.leaf})
+			*changes = append(*changes, Change{What: key, Before: a.leaf, After: b.leaf})
 		}
 	}
 }
--- a/internal/importer/carry.go
+++ b/internal/importer/carry.go
@@ -176,7 +176,7 @@
 	l := s.Line
 	if o, is := s.Options["backup"]; is {
 		row := lookup("server", "backup")
-		l.Skip(o.Name, row.Why, row.Advice)
+		l.Skip(o.Name, row.Reason, row.Advice)
 		return nil, false
 	}
 	if _, is := s.Options["disabled"]; is {
@@ -272,7 +272,7 @@
 		}
 		if blank := s.High - s.Low + 1 - made; blank > 0 {
 			row := lookup("proxy", "server-template")
-			l.Skip(fmt.Sprintf("%d of %d", blank, s.High-s.Low+1), row.Why, row.Advice)
+			l.Skip(fmt.Sprintf("%d of %d", blank, s.High-s.Low+1), row.Reason, row.Advice)
 		}
 		if made == 0 {
 			return nil, false
@@ -296,14 +296,14 @@
 func (w *work) word(l *haproxy.Line, o haproxy.Option) {
 	row := lookup("server", o.Name)
 	switch {
-	case row.Key == "":
-		l.Skip(o.String(), row.Why, row.Advice)
+	case row.ConfigKey == "":
+		l.Skip(o.String(), row.Reason, row.Advice)
 	case o.Name == "weight" && o.Arg() == "0":
 		l.Carry(o.String(), "nodes.NAME.state (draining: sessions there go on, no new ones)")
 	case o.Name == "slowstart" && w.noWarmup != "":
 		l.Skip(o.String(), w.noWarmup, row.Advice)
 	default:
-		l.Carry(o.String(), row.Key)
+		l.Carry(o.String(), row.ConfigKey)
 	}
 }
 
@@ -468,7 +468,7 @@
 			l.Skip("", why, row.Advice)
 			continue
 		}
-		l.Carry("", row.Key)
+		l.Carry("", row.ConfigKey)
 		w.out.set(value(address), "listen")
 	}
 	most := 0
@@ -502,7 +502,7 @@
 			x.Line.Ignore("the process takes fewer")
 		default:
 			most = n
-			x.Line.Carry("", row.Key)
+			x.Line.Carry("", row.ConfigKey)
 		}
 	}
 	if most > 0 {
@@ -561,10 +561,10 @@
 		}
 		if where == "section" {
 			row := lookup("section", s.Kind)
-			head.Skip("", row.Why, row.Advice)
+			head.Skip("", row.Reason, row.Advice)
 			for _, l := range s.Lines {
 				if !l.Accounted() {
-					l.Skip("", row.Why, row.Advice)
+					l.Skip("", row.Reason, row.Advice)
 				}
 			}
 			continue
@@ -583,18 +583,18 @@
 				w.defaults(l)
 			case name == "disabled" || name == "enabled":
 				l.Ignore("the proxy is not disabled by it in the end")
-			case row.Key != "" && !inForce[l]:
+			case row.ConfigKey != "" && !inForce[l]:
 				l.Ignore("no proxy that is left has it in force")
-			case row.Key != "":
-				l.Skip("", "not where it has this meaning: "+row.Why, row.Advice)
+			case row.ConfigKey != "":
+				l.Skip("", "not where it has this meaning: "+row.Reason, row.Advice)
 			default:
-				l.Skip("", row.Why, row.Advice)
+				l.Skip("", row.Reason, row.Advice)
 			}
 		}
 	}
 	for _, l := range w.files.Lines { // what is left is a fault of the importer, and is told as such
 		if !l.Accounted() {
-			l.Skip("", unknownRow.Why, unknownRow.Advice)
+			l.Skip("", unknownRow.Reason, unknownRow.Advice)
 		}
 	}
 }
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -159,7 +159,7 @@
 	}
 	var b strings.Builder
 	r := run(t, string(text), string(with))
-	if err := r.House(&b, []string{"hall.cfg"}); err != nil {
+	if err := r.WriteConfig(&b, []string{"hall.cfg"}); err != nil {
 		t.Fatal(err)
 	}
 	h, err := conf.Decode("d.json", []byte(b.String()))
@@ -171,7 +171,7 @@
 	}
 	b.Reset()
 	bare := run(t, string(text), "")
-	if err := bare.House(&b, []string{"hall.cfg"}); err != nil {
+	if err := bare.WriteConfig(&b, []string{"hall.cfg"}); err != nil {
 		t.Fatal(err)
 	}
 	_, err = conf.Decode("d.json", []byte(b.String()))
@@ -189,15 +189,15 @@
 func TestAgainst(t *testing.T) {
 	first := run(t, "backend b\n timeout connect 1s\n server a h:1\n server c h:2\n server d h:3 weight 2", "")
 	var b strings.Builder
-	first.House(&b, nil)
+	first.WriteConfig(&b, nil)
 	filled := strings.NewReplacer(`"cell": null`, `"cell": 4`, `"name": null`, `"name": "me"`, `"cells": null`, `"cells": 8`).Replace(b.String())
 	filled = strings.Replace(filled, `"manners": {`, `"closing": {"within": "3s"}, "manners": {"linger": "9s", `, 1)
-	e, err := ReadEarlier("old.json", []byte(filled))
+	e, err := ReadPreviousConfig("old.json", []byte(filled))
 	if err != nil {
 		t.Fatal(err)
 	}
 	second := run(t, "backend b\n timeout connect 2s\n server a h:1 weight 0\n server d h:3 weight 5\n server n h:9", "")
-	changes := second.Against(e)
+	changes := second.MergePrevious(e)
 	var got []string
 	for _, c := range changes {
 		got = append(got, c.String())
@@ -248,15 +248,15 @@
 		t.Fatal(report.Totals)
 	}
 	for i, l := range report.Lines {
-		if l.Line != i+1 || l.Outcome == haproxy.Skipped && len(l.Notes) == 0 || l.Outcome == haproxy.Ignored && l.Why == "" {
+		if l.Line != i+1 || l.Outcome == haproxy.Skipped && len(l.Notes) == 0 || l.Outcome == haproxy.Ignored && l.Reason == "" {
 			t.Fatalf("%+v", l)
 		}
 	}
 	var b strings.Builder
-	if err := result.House(&b, nil); err != nil {
+	if err := result.WriteConfig(&b, nil); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadEarlier("again", []byte(b.String())); err != nil {
+	if _, err := ReadPreviousConfig("again", []byte(b.String())); err != nil {
 		t.Fatalf("what was written can't be read: %v\n%s", err, b.String())
 	}
 }
@@ -313,7 +313,7 @@
 				if len(r.Nodes) != size.servers {
 					b.Fatal(len(r.Nodes))
 				}
-				if err := r.Report(nil).Text(&strings.Builder{}); err != nil {
+				if err := r.Report(nil).WriteText(&strings.Builder{}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -327,7 +327,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(string(page), strings.TrimRight(Page(), "\n")) {
+	if !strings.Contains(string(page), strings.TrimRight(RenderMappingTable(), "\n")) {
 		t.Error("docs/import-haproxy.md has another table: put in what `fordusher import haproxy --table` prints")
 	}
 }
--- a/internal/importer/mapping.go
+++ b/internal/importer/mapping.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// A Row says what becomes of one keyword. Docs and code have the same table: docs/import-haproxy.md is
+// A KeywordMapping says what becomes of one keyword. Docs and code have the same table: docs/import-haproxy.md is
 // written by the program.
-type Row struct {
-	Where   string // global, proxy (defaults, frontend, backend, listen), server, section
-	Keyword string // several with the same fate are separated by spaces; a trailing * stands for any rest
-	Key     string // where it is carried to; empty: never
-	Why     string // the reason, and the condition where it is carried
-	Advice  string // what the operator can do where it is not
+type KeywordMapping struct {
+	Scope     string // global, proxy (defaults, frontend, backend, listen), server, section
+	Keyword   string // several with the same fate are separated by spaces; a trailing * stands for any rest
+	ConfigKey string // where it is carried to; empty: never
+	Reason    string // the reason, and the condition where it is carried
+	Advice    string // what the operator can do where it is not
 }
 
 // The reasons that many rows share.
@@ -30,8 +30,8 @@
 	rule2      = "rule 2 (paid set-ups): what may have run is never sent again, and this sends it again"
 )
 
-// Table is the mapping, the first row that fits counts.
-var Table = []Row{
+// KeywordMappings is the mapping, the first row that fits counts.
+var KeywordMappings = []KeywordMapping{
 	{"server", "weight", "nodes.NAME.weight", "0 to 256: the size of the node's link in units of fleet.link_unit; 0 is carried as draining: no new sessions, those there go on", ""},
 	{"server", "disabled enabled", "nodes.NAME", "a disabled server is left out; a planned change removes it", ""},
 	{"server", "maxconn", "fleet.machines", "sessions that it runs at most: its kind of machine has so many places; 0 means no limit and leaves the places blank", ""},
@@ -89,21 +89,21 @@
 }
 
 // unknownRow is for what no row knows.
-var unknownRow = Row{Why: "not known to the importer: nothing was guessed", Advice: "look it up in HAProxy's manual, and set what it means here by hand"}
+var unknownRow = KeywordMapping{Reason: "not known to the importer: nothing was guessed", Advice: "look it up in HAProxy's manual, and set what it means here by hand"}
 
 // patterns are the rows' keywords, taken apart once.
 var patterns = func() (all [][]string) {
-	for _, r := range Table {
+	for _, r := range KeywordMappings {
 		all = append(all, r.keywords())
 	}
 	return all
 }()
 
 // lookup finds the row of a keyword.
-func lookup(where, keyword string) Row {
-	for i := range Table {
-		if Table[i].Where == where && fits(patterns[i], keyword) {
-			return Table[i]
+func lookup(where, keyword string) KeywordMapping {
+	for i := range KeywordMappings {
+		if KeywordMappings[i].Scope == where && fits(patterns[i], keyword) {
+			return KeywordMappings[i]
 		}
 	}
 	return unknownRow
@@ -122,7 +122,7 @@
 }
 
 // keywords takes a row's list apart: "option" and "timeout" belong to the word behind them.
-func (r Row) keywords() (all []string) {
+func (r KeywordMapping) keywords() (all []string) {
 	words := strings.Fields(r.Keyword)
 	for i := 0; i < len(words); i++ {
 		if (words[i] == "option" || words[i] == "timeout") && i+1 < len(words) {
@@ -135,20 +135,20 @@
 	return all
 }
 
-// Page renders the table for docs/import-haproxy.md.
-func Page() string {
+// RenderMappingTable renders the table for docs/import-haproxy.md.
+func RenderMappingTable() string {
 	var b strings.Builder
 	for _, where := range []string{"server", "proxy", "global", "section"} {
 		title := map[string]string{"server": "On a server (and on default-server)", "proxy": "In defaults, frontend, backend and listen",
 			"global": "In global", "section": "Whole sections"}[where]
 		fmt.Fprintf(&b, "### %s\n\n| keyword | carried to | reason, and condition |\n| --- | --- | --- |\n", title)
-		for _, r := range Table {
-			if r.Where != where {
+		for _, r := range KeywordMappings {
+			if r.Scope != where {
 				continue
 			}
 			words := r.keywords()
 			slices.Sort(words)
-			key, why := r.Key, r.Why
+			key, why := r.ConfigKey, r.Reason
 			if key == "" {
 				key = "never"
 			} else {
--- a/internal/importer/report.go
+++ b/internal/importer/report.go
@@ -13,7 +13,7 @@
 type ReportLine struct {
 	haproxy.Place
 	Outcome haproxy.Outcome `json:"outcome"`
-	Why     string          `json:"why,omitempty"` // of an ignored line
+	Reason  string          `json:"why,omitempty"` // of an ignored line
 	Notes   []haproxy.Note  `json:"notes,omitempty"`
 }
 
@@ -22,7 +22,7 @@
 	Totals      map[haproxy.Outcome]int `json:"totals"`
 	Nodes       int                     `json:"nodes"`
 	Lines       []ReportLine            `json:"lines"`
-	Blanks      []string                `json:"blanks,omitempty"` // keys that are to be filled in
+	MissingKeys []string                `json:"blanks,omitempty"` // keys that are to be filled in
 	Warnings    []string                `json:"warnings,omitempty"`
 	Suggestions []string                `json:"suggestions,omitempty"`
 	Changes     []Change                `json:"changes,omitempty"`
@@ -31,7 +31,7 @@
 // Report sums an import up.
 func (r *Result) Report(changes []Change) *Report {
 	p := &Report{Totals: map[haproxy.Outcome]int{haproxy.Carried: 0, haproxy.Partly: 0, haproxy.Skipped: 0, haproxy.Ignored: 0}, Nodes: len(r.Nodes),
-		Blanks: r.tree.blanks(""), Warnings: r.Warnings, Suggestions: r.Suggestions, Changes: changes}
+		MissingKeys: r.tree.blanks(""), Warnings: r.Warnings, Suggestions: r.Suggestions, Changes: changes}
 	for _, l := range r.Files.Lines {
 		outcome, why := l.Outcome()
 		p.Totals[outcome]++
@@ -40,24 +40,24 @@
 	return p
 }
 
-// All tells whether nothing was skipped.
-func (p *Report) All() bool { return p.Totals[haproxy.Skipped]+p.Totals[haproxy.Partly] == 0 }
+// Complete tells whether nothing was skipped.
+func (p *Report) Complete() bool { return p.Totals[haproxy.Skipped]+p.Totals[haproxy.Partly] == 0 }
 
-// JSON writes the report for scripts.
-func (p *Report) JSON(w io.Writer) error {
+// WriteJSON writes the report for scripts.
+func (p *Report) WriteJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
 	return e.Encode(p)
 }
 
-// Total is the report in one line.
-func (p *Report) Total() string {
+// Summary is the report in one line.
+func (p *Report) Summary() string {
 	return fmt.Sprintf("%d lines: %d carried, %d partly, %d skipped, %d ignored by rule; %d nodes; %d blanks to fill in", len(p.Lines), p.Totals[haproxy.Carried],
-		p.Totals[haproxy.Partly], p.Totals[haproxy.Skipped], p.Totals[haproxy.Ignored], p.Nodes, len(p.Blanks))
+		p.Totals[haproxy.Partly], p.Totals[haproxy.Skipped], p.Totals[haproxy.Ignored], p.Nodes, len(p.MissingKeys))
 }
 
-// Text writes the report for people.
-func (p *Report) Text(w io.Writer) error {
+// WriteText writes the report for people.
+func (p *Report) WriteText(w io.Writer) error {
 	var b strings.Builder
 	section := func(title string, lines []string) {
 		if len(lines) == 0 {
@@ -68,20 +68,20 @@
 			fmt.Fprintf(&b, "  %s\n", l)
 		}
 	}
-	fmt.Fprintln(&b, p.Total())
+	fmt.Fprintln(&b, p.Summary())
 	section("Look at these first:", p.Warnings)
 	var changes []string
 	for _, c := range p.Changes {
 		changes = append(changes, c.String())
 	}
 	section("Changed since:", changes)
-	section("To be filled in (fordusher check names each with its line):", p.Blanks)
+	section("To be filled in (fordusher check names each with its line):", p.MissingKeys)
 	section("Suggestions, none of them applied:", p.Suggestions)
 	b.WriteString("\nEvery line:\n")
 	for _, l := range p.Lines {
 		fmt.Fprintf(&b, "  %s: %s", l.Place, l.Outcome)
-		if l.Why != "" {
-			b.WriteString(": " + l.Why)
+		if l.Reason != "" {
+			b.WriteString(": " + l.Reason)
 		}
 		for i, n := range l.Notes {
 			if i == 0 {
@@ -107,8 +107,8 @@
 	return err
 }
 
-// House writes the director's file.
-func (r *Result) House(w io.Writer, inputs []string) error {
+// WriteConfig writes the director's file.
+func (r *Result) WriteConfig(w io.Writer, inputs []string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "// Imported from %s. null stands for what has to be filled in.\n", strings.Join(inputs, ", "))
 	r.tree.write(&b, "")
