--- a/cmd/fordusher/import.go
+++ b/cmd/fordusher/import.go
@@ -67,7 +67,7 @@
 	if c.Plan != "" && c.Against == "" {
 		return badInput{errors.New("--plan needs --against: a plan leads from one file to another")}
 	}
-	r := haproxy.Reader{Env: c.Env, Version: c.Version}
+	r := haproxy.Reader{Variables: c.Env, Version: c.Version}
 	files, err := r.ReadPaths(c.Files...)
 	if err != nil {
 		return unreadable(err)
@@ -136,7 +136,7 @@
 func (b badInput) Unwrap() error { return b.error }
 
 func unreadable(err error) error {
-	var u *haproxy.Unreadable
+	var u *haproxy.SyntaxError
 	if errors.As(err, &u) {
 		return badInput{err}
 	}
--- a/internal/haproxy/cond.go
+++ b/internal/haproxy/cond.go
@@ -36,7 +36,7 @@
 type condition struct {
 	s       string
 	at      int
-	env     Environment
+	env     Variables
 	version string   // of the HAProxy that the file was written for; empty: not told
 	why     []string // what could not be told
 	depth   int
@@ -46,7 +46,7 @@
 const depthMost = 64
 
 // evaluate tells a condition's truth and, where that can't be told, why.
-func evaluate(text string, env Environment, version string) (t truth, why string, err error) {
+func evaluate(text string, env Variables, version string) (t truth, why string, err error) {
 	c := &condition{s: text, env: env, version: version}
 	if t, err = c.or(); err != nil {
 		return unknown, "", err
--- a/internal/haproxy/proxy.go
+++ b/internal/haproxy/proxy.go
@@ -9,9 +9,9 @@
 
 // A Setting is what a proxy's keyword is set to, and the line that sets it.
 type Setting struct {
-	Line *Line
-	Args []string
-	Off  bool // set to off by "no"
+	Line    *Line
+	Args    []string
+	Negated bool // set to off by "no"
 }
 
 // An Option is a keyword of a server with its arguments.
@@ -33,19 +33,19 @@
 
 // A Server is a server of a proxy, or a template of many.
 type Server struct {
-	Line     *Line
-	Name     string // of a template: its prefix
-	Low      int    // of a template: its numbers
-	High     int
-	Template bool
-	Text     string // its address
-	Address  Address
-	Own      []Option          // as they stand on its line
-	Options  map[string]Option // in force: its own over those of default-server above it
+	Line        *Line
+	Name        string // of a template: its prefix
+	FirstNumber int    // of a template: its numbers
+	LastNumber  int
+	Template    bool
+	AddressText string // its address
+	Address     Address
+	OwnOptions  []Option          // as they stand on its line
+	Options     map[string]Option // in force: its own over those of default-server above it
 }
 
-// Number reads an option that is a whole number; ok is false where the server has none.
-func (s *Server) Number(name string, least, most int) (n int, o Option, ok bool, err error) {
+// Int reads an option that is a whole number; ok is false where the server has none.
+func (s *Server) Int(name string, least, most int) (n int, o Option, ok bool, err error) {
 	o, ok = s.Options[name]
 	if ok {
 		n, err = whole(o.Arg(), least, most)
@@ -53,8 +53,8 @@
 	return n, o, ok, err
 }
 
-// Span reads an option that is a time.
-func (s *Server) Span(name string) (d time.Duration, o Option, ok bool, err error) {
+// Duration reads an option that is a time.
+func (s *Server) Duration(name string) (d time.Duration, o Option, ok bool, err error) {
 	o, ok = s.Options[name]
 	if ok {
 		d, err = span(o.Arg())
@@ -62,16 +62,16 @@
 	return d, o, ok, err
 }
 
-// Span reads a setting that is a time.
-func (s *Setting) Span() (time.Duration, error) {
+// Duration reads a setting that is a time.
+func (s *Setting) Duration() (time.Duration, error) {
 	if len(s.Args) == 0 {
 		return 0, fmt.Errorf("no value")
 	}
 	return span(s.Args[0])
 }
 
-// Number reads a setting that is a whole number.
-func (s *Setting) Number(least, most int) (int, error) {
+// Int reads a setting that is a whole number.
+func (s *Setting) Int(least, most int) (int, error) {
 	if len(s.Args) == 0 {
 		return 0, fmt.Errorf("no value")
 	}
@@ -87,8 +87,8 @@
 	defaults []Option // of default-server, in force for servers that follow
 }
 
-// Takes tells whether servers of this proxy are servers of clients: not those that logs go to.
-func (p *Proxy) Takes() bool {
+// ServesClients tells whether servers of this proxy are servers of clients: not those that logs go to.
+func (p *Proxy) ServesClients() bool {
 	m := p.Settings["mode"]
 	return p.Kind != "frontend" && (m == nil || len(m.Args) == 0 || m.Args[0] != "log" && m.Args[0] != "spop")
 }
@@ -118,7 +118,7 @@
 
 // Proxies works out what every proxy's settings are: defaults first (those that it names with from, else
 // the last ones above it), then its own lines in their order, the later over the earlier.
-func (f *Files) Proxies() ([]*Proxy, error) {
+func (f *Config) Proxies() ([]*Proxy, error) {
 	var all []*Proxy
 	named := map[string]*Proxy{}
 	var last *Proxy
@@ -134,7 +134,7 @@
 		}
 		if s.From != "" {
 			if from = named[s.From]; from == nil {
-				return nil, &Unreadable{s.Head.Place, fmt.Sprintf("no defaults section %q above", s.From)}
+				return nil, &SyntaxError{s.Head.Position, fmt.Sprintf("no defaults section %q above", s.From)}
 			}
 		}
 		if from != nil {
@@ -161,7 +161,7 @@
 
 // line takes one line of a section. What is wrong with a server stays with its line, as a note.
 func (p *Proxy) line(l *Line) {
-	if len(l.Missing) > 0 {
+	if len(l.UnsetVariables) > 0 {
 		return // what it says is not known
 	}
 	name, args, off := keyword(l)
@@ -173,7 +173,7 @@
 	case "default-server":
 		options, unknown := parseOptions(l, 1)
 		if unknown >= 0 {
-			l.Skip(l.Rest(unknown), fmt.Sprintf("%q (column %d) is not known here, so what follows can't be read for sure", l.Text(unknown), l.Words[unknown].Col),
+			l.MarkSkipped(l.JoinFrom(unknown), fmt.Sprintf("%q (column %d) is not known here, so what follows can't be read for sure", l.WordAt(unknown), l.Words[unknown].Col),
 				"take it off this line and import again")
 		}
 		p.defaults = append(p.defaults, options...)
@@ -185,7 +185,7 @@
 		if off && name == "timeout" {
 			return
 		}
-		p.Settings[name] = &Setting{Line: l, Args: args, Off: off}
+		p.Settings[name] = &Setting{Line: l, Args: args, Negated: off}
 	}
 }
 
@@ -197,35 +197,35 @@
 		need = 4
 	}
 	if len(l.Words) < need {
-		l.Skip("", "HAProxy refuses a server without name and address", "")
+		l.MarkSkipped("", "HAProxy refuses a server without name and address", "")
 		return nil
 	}
-	s.Name, s.Text = l.Text(1), l.Text(need-1)
+	s.Name, s.AddressText = l.WordAt(1), l.WordAt(need-1)
 	var err error
 	if template {
-		low, high, isRange := strings.Cut(l.Text(2), "-")
+		low, high, isRange := strings.Cut(l.WordAt(2), "-")
 		if !isRange {
 			low, high = "1", low
 		}
-		if s.Low, err = whole(low, 0, 1e6); err == nil {
-			s.High, err = whole(high, s.Low, 1e6)
+		if s.FirstNumber, err = whole(low, 0, 1e6); err == nil {
+			s.LastNumber, err = whole(high, s.FirstNumber, 1e6)
 		}
 		if err != nil {
-			l.Skip("", "numbers of the template: "+err.Error(), "")
+			l.MarkSkipped("", "numbers of the template: "+err.Error(), "")
 			return nil
 		}
 	}
-	if s.Address, err = address(s.Text); err != nil {
-		l.Skip("", "address: "+err.Error(), "")
+	if s.Address, err = address(s.AddressText); err != nil {
+		l.MarkSkipped("", "address: "+err.Error(), "")
 		return nil
 	}
 	options, unknown := parseOptions(l, need)
 	if unknown >= 0 {
-		l.Skip("", fmt.Sprintf("%q (column %d) is not known here, so what follows it can't be read for sure", l.Text(unknown), l.Words[unknown].Col),
+		l.MarkSkipped("", fmt.Sprintf("%q (column %d) is not known here, so what follows it can't be read for sure", l.WordAt(unknown), l.Words[unknown].Col),
 			"take it off this line and import again, or list this node by hand")
 		return nil
 	}
-	s.Own = options
+	s.OwnOptions = options
 	for _, o := range append(slices.Clone(p.defaults), options...) {
 		set, off := o.Name, false
 		if rest, ok := strings.CutPrefix(o.Name, "no-"); ok {
@@ -289,8 +289,8 @@
 	return options, -1
 }
 
-// Options are the keywords of a default-server's line, as far as they can be read.
-func Options(l *Line) []Option {
+// DefaultServerOptions are the keywords of a default-server's line, as far as they can be read.
+func DefaultServerOptions(l *Line) []Option {
 	options, _ := parseOptions(l, 1)
 	return options
 }
--- a/internal/haproxy/read.go
+++ b/internal/haproxy/read.go
@@ -15,42 +15,44 @@
 
 // The outcomes. A line of which one part was carried over and another was not is Partly.
 const (
-	Carried Outcome = "carried"
-	Partly  Outcome = "partly"
-	Skipped Outcome = "skipped"
-	Ignored Outcome = "ignored"
+	Carried       Outcome = "carried"
+	PartlyCarried Outcome = "partly"
+	Skipped       Outcome = "skipped"
+	Ignored       Outcome = "ignored"
 )
 
 // A Note is one thing that became of a line, or of some of its words.
 type Note struct {
-	What   string `json:"what,omitempty"` // the words that it is about; empty: the line
-	Key    string `json:"key,omitempty"`  // where it was carried to
-	Why    string `json:"why,omitempty"`
-	Advice string `json:"advice,omitempty"` // what the operator can do
+	Subject string `json:"what,omitempty"` // the words that it is about; empty: the line
+	Key     string `json:"key,omitempty"`  // where it was carried to
+	Reason  string `json:"why,omitempty"`
+	Advice  string `json:"advice,omitempty"` // what the operator can do
 }
 
 // A Line is a physical line of an input.
 type Line struct {
-	Place
-	Words   []Word
-	Missing []string // variables without a value
-	Notes   []Note
-	ignored string
+	Position
+	Words          []Word
+	UnsetVariables []string // variables without a value
+	Notes          []Note
+	ignored        string
 }
 
-// Carry notes that words of the line were carried over to a key of the result.
-func (l *Line) Carry(what, key string) { l.Notes = append(l.Notes, Note{What: what, Key: key}) }
+// MarkCarried notes that words of the line were carried over to a key of the result.
+func (l *Line) MarkCarried(what, key string) {
+	l.Notes = append(l.Notes, Note{Subject: what, Key: key})
+}
 
-// Skip notes that words of the line were not carried over.
-func (l *Line) Skip(what, why, advice string) {
-	l.Notes = append(l.Notes, Note{What: what, Why: why, Advice: advice})
+// MarkSkipped notes that words of the line were not carried over.
+func (l *Line) MarkSkipped(what, why, advice string) {
+	l.Notes = append(l.Notes, Note{Subject: what, Reason: why, Advice: advice})
 }
 
-// Ignore notes that a rule leaves the line out: it means nothing.
-func (l *Line) Ignore(why string) { l.ignored = why }
+// MarkIgnored notes that a rule leaves the line out: it means nothing.
+func (l *Line) MarkIgnored(why string) { l.ignored = why }
 
-// Accounted tells whether anything was noted of the line.
-func (l *Line) Accounted() bool { return l.ignored != "" || len(l.Notes) > 0 }
+// HasOutcome tells whether anything was noted of the line.
+func (l *Line) HasOutcome() bool { return l.ignored != "" || len(l.Notes) > 0 }
 
 // Outcome sums up what was noted. A line that nobody has looked at counts as skipped.
 func (l *Line) Outcome() (Outcome, string) {
@@ -64,7 +66,7 @@
 	}
 	switch {
 	case carried > 0 && skipped > 0:
-		return Partly, ""
+		return PartlyCarried, ""
 	case carried > 0:
 		return Carried, ""
 	case skipped == 0 && l.ignored != "":
@@ -73,16 +75,16 @@
 	return Skipped, ""
 }
 
-// Text is a word of the line, empty where there is none.
-func (l *Line) Text(i int) string {
+// WordAt is a word of the line, empty where there is none.
+func (l *Line) WordAt(i int) string {
 	if i < len(l.Words) {
 		return l.Words[i].Text
 	}
 	return ""
 }
 
-// Rest are the words from one on.
-func (l *Line) Rest(i int) string {
+// JoinFrom are the words from one on.
+func (l *Line) JoinFrom(i int) string {
 	var all []string
 	for ; i < len(l.Words); i++ {
 		all = append(all, l.Words[i].Text)
@@ -97,36 +99,36 @@
 	Lines            []*Line // without the head
 }
 
-// Sections are those that the manual knows.
-var Sections = []string{"global", "defaults", "frontend", "backend", "listen", "peers", "resolvers", "userlist", "cache", "mailers",
+// KnownSections are those that the manual knows.
+var KnownSections = []string{"global", "defaults", "frontend", "backend", "listen", "peers", "resolvers", "userlist", "cache", "mailers",
 	"program", "ring", "http-errors", "fcgi-app", "log-forward", "log-profile", "traces", "crt-store", "acme"}
 
-// Files is what was read: every physical line of every input, and the sections among them.
-type Files struct {
+// Config is what was read: every physical line of every input, and the sections among them.
+type Config struct {
 	Lines    []*Line
 	Sections []*Section
 }
 
 // A Reader reads inputs in their order.
 type Reader struct {
-	Env     Environment // values of variables; nothing else has one
-	Version string      // of the HAProxy that the files were written for; empty: not told
-	files   Files
-	section *Section
-	lost    string // why it can't be told in which section a line stands
-	ifs     []branch
+	Variables Variables // values of variables; nothing else has one
+	Version   string    // of the HAProxy that the files were written for; empty: not told
+	files     Config
+	section   *Section
+	lost      string // why it can't be told in which section a line stands
+	ifs       []branch
 }
 
 // A branch is an open .if.
 type branch struct {
-	place Place
+	place Position
 	taken truth // whether a branch before this one was taken
 	now   truth // whether this one is
 	why   string
 }
 
 // ReadPaths reads files, and of a folder its files that end in .cfg, in the order of their names.
-func (r *Reader) ReadPaths(paths ...string) (*Files, error) {
+func (r *Reader) ReadPaths(paths ...string) (*Config, error) {
 	for _, path := range paths {
 		info, err := os.Stat(path)
 		if err != nil {
@@ -138,7 +140,7 @@
 				return nil, err
 			}
 			if len(names) == 0 {
-				return nil, &Unreadable{Place{File: path, Line: 1}, "a folder without a file that ends in .cfg"}
+				return nil, &SyntaxError{Position{File: path, Line: 1}, "a folder without a file that ends in .cfg"}
 			}
 			slices.Sort(names)
 		}
@@ -152,7 +154,7 @@
 			}
 		}
 	}
-	return r.End()
+	return r.Finish()
 }
 
 // Read takes one more input. Sections do not reach over the end of an input.
@@ -164,15 +166,15 @@
 		line, rest, _ := bytes.Cut(text, []byte("\n"))
 		text = rest
 		line = bytes.TrimSuffix(line, []byte("\r"))
-		if err := r.line(string(line), Place{File: name, Line: n}); err != nil {
+		if err := r.line(string(line), Position{File: name, Line: n}); err != nil {
 			return err
 		}
 	}
 	if len(r.ifs) > 0 {
-		return &Unreadable{r.ifs[len(r.ifs)-1].place, "this .if has no .endif"}
+		return &SyntaxError{r.ifs[len(r.ifs)-1].place, "this .if has no .endif"}
 	}
 	if len(r.files.Sections) == first && len(r.files.Lines) > 0 && r.meant(name) {
-		return &Unreadable{Place{File: name, Line: 1}, "no section of a HAProxy configuration in it"}
+		return &SyntaxError{Position{File: name, Line: 1}, "no section of a HAProxy configuration in it"}
 	}
 	return nil
 }
@@ -187,31 +189,31 @@
 	return false
 }
 
-// End returns what was read.
-func (r *Reader) End() (*Files, error) {
+// Finish returns what was read.
+func (r *Reader) Finish() (*Config, error) {
 	if len(r.files.Sections) == 0 {
-		return nil, &Unreadable{Place{File: "input", Line: 1}, "nothing that is a HAProxy configuration"}
+		return nil, &SyntaxError{Position{File: "input", Line: 1}, "nothing that is a HAProxy configuration"}
 	}
 	return &r.files, nil
 }
 
-func (r *Reader) line(text string, at Place) error {
-	l := &Line{Place: at}
+func (r *Reader) line(text string, at Position) error {
+	l := &Line{Position: at}
 	r.files.Lines = append(r.files.Lines, l)
 	// In a branch that is not taken HAProxy looks at nothing but the words that end it.
 	if r.now() == no && !strings.HasPrefix(strings.TrimLeft(text, " \t"), ".") {
-		l.Ignore("in a branch that is not taken")
+		l.MarkIgnored("in a branch that is not taken")
 		return nil
 	}
-	var err *Unreadable
-	if l.Words, l.Missing, err = split(text, at, r.Env); err != nil {
+	var err *SyntaxError
+	if l.Words, l.UnsetVariables, err = split(text, at, r.Variables); err != nil {
 		if !utf8.ValidString(text) && r.section == nil {
-			err.Text += "; and bytes that are no text: this is no configuration"
+			err.Message += "; and bytes that are no text: this is no configuration"
 		}
 		return err
 	}
 	if len(l.Words) == 0 {
-		l.Ignore("blank or comment")
+		l.MarkIgnored("blank or comment")
 		return nil
 	}
 	if strings.HasPrefix(l.Words[0].Text, ".") {
@@ -219,21 +221,21 @@
 	}
 	switch state := r.now(); {
 	case state == no:
-		l.Ignore("in a branch that is not taken")
+		l.MarkIgnored("in a branch that is not taken")
 		return nil
 	case state == unknown:
-		l.Skip("", "whether this branch is taken can't be told: "+r.whyNow(), "say so, or take the branch out of the file")
-		if slices.Contains(Sections, l.Words[0].Text) {
-			r.section, r.lost = nil, fmt.Sprintf("the section that begins in %v may or may not be there", l.Place)
+		l.MarkSkipped("", "whether this branch is taken can't be told: "+r.whyNow(), "say so, or take the branch out of the file")
+		if slices.Contains(KnownSections, l.Words[0].Text) {
+			r.section, r.lost = nil, fmt.Sprintf("the section that begins in %v may or may not be there", l.Position)
 		}
 		return nil
 	}
 	word := l.Words[0].Text
-	if slices.Contains(Sections, word) || r.section == nil && r.lost == "" {
+	if slices.Contains(KnownSections, word) || r.section == nil && r.lost == "" {
 		return r.head(l)
 	}
 	if r.lost != "" {
-		l.Skip("", r.lost, "take the branch out of the file")
+		l.MarkSkipped("", r.lost, "take the branch out of the file")
 		return nil
 	}
 	r.section.Lines = append(r.section.Lines, l)
@@ -243,14 +245,14 @@
 // head begins a section.
 func (r *Reader) head(l *Line) error {
 	kind := l.Words[0].Text
-	at := l.Place
+	at := l.Position
 	at.Col = l.Words[0].Col
-	if !slices.Contains(Sections, kind) {
-		return &Unreadable{at, fmt.Sprintf("%q stands in no section: this is no HAProxy configuration, or its first section is of a kind that is not known here", kind)}
+	if !slices.Contains(KnownSections, kind) {
+		return &SyntaxError{at, fmt.Sprintf("%q stands in no section: this is no HAProxy configuration, or its first section is of a kind that is not known here", kind)}
 	}
-	if len(l.Missing) > 0 {
-		r.section, r.lost = nil, fmt.Sprintf("the section in line %d has a name with variables that have no value: %s", l.Line, strings.Join(l.Missing, ", "))
-		l.Skip("", r.lost, "pass --env NAME=VALUE")
+	if len(l.UnsetVariables) > 0 {
+		r.section, r.lost = nil, fmt.Sprintf("the section in line %d has a name with variables that have no value: %s", l.Line, strings.Join(l.UnsetVariables, ", "))
+		l.MarkSkipped("", r.lost, "pass --env NAME=VALUE")
 		return nil
 	}
 	s := &Section{Kind: kind, Head: l}
@@ -263,7 +265,7 @@
 		s.From = words[1].Text
 	}
 	if s.Name == "" && slices.Contains([]string{"frontend", "backend", "listen"}, kind) {
-		return &Unreadable{at, kind + " without a name"}
+		return &SyntaxError{at, kind + " without a name"}
 	}
 	r.files.Sections = append(r.files.Sections, s)
 	r.section, r.lost = s, ""
@@ -295,27 +297,27 @@
 
 // directive carries out a line that begins with a dot.
 func (r *Reader) directive(l *Line) error {
-	at := l.Place
+	at := l.Position
 	at.Col = l.Words[0].Col
 	word := l.Words[0].Text
 	top := len(r.ifs) - 1
 	if top < 0 && (word == ".elif" || word == ".else" || word == ".endif") {
-		return &Unreadable{at, word + " without .if"}
+		return &SyntaxError{at, word + " without .if"}
 	}
 	test := func() (truth, string, error) {
-		if len(l.Missing) > 0 {
-			return unknown, "variables without a value: " + strings.Join(l.Missing, ", "), nil
+		if len(l.UnsetVariables) > 0 {
+			return unknown, "variables without a value: " + strings.Join(l.UnsetVariables, ", "), nil
 		}
-		t, why, err := evaluate(l.Rest(1), r.Env, r.Version)
+		t, why, err := evaluate(l.JoinFrom(1), r.Variables, r.Version)
 		if err != nil {
-			return t, "", &Unreadable{at, fmt.Sprintf("%s: %v", word, err)}
+			return t, "", &SyntaxError{at, fmt.Sprintf("%s: %v", word, err)}
 		}
 		return t, why, nil
 	}
 	switch word {
 	case ".if":
 		if len(r.ifs) >= depthMost {
-			return &Unreadable{at, fmt.Sprintf(".if within .if deeper than %d", depthMost)}
+			return &SyntaxError{at, fmt.Sprintf(".if within .if deeper than %d", depthMost)}
 		}
 		b := branch{place: at}
 		if r.now() != no { // in a branch that is not taken, nothing is asked
@@ -359,15 +361,15 @@
 		r.ifs = r.ifs[:top]
 	case ".alert":
 		if r.now() == yes {
-			l.Skip("", "HAProxy refuses to start here: "+l.Rest(1), "the rest is read as if it did not")
+			l.MarkSkipped("", "HAProxy refuses to start here: "+l.JoinFrom(1), "the rest is read as if it did not")
 			return nil
 		}
 	case ".notice", ".warning", ".diag":
 	default:
 		if r.now() != no {
-			return &Unreadable{at, fmt.Sprintf("unknown directive %q", word)}
+			return &SyntaxError{at, fmt.Sprintf("unknown directive %q", word)}
 		}
 	}
-	l.Ignore("a directive of the conditional blocks")
+	l.MarkIgnored("a directive of the conditional blocks")
 	return nil
 }
--- a/internal/haproxy/read_test.go
+++ b/internal/haproxy/read_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestWords(t *testing.T) {
-	env := Environment{"A": "one two", "E": "", "B": "3"}
+	env := Variables{"A": "one two", "E": "", "B": "3"}
 	for _, x := range []struct {
 		line string
 		want string // words, separated by |
@@ -38,7 +38,7 @@
 		{`"\$A"`, "$A"},
 		{`"a${E}b"`, "ab"},
 	} {
-		words, missing, err := split(x.line, Place{}, env)
+		words, missing, err := split(x.line, Position{}, env)
 		var got []string
 		for _, w := range words {
 			got = append(got, w.Text)
@@ -47,21 +47,21 @@
 			t.Errorf("%s: %q, missing %v, %v", x.line, got, missing, err)
 		}
 	}
-	if words, _, _ := split(`  ab "c d" e`, Place{}, nil); words[0].Col != 3 || words[1].Col != 6 || words[2].Col != 12 {
+	if words, _, _ := split(`  ab "c d" e`, Position{}, nil); words[0].Col != 3 || words[1].Col != 6 || words[2].Col != 12 {
 		t.Errorf("%+v", words)
 	}
-	if _, missing, _ := split(`"$NOT and ${NEITHER}"`, Place{}, nil); len(missing) != 2 {
+	if _, missing, _ := split(`"$NOT and ${NEITHER}"`, Position{}, nil); len(missing) != 2 {
 		t.Error(missing)
 	}
 	for line, col := range map[string]int{`a "b`: 3, `a 'b`: 3, `a "b'`: 3, `\x4`: 1, `\xzz`: 1, `"${A`: 2, `"$"`: 2, "a\x00": 2} {
-		if _, _, err := split(line, Place{File: "f", Line: 1}, env); err == nil || err.Col != col {
+		if _, _, err := split(line, Position{File: "f", Line: 1}, env); err == nil || err.Col != col {
 			t.Errorf("%q: %v, wants column %d", line, err, col)
 		}
 	}
 }
 
 func TestConditions(t *testing.T) {
-	env := Environment{"SET": "x", "EMPTY": ""}
+	env := Variables{"SET": "x", "EMPTY": ""}
 	for text, want := range map[string]truth{
 		"1": yes, "0": no, "": no, "-3": yes, "!0": yes, "!!1": yes, "(1)": yes, "1 && 0": no, "1 || 0": yes, "0 && 0 || 1": yes, "0 && (0 || 1)": no,
 		"defined(SET)": yes, "defined(EMPTY)": yes, "defined(HOME)": no, "streq(a,a)": yes, "streq(a, b)": no, "strneq(a,b)": yes, "strstr(abc,b)": yes,
@@ -98,11 +98,11 @@
 
 func TestAddresses(t *testing.T) {
 	for text, want := range map[string]Address{
-		"10.0.0.1:80": {Host: "10.0.0.1", Low: 80, High: 80}, "[::1]:80": {Host: "::1", Low: 80, High: 80}, "::1:80": {Host: "::1", Low: 80, High: 80},
-		"ipv6@[fe80::1]:9": {Host: "fe80::1", Low: 9, High: 9}, "ipv4@a.b:1": {Host: "a.b", Low: 1, High: 1}, ":8000-8010": {Low: 8000, High: 8010},
-		"*:80": {Host: "*", Low: 80, High: 80}, "10.0.0.1": {Host: "10.0.0.1", Kind: NoPort}, "[::1]": {Host: "::1", Kind: NoPort}, "a:": {Host: "a", Kind: NoPort},
-		"a:+100": {Host: "a", Kind: Offset}, "a:-100": {Host: "a", Kind: Offset}, "/run/x": {Kind: Socket}, "unix@/run/x": {Kind: Socket},
-		"abns@x": {Kind: Socket}, "quic4@:443": {Kind: Family},
+		"10.0.0.1:80": {Host: "10.0.0.1", FirstPort: 80, LastPort: 80}, "[::1]:80": {Host: "::1", FirstPort: 80, LastPort: 80}, "::1:80": {Host: "::1", FirstPort: 80, LastPort: 80},
+		"ipv6@[fe80::1]:9": {Host: "fe80::1", FirstPort: 9, LastPort: 9}, "ipv4@a.b:1": {Host: "a.b", FirstPort: 1, LastPort: 1}, ":8000-8010": {FirstPort: 8000, LastPort: 8010},
+		"*:80": {Host: "*", FirstPort: 80, LastPort: 80}, "10.0.0.1": {Host: "10.0.0.1", Kind: NoPort}, "[::1]": {Host: "::1", Kind: NoPort}, "a:": {Host: "a", Kind: NoPort},
+		"a:+100": {Host: "a", Kind: PortOffset}, "a:-100": {Host: "a", Kind: PortOffset}, "/run/x": {Kind: LocalSocket}, "unix@/run/x": {Kind: LocalSocket},
+		"abns@x": {Kind: LocalSocket}, "quic4@:443": {Kind: OtherFamily},
 	} {
 		if got, err := address(text); got != want || err != nil {
 			t.Errorf("%s: %+v, %v", text, got, err)
@@ -116,13 +116,13 @@
 }
 
 // read reads one text and returns what became of each line.
-func read(t *testing.T, text string, env Environment) (*Files, error) {
+func read(t *testing.T, text string, env Variables) (*Config, error) {
 	t.Helper()
-	r := Reader{Env: env}
+	r := Reader{Variables: env}
 	if err := r.Read("t.cfg", []byte(text)); err != nil {
 		return nil, err
 	}
-	return r.End()
+	return r.Finish()
 }
 
 func TestConditionalBlocks(t *testing.T) {
@@ -145,7 +145,7 @@
  g
 .endif
  h
-`, Environment{"A": "1"})
+`, Variables{"A": "1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +156,7 @@
 		}
 	}
 	// a, c and h are for the mapping; f and g can't be told; the others were not even taken apart.
-	if len(f.Sections[0].Lines) != 3 || f.Sections[0].Lines[1].Text(0) != "c" || got["f"] != Skipped || got["g"] != Skipped {
+	if len(f.Sections[0].Lines) != 3 || f.Sections[0].Lines[1].WordAt(0) != "c" || got["f"] != Skipped || got["g"] != Skipped {
 		t.Errorf("%v, %d lines", got, len(f.Sections[0].Lines))
 	}
 	for text, want := range map[string]string{".endif": "t.cfg:2:1: .endif without .if", ".if 1\n": "t.cfg:2:1: this .if has no .endif",
@@ -179,7 +179,7 @@
 		"backend b from none\n server a b:1": "", // found when meaning is worked out
 	} {
 		_, err := read(t, text, nil)
-		var u *Unreadable
+		var u *SyntaxError
 		if want == "" {
 			if err != nil {
 				t.Error(err)
@@ -205,7 +205,7 @@
 	}
 	r := Reader{}
 	f, err := r.ReadPaths(dir)
-	if err != nil || len(f.Lines) != 4 || f.Sections[0].Name != "one" || f.Sections[1].Lines[0].Text(2) != "b:2" {
+	if err != nil || len(f.Lines) != 4 || f.Sections[0].Name != "one" || f.Sections[1].Lines[0].WordAt(2) != "b:2" {
 		t.Fatal(f, err)
 	}
 	if _, err := (&Reader{}).ReadPaths(t.TempDir()); err == nil {
@@ -242,7 +242,7 @@
 	if a.Settings["timeout connect"].Args[0] != "1s" || a.Settings["retries"].Args[0] != "7" {
 		t.Error("a")
 	}
-	if c.Settings["timeout connect"].Args[0] != "1s" || !c.Settings["option redispatch"].Off || a.Settings["option redispatch"].Off {
+	if c.Settings["timeout connect"].Args[0] != "1s" || !c.Settings["option redispatch"].Negated || a.Settings["option redispatch"].Negated {
 		t.Error("c", c.Settings)
 	}
 	if b.Settings["retries"].Args[0] != "5" || b.Settings["timeout connect"].Args[0] != "1s" {
--- a/internal/haproxy/token.go
+++ b/internal/haproxy/token.go
@@ -8,27 +8,27 @@
 	"strings"
 )
 
-// A Place is where something stands; lines and columns count from 1, columns in bytes.
-type Place struct {
+// A Position is where something stands; lines and columns count from 1, columns in bytes.
+type Position struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
 	Col  int    `json:"col,omitempty"`
 }
 
-func (p Place) String() string {
+func (p Position) String() string {
 	if p.Col == 0 {
 		return fmt.Sprintf("%s:%d", p.File, p.Line)
 	}
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col)
 }
 
-// An Unreadable is a text that HAProxy would not read either.
-type Unreadable struct {
-	Place
-	Text string
+// An SyntaxError is a text that HAProxy would not read either.
+type SyntaxError struct {
+	Position
+	Message string
 }
 
-func (u *Unreadable) Error() string { return u.Place.String() + ": " + u.Text }
+func (u *SyntaxError) Error() string { return u.Position.String() + ": " + u.Message }
 
 // A Word is one word of a line, after quotes, escapes and variables.
 type Word struct {
@@ -36,14 +36,14 @@
 	Col  int
 }
 
-// Environment holds the values of variables; nothing else is looked up.
-type Environment map[string]string
+// Variables holds the values of variables; nothing else is looked up.
+type Variables map[string]string
 
 // split takes a line apart (section 2.2 of the manual): words end at spaces and tabs; # begins a comment; a
 // backslash takes the meaning from what follows it, except within strong quotes ('...'), where all stands
 // for itself; variables are replaced within weak quotes ("...") alone. Missing are the variables that have
 // neither a value nor a default.
-func split(line string, at Place, env Environment) (words []Word, missing []string, err *Unreadable) {
+func split(line string, at Position, env Variables) (words []Word, missing []string, err *SyntaxError) {
 	var b strings.Builder
 	in, begun, start := byte(0), false, 0 // the quote that is open, and where
 	quote := 0
@@ -59,9 +59,9 @@
 			begun = false
 		}
 	}
-	wrong := func(i int, format string, args ...any) ([]Word, []string, *Unreadable) {
+	wrong := func(i int, format string, args ...any) ([]Word, []string, *SyntaxError) {
 		at.Col = i + 1
-		return nil, nil, &Unreadable{at, fmt.Sprintf(format, args...)}
+		return nil, nil, &SyntaxError{at, fmt.Sprintf(format, args...)}
 	}
 	for i := 0; i < len(line); i++ {
 		c := line[i]
--- a/internal/haproxy/units.go
+++ b/internal/haproxy/units.go
@@ -45,18 +45,18 @@
 
 // An Address is a server's or a listener's, as far as its text tells.
 type Address struct {
-	Host string
-	Low  int // port; 0: none
-	High int // of a range; Low where there is none
-	Kind string
+	Host      string
+	FirstPort int // port; 0: none
+	LastPort  int // of a range; Low where there is none
+	Kind      string
 }
 
 // The kinds of addresses that are no host and port known by their text.
 const (
-	Socket = "a socket of the machine"
-	Offset = "a port that depends on the client's"
-	NoPort = "no port: the port on which the client came is used"
-	Family = "an address of another family"
+	LocalSocket = "a socket of the machine"
+	PortOffset  = "a port that depends on the client's"
+	NoPort      = "no port: the port on which the client came is used"
+	OtherFamily = "an address of another family"
 )
 
 // address reads host:port in the forms of section 11 (address formats): family prefixes, IPv6 with and
@@ -70,9 +70,9 @@
 	}
 	switch {
 	case strings.HasPrefix(text, "/"), hasFamily(text, "unix@", "abns@", "abnsz@", "fd@", "sockpair@", "rev@", "rhttp@"):
-		return Address{Kind: Socket}, nil
+		return Address{Kind: LocalSocket}, nil
 	case strings.ContainsRune(text, '@'):
-		return Address{Kind: Family}, nil
+		return Address{Kind: OtherFamily}, nil
 	}
 	colon := strings.LastIndexByte(text, ':')
 	if end := strings.LastIndexByte(text, ']'); end > colon {
@@ -89,16 +89,16 @@
 		a.Kind = NoPort
 		return a, nil
 	case port[0] == '+' || port[0] == '-':
-		a.Kind = Offset
+		a.Kind = PortOffset
 		return a, nil
 	}
 	low, high, isRange := strings.Cut(port, "-")
-	if a.Low, err = whole(low, 1, 65535); err != nil {
+	if a.FirstPort, err = whole(low, 1, 65535); err != nil {
 		return a, fmt.Errorf("port %w", err)
 	}
-	a.High = a.Low
+	a.LastPort = a.FirstPort
 	if isRange {
-		if a.High, err = whole(high, a.Low, 65535); err != nil {
+		if a.LastPort, err = whole(high, a.FirstPort, 65535); err != nil {
 			return a, fmt.Errorf("port %w", err)
 		}
 	}
--- a/internal/importer/carry.go
+++ b/internal/importer/carry.go
@@ -22,7 +22,7 @@
 
 // Result is what an import came to.
 type Result struct {
-	Files       *haproxy.Files
+	Files       *haproxy.Config
 	Nodes       []*Node
 	Suggestions []string
 	Warnings    []string
@@ -31,7 +31,7 @@
 
 // A work is an import under way.
 type work struct {
-	files   *haproxy.Files
+	files   *haproxy.Config
 	overlay *Overlay
 	proxies []*haproxy.Proxy
 	live    []*haproxy.Proxy // not disabled
@@ -53,15 +53,15 @@
 }
 
 // Import carries over what has the same meaning here, and accounts for every line.
-func Import(files *haproxy.Files, overlay *Overlay) (*Result, error) {
+func Import(files *haproxy.Config, overlay *Overlay) (*Result, error) {
 	proxies, err := files.Proxies()
 	if err != nil {
 		return nil, err
 	}
 	w := &work{files: files, overlay: overlay, proxies: proxies, places: map[string]int{}, out: object(), result: &Result{Files: files}}
 	for _, l := range files.Lines {
-		if len(l.Missing) > 0 && !l.Accounted() {
-			l.Skip("", "variables without a value: "+strings.Join(l.Missing, ", "), "pass --env NAME=VALUE, or give a default: ${NAME-default}")
+		if len(l.UnsetVariables) > 0 && !l.HasOutcome() {
+			l.MarkSkipped("", "variables without a value: "+strings.Join(l.UnsetVariables, ", "), "pass --env NAME=VALUE, or give a default: ${NAME-default}")
 		}
 	}
 	for _, p := range proxies {
@@ -73,7 +73,7 @@
 		if p.Kind != "backend" {
 			w.fronts = append(w.fronts, p)
 		}
-		if p.Takes() && len(p.Servers) > 0 {
+		if p.ServesClients() && len(p.Servers) > 0 {
 			w.serving = append(w.serving, p)
 		}
 	}
@@ -90,8 +90,8 @@
 // leaveOut accounts for a disabled proxy.
 func (w *work) leaveOut(p *haproxy.Proxy) {
 	for _, l := range append([]*haproxy.Line{p.Head}, p.Lines...) {
-		if !l.Accounted() {
-			l.Ignore("the proxy is disabled: HAProxy leaves it out")
+		if !l.HasOutcome() {
+			l.MarkIgnored("the proxy is disabled: HAProxy leaves it out")
 		}
 	}
 }
@@ -112,7 +112,7 @@
 		drained, all := 0, 0
 		const manyNodes = 8 // of one line: then they are named by their first and last
 		for _, s := range p.Servers {
-			if s.Line.Accounted() {
+			if s.Line.HasOutcome() {
 				continue
 			}
 			entries, ok := w.entries(p, s, names)
@@ -125,7 +125,7 @@
 					drained++
 				}
 				if byName[n.Node] {
-					s.Line.Skip("server "+n.Node, "a node of this name is there already", "rename one of the two")
+					s.Line.MarkSkipped("server "+n.Node, "a node of this name is there already", "rename one of the two")
 					continue
 				}
 				if first := byAddress[n.Address]; first != nil {
@@ -134,18 +134,18 @@
 				}
 				byName[n.Node] = true
 				if len(entries) <= manyNodes {
-					n.server.Line.Carry("server", "nodes."+n.Node)
+					n.server.Line.MarkCarried("server", "nodes."+n.Node)
 				}
 				byAddress[n.Address] = n
 				w.nodes = append(w.nodes, n)
 			}
 			if n := len(entries); n > manyNodes {
-				s.Line.Carry(fmt.Sprintf("%d servers", n), "nodes."+entries[0].Node+" to "+entries[n-1].Node)
+				s.Line.MarkCarried(fmt.Sprintf("%d servers", n), "nodes."+entries[0].Node+" to "+entries[n-1].Node)
 			}
 		}
 		if all > 0 && drained == all {
 			w.result.Warnings = append(w.result.Warnings, fmt.Sprintf("%s: all servers of %s have weight 0: a title that lies on them alone has no holder that takes sessions",
-				p.Head.Place, p.Name))
+				p.Head.Position, p.Name))
 		}
 	}
 	for _, p := range w.proxies {
@@ -153,8 +153,8 @@
 			continue
 		}
 		for _, s := range p.Servers {
-			if !s.Line.Accounted() {
-				s.Line.Skip("", "servers of a proxy in mode log or spop take no sessions", "")
+			if !s.Line.HasOutcome() {
+				s.Line.MarkSkipped("", "servers of a proxy in mode log or spop take no sessions", "")
 			}
 		}
 	}
@@ -163,11 +163,11 @@
 // again is a server whose address a node has already.
 func (w *work) again(s *haproxy.Server, n, first *Node) {
 	if n.State == first.State && n.Weight == first.Weight && n.MachineKind == first.MachineKind {
-		s.Line.Carry("server "+n.Node, "nodes."+first.Node+" (the same address)")
+		s.Line.MarkCarried("server "+n.Node, "nodes."+first.Node+" (the same address)")
 		return
 	}
-	s.Line.Skip("server "+n.Node, fmt.Sprintf("its address is that of node %s (%s), which has another weight, state or number of places: one node can't have both", first.Node,
-		first.server.Line.Place), "make the two lines agree, or set the node by hand")
+	s.Line.MarkSkipped("server "+n.Node, fmt.Sprintf("its address is that of node %s (%s), which has another weight, state or number of places: one node can't have both", first.Node,
+		first.server.Line.Position), "make the two lines agree, or set the node by hand")
 }
 
 // entries are the nodes of a server's line, one for each number of a template; ok is false where it makes
@@ -176,17 +176,17 @@
 	l := s.Line
 	if o, is := s.Options["backup"]; is {
 		row := lookup("server", "backup")
-		l.Skip(o.Name, row.Reason, row.Advice)
+		l.MarkSkipped(o.Name, row.Reason, row.Advice)
 		return nil, false
 	}
 	if _, is := s.Options["disabled"]; is {
-		l.Carry("disabled", "nodes (left out)")
+		l.MarkCarried("disabled", "nodes (left out)")
 		w.used = append(w.used, usedServer{s, "disabled"})
 		return nil, false
 	}
-	weight, _, given, err := s.Number("weight", 0, 256)
+	weight, _, given, err := s.Int("weight", 0, 256)
 	if err != nil {
-		l.Skip("weight", "HAProxy refuses it: "+err.Error(), "")
+		l.MarkSkipped("weight", "HAProxy refuses it: "+err.Error(), "")
 		return nil, false
 	}
 	state := wire.Up
@@ -196,9 +196,9 @@
 	case weight == 0:
 		state, weight = wire.Draining, 1
 	}
-	most, _, given, err := s.Number("maxconn", 0, 1<<30)
+	most, _, given, err := s.Int("maxconn", 0, 1<<30)
 	if err != nil {
-		l.Skip("maxconn", "HAProxy refuses it: "+err.Error(), "")
+		l.MarkSkipped("maxconn", "HAProxy refuses it: "+err.Error(), "")
 		return nil, false
 	}
 	kind := "unlimited"
@@ -207,32 +207,32 @@
 	}
 	one := func(name string, place place) bool {
 		at := s.Address
-		if !utf8.ValidString(name + s.Text + place.address) {
+		if !utf8.ValidString(name + s.AddressText + place.address) {
 			// What is no text has no place in the result, where different bytes would read the same.
-			l.Skip("server", "its name or address has bytes that are no UTF-8", "rename it")
+			l.MarkSkipped("server", "its name or address has bytes that are no UTF-8", "rename it")
 			return false
 		}
 		if place.address != "" {
 			host, port, err := net.SplitHostPort(place.address)
 			n, bad := strconv.Atoi(port)
 			if err != nil || bad != nil {
-				l.Skip("server "+name, fmt.Sprintf("the address in --with, %q, is no host:port", place.address), "")
+				l.MarkSkipped("server "+name, fmt.Sprintf("the address in --with, %q, is no host:port", place.address), "")
 				return false
 			}
-			at = haproxy.Address{Host: host, Low: n, High: n}
+			at = haproxy.Address{Host: host, FirstPort: n, LastPort: n}
 		}
 		switch {
 		case at.Kind != "":
-			l.Skip("server "+name, fmt.Sprintf("%s: %s", s.Text, at.Kind), "give the address that players reach with --with")
+			l.MarkSkipped("server "+name, fmt.Sprintf("%s: %s", s.AddressText, at.Kind), "give the address that players reach with --with")
 			return false
-		case at.Low != at.High:
-			l.Skip("server "+name, s.Text+": a range of ports is no address of a server", "")
+		case at.FirstPort != at.LastPort:
+			l.MarkSkipped("server "+name, s.AddressText+": a range of ports is no address of a server", "")
 			return false
 		case at.Host == "" || at.Host == "*" || at.Host == "0.0.0.0" || at.Host == "::":
-			l.Skip("server "+name, s.Text+": the address to which the client came is used", "give the address that players reach with --with")
+			l.MarkSkipped("server "+name, s.AddressText+": the address to which the client came is used", "give the address that players reach with --with")
 			return false
 		}
-		n := &Node{server: s, NodeEntry: wire.NodeEntry{Node: name, Address: net.JoinHostPort(at.Host, strconv.Itoa(at.Low)), State: state, MachineKind: kind,
+		n := &Node{server: s, NodeEntry: wire.NodeEntry{Node: name, Address: net.JoinHostPort(at.Host, strconv.Itoa(at.FirstPort)), State: state, MachineKind: kind,
 			Weight: float64(weight), Zone: place.zone}}
 		if place.kind != "" {
 			n.MachineKind = place.kind
@@ -260,7 +260,7 @@
 		}
 	} else {
 		made := 0
-		for i := s.Low; i <= s.High; i++ {
+		for i := s.FirstNumber; i <= s.LastNumber; i++ {
 			number := s.Name + strconv.Itoa(i)
 			place := w.overlay.of(p.Name, number)
 			if place.address == "" {
@@ -270,9 +270,9 @@
 				made++
 			}
 		}
-		if blank := s.High - s.Low + 1 - made; blank > 0 {
+		if blank := s.LastNumber - s.FirstNumber + 1 - made; blank > 0 {
 			row := lookup("proxy", "server-template")
-			l.Skip(fmt.Sprintf("%d of %d", blank, s.High-s.Low+1), row.Reason, row.Advice)
+			l.MarkSkipped(fmt.Sprintf("%d of %d", blank, s.LastNumber-s.FirstNumber+1), row.Reason, row.Advice)
 		}
 		if made == 0 {
 			return nil, false
@@ -285,7 +285,7 @@
 // words accounts for the keywords on the lines of the servers that became nodes, or are left out.
 func (w *work) words() {
 	for _, u := range w.used {
-		for _, o := range u.server.Own {
+		for _, o := range u.server.OwnOptions {
 			if o.Name != u.except {
 				w.word(u.server.Line, o)
 			}
@@ -297,13 +297,13 @@
 	row := lookup("server", o.Name)
 	switch {
 	case row.ConfigKey == "":
-		l.Skip(o.String(), row.Reason, row.Advice)
+		l.MarkSkipped(o.String(), row.Reason, row.Advice)
 	case o.Name == "weight" && o.Arg() == "0":
-		l.Carry(o.String(), "nodes.NAME.state (draining: sessions there go on, no new ones)")
+		l.MarkCarried(o.String(), "nodes.NAME.state (draining: sessions there go on, no new ones)")
 	case o.Name == "slowstart" && w.noWarmup != "":
-		l.Skip(o.String(), w.noWarmup, row.Advice)
+		l.MarkSkipped(o.String(), w.noWarmup, row.Advice)
 	default:
-		l.Carry(o.String(), row.ConfigKey)
+		l.MarkCarried(o.String(), row.ConfigKey)
 	}
 }
 
@@ -329,7 +329,7 @@
 	why := ""
 	for i, p := range proxies {
 		x := p.Settings[keyword]
-		if x == nil || x.Off {
+		if x == nil || x.Negated {
 			if why == "" {
 				why = p.Kind + " " + p.Name + " has none"
 			}
@@ -338,7 +338,7 @@
 		if !slices.Contains(lines, x.Line) {
 			lines = append(lines, x.Line)
 		}
-		d, err := x.Span()
+		d, err := x.Duration()
 		switch {
 		case err != nil:
 			why = err.Error()
@@ -351,13 +351,13 @@
 		}
 	}
 	for _, l := range lines {
-		if l.Accounted() {
+		if l.HasOutcome() {
 			continue
 		}
 		if why != "" {
-			l.Skip("", why, row.Advice)
+			l.MarkSkipped("", why, row.Advice)
 		} else {
-			l.Carry("", key)
+			l.MarkCarried("", key)
 		}
 	}
 	return first, why == "" && first > 0
@@ -375,11 +375,11 @@
 				lines = append(lines, x.Line)
 			}
 			var err error
-			if n, err = x.Number(0, 1000); err != nil {
+			if n, err = x.Int(0, 1000); err != nil {
 				why = err.Error()
 			}
 		}
-		if x := p.Settings["option redispatch"]; x == nil || x.Off {
+		if x := p.Settings["option redispatch"]; x == nil || x.Negated {
 			if why == "" && n > 0 {
 				why = fmt.Sprintf("%s %s tries the same server again (no option redispatch): the director never does", p.Kind, p.Name)
 			}
@@ -388,8 +388,8 @@
 		}
 		if x := p.Settings["retry-on"]; x != nil {
 			if bad := slices.DeleteFunc(slices.Clone(x.Args), func(a string) bool { return a == "none" || a == "conn-failure" }); len(bad) > 0 {
-				if !x.Line.Accounted() {
-					x.Line.Skip(strings.Join(bad, " "), rule2, "viewers of free tariffs get further legs anyway (legs.most)")
+				if !x.Line.HasOutcome() {
+					x.Line.MarkSkipped(strings.Join(bad, " "), rule2, "viewers of free tariffs get further legs anyway (legs.most)")
 				}
 			} else if !slices.Contains(lines, x.Line) {
 				lines = append(lines, x.Line)
@@ -409,13 +409,13 @@
 		why = fmt.Sprintf("%d retries: the director has 16 legs at the most", most)
 	}
 	for _, l := range lines {
-		if l.Accounted() {
+		if l.HasOutcome() {
 			continue
 		}
 		if why != "" {
-			l.Skip("", why, lookup("proxy", "retries").Advice)
+			l.MarkSkipped("", why, lookup("proxy", "retries").Advice)
 		} else {
-			l.Carry("", "legs.most")
+			l.MarkCarried("", "legs.most")
 		}
 	}
 	if why == "" && len(lines) > 0 {
@@ -428,7 +428,7 @@
 	var first time.Duration
 	why := ""
 	for i, n := range w.nodes {
-		d, _, ok, err := n.server.Span("slowstart")
+		d, _, ok, err := n.server.Duration("slowstart")
 		switch {
 		case err != nil:
 			why = err.Error()
@@ -453,7 +453,7 @@
 	var binds []*haproxy.Line
 	for _, p := range w.fronts {
 		for _, l := range p.Lines {
-			if haproxy.Keyword(l) == "bind" && !l.Accounted() {
+			if haproxy.Keyword(l) == "bind" && !l.HasOutcome() {
 				binds = append(binds, l)
 			}
 		}
@@ -465,44 +465,44 @@
 			why = fmt.Sprintf("there are %d addresses, and a director has one", len(binds))
 		}
 		if why != "" {
-			l.Skip("", why, row.Advice)
+			l.MarkSkipped("", why, row.Advice)
 			continue
 		}
-		l.Carry("", row.ConfigKey)
+		l.MarkCarried("", row.ConfigKey)
 		w.out.set(value(address), "listen")
 	}
 	most := 0
 	for _, s := range w.files.Sections {
 		for _, l := range s.Lines {
-			if s.Kind != "global" || l.Text(0) != "maxconn" || l.Accounted() {
+			if s.Kind != "global" || l.WordAt(0) != "maxconn" || l.HasOutcome() {
 				continue
 			}
-			n, err := strconv.Atoi(l.Text(1))
+			n, err := strconv.Atoi(l.WordAt(1))
 			if err != nil || n <= 0 {
-				l.Skip("", "no number of connections", "")
+				l.MarkSkipped("", "no number of connections", "")
 				continue
 			}
 			most = n
-			l.Carry("", "limits.connections")
+			l.MarkCarried("", "limits.connections")
 		}
 	}
 	row = lookup("proxy", "maxconn")
 	for _, p := range w.fronts {
 		x := p.Settings["maxconn"]
-		if x == nil || x.Line.Accounted() {
+		if x == nil || x.Line.HasOutcome() {
 			continue
 		}
-		n, err := x.Number(1, 1<<30)
+		n, err := x.Int(1, 1<<30)
 		switch {
 		case err != nil:
-			x.Line.Skip("", err.Error(), row.Advice)
+			x.Line.MarkSkipped("", err.Error(), row.Advice)
 		case len(w.fronts) > 1:
-			x.Line.Skip("", fmt.Sprintf("a bound of one of %d frontends; the director has one bound", len(w.fronts)), row.Advice)
+			x.Line.MarkSkipped("", fmt.Sprintf("a bound of one of %d frontends; the director has one bound", len(w.fronts)), row.Advice)
 		case most > 0 && n > most:
-			x.Line.Ignore("the process takes fewer")
+			x.Line.MarkIgnored("the process takes fewer")
 		default:
 			most = n
-			x.Line.Carry("", row.ConfigKey)
+			x.Line.MarkCarried("", row.ConfigKey)
 		}
 	}
 	if most > 0 {
@@ -515,20 +515,20 @@
 	if len(l.Words) < 2 {
 		return "", "HAProxy refuses a bind without an address"
 	}
-	if strings.ContainsRune(l.Text(1), ',') {
+	if strings.ContainsRune(l.WordAt(1), ',') {
 		return "", "several addresses on one line, and a director has one"
 	}
-	a, err := haproxy.ParseAddress(l.Text(1))
+	a, err := haproxy.ParseAddress(l.WordAt(1))
 	switch {
 	case err != nil:
 		return "", err.Error()
 	case a.Kind != "":
-		return "", l.Text(1) + ": " + a.Kind
-	case a.Low != a.High:
+		return "", l.WordAt(1) + ": " + a.Kind
+	case a.FirstPort != a.LastPort:
 		return "", "a range of ports, and a director has one"
 	}
 	for i := 2; i < len(l.Words); i++ {
-		switch word := l.Text(i); word {
+		switch word := l.WordAt(i); word {
 		case "name", "maxconn", "backlog", "id", "nice", "process", "thread", "shards", "user", "group", "mode", "level":
 			i++ // how HAProxy treats the listener; who connects sees nothing of it
 		case "transparent", "defer-accept", "tfo", "v4v6", "v6only":
@@ -539,7 +539,7 @@
 	if a.Host == "*" {
 		a.Host = ""
 	}
-	return net.JoinHostPort(a.Host, strconv.Itoa(a.Low)), ""
+	return net.JoinHostPort(a.Host, strconv.Itoa(a.FirstPort)), ""
 }
 
 // rest accounts for every line that nothing was noted of yet.
@@ -561,19 +561,19 @@
 		}
 		if where == "section" {
 			row := lookup("section", s.Kind)
-			head.Skip("", row.Reason, row.Advice)
+			head.MarkSkipped("", row.Reason, row.Advice)
 			for _, l := range s.Lines {
-				if !l.Accounted() {
-					l.Skip("", row.Reason, row.Advice)
+				if !l.HasOutcome() {
+					l.MarkSkipped("", row.Reason, row.Advice)
 				}
 			}
 			continue
 		}
-		if !head.Accounted() {
-			head.Ignore("begins a section")
+		if !head.HasOutcome() {
+			head.MarkIgnored("begins a section")
 		}
 		for _, l := range s.Lines {
-			if l.Accounted() {
+			if l.HasOutcome() {
 				continue
 			}
 			name := haproxy.Keyword(l)
@@ -582,19 +582,19 @@
 			case name == "default-server":
 				w.defaults(l)
 			case name == "disabled" || name == "enabled":
-				l.Ignore("the proxy is not disabled by it in the end")
+				l.MarkIgnored("the proxy is not disabled by it in the end")
 			case row.ConfigKey != "" && !inForce[l]:
-				l.Ignore("no proxy that is left has it in force")
+				l.MarkIgnored("no proxy that is left has it in force")
 			case row.ConfigKey != "":
-				l.Skip("", "not where it has this meaning: "+row.Reason, row.Advice)
+				l.MarkSkipped("", "not where it has this meaning: "+row.Reason, row.Advice)
 			default:
-				l.Skip("", row.Reason, row.Advice)
+				l.MarkSkipped("", row.Reason, row.Advice)
 			}
 		}
 	}
 	for _, l := range w.files.Lines { // what is left is a fault of the importer, and is told as such
-		if !l.Accounted() {
-			l.Skip("", unknownRow.Reason, unknownRow.Advice)
+		if !l.HasOutcome() {
+			l.MarkSkipped("", unknownRow.Reason, unknownRow.Advice)
 		}
 	}
 }
@@ -607,14 +607,14 @@
 				if o.Line != l {
 					continue
 				}
-				for _, all := range haproxy.Options(l) {
+				for _, all := range haproxy.DefaultServerOptions(l) {
 					w.word(l, all)
 				}
 				return
 			}
 		}
 	}
-	l.Ignore("no server that is left has any of it in force")
+	l.MarkIgnored("no server that is left has any of it in force")
 }
 
 // suggest looks for what may be titles or tariffs; nothing of it is applied.
@@ -625,16 +625,16 @@
 	if len(w.serving) > 1 {
 		for _, p := range w.serving {
 			say("%s: %s %s has %d servers: if its viewers want titles of their own, give them cells in a row and the titles base and copies there",
-				p.Head.Place, p.Kind, p.Name, len(p.Servers))
+				p.Head.Position, p.Kind, p.Name, len(p.Servers))
 		}
 	}
 	for _, p := range w.live {
 		for _, l := range p.Lines {
 			switch haproxy.Keyword(l) {
 			case "use_backend":
-				say("%s: %q sends some viewers to %s: a tariff, or a group of titles", l.Place, l.Rest(2), l.Text(1))
+				say("%s: %q sends some viewers to %s: a tariff, or a group of titles", l.Position, l.JoinFrom(2), l.WordAt(1))
 			case "cookie":
-				say("%s: viewers are kept on a server by a cookie: a player that passes its key finds its session again", l.Place)
+				say("%s: viewers are kept on a server by a cookie: a player that passes its key finds its session again", l.Position)
 			}
 		}
 	}
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -20,7 +20,7 @@
 	if err := r.Read("t.cfg", []byte(text)); err != nil {
 		t.Fatal(err)
 	}
-	files, err := r.End()
+	files, err := r.Finish()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	outcome, why := l.Outcome()
 	s := string(outcome) + " " + why
 	for _, n := range l.Notes {
-		s += "; " + n.What + " " + n.Key + n.Why
+		s += "; " + n.Subject + " " + n.Key + n.Reason
 	}
 	return s
 }
@@ -73,7 +73,7 @@
 		{"unknown word", "backend b\n server a h:1 frobnicate weight 0", "", map[int]string{2: `"frobnicate" (column 15)`}},
 		{"word without value", "backend b\n server a h:1 weight", "", map[int]string{2: `"weight"`}},
 		{"sockets and offsets", "backend b\n server a unix@/x\n server c h:+1\n server d h\n server e 0.0.0.0:80", "",
-			map[int]string{2: haproxy.Socket, 3: haproxy.Offset, 4: haproxy.NoPort, 5: "the address to which the client came"}},
+			map[int]string{2: haproxy.LocalSocket, 3: haproxy.PortOffset, 4: haproxy.NoPort, 5: "the address to which the client came"}},
 		{"ipv6", "backend b\n server a [2001:db8::1]:80", "a=[2001:db8::1]:80/up/1/unlimited", nil},
 		{"maxconn 0", "backend b\n server a h:1 maxconn 0", "a=h:1/up/1/unlimited", nil},
 		{"variable missing", "backend b\n server a \"$HOST:1\"\n server c h:1", "c=h:1/up/1/unlimited", map[int]string{2: "variables without a value: HOST"}},
@@ -220,11 +220,11 @@
 // Every physical line is accounted for once, whatever the text; nothing panics. What no row knows is skipped
 // and says so.
 func account(t testing.TB, text []byte) {
-	r := haproxy.Reader{Env: haproxy.Environment{"A": "b c"}}
+	r := haproxy.Reader{Variables: haproxy.Variables{"A": "b c"}}
 	if r.Read("f.cfg", text) != nil {
 		return
 	}
-	files, err := r.End()
+	files, err := r.Finish()
 	if err != nil {
 		return
 	}
--- a/internal/importer/report.go
+++ b/internal/importer/report.go
@@ -11,7 +11,7 @@
 
 // A ReportLine is a physical line of an input in the report.
 type ReportLine struct {
-	haproxy.Place
+	haproxy.Position
 	Outcome haproxy.Outcome `json:"outcome"`
 	Reason  string          `json:"why,omitempty"` // of an ignored line
 	Notes   []haproxy.Note  `json:"notes,omitempty"`
@@ -30,18 +30,20 @@
 
 // Report sums an import up.
 func (r *Result) Report(changes []Change) *Report {
-	p := &Report{Totals: map[haproxy.Outcome]int{haproxy.Carried: 0, haproxy.Partly: 0, haproxy.Skipped: 0, haproxy.Ignored: 0}, Nodes: len(r.Nodes),
+	p := &Report{Totals: map[haproxy.Outcome]int{haproxy.Carried: 0, haproxy.PartlyCarried: 0, haproxy.Skipped: 0, haproxy.Ignored: 0}, Nodes: len(r.Nodes),
 		MissingKeys: r.tree.blanks(""), Warnings: r.Warnings, Suggestions: r.Suggestions, Changes: changes}
 	for _, l := range r.Files.Lines {
 		outcome, why := l.Outcome()
 		p.Totals[outcome]++
-		p.Lines = append(p.Lines, ReportLine{l.Place, outcome, why, l.Notes})
+		p.Lines = append(p.Lines, ReportLine{l.Position, outcome, why, l.Notes})
 	}
 	return p
 }
 
 // Complete tells whether nothing was skipped.
-func (p *Report) Complete() bool { return p.Totals[haproxy.Skipped]+p.Totals[haproxy.Partly] == 0 }
+func (p *Report) Complete() bool {
+	return p.Totals[haproxy.Skipped]+p.Totals[haproxy.PartlyCarried] == 0
+}
 
 // WriteJSON writes the report for scripts.
 func (p *Report) WriteJSON(w io.Writer) error {
@@ -53,7 +55,7 @@
 // Summary is the report in one line.
 func (p *Report) Summary() string {
 	return fmt.Sprintf("%d lines: %d carried, %d partly, %d skipped, %d ignored by rule; %d nodes; %d blanks to fill in", len(p.Lines), p.Totals[haproxy.Carried],
-		p.Totals[haproxy.Partly], p.Totals[haproxy.Skipped], p.Totals[haproxy.Ignored], p.Nodes, len(p.MissingKeys))
+		p.Totals[haproxy.PartlyCarried], p.Totals[haproxy.Skipped], p.Totals[haproxy.Ignored], p.Nodes, len(p.MissingKeys))
 }
 
 // WriteText writes the report for people.
@@ -79,7 +81,7 @@
 	section("Suggestions, none of them applied:", p.Suggestions)
 	b.WriteString("\nEvery line:\n")
 	for _, l := range p.Lines {
-		fmt.Fprintf(&b, "  %s: %s", l.Place, l.Outcome)
+		fmt.Fprintf(&b, "  %s: %s", l.Position, l.Outcome)
 		if l.Reason != "" {
 			b.WriteString(": " + l.Reason)
 		}
@@ -89,16 +91,16 @@
 			} else {
 				b.WriteString("; ")
 			}
-			if n.What != "" {
-				b.WriteString(n.What + " ")
+			if n.Subject != "" {
+				b.WriteString(n.Subject + " ")
 			}
 			switch {
 			case n.Key != "":
 				b.WriteString("-> " + n.Key)
 			case n.Advice != "":
-				b.WriteString("not carried over: " + n.Why + " (" + n.Advice + ")")
+				b.WriteString("not carried over: " + n.Reason + " (" + n.Advice + ")")
 			default:
-				b.WriteString("not carried over: " + n.Why)
+				b.WriteString("not carried over: " + n.Reason)
 			}
 		}
 		b.WriteByte('\n')
