--- a/cmd/fordusher/day.go
+++ b/cmd/fordusher/day.go
@@ -53,7 +53,7 @@
 		if !c.Virtual {
 			return badInput{errors.New("--replay needs --virtual")}
 		}
-		_, records, err := kept.Load[witness.Terms, witness.Record](c.Replay)
+		_, records, err := kept.Load[witness.Limits, witness.Record](c.Replay)
 		if err != nil {
 			return err
 		}
--- a/cmd/fordusher/hunt.go
+++ b/cmd/fordusher/hunt.go
@@ -81,7 +81,7 @@
 		switch {
 		case c.Rule != "":
 			f := r.Rules[c.Rule]
-			return f != nil && (f.Broken > 0 || f.Least < c.Least)
+			return f != nil && (f.Violations > 0 || f.MinMargin < c.Least)
 		case c.Least >= 0:
 			return r.Least < c.Least
 		}
--- a/cmd/fordusher/processes.go
+++ b/cmd/fordusher/processes.go
@@ -224,7 +224,7 @@
 	if _, err := f.order(order{Save: f.record}); err != nil {
 		return nil, err
 	}
-	_, records, err := kept.Load[witness.Terms, witness.Record](f.record)
+	_, records, err := kept.Load[witness.Limits, witness.Record](f.record)
 	return records, err
 }
 
@@ -293,7 +293,7 @@
 			}
 		}
 		if o.Save != "" {
-			if err := kept.Save(o.Save, witness.Terms{}, record.Records()); err != nil {
+			if err := kept.Save(o.Save, witness.Limits{}, record.Records()); err != nil {
 				x.Error = err.Error()
 			}
 		}
--- a/cmd/fordusher/standins.go
+++ b/cmd/fordusher/standins.go
@@ -89,7 +89,7 @@
 		}
 		born := time.Duration(0)
 		if e.UptimeMS > 0 {
-			born = witness.Clock() - time.Duration(e.UptimeMS)*time.Millisecond
+			born = witness.MonotonicNow() - time.Duration(e.UptimeMS)*time.Millisecond
 		}
 		source.Set(e, born, 0)
 	}
--- a/cmd/fordusher/verify.go
+++ b/cmd/fordusher/verify.go
@@ -17,7 +17,7 @@
 func (c *verifyCommand) Run() error {
 	broken := false
 	for _, file := range c.Files {
-		terms, records, err := kept.Load[witness.Terms, witness.Record](file)
+		terms, records, err := kept.Load[witness.Limits, witness.Record](file)
 		if err != nil {
 			return err
 		}
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -60,7 +60,7 @@
 	if r.Taken != r.Played+r.Nacked+r.Errored+r.Gone || r.Played < 100 || r.Viewers != 500 {
 		t.Fatalf("%+v", r)
 	}
-	for _, rule := range []string{witness.RuleAnswer, witness.RuleOnce, witness.RuleDrain, witness.RuleCold, witness.RuleTerms} {
+	for _, rule := range []string{witness.RuleAnswer, witness.RuleSetupOnce, witness.RuleDrain, witness.RuleSlowStart, witness.RuleTariffLimits} {
 		if r.Rules[rule].Checked < 5 {
 			t.Errorf("%s was checked %d times", rule, r.Rules[rule].Checked)
 		}
@@ -96,7 +96,7 @@
 	drained := map[string]bool{}
 	for rule, change := range map[string]func(policy.Event, []policy.Action) []policy.Action{
 		// A floor is ignored, in the module's own words.
-		witness.RuleTerms: func(_ policy.Event, out []policy.Action) []policy.Action {
+		witness.RuleTariffLimits: func(_ policy.Event, out []policy.Action) []policy.Action {
 			for i, a := range out {
 				if r, ok := a.(policy.SetRung); ok {
 					out[i] = policy.SetRung{ID: r.ID, Rung: 0}
@@ -123,7 +123,7 @@
 			return out
 		},
 		// Whoever failed is tried again, paid or not.
-		witness.RuleOnce: func(e policy.Event, out []policy.Action) []policy.Action {
+		witness.RuleSetupOnce: func(e policy.Event, out []policy.Action) []policy.Action {
 			if r, ok := e.(policy.LegResult); ok && r.Outcome == policy.Errored && !r.Final {
 				return []policy.Action{policy.Dispatch{ID: r.ID, Node: r.Node}}
 			}
@@ -135,7 +135,7 @@
 			"troubles": [{"kind": "fast_errors", "at": "200ms", "for": "2s", "share": 0.5, "size": 0.5},
 				{"kind": "preempt", "at": "300ms", "for": "500ms", "share": 0.3, "size": 2}]}`
 		r := run(t, script, Options{Unguarded: true, Wrap: func(d director.Decider) director.Decider { return broken{d, change} }})
-		if r.Rules[rule].Broken == 0 {
+		if r.Rules[rule].Violations == 0 {
 			t.Errorf("%s is broken on purpose and not seen: %+v", rule, r.Rules[rule])
 		}
 	}
--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -195,14 +195,14 @@
 }
 
 // Terms are the figures of the rules, as directors of a house were told them.
-func Terms(h *conf.Config, slack time.Duration) witness.Terms {
-	t := witness.Terms{
-		Tariffs: map[string]witness.Tariff{}, Grace: h.DrainGrace, Warmup: h.Ramp.Warmup, ColdFrom: h.Ramp.InitialShare,
-		Multiple: h.Ramp.OverloadMultiple, TipAfter: h.Ramp.OverloadWindow, Most: h.Legs.MaxLegs, Spare: h.Legs.MinRetries, Share: h.Legs.RetryRatio,
-		Span: h.Legs.Window, Slack: slack,
+func Terms(h *conf.Config, slack time.Duration) witness.Limits {
+	t := witness.Limits{
+		Tariffs: map[string]witness.TariffLimits{}, DrainGrace: h.DrainGrace, Warmup: h.Ramp.Warmup, InitialShare: h.Ramp.InitialShare,
+		OverloadMultiple: h.Ramp.OverloadMultiple, OverloadWindow: h.Ramp.OverloadWindow, MaxLegs: h.Legs.MaxLegs, MinRetries: h.Legs.MinRetries, RetryRatio: h.Legs.RetryRatio,
+		RetryWindow: h.Legs.Window, Tolerance: slack,
 	}
 	for _, x := range h.Tariffs {
-		t.Tariffs[x.Name] = witness.Tariff{Paid: x.AtMostOnce, Floor: x.Floor, Seats: x.Seats, Credit: x.Credit, Goal: x.GoalTime}
+		t.Tariffs[x.Name] = witness.TariffLimits{Paid: x.AtMostOnce, MinRung: x.Floor, Seats: x.Seats, Credit: x.Credit, StartGoal: x.GoalTime}
 	}
 	return t
 }
--- a/internal/day/replay.go
+++ b/internal/day/replay.go
@@ -15,18 +15,18 @@
 func Replay(records []witness.Record) (s *Script, seed uint64, timeline []Action, err error) {
 	var began time.Duration
 	for _, r := range records {
-		switch r.What {
-		case witness.Scripted:
-			if s, err = Read("the record's script", []byte(r.Why)); err != nil {
+		switch r.Kind {
+		case witness.RunStarted:
+			if s, err = Read("the record's script", []byte(r.Reason)); err != nil {
 				return nil, 0, nil, err
 			}
-			if seed, err = strconv.ParseUint(r.ID, 10, 64); err != nil {
+			if seed, err = strconv.ParseUint(r.RequestID, 10, 64); err != nil {
 				return nil, 0, nil, fmt.Errorf("the record's seed: %w", err)
 			}
 			began = r.At
-		case witness.Acted:
+		case witness.ActionApplied:
 			var a Action
-			if err := json.Unmarshal([]byte(r.Why), &a); err != nil {
+			if err := json.Unmarshal([]byte(r.Reason), &a); err != nil {
 				return nil, 0, nil, fmt.Errorf("the record's action at %v: %w", r.At, err)
 			}
 			a.At = r.At - began
--- a/internal/day/result.go
+++ b/internal/day/result.go
@@ -14,28 +14,28 @@
 
 // Result is how a day went.
 type Result struct {
-	Seed       uint64          `json:"seed"`
-	Viewers    int             `json:"viewers"`
-	Taken      int             `json:"taken"` // requests that a director got
-	Played     int             `json:"played"`
-	Nacked     int             `json:"nacked"`
-	Errored    int             `json:"errored"`
-	Gone       int             `json:"gone"` // the viewer left, or its director was killed, before an answer
-	Unanswered int             `json:"unanswered"`
-	Again      int             `json:"again"` // of the requests taken, not their viewer's first
-	P50        float64         `json:"p50_ms"`
-	P99        float64         `json:"p99_ms"`
-	Most       float64         `json:"max_ms"`
-	Credit     float64         `json:"credit"` // of sessions that played within the goal time, over what was asked for at the best rung
-	Legs       int             `json:"legs"`
-	Rules      witness.Verdict `json:"rules"`
+	Seed       uint64           `json:"seed"`
+	Viewers    int              `json:"viewers"`
+	Taken      int              `json:"taken"` // requests that a director got
+	Played     int              `json:"played"`
+	Nacked     int              `json:"nacked"`
+	Errored    int              `json:"errored"`
+	Gone       int              `json:"gone"` // the viewer left, or its director was killed, before an answer
+	Unanswered int              `json:"unanswered"`
+	Again      int              `json:"again"` // of the requests taken, not their viewer's first
+	P50        float64          `json:"p50_ms"`
+	P99        float64          `json:"p99_ms"`
+	Most       float64          `json:"max_ms"`
+	Credit     float64          `json:"credit"` // of sessions that played within the goal time, over what was asked for at the best rung
+	Legs       int              `json:"legs"`
+	Rules      witness.Findings `json:"rules"`
 
-	Terms   witness.Terms    `json:"-"`
+	Terms   witness.Limits   `json:"-"`
 	Records []witness.Record `json:"-"`
 }
 
 // Kept tells whether every rule was kept and every request ended in exactly one way.
-func (r *Result) Kept() bool { return r.Rules.Kept() && r.Unanswered == 0 }
+func (r *Result) Kept() bool { return r.Rules.Passed() && r.Unanswered == 0 }
 
 func (g *rig) result() (*Result, error) {
 	slack := g.opt.Slack
@@ -65,7 +65,7 @@
 	r.P50, r.P99, r.Most = ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(99)), ms(h.Max())
 	var credit, asked float64
 	for _, x := range r.Records {
-		if x.What == witness.Earned && inTime[x.Session] {
+		if x.Kind == witness.SessionEarned && inTime[x.Session] {
 			credit += r.Terms.Tariffs[x.Tariff].Credit * x.Seconds
 		}
 	}
@@ -82,13 +82,13 @@
 // judge counts the endings and checks the rules, from the records alone.
 func (r *Result) judge() {
 	r.Rules = witness.Check(r.Terms, r.Records)
-	t := witness.Tally(r.Records)
-	r.Taken, r.Played, r.Nacked, r.Errored = t.Taken, t.Played, t.Nacked, t.Errored
-	r.Gone, r.Unanswered, r.Again, r.Legs = t.Gone, t.Unanswered, t.Again, t.Legs
+	t := witness.CountOutcomes(r.Records)
+	r.Taken, r.Played, r.Nacked, r.Errored = t.Received, t.Played, t.Nacked, t.Errored
+	r.Gone, r.Unanswered, r.Again, r.Legs = t.Abandoned, t.Unanswered, t.Retries, t.Legs
 }
 
 // Judge checks records again that were kept.
-func Judge(terms witness.Terms, records []witness.Record) *Result {
+func Judge(terms witness.Limits, records []witness.Record) *Result {
 	r := &Result{Terms: terms, Records: records}
 	r.judge()
 	return r
@@ -106,7 +106,7 @@
 	fmt.Fprintf(w, "\n%-16s %9s %7s\n", "rule", "checked", "broken")
 	for _, name := range witness.Rules {
 		f := r.Rules[name]
-		fmt.Fprintf(w, "%-16s %9d %7d\n", name, f.Checked, f.Broken)
+		fmt.Fprintf(w, "%-16s %9d %7d\n", name, f.Checked, f.Violations)
 		for _, e := range f.Examples {
 			fmt.Fprintf(w, "    %s\n", e)
 		}
--- a/internal/day/rig.go
+++ b/internal/day/rig.go
@@ -193,7 +193,7 @@
 	if err != nil {
 		return err
 	}
-	g.record.Add(witness.Record{What: witness.Returned, Director: p.name})
+	g.record.Add(witness.Record{Kind: witness.DirectorStarted, Director: p.name})
 	g.mu.Lock()
 	p.now, p.address = d, d.Address()
 	g.mu.Unlock()
@@ -218,7 +218,7 @@
 func (g *rig) run(ctx context.Context) {
 	g.began = time.Now()
 	if g.opt.House == nil {
-		g.record.Add(witness.Record{What: witness.Scripted, ID: strconv.FormatUint(g.opt.Seed, 10), Why: string(g.script.Text(""))})
+		g.record.Add(witness.Record{Kind: witness.RunStarted, RequestID: strconv.FormatUint(g.opt.Seed, 10), Reason: string(g.script.Text(""))})
 	}
 	end := g.began.Add(g.script.Length)
 	g.crowd.Ends = end.Add(2 * time.Second)
@@ -277,7 +277,7 @@
 
 func (g *rig) act(a Action) {
 	if what, err := json.Marshal(a); err == nil {
-		g.record.Add(witness.Record{What: witness.Acted, Why: string(what)})
+		g.record.Add(witness.Record{Kind: witness.ActionApplied, Reason: string(what)})
 	}
 	if a.Fault != nil {
 		g.fleet.Do(*a.Fault)
@@ -290,7 +290,7 @@
 		}
 		born := time.Duration(0)
 		if w.Born {
-			born = witness.Clock()
+			born = witness.MonotonicNow()
 		}
 		g.list.Set(g.entry(w.Machine, w.State), born, w.Late)
 	}
@@ -318,7 +318,7 @@
 // kill ends a director at once. Around the moment, what it still owes is excused from the earlier word, and
 // what it still sent is held against it until the later one.
 func (g *rig) kill(p *post) {
-	g.record.Add(witness.Record{What: witness.Killed, Director: p.name})
+	g.record.Add(witness.Record{Kind: witness.DirectorKilled, Director: p.name})
 	g.mu.Lock()
 	d := p.now
 	p.now = nil
@@ -326,7 +326,7 @@
 	if d != nil {
 		d.Kill()
 	}
-	g.record.Add(witness.Record{What: witness.Killed, Director: p.name})
+	g.record.Add(witness.Record{Kind: witness.DirectorKilled, Director: p.name})
 }
 
 func (g *rig) close() {
--- a/internal/director/properties_test.go
+++ b/internal/director/properties_test.go
@@ -33,11 +33,11 @@
 	for seed := range uint64(seedsPerProperty) {
 		w := newSimulation(t, seed, c)
 		v := w.run()
-		if !v.Kept() {
+		if !v.Passed() {
 			t.Fatalf("seed %d, %d steps: %s", seed, shortestFailingRun(t, seed, c), describeViolations(v))
 		}
 		bites += w.opportunities
-		if v[c.rule].Least < 0.5 { // where the witness knows how near it came
+		if v[c.rule].MinMargin < 0.5 { // where the witness knows how near it came
 			bites++
 		}
 		w.shutDown()
@@ -52,7 +52,7 @@
 	}
 	broken(&c)
 	for seed := range uint64(seedsPerProperty) {
-		if newSimulation(t, seed, c).run()[c.rule].Broken > 0 {
+		if newSimulation(t, seed, c).run()[c.rule].Violations > 0 {
 			return
 		}
 	}
@@ -64,14 +64,14 @@
 	for steps := 1; steps < c.steps; steps++ {
 		short := c
 		short.steps = steps
-		if !newSimulation(t, seed, short).run().Kept() {
+		if !newSimulation(t, seed, short).run().Passed() {
 			return steps
 		}
 	}
 	return c.steps
 }
 
-func describeViolations(v witness.Verdict) string {
+func describeViolations(v witness.Findings) string {
 	var all []string
 	for _, rule := range slices.Sorted(maps.Keys(v)) {
 		for _, x := range v[rule].Examples {
@@ -90,7 +90,7 @@
 
 // Rule 2: a paid set-up that may have run is neither sent again nor nacked, and never are two legs of a session out.
 func TestRule2PaidSetUpOnce(t *testing.T) {
-	requireProperty(t, defaultSimConfig(witness.RuleOnce), func(c *simConfig) {
+	requireProperty(t, defaultSimConfig(witness.RuleSetupOnce), func(c *simConfig) {
 		c.alterEvent = func(e policy.Event) policy.Event {
 			if r, ok := e.(policy.LegResult); ok && r.Outcome == policy.Errored {
 				r.Outcome = policy.ConnectFailed
@@ -116,7 +116,7 @@
 		c := defaultSimConfig(witness.RuleDrain)
 		c.alterEvent = alterEntries(func(e *policy.NodeEntry) { e.State = policy.Up })
 		w := newSimulation(t, seed, c)
-		if v := w.run(); !v.Kept() {
+		if v := w.run(); !v.Passed() {
 			t.Fatalf("seed %d: %s", seed, describeViolations(v))
 		}
 		for _, p := range w.directors {
@@ -145,7 +145,7 @@
 
 // scarceSimConfig is a town in which a node that has started takes a set-up a second from all directors together.
 func scarceSimConfig() simConfig {
-	c := defaultSimConfig(witness.RuleCold)
+	c := defaultSimConfig(witness.RuleSlowStart)
 	c.directors, c.nodes, c.steps, c.maxBurst = 4, 2, 120, 8
 	c.tariffs = testTariffs[:1]
 	c.ramp = policy.Ramp{MaxStreams: []float64{20}, Warmup: 4 * time.Second, InitialShare: 0.4, OverloadMultiple: 2, OverloadWindow: time.Second}
@@ -172,7 +172,7 @@
 		widen func(*policy.Tariff)
 	}{{"floors", func(x *policy.Tariff) { x.Floor = 0 }}, {"seats", func(x *policy.Tariff) { x.Seats = 0 }}} {
 		t.Run(c.name, func(t *testing.T) {
-			town := defaultSimConfig(witness.RuleTerms)
+			town := defaultSimConfig(witness.RuleTariffLimits)
 			town.tariffs, town.nodes, town.maxBurst = testTariffs[1:], 4, 6
 			requireProperty(t, town, func(x *simConfig) {
 				x.alterPolicy = func(g *policyConfig) {
@@ -187,7 +187,7 @@
 
 // Rule 6: legs beyond the first of each session stay within the ration of their span.
 func TestRule6RetryBudget(t *testing.T) {
-	c := defaultSimConfig(witness.RuleBudget)
+	c := defaultSimConfig(witness.RuleRetryBudget)
 	c.nodes, c.steps, c.maxBurst, c.tariffs, c.nodeReplies = 4, 120, 6, testTariffs[:1], []string{wire.Accepted, wire.Full, wire.Full, wire.Ended}
 	c.legs = policy.RetryPolicy{MaxLegs: 4, MinRetries: 2, RetryRatio: 0.02, Window: 3 * time.Second}
 	requireProperty(t, c, func(c *simConfig) {
--- a/internal/emulator/crowd.go
+++ b/internal/emulator/crowd.go
@@ -111,13 +111,13 @@
 	s.asked = at
 	m := wire.SessionMessage{Type: wire.Request, ID: s.id, Tariff: v.Tariff, Title: v.Title, Key: fmt.Sprintf("%s-%d", v.Key, v.key), MaxRung: v.Top,
 		WaitMS: v.Wait.Milliseconds(), LengthMS: v.left.Milliseconds(), Retry: v.try > 0}
-	c.say(at, s, m, witness.Record{Tariff: v.Tariff, Title: v.Title, Wait: v.Wait, Again: v.try > 0})
+	c.say(at, s, m, witness.Record{Tariff: v.Tariff, Title: v.Title, Wait: v.Wait, Retry: v.try > 0})
 	if v.r.Float64() < h.Repeats {
 		c.say(at, s, m, witness.Record{Tariff: v.Tariff})
 	}
 	w.events.put(at+v.Wait+400*time.Millisecond, func(at time.Duration) { // an answer that comes late is still seen
 		if !s.over && s.plays == 0 && !s.leaving {
-			w.add(at, c.record(s, witness.GaveUp))
+			w.add(at, c.record(s, witness.ClientTimedOut))
 			c.leave(at, s, ending{again: !v.Paid})
 		}
 	})
@@ -134,13 +134,13 @@
 }
 
 func (c *crowd) record(s *seat, what string) witness.Record {
-	return witness.Record{What: what, Viewer: s.v.Number, Conn: s.conn, Director: c.w.posts[s.post].name, ID: s.id}
+	return witness.Record{Kind: what, Client: s.v.Number, Conn: s.conn, Director: c.w.posts[s.post].name, RequestID: s.id}
 }
 
 // say sends a viewer's message, by way of the codec.
 func (c *crowd) say(at time.Duration, s *seat, m wire.SessionMessage, also witness.Record) {
 	r := c.record(s, m.Type)
-	r.Tariff, r.Title, r.Wait, r.Again = also.Tariff, also.Title, also.Wait, also.Again
+	r.Tariff, r.Title, r.Wait, r.Retry = also.Tariff, also.Title, also.Wait, also.Retry
 	c.w.add(at, r)
 	raw, p, boot := wire.Encode(m), c.w.posts[s.post], s.boot
 	if p.boot != boot || !p.up {
@@ -174,7 +174,7 @@
 	switch m.Type {
 	case wire.Playing, wire.Nack, wire.Errored:
 		r := c.record(s, m.Type)
-		r.ID, r.Session, r.Node, r.Rung, r.Why = m.ID, m.Session, m.Node, m.Rung, m.Reason
+		r.RequestID, r.Session, r.Node, r.Rung, r.Reason = m.ID, m.Session, m.Node, m.Rung, m.Reason
 		w.add(at, r)
 	}
 	if s.leaving {
@@ -232,7 +232,7 @@
 	}
 	slices.Sort(conns)
 	for _, conn := range conns {
-		c.w.events.put(at+c.w.delay(c.w.chance), func(at time.Duration) { c.w.playerClosed(at, conn, "connection lost", witness.ByPeer) })
+		c.w.events.put(at+c.w.delay(c.w.chance), func(at time.Duration) { c.w.playerClosed(at, conn, "connection lost", witness.ClosedByPeer) })
 	}
 }
 
@@ -240,8 +240,8 @@
 	s.over = true
 	delete(c.seats, s.conn)
 	if s.asked > 0 { // who was never let in has asked nothing
-		r := c.record(s, witness.Closed)
-		r.ID, r.By, r.Why = "", by, why
+		r := c.record(s, witness.ConnClosed)
+		r.RequestID, r.ClosedBy, r.Reason = "", by, why
 		c.w.add(at, r)
 	}
 }
@@ -251,7 +251,7 @@
 	if s.over {
 		return
 	}
-	c.close(at, s, "closed here", witness.ByUs)
+	c.close(at, s, "closed here", witness.ClosedByRecorder)
 	p := c.w.posts[s.post]
 	c.w.answer(at+c.w.opt.Network.High, p, s.boot, director.ClientLost{Conn: s.conn})
 	c.end(at, s.v, e)
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -157,11 +157,11 @@
 			p.hear(at, director.ClientAccepted(o))
 			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.welcome(at, o.Conn) })
 		case director.RejectClient:
-			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.playerClosed(at, o.Conn, "turned away", witness.ByPeer) })
+			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.playerClosed(at, o.Conn, "turned away", witness.ClosedByPeer) })
 		case director.CloseClient:
 			p.hear(at, director.ClientLost{Conn: o.Conn})
 			why := fmt.Sprintf("closed by peer: %d %s", o.Code, o.Reason)
-			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.playerClosed(at, o.Conn, why, witness.ByPeer) })
+			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.playerClosed(at, o.Conn, why, witness.ClosedByPeer) })
 			delete(p.lasts, playerWay(o.Conn))
 		case director.ProbeClient:
 			p.hear(at, director.ClientAlive{Conn: o.Conn})
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -87,7 +87,7 @@
 	}
 	fell := func(r *Result) (n int) {
 		for _, x := range r.Records {
-			if x.What == witness.Died && x.Why == "pushed over" {
+			if x.Kind == witness.NodeExited && x.Reason == "pushed over" {
 				n++
 			}
 		}
@@ -99,8 +99,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if fell(r) > 0 || !r.Kept() || r.Rules[witness.RuleCold].Checked == 0 {
-			t.Errorf("seed %d: %d nodes fell, %+v", seed, fell(r), r.Rules[witness.RuleCold])
+		if fell(r) > 0 || !r.Kept() || r.Rules[witness.RuleSlowStart].Checked == 0 {
+			t.Errorf("seed %d: %d nodes fell, %+v", seed, fell(r), r.Rules[witness.RuleSlowStart])
 		}
 		b, err := Run(s, seed, Options{Workers: 4, Module: day.Baselines["least-middle"]})
 		if err != nil {
@@ -116,16 +116,16 @@
 // overColdBudget is by how much the set-ups at a node within the warm-up after a start passed, at worst, what the fleet may
 // send it: the budget N of its warmth in any tipping time, and what chance may add, 2 x root of N + 2 (N under 30: 3 x root
 // of N + 3, where so is asked). Early is how many there were.
-func overColdBudget(r *Result, terms witness.Terms, small bool) (worst float64, early int) {
+func overColdBudget(r *Result, terms witness.Limits, small bool) (worst float64, early int) {
 	worst = math.Inf(-1)
 	sent := map[string][]time.Duration{}
 	started, died := map[string]witness.Record{}, map[string]bool{}
 	for _, x := range r.Records {
-		switch x.What {
-		case witness.Died:
+		switch x.Kind {
+		case witness.NodeExited:
 			died[x.Node] = true
 			delete(started, x.Node)
-		case witness.Started:
+		case witness.NodeStarted:
 			if died[x.Node] { // at the day's begin they are warm
 				started[x.Node], sent[x.Node] = x, nil
 			}
@@ -137,12 +137,12 @@
 			}
 			early++
 			all := append(sent[x.Node], x.At)
-			for len(all) > 0 && all[0] <= x.At-terms.TipAfter {
+			for len(all) > 0 && all[0] <= x.At-terms.OverloadWindow {
 				all = all[1:]
 			}
 			sent[x.Node] = all
-			warmth := terms.ColdFrom + (1-terms.ColdFrom)*age.Seconds()/terms.Warmup.Seconds()
-			budget := n.Places * terms.Multiple * warmth * terms.TipAfter.Seconds() / terms.Warmup.Seconds()
+			warmth := terms.InitialShare + (1-terms.InitialShare)*age.Seconds()/terms.Warmup.Seconds()
+			budget := n.MaxStreams * terms.OverloadMultiple * warmth * terms.OverloadWindow.Seconds() / terms.Warmup.Seconds()
 			chance := 2.0
 			if small && budget < 30 {
 				chance = 3
@@ -175,7 +175,7 @@
 			worst, early := overColdBudget(r, r.Terms, false)
 			falls := 0
 			for _, x := range r.Records {
-				if x.What == witness.Died && x.Why == "pushed over" {
+				if x.Kind == witness.NodeExited && x.Reason == "pushed over" {
 					falls++
 				}
 			}
@@ -259,15 +259,15 @@
 	}
 	moments := func(records []witness.Record, began time.Duration) (all []moment) {
 		for _, x := range records {
-			if x.What == witness.Died || x.What == witness.Started {
-				all = append(all, moment{x.What, x.Node, x.At - began})
+			if x.Kind == witness.NodeExited || x.Kind == witness.NodeStarted {
+				all = append(all, moment{x.Kind, x.Node, x.At - began})
 			}
 		}
 		return all
 	}
 	var began time.Duration
 	for _, x := range r.Records {
-		if x.What == witness.Scripted {
+		if x.Kind == witness.RunStarted {
 			began = x.At
 		}
 	}
@@ -309,7 +309,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !slices.ContainsFunc(b.Records, func(x witness.Record) bool { return x.What == witness.Died && x.Why == "pushed over" }) {
+		if !slices.ContainsFunc(b.Records, func(x witness.Record) bool { return x.Kind == witness.NodeExited && x.Reason == "pushed over" }) {
 			t.Errorf("%d directors: with the baseline no node fell, so the day shows nothing", directors)
 		}
 	}
--- a/internal/emulator/hunt.go
+++ b/internal/emulator/hunt.go
@@ -35,7 +35,7 @@
 func (r *Result) broken() int {
 	n := r.Unanswered
 	for _, f := range r.Rules {
-		n += f.Broken
+		n += f.Violations
 	}
 	return n
 }
@@ -126,7 +126,7 @@
 	r := f.Result
 	say := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
 	for _, rule := range witness.Rules {
-		say("%s %d", rule, int(r.Rules[rule].Least*20))
+		say("%s %d", rule, int(r.Rules[rule].MinMargin*20))
 		say("%s checked %d", rule, bits(r.Rules[rule].Checked))
 	}
 	say("nacked %d", bits(r.Nacked*64/max(1, r.Taken)))
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -52,7 +52,7 @@
 	}
 	r.Least = 1
 	for _, rule := range witness.Rules {
-		if x := r.Rules[rule].Least; x < r.Least {
+		if x := r.Rules[rule].MinMargin; x < r.Least {
 			r.Least, r.LeastRule = x, rule
 		}
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -91,7 +91,7 @@
 		if err := p.start(0); err != nil {
 			return nil, err
 		}
-		w.add(0, witness.Record{What: witness.Returned, Director: p.name})
+		w.add(0, witness.Record{Kind: witness.DirectorStarted, Director: p.name})
 	}
 	timeline := opt.Actions
 	if timeline == nil {
@@ -170,7 +170,7 @@
 	for _, i := range a.Start {
 		if p := w.posts[i]; !p.up {
 			w.err = p.start(at)
-			w.add(at, witness.Record{What: witness.Returned, Director: p.name})
+			w.add(at, witness.Record{Kind: witness.DirectorStarted, Director: p.name})
 		}
 	}
 }
@@ -180,7 +180,7 @@
 	if !p.up {
 		return
 	}
-	w.add(at, witness.Record{What: witness.Killed, Director: p.name})
+	w.add(at, witness.Record{Kind: witness.DirectorKilled, Director: p.name})
 	p.up, p.stale = false, true
 	p.in = events{}
 	w.ended(at, p)
@@ -214,16 +214,16 @@
 		}
 		switch {
 		case x.Die:
-			w.add(at, witness.Record{What: witness.Died, Node: m.Name})
+			w.add(at, witness.Record{Kind: witness.NodeExited, Node: m.Name})
 			w.down[i] = true
 		case x.Silent != nil && *x.Silent:
 			w.silent[i] = true
 		case x.Start:
 			if w.silent[i] {
-				w.add(at, witness.Record{What: witness.Died, Node: m.Name, Why: "came back anew"})
+				w.add(at, witness.Record{Kind: witness.NodeExited, Node: m.Name, Reason: "came back anew"})
 			}
 			w.down[i], w.silent[i], w.hung[i] = false, false, false
-			w.add(at, witness.Record{What: witness.Started, Node: m.Name, Places: float64(m.Places)})
+			w.add(at, witness.Record{Kind: witness.NodeStarted, Node: m.Name, MaxStreams: float64(m.Places)})
 		}
 		w.hearing(at, i)
 	}
@@ -298,8 +298,8 @@
 	if m.Type == wire.Hello || m.Type == wire.Measurement {
 		return
 	}
-	w.add(at, witness.Record{What: m.Type, Node: w.layout.Machines[l.machine].Name, Conn: l.number, Director: l.name, Session: m.Session, Leg: m.Leg,
-		Tariff: m.Tariff, Title: m.Title, Rung: m.Rung, Within: time.Duration(m.StartWithinMS) * time.Millisecond, Why: m.Reason})
+	w.add(at, witness.Record{Kind: m.Type, Node: w.layout.Machines[l.machine].Name, Conn: l.number, Director: l.name, Session: m.Session, Leg: m.Leg,
+		Tariff: m.Tariff, Title: m.Title, Rung: m.Rung, StartTimeout: time.Duration(m.StartWithinMS) * time.Millisecond, Reason: m.Reason})
 }
 
 // hungUp ends a link from the director's side.
@@ -313,7 +313,7 @@
 	delete(w.links, l.wayTo)
 	delete(w.numbers, l.number)
 	name := w.layout.Machines[l.machine].Name
-	w.add(at, witness.Record{What: witness.Closed, Node: name, Conn: l.number})
+	w.add(at, witness.Record{Kind: witness.ConnClosed, Node: name, Conn: l.number})
 	w.nodesDo(at, w.farm.Closed(at, name, l.number))
 }
 
@@ -324,12 +324,12 @@
 		m := w.machine[o.Node]
 		switch {
 		case o.Fell:
-			w.add(at, witness.Record{What: witness.Died, Node: o.Node, Why: "pushed over"})
+			w.add(at, witness.Record{Kind: witness.NodeExited, Node: o.Node, Reason: "pushed over"})
 			w.down[m] = true
 			w.say(at, "%s was pushed over and stays down", o.Node)
 			continue
 		case o.Earned != nil:
-			w.add(at, witness.Record{What: witness.Earned, Node: o.Node, Session: o.Earned.Session, Tariff: o.Earned.Tariff, Seconds: o.Earned.Seconds})
+			w.add(at, witness.Record{Kind: witness.SessionEarned, Node: o.Node, Session: o.Earned.Session, Tariff: o.Earned.Tariff, Seconds: o.Earned.Seconds})
 			continue
 		}
 		l := w.numbers[o.Link]
@@ -442,13 +442,13 @@
 	switch m.Type {
 	case wire.Subscribe:
 		if _, listens := l.directors[p.number]; !listens {
-			l.w.add(at, witness.Record{What: witness.Listens, Director: m.Director})
+			l.w.add(at, witness.Record{Kind: witness.ListRequested, Director: m.Director})
 		}
 		l.directors[p.number] = boot
 		l.tell(at, p, boot, wire.Encode(l.book.Whole(at, l.w.layout.Titles)))
 	case wire.Acknowledge:
 		for _, e := range l.book.Told(m.Serial) {
-			l.w.add(at, witness.Record{What: witness.Told, Director: m.Director, Node: e.Node, State: e.State})
+			l.w.add(at, witness.Record{Kind: witness.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
 		}
 	}
 }
--- a/internal/load/cast.go
+++ b/internal/load/cast.go
@@ -115,7 +115,7 @@
 	for _, d := range directors {
 		d.Collect() // what connecting left behind is no part of what connections cost
 	}
-	began := witness.Clock() + 200*time.Millisecond
+	began := witness.MonotonicNow() + 200*time.Millisecond
 	for _, c := range cast {
 		if _, err := fmt.Fprintln(c.in, strconv.FormatInt(int64(began), 10)); err != nil {
 			return nil, err
@@ -150,14 +150,14 @@
 // watch reads what the directors use, each second.
 func (s *Scenario) watch(directors []Watched, run string, began time.Duration, seconds int) (rows []Row) {
 	before := make([]time.Duration, len(directors))
-	last := witness.Clock()
+	last := witness.MonotonicNow()
 	for i, d := range directors {
 		before[i] = d.CPU()
 	}
 	for second := range seconds {
-		time.Sleep(began + time.Duration(second+1)*time.Second - witness.Clock())
+		time.Sleep(began + time.Duration(second+1)*time.Second - witness.MonotonicNow())
 		kernel := socketMemory()
-		now := witness.Clock()
+		now := witness.MonotonicNow()
 		for i, d := range directors {
 			figures := d.Figures()
 			cpu := d.CPU()
--- a/internal/load/idle.go
+++ b/internal/load/idle.go
@@ -362,8 +362,8 @@
 	told := map[string]time.Duration{}
 	most := time.Duration(0)
 	for _, r := range records {
-		switch r.What {
-		case witness.Told:
+		switch r.Kind {
+		case witness.ListReceived:
 			if r.State == wire.Up {
 				delete(told, r.Node)
 			} else if _, known := told[r.Node]; !known {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -76,7 +76,7 @@
 	titles   []wire.TitlePlacement
 }
 
-func (s Setups) open() (*site, error) { return s.openWith(witness.Nobody) }
+func (s Setups) open() (*site, error) { return s.openWith(witness.DiscardRecorder) }
 
 // openWith starts the stand-ins with a recorder.
 func (s Setups) openWith(record *witness.Recorder) (*site, error) {
@@ -184,7 +184,7 @@
 		if due >= end || ctx.Err() != nil {
 			return measured
 		}
-		for now := witness.Clock(); now < due; now = witness.Clock() {
+		for now := witness.MonotonicNow(); now < due; now = witness.MonotonicNow() {
 			time.Sleep(due - now) // what oversleeps counts as latency, with a director and without
 		}
 		if due >= from {
@@ -203,7 +203,7 @@
 		return nil, err
 	}
 	defer st.close()
-	began := witness.Clock()
+	began := witness.MonotonicNow()
 	m := newMeter(began + s.Warm)
 	h := &direct{m: m}
 	var conns []*transport.Conn
@@ -215,7 +215,7 @@
 		defer c.Abort()
 		conns = append(conns, c)
 	}
-	began = witness.Clock()
+	began = witness.MonotonicNow()
 	m.from = began + s.Warm
 	length := s.length()
 	due := s.schedule(ctx, began, func(n int, due time.Duration) {
@@ -236,7 +236,7 @@
 func (h *direct) Opened(*transport.Conn)                  {}
 func (h *direct) Closed(*transport.Conn, error, []uint64) {}
 func (h *direct) Message(_ *transport.Conn, raw []byte) {
-	now := witness.Clock()
+	now := witness.MonotonicNow()
 	m, err := wire.DecodeNodeMessage(raw)
 	switch {
 	case err != nil:
@@ -267,11 +267,11 @@
 	defer p.Kill()
 	time.Sleep(1500 * time.Millisecond) // connections to all nodes, and past the caution of a new director
 	var cpu, from time.Duration
-	r, err := s.measure(ctx, st, p.Address(), "through a director", func() { from, cpu = witness.Clock(), p.CPU() })
+	r, err := s.measure(ctx, st, p.Address(), "through a director", func() { from, cpu = witness.MonotonicNow(), p.CPU() })
 	if err != nil {
 		return nil, err
 	}
-	used, span := p.CPU()-cpu, witness.Clock()-from
+	used, span := p.CPU()-cpu, witness.MonotonicNow()-from
 	if span > 0 {
 		r.CPU = used.Seconds() / span.Seconds()
 	}
@@ -296,7 +296,7 @@
 		defer c.Abort()
 		conns = append(conns, c)
 	}
-	began := witness.Clock()
+	began := witness.MonotonicNow()
 	m.from = began + s.Warm
 	length := s.length()
 	counts := false
@@ -318,7 +318,7 @@
 func (h *through) Opened(*transport.Conn)                  {}
 func (h *through) Closed(*transport.Conn, error, []uint64) {}
 func (h *through) Message(_ *transport.Conn, raw []byte) {
-	now := witness.Clock()
+	now := witness.MonotonicNow()
 	m, err := wire.DecodeSessionMessage(raw)
 	if err != nil {
 		return
--- a/internal/standin/list/list.go
+++ b/internal/standin/list/list.go
@@ -51,7 +51,7 @@
 // Set changes a node's line; directors are told after the delay, and the lag that there is then.
 func (s *Source) Set(e wire.NodeEntry, born, after time.Duration) {
 	s.mu.Lock()
-	s.book.Set(e, born, witness.Clock()+after)
+	s.book.Set(e, born, witness.MonotonicNow()+after)
 	s.mu.Unlock()
 	s.stir()
 }
@@ -77,7 +77,7 @@
 func (s *Source) run() {
 	for {
 		s.mu.Lock()
-		now, wait := witness.Clock(), time.Second
+		now, wait := witness.MonotonicNow(), time.Second
 		if m, ok := s.book.Due(now); ok {
 			raw := wire.Encode(m)
 			for c := range s.watchers {
@@ -112,13 +112,13 @@
 	switch m.Type {
 	case wire.Subscribe:
 		if s.watchers[c] == "" {
-			s.record.Add(witness.Record{What: witness.Listens, Director: m.Director})
+			s.record.Add(witness.Record{Kind: witness.ListRequested, Director: m.Director})
 		}
 		s.watchers[c] = m.Director
-		c.Send(wire.Encode(s.book.Whole(witness.Clock(), s.titles)), 0)
+		c.Send(wire.Encode(s.book.Whole(witness.MonotonicNow(), s.titles)), 0)
 	case wire.Acknowledge:
 		for _, e := range s.book.Told(m.Serial) {
-			s.record.Add(witness.Record{What: witness.Told, Director: m.Director, Node: e.Node, State: e.State})
+			s.record.Add(witness.Record{Kind: witness.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
 		}
 	}
 }
--- a/internal/standin/node/host.go
+++ b/internal/standin/node/host.go
@@ -30,7 +30,7 @@
 // Open starts every node of a farm on a loopback port of its own. Fell is called when a node was pushed over.
 func Open(farm *Farm, record *witness.Recorder, fell func(node string)) (*Host, error) {
 	h := &Host{
-		farm: farm, began: witness.Clock(), servers: map[string]*transport.Server{}, links: map[uint64]*transport.Conn{},
+		farm: farm, began: witness.MonotonicNow(), servers: map[string]*transport.Server{}, links: map[uint64]*transport.Conn{},
 		wake: make(chan struct{}, 1), quit: make(chan struct{}), record: record, silent: map[string]bool{}, fell: fell,
 	}
 	for _, n := range farm.order {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (h *Host) now() time.Duration { return witness.Clock() - h.began }
+func (h *Host) now() time.Duration { return witness.MonotonicNow() - h.began }
 
 func (h *Host) run() {
 	timer := time.NewTimer(time.Hour)
@@ -93,7 +93,7 @@
 func (h *Host) carryOut(outs []Out) {
 	for _, o := range outs {
 		if o.Fell {
-			h.record.Add(witness.Record{What: witness.Died, Node: o.Node, Why: "pushed over"})
+			h.record.Add(witness.Record{Kind: witness.NodeExited, Node: o.Node, Reason: "pushed over"})
 			if h.fell != nil {
 				go h.fell(o.Node)
 			}
@@ -101,7 +101,7 @@
 			continue
 		}
 		if o.Earned != nil {
-			h.record.Add(witness.Record{What: witness.Earned, Node: o.Node, Session: o.Earned.Session, Tariff: o.Earned.Tariff, Seconds: o.Earned.Seconds})
+			h.record.Add(witness.Record{Kind: witness.SessionEarned, Node: o.Node, Session: o.Earned.Session, Tariff: o.Earned.Tariff, Seconds: o.Earned.Seconds})
 			continue
 		}
 		c := h.links[o.Link]
@@ -137,8 +137,8 @@
 	}
 	name, _ := c.UserData().(string)
 	h.record.Add(witness.Record{
-		What: m.Type, Node: node, Conn: link, Director: name, Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
-		Title: m.Title, Rung: m.Rung, Within: time.Duration(m.StartWithinMS) * time.Millisecond, Why: m.Reason,
+		Kind: m.Type, Node: node, Conn: link, Director: name, Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
+		Title: m.Title, Rung: m.Rung, StartTimeout: time.Duration(m.StartWithinMS) * time.Millisecond, Reason: m.Reason,
 	})
 }
 
@@ -155,19 +155,19 @@
 		}
 		switch {
 		case x.Die:
-			h.record.Add(witness.Record{What: witness.Died, Node: name})
+			h.record.Add(witness.Record{Kind: witness.NodeExited, Node: name})
 			s.SetRefusing(true)
 		case x.Silent != nil && *x.Silent:
 			h.silent[name] = true
 			s.SetSilent(true)
 		case x.Start:
 			if h.silent[name] {
-				h.record.Add(witness.Record{What: witness.Died, Node: name, Why: "came back anew"})
+				h.record.Add(witness.Record{Kind: witness.NodeExited, Node: name, Reason: "came back anew"})
 			}
 			delete(h.silent, name)
 			s.SetSilent(false)
 			s.SetRefusing(false)
-			h.record.Add(witness.Record{What: witness.Started, Node: name, Places: float64(h.farm.nodes[name].Places)})
+			h.record.Add(witness.Record{Kind: witness.NodeStarted, Node: name, MaxStreams: float64(h.farm.nodes[name].Places)})
 		}
 	}
 	h.carryOut(h.farm.Apply(h.now(), x))
@@ -216,7 +216,7 @@
 	if c.ID() == 0 {
 		return
 	}
-	d.h.record.Add(witness.Record{What: witness.Closed, Node: d.node, Conn: c.ID()})
+	d.h.record.Add(witness.Record{Kind: witness.ConnClosed, Node: d.node, Conn: c.ID()})
 	d.h.carryOut(d.h.farm.Closed(d.h.now(), d.node, c.ID()))
 	d.h.stir()
 }
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -81,8 +81,8 @@
 	}
 	switch m.Type {
 	case wire.Playing, wire.Nack, wire.Errored:
-		s.crowd.Record.Add(witness.Record{What: m.Type, Viewer: s.viewer, Conn: s.number, Director: s.name, ID: m.ID,
-			Session: m.Session, Node: m.Node, Rung: m.Rung, Why: m.Reason})
+		s.crowd.Record.Add(witness.Record{Kind: m.Type, Client: s.viewer, Conn: s.number, Director: s.name, RequestID: m.ID,
+			Session: m.Session, Node: m.Node, Rung: m.Rung, Reason: m.Reason})
 	}
 	select {
 	case s.in <- m:
@@ -91,11 +91,11 @@
 }
 
 func (s *seat) Closed(_ *transport.Conn, why error, _ []uint64) {
-	by := witness.ByPeer
+	by := witness.ClosedByPeer
 	if s.ours.Load() {
-		by = witness.ByUs
+		by = witness.ClosedByRecorder
 	}
-	s.crowd.Record.Add(witness.Record{What: witness.Closed, Viewer: s.viewer, Conn: s.number, Director: s.name, By: by, Why: why.Error()})
+	s.crowd.Record.Add(witness.Record{Kind: witness.ConnClosed, Client: s.viewer, Conn: s.number, Director: s.name, ClosedBy: by, Reason: why.Error()})
 	close(s.closed)
 }
 
@@ -166,8 +166,8 @@
 	id := strconv.Itoa(n + 1)
 	want := wire.SessionMessage{Type: wire.Request, ID: id, Tariff: v.Tariff, Title: v.Title, Key: key, MaxRung: v.Top,
 		WaitMS: v.Wait.Milliseconds(), LengthMS: left.Milliseconds(), Retry: n > 0}
-	c.Record.Add(witness.Record{What: wire.Request, Viewer: v.Number, Conn: s.number, Director: name, ID: id, Tariff: v.Tariff,
-		Title: v.Title, Wait: v.Wait, Again: n > 0})
+	c.Record.Add(witness.Record{Kind: wire.Request, Client: v.Number, Conn: s.number, Director: name, RequestID: id, Tariff: v.Tariff,
+		Title: v.Title, Wait: v.Wait, Retry: n > 0})
 	asked := time.Now()
 	conn.Send(wire.Encode(want), 0)
 	c.mu.Lock()
@@ -177,7 +177,7 @@
 	}
 	c.mu.Unlock()
 	if r.Float64() < c.Habit.Repeats {
-		c.Record.Add(witness.Record{What: wire.Request, Viewer: v.Number, Conn: s.number, Director: name, ID: id, Tariff: v.Tariff})
+		c.Record.Add(witness.Record{Kind: wire.Request, Client: v.Number, Conn: s.number, Director: name, RequestID: id, Tariff: v.Tariff})
 		conn.Send(wire.Encode(want), 0)
 	}
 	patience := time.NewTimer(v.Wait + 400*time.Millisecond) // an answer that comes late is still seen
@@ -193,7 +193,7 @@
 		case <-s.closed:
 			return ending{again: true}
 		case <-hasty:
-			c.Record.Add(witness.Record{What: wire.Cancel, Viewer: v.Number, Conn: s.number, Director: name, ID: id})
+			c.Record.Add(witness.Record{Kind: wire.Cancel, Client: v.Number, Conn: s.number, Director: name, RequestID: id})
 			conn.Send(wire.Encode(wire.SessionMessage{Type: wire.Cancel, ID: id}), 0)
 			select { // what crosses is still seen
 			case <-time.After(100 * time.Millisecond):
@@ -201,7 +201,7 @@
 			}
 			return ending{}
 		case <-patience.C:
-			c.Record.Add(witness.Record{What: witness.GaveUp, Viewer: v.Number, Conn: s.number, Director: name, ID: id})
+			c.Record.Add(witness.Record{Kind: witness.ClientTimedOut, Client: v.Number, Conn: s.number, Director: name, RequestID: id})
 			return ending{again: !v.Paid}
 		case m := <-s.in:
 			switch m.Type {
--- a/internal/witness/check.go
+++ b/internal/witness/check.go
@@ -11,58 +11,58 @@
 	"fordusher/internal/wire"
 )
 
-// Terms are the figures of the rules.
-type Terms struct {
-	Tariffs  map[string]Tariff `json:"tariffs"`
-	Grace    time.Duration     `json:"grace"` // of drains
-	Warmup   time.Duration     `json:"warmup"`
-	ColdFrom float64           `json:"cold_from"`
-	Multiple float64           `json:"multiple"`
-	TipAfter time.Duration     `json:"tip_after"`
-	Most     int               `json:"most"` // legs of a session
-	Spare    float64           `json:"spare"`
-	Share    float64           `json:"share"`
-	Span     time.Duration     `json:"span"`  // 0: further legs are not rationed
-	Slack    time.Duration     `json:"slack"` // what crosses a socket may be seen so much out of order or late
+// Limits are the figures of the rules.
+type Limits struct {
+	Tariffs          map[string]TariffLimits `json:"tariffs"`
+	DrainGrace       time.Duration           `json:"grace"` // of drains
+	Warmup           time.Duration           `json:"warmup"`
+	InitialShare     float64                 `json:"cold_from"`
+	OverloadMultiple float64                 `json:"multiple"`
+	OverloadWindow   time.Duration           `json:"tip_after"`
+	MaxLegs          int                     `json:"most"` // legs of a session
+	MinRetries       float64                 `json:"spare"`
+	RetryRatio       float64                 `json:"share"`
+	RetryWindow      time.Duration           `json:"span"`  // 0: further legs are not rationed
+	Tolerance        time.Duration           `json:"slack"` // what crosses a socket may be seen so much out of order or late
 }
 
-// Tariff is what the rules say of a tariff.
-type Tariff struct {
-	Paid   bool          `json:"paid,omitempty"`
-	Floor  int           `json:"floor,omitempty"`
-	Seats  int           `json:"seats,omitempty"`
-	Credit float64       `json:"credit,omitempty"`
-	Goal   time.Duration `json:"goal,omitempty"`
+// TariffLimits is what the rules say of a tariff.
+type TariffLimits struct {
+	Paid      bool          `json:"paid,omitempty"`
+	MinRung   int           `json:"floor,omitempty"`
+	Seats     int           `json:"seats,omitempty"`
+	Credit    float64       `json:"credit,omitempty"`
+	StartGoal time.Duration `json:"goal,omitempty"`
 }
 
 // The rules, by name, in the order of their numbers.
 const (
-	RuleAnswer = "one_answer"
-	RuleOnce   = "set_up_once"
-	RuleDrain  = "drains_kept"
-	RuleCold   = "cold_kept"
-	RuleTerms  = "terms_kept"
-	RuleBudget = "legs_rationed"
+	RuleAnswer       = "one_answer"
+	RuleSetupOnce    = "set_up_once"
+	RuleDrain        = "drains_kept"
+	RuleSlowStart    = "cold_kept"
+	RuleTariffLimits = "terms_kept"
+	RuleRetryBudget  = "legs_rationed"
 )
 
 // Rules are the names of all rules.
-var Rules = []string{RuleAnswer, RuleOnce, RuleDrain, RuleCold, RuleTerms, RuleBudget}
+var Rules = []string{RuleAnswer, RuleSetupOnce, RuleDrain, RuleSlowStart, RuleTariffLimits, RuleRetryBudget}
 
 // Finding is how one rule fared.
 type Finding struct {
-	Checked  int      `json:"checked"`
-	Broken   int      `json:"broken"`
-	Examples []string `json:"examples,omitempty"` // the first few breaches
-	Least    float64  `json:"least"`              // smallest part of what the rule allows that was left over; 1: it never came near
+	Checked    int      `json:"checked"`
+	Violations int      `json:"broken"`
+	Examples   []string `json:"examples,omitempty"` // the first few breaches
+	MinMargin  float64  `json:"least"`              // smallest part of what the rule allows that was left over; 1: it never came near
 }
 
-// Verdict is how all rules fared.
-type Verdict map[string]*Finding
+// Findings is how all rules fared.
+type Findings map[string]*Finding
 
-// Kept tells whether no rule was broken.
-func (v Verdict) Kept() bool {
+// Passed tells whether no rule was broken.
+func (v Findings) Passed() bool {
 	for _, f := range v {
-		if f.Broken > 0 {
+		if f.Violations > 0 {
 			return false
 		}
 	}
@@ -72,15 +72,17 @@
 const exampleMost = 5
 
 // left notes what part of what a rule allows was left over.
-func (v Verdict) left(rule string, part float64) { v[rule].Least = max(0, min(v[rule].Least, part)) }
+func (v Findings) left(rule string, part float64) {
+	v[rule].MinMargin = max(0, min(v[rule].MinMargin, part))
+}
 
-func (v Verdict) check(rule string, ok bool, format string, args ...any) {
+func (v Findings) check(rule string, ok bool, format string, args ...any) {
 	f := v[rule]
 	f.Checked++
 	if ok {
 		return
 	}
-	f.Broken++
+	f.Violations++
 	if len(f.Examples) < exampleMost {
 		f.Examples = append(f.Examples, fmt.Sprintf(format, args...))
 	}
@@ -119,8 +121,8 @@
 
 // An account is everything that is looked at while records are gone through, in the order of their times.
 type account struct {
-	terms    Terms
-	verdict  Verdict
+	terms    Limits
+	verdict  Findings
 	wants    map[wantKey]*want
 	order    []*want
 	sessions map[string]*want // by the director's name of the session
@@ -148,7 +150,7 @@
 // it a moment before.
 func (a *account) cleared(k [2]string, now time.Duration) {
 	for _, d := range a.doubts[k] {
-		a.verdict.check(RuleDrain, d.at >= now-a.terms.Slack, "%s", d.example)
+		a.verdict.check(RuleDrain, d.at >= now-a.terms.Tolerance, "%s", d.example)
 	}
 	delete(a.doubts, k)
 }
@@ -159,15 +161,15 @@
 }
 
 // Check goes through records, which have to be in the order of their times, and says how each rule fared.
-func Check(terms Terms, records []Record) Verdict {
+func Check(terms Limits, records []Record) Findings {
 	a := &account{
-		terms: terms, verdict: Verdict{}, wants: map[wantKey]*want{}, sessions: map[string]*want{},
+		terms: terms, verdict: Findings{}, wants: map[wantKey]*want{}, sessions: map[string]*want{},
 		legs: map[legKey]*leg{}, byLeg: map[string][]*leg{}, told: map[[2]string]toldAt{}, doubts: map[[2]string][]doubt{},
 		starts: map[string]Record{}, cold: map[string][]Record{}, conns: map[uint64][]*want{},
 		outs: map[string][]*leg{}, killed: map[string]bool{},
 	}
 	for _, rule := range Rules {
-		a.verdict[rule] = &Finding{Least: 1}
+		a.verdict[rule] = &Finding{MinMargin: 1}
 	}
 	for _, r := range records {
 		a.end = max(a.end, r.At)
@@ -186,9 +188,9 @@
 }
 
 func (a *account) take(r Record) {
-	switch r.What {
+	switch r.Kind {
 	case wire.Request:
-		k := wantKey{r.Conn, r.ID}
+		k := wantKey{r.Conn, r.RequestID}
 		if w := a.wants[k]; w != nil {
 			w.repeats++
 			return
@@ -203,7 +205,7 @@
 	case wire.Playing, wire.Nack, wire.Errored:
 		a.answer(r)
 	case wire.Cancel:
-		if w := a.wants[wantKey{r.Conn, r.ID}]; w != nil && w.excused == 0 {
+		if w := a.wants[wantKey{r.Conn, r.RequestID}]; w != nil && w.excused == 0 {
 			w.excused = r.At
 		}
 	case wire.Setup:
@@ -221,10 +223,10 @@
 		}
 	case wire.Full, wire.Failed, wire.Ended, wire.End:
 		if g := a.legs[legKey{r.Node, r.Conn, r.Leg}]; g != nil {
-			g.full = g.full || r.What == wire.Full && !g.plays && g.over == 0
+			g.full = g.full || r.Kind == wire.Full && !g.plays && g.over == 0
 			a.over(g, r.At)
 		}
-	case Closed:
+	case ConnClosed:
 		if r.Node != "" {
 			for _, g := range a.outs[r.Node] {
 				if g.Conn == r.Conn {
@@ -235,28 +237,28 @@
 		}
 		for _, w := range a.conns[r.Conn] {
 			// A close that says when to come back is an answer to what crosses it.
-			if (r.By == ByUs || strings.Contains(r.Why, wentForRoom)) && w.excused == 0 {
+			if (r.ClosedBy == ClosedByRecorder || strings.Contains(r.Reason, wentForRoom)) && w.excused == 0 {
 				w.excused = r.At
 			}
 		}
 		delete(a.conns, r.Conn)
-	case Returned:
+	case DirectorStarted:
 		delete(a.killed, r.Director)
-	case Killed:
+	case DirectorKilled:
 		a.killed[r.Director] = true
 		for _, w := range a.order {
 			if w.Director == r.Director && w.answered == 0 && w.excused == 0 {
 				w.excused = r.At
 			}
 		}
-	case Listens:
+	case ListRequested:
 		for k := range a.told {
 			if k[0] == r.Director {
 				delete(a.told, k)
 				a.cleared(k, r.At)
 			}
 		}
-	case Told:
+	case ListReceived:
 		k := [2]string{r.Director, r.Node}
 		if a.told[k].state != r.State {
 			a.told[k] = toldAt{r.At, r.State}
@@ -264,10 +266,10 @@
 		if r.State == wire.Up {
 			a.cleared(k, r.At)
 		}
-	case Started:
+	case NodeStarted:
 		a.starts[r.Node] = r
 		a.cold[r.Node] = nil
-	case Died:
+	case NodeExited:
 		delete(a.starts, r.Node)
 		for _, g := range a.outs[r.Node] {
 			a.over(g, r.At)
@@ -283,19 +285,19 @@
 
 // answer is rule 1's other half: an answer that nobody asked for, or a second one.
 func (a *account) answer(r Record) {
-	w := a.wants[wantKey{r.Conn, r.ID}]
+	w := a.wants[wantKey{r.Conn, r.RequestID}]
 	if w == nil {
-		a.verdict.check(RuleAnswer, false, "%s: answer %s to %q, which was never asked", at(r.At), r.What, r.ID)
+		a.verdict.check(RuleAnswer, false, "%s: answer %s to %q, which was never asked", at(r.At), r.Kind, r.RequestID)
 		return
 	}
 	if w.answered != 0 {
-		a.verdict.check(RuleAnswer, w.repeats > 0 && w.answer == r.What, "%s: viewer %d got %s after %s from %s", at(r.At),
-			w.Viewer, r.What, w.answer, w.Director)
+		a.verdict.check(RuleAnswer, w.repeats > 0 && w.answer == r.Kind, "%s: viewer %d got %s after %s from %s", at(r.At),
+			w.Client, r.Kind, w.answer, w.Director)
 		w.repeats--
 		return
 	}
-	w.answered, w.answer, w.session = r.At, r.What, r.Session
-	if r.Session != "" && r.What != wire.Playing {
+	w.answered, w.answer, w.session = r.At, r.Kind, r.Session
+	if r.Session != "" && r.Kind != wire.Playing {
 		a.sessions[r.Session] = w
 	}
 }
@@ -303,16 +305,16 @@
 // answers is rule 1: exactly one final answer, before the hard stop, unless nothing is owed.
 func (a *account) answers() {
 	for _, w := range a.order {
-		stop := w.At + w.Wait + a.terms.Slack
+		stop := w.At + w.Wait + a.terms.Tolerance
 		switch {
 		case w.answered != 0:
-			a.verdict.left(RuleAnswer, float64(stop-w.answered)/float64(w.Wait+a.terms.Slack))
-			a.verdict.check(RuleAnswer, w.answered <= stop, "viewer %d was answered %v after the hard stop by %s", w.Viewer,
+			a.verdict.left(RuleAnswer, float64(stop-w.answered)/float64(w.Wait+a.terms.Tolerance))
+			a.verdict.check(RuleAnswer, w.answered <= stop, "viewer %d was answered %v after the hard stop by %s", w.Client,
 				w.answered-w.At-w.Wait, w.Director)
 		case w.excused != 0 && w.excused <= stop:
 		case a.end <= stop: // the record ends before
 		default:
-			a.verdict.check(RuleAnswer, false, "viewer %d was never answered by %s (%s, asked at %s)", w.Viewer, w.Director,
+			a.verdict.check(RuleAnswer, false, "viewer %d was never answered by %s (%s, asked at %s)", w.Client, w.Director,
 				w.Tariff, at(w.At))
 		}
 	}
@@ -329,8 +331,8 @@
 	a.floor(r.Tariff, r)
 	// Rule 3. What was told and taken is what the director knows.
 	if t, ok := a.told[[2]string{r.Director, r.Node}]; ok && t.state != wire.Up {
-		if r.At <= t.at+a.terms.Grace+a.terms.Slack {
-			a.verdict.left(RuleDrain, 1-float64(r.At-t.at)/float64(a.terms.Grace+a.terms.Slack))
+		if r.At <= t.at+a.terms.DrainGrace+a.terms.Tolerance {
+			a.verdict.left(RuleDrain, 1-float64(r.At-t.at)/float64(a.terms.DrainGrace+a.terms.Tolerance))
 			a.verdict.check(RuleDrain, true, "")
 		} else {
 			k := [2]string{r.Director, r.Node}
@@ -343,19 +345,19 @@
 	// Rule 4, all directors together.
 	start, cold := a.starts[r.Node]
 	if age := r.At - start.At; cold && age < a.terms.Warmup {
-		a.cold[r.Node] = slices.DeleteFunc(append(a.cold[r.Node], r), func(x Record) bool { return x.At <= r.At-a.terms.TipAfter })
-		warmth := a.terms.ColdFrom + (1-a.terms.ColdFrom)*age.Seconds()/a.terms.Warmup.Seconds()
-		budget := a.terms.Multiple * start.Places / a.terms.Warmup.Seconds() * warmth * a.terms.TipAfter.Seconds()
-		a.verdict.left(RuleCold, 1-float64(len(a.cold[r.Node]))/(budget+1))
-		a.verdict.check(RuleCold, float64(len(a.cold[r.Node])) <= budget+1, "%s: %d set-ups within %v on %s, %v after its start (budget %.1f)",
-			at(r.At), len(a.cold[r.Node]), a.terms.TipAfter, r.Node, age, budget)
+		a.cold[r.Node] = slices.DeleteFunc(append(a.cold[r.Node], r), func(x Record) bool { return x.At <= r.At-a.terms.OverloadWindow })
+		warmth := a.terms.InitialShare + (1-a.terms.InitialShare)*age.Seconds()/a.terms.Warmup.Seconds()
+		budget := a.terms.OverloadMultiple * start.MaxStreams / a.terms.Warmup.Seconds() * warmth * a.terms.OverloadWindow.Seconds()
+		a.verdict.left(RuleSlowStart, 1-float64(len(a.cold[r.Node]))/(budget+1))
+		a.verdict.check(RuleSlowStart, float64(len(a.cold[r.Node])) <= budget+1, "%s: %d set-ups within %v on %s, %v after its start (budget %.1f)",
+			at(r.At), len(a.cold[r.Node]), a.terms.OverloadWindow, r.Node, age, budget)
 	}
 }
 
 func (a *account) floor(tariff string, r Record) {
-	if t := a.terms.Tariffs[tariff]; t.Floor > 0 {
-		a.verdict.check(RuleTerms, r.Rung >= t.Floor, "%s: %s set rung %d of %s on %s, under the floor %d", at(r.At), r.Director, r.Rung,
-			tariff, r.Node, t.Floor)
+	if t := a.terms.Tariffs[tariff]; t.MinRung > 0 {
+		a.verdict.check(RuleTariffLimits, r.Rung >= t.MinRung, "%s: %s set rung %d of %s on %s, under the floor %d", at(r.At), r.Director, r.Rung,
+			tariff, r.Node, t.MinRung)
 	}
 }
 
@@ -366,8 +368,8 @@
 	if over == 0 {
 		over = 1 << 62
 	}
-	if !g.plays && g.Within > 0 {
-		over = min(over, g.At+g.Within)
+	if !g.plays && g.StartTimeout > 0 {
+		over = min(over, g.At+g.StartTimeout)
 	}
 	return over
 }
@@ -390,27 +392,27 @@
 		for i, x := range all {
 			played += x.played
 			if i == 0 {
-				a.verdict.check(RuleOnce, true, "")
+				a.verdict.check(RuleSetupOnce, true, "")
 				continue
 			}
 			before := all[i-1]
-			a.verdict.check(RuleOnce, x.At >= a.ended(before)-a.terms.Slack, "%s: %s has two legs out, on %s and %s", at(x.At), x.Session,
+			a.verdict.check(RuleSetupOnce, x.At >= a.ended(before)-a.terms.Tolerance, "%s: %s has two legs out, on %s and %s", at(x.At), x.Session,
 				before.Node, x.Node)
-			a.verdict.check(RuleOnce, !paid || before.full, "%s: paid %s is sent again to %s, though its leg on %s may have run", at(x.At),
+			a.verdict.check(RuleSetupOnce, !paid || before.full, "%s: paid %s is sent again to %s, though its leg on %s may have run", at(x.At),
 				x.Session, x.Node, before.Node)
 		}
-		if a.terms.Most > 0 {
-			a.verdict.check(RuleOnce, len(all) <= a.terms.Most, "%s had %d legs", g.Session, len(all))
+		if a.terms.MaxLegs > 0 {
+			a.verdict.check(RuleSetupOnce, len(all) <= a.terms.MaxLegs, "%s had %d legs", g.Session, len(all))
 		}
-		a.verdict.check(RuleOnce, !paid || played <= 1, "paid %s played %d times", g.Session, played)
+		a.verdict.check(RuleSetupOnce, !paid || played <= 1, "paid %s played %d times", g.Session, played)
 		w := a.sessions[g.Session]
 		if w == nil {
 			continue
 		}
 		for _, x := range all {
-			a.verdict.check(RuleOnce, x.At <= w.answered+a.terms.Slack, "%s: %s is sent to %s after its answer %s", at(x.At), x.Session, x.Node, w.answer)
+			a.verdict.check(RuleSetupOnce, x.At <= w.answered+a.terms.Tolerance, "%s: %s is sent to %s after its answer %s", at(x.At), x.Session, x.Node, w.answer)
 			if paid && w.answer == wire.Nack {
-				a.verdict.check(RuleOnce, x.full, "%s: paid %s is nacked, though its leg on %s may have run", at(w.answered), x.Session, x.Node)
+				a.verdict.check(RuleSetupOnce, x.full, "%s: paid %s is nacked, though its leg on %s may have run", at(w.answered), x.Session, x.Node)
 			}
 		}
 	}
@@ -426,10 +428,10 @@
 			continue
 		}
 		h := hall{boot(g.Session), g.Title, g.Tariff}
-		outs[h] = slices.DeleteFunc(outs[h], func(x *leg) bool { return a.ended(x)-a.terms.Slack <= g.At })
+		outs[h] = slices.DeleteFunc(outs[h], func(x *leg) bool { return a.ended(x)-a.terms.Tolerance <= g.At })
 		outs[h] = append(outs[h], g)
-		a.verdict.left(RuleTerms, 1-float64(len(outs[h]))/float64(seats+1))
-		a.verdict.check(RuleTerms, len(outs[h]) <= seats, "%s: %s holds %d sessions of %s in %s; there are %d seats", at(g.At), h.boot,
+		a.verdict.left(RuleTariffLimits, 1-float64(len(outs[h]))/float64(seats+1))
+		a.verdict.check(RuleTariffLimits, len(outs[h]) <= seats, "%s: %s holds %d sessions of %s in %s; there are %d seats", at(g.At), h.boot,
 			len(outs[h]), h.title, h.tariff, seats)
 	}
 }
@@ -446,7 +448,7 @@
 
 // budget is rule 6: further legs within a span, of one run of a director.
 func (a *account) budget() {
-	if a.terms.Span == 0 {
+	if a.terms.RetryWindow == 0 {
 		return
 	}
 	var taken []Record
@@ -460,17 +462,17 @@
 		}
 		b := boot(g.Session)
 		// One way may have been longer than the other: what was sent a span apart can come closer together.
-		spent := slices.DeleteFunc(append(further[b], g.At), func(t time.Duration) bool { return t <= g.At-a.terms.Span+a.terms.Slack })
+		spent := slices.DeleteFunc(append(further[b], g.At), func(t time.Duration) bool { return t <= g.At-a.terms.RetryWindow+a.terms.Tolerance })
 		further[b] = spent
 		n := 0
 		for _, w := range taken {
-			if w.Director == g.Director && w.At > g.At-a.terms.Span-a.terms.Slack && w.At <= g.At {
+			if w.Director == g.Director && w.At > g.At-a.terms.RetryWindow-a.terms.Tolerance && w.At <= g.At {
 				n++
 			}
 		}
-		budget := a.terms.Spare + a.terms.Share*float64(n)
-		a.verdict.left(RuleBudget, 1-float64(len(spent))/(budget+1))
-		a.verdict.check(RuleBudget, float64(len(spent)) <= budget+1, "%s: %s sent %d further legs within %v (budget %.1f)", at(g.At), b,
-			len(spent), a.terms.Span, budget)
+		budget := a.terms.MinRetries + a.terms.RetryRatio*float64(n)
+		a.verdict.left(RuleRetryBudget, 1-float64(len(spent))/(budget+1))
+		a.verdict.check(RuleRetryBudget, float64(len(spent)) <= budget+1, "%s: %s sent %d further legs within %v (budget %.1f)", at(g.At), b,
+			len(spent), a.terms.RetryWindow, budget)
 	}
 }
--- a/internal/witness/record.go
+++ b/internal/witness/record.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock is the machine's monotonic clock, the same for every process on it.
-func Clock() time.Duration {
+// MonotonicNow is the machine's monotonic clock, the same for every process on it.
+func MonotonicNow() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &ts); err != nil {
 		panic(fmt.Sprintf("no monotonic clock: %v", err))
@@ -22,47 +22,47 @@
 
 // What a Record tells of. The words of the wire stand for messages of that name.
 const (
-	Closed   = "closed"   // player, node: a connection has ended; By tells who ended it
-	Told     = "told"     // list: a director has taken a list in which the node stands so (State)
-	Listens  = "listens"  // list: a director has connected and knows nothing yet
-	Started  = "started"  // day: a node has started, cold
-	Died     = "died"     // day: a node's process has ended
-	Killed   = "killed"   // day: a director was killed; it owes nothing any more
-	GaveUp   = "gave up"  // player: the time to wait is up
-	Returned = "returned" // day: a director has started again
-	Scripted = "scripted" // day: it begins; ID is its seed, Why its script
-	Acted    = "acted"    // day: something of its timeline was done; Why is what, as JSON
-	Earned   = "earned"   // node: what a session has earned by its end (Seconds)
+	ConnClosed      = "closed"   // player, node: a connection has ended; By tells who ended it
+	ListReceived    = "told"     // list: a director has taken a list in which the node stands so (State)
+	ListRequested   = "listens"  // list: a director has connected and knows nothing yet
+	NodeStarted     = "started"  // day: a node has started, cold
+	NodeExited      = "died"     // day: a node's process has ended
+	DirectorKilled  = "killed"   // day: a director was killed; it owes nothing any more
+	ClientTimedOut  = "gave up"  // player: the time to wait is up
+	DirectorStarted = "returned" // day: a director has started again
+	RunStarted      = "scripted" // day: it begins; ID is its seed, Why its script
+	ActionApplied   = "acted"    // day: something of its timeline was done; Why is what, as JSON
+	SessionEarned   = "earned"   // node: what a session has earned by its end (Seconds)
 )
 
 // Who may end a connection.
 const (
-	ByPeer = "peer"
-	ByUs   = "us" // the stand-in that keeps the record
+	ClosedByPeer     = "peer"
+	ClosedByRecorder = "us" // the stand-in that keeps the record
 )
 
 // A Record is one thing that a stand-in saw, at the moment when it sent or received it.
 type Record struct {
-	At       time.Duration `json:"at"`
-	What     string        `json:"what"`
-	Viewer   int           `json:"viewer,omitempty"` // player records
-	Conn     uint64        `json:"conn,omitempty"`   // the stand-in's number of the connection
-	Director string        `json:"director,omitempty"`
-	Node     string        `json:"node,omitempty"`
-	ID       string        `json:"id,omitempty"`
-	Session  string        `json:"session,omitempty"`
-	Leg      uint64        `json:"leg,omitempty"`
-	Tariff   string        `json:"tariff,omitempty"`
-	Title    string        `json:"title,omitempty"`
-	Rung     int           `json:"rung,omitempty"`
-	Wait     time.Duration `json:"wait,omitempty"`   // want
-	Within   time.Duration `json:"within,omitempty"` // setup
-	Again    bool          `json:"again,omitempty"`
-	State    string        `json:"state,omitempty"`
-	By       string        `json:"by,omitempty"`
-	Places   float64       `json:"places,omitempty"` // started
-	Why      string        `json:"why,omitempty"`
-	Seconds  float64       `json:"seconds,omitempty"` // earned
+	At           time.Duration `json:"at"`
+	Kind         string        `json:"what"`
+	Client       int           `json:"viewer,omitempty"` // player records
+	Conn         uint64        `json:"conn,omitempty"`   // the stand-in's number of the connection
+	Director     string        `json:"director,omitempty"`
+	Node         string        `json:"node,omitempty"`
+	RequestID    string        `json:"id,omitempty"`
+	Session      string        `json:"session,omitempty"`
+	Leg          uint64        `json:"leg,omitempty"`
+	Tariff       string        `json:"tariff,omitempty"`
+	Title        string        `json:"title,omitempty"`
+	Rung         int           `json:"rung,omitempty"`
+	Wait         time.Duration `json:"wait,omitempty"`   // want
+	StartTimeout time.Duration `json:"within,omitempty"` // setup
+	Retry        bool          `json:"again,omitempty"`
+	State        string        `json:"state,omitempty"`
+	ClosedBy     string        `json:"by,omitempty"`
+	MaxStreams   float64       `json:"places,omitempty"` // started
+	Reason       string        `json:"why,omitempty"`
+	Seconds      float64       `json:"seconds,omitempty"` // earned
 }
 
 // A Recorder takes records from many goroutines.
@@ -71,8 +71,8 @@
 	records []Record
 }
 
-// Nobody is a recorder that keeps nothing, for loads that nobody judges.
-var Nobody = (*Recorder)(nil)
+// DiscardRecorder is a recorder that keeps nothing, for loads that nobody judges.
+var DiscardRecorder = (*Recorder)(nil)
 
 // Add keeps a record; its time is now unless it has one.
 func (r *Recorder) Add(x Record) {
@@ -81,7 +81,7 @@
 	}
 	r.mu.Lock()
 	if x.At == 0 {
-		x.At = Clock()
+		x.At = MonotonicNow()
 	}
 	r.records = append(r.records, x)
 	r.mu.Unlock()
--- a/internal/witness/tally.go
+++ b/internal/witness/tally.go
@@ -6,14 +6,14 @@
 	"fordusher/internal/wire"
 )
 
-// Counts are how the requests of a record ended: each in exactly one way.
-type Counts struct {
-	Taken, Played, Nacked, Errored, Gone, Unanswered, Again, Legs int
+// OutcomeCounts are how the requests of a record ended: each in exactly one way.
+type OutcomeCounts struct {
+	Received, Played, Nacked, Errored, Abandoned, Unanswered, Retries, Legs int
 }
 
-// Tally counts how requests ended. Gone are those whose viewer left, whose connection the viewer ended, or
+// CountOutcomes counts how requests ended. Gone are those whose viewer left, whose connection the viewer ended, or
 // whose director was killed.
-func Tally(records []Record) (c Counts) {
+func CountOutcomes(records []Record) (c OutcomeCounts) {
 	type state struct {
 		answered bool
 		gone     bool
@@ -23,8 +23,8 @@
 	byConn := map[uint64][]*state{}
 	down := map[string]bool{}
 	for _, r := range records {
-		k := wantKey{r.Conn, r.ID}
-		switch r.What {
+		k := wantKey{r.Conn, r.RequestID}
+		switch r.Kind {
 		case wire.Request:
 			if wants[k] != nil {
 				continue
@@ -32,9 +32,9 @@
 			s := &state{director: r.Director, gone: down[r.Director]}
 			wants[k] = s
 			byConn[r.Conn] = append(byConn[r.Conn], s)
-			c.Taken++
-			if r.Again {
-				c.Again++
+			c.Received++
+			if r.Retry {
+				c.Retries++
 			}
 		case wire.Playing, wire.Nack, wire.Errored:
 			s := wants[k]
@@ -42,7 +42,7 @@
 				continue
 			}
 			s.answered = true
-			switch r.What {
+			switch r.Kind {
 			case wire.Playing:
 				c.Played++
 			case wire.Nack:
@@ -56,23 +56,23 @@
 			}
 		case wire.Setup:
 			c.Legs++
-		case Closed:
-			if r.Node == "" && (r.By == ByUs || strings.Contains(r.Why, wentForRoom)) {
+		case ConnClosed:
+			if r.Node == "" && (r.ClosedBy == ClosedByRecorder || strings.Contains(r.Reason, wentForRoom)) {
 				for _, s := range byConn[r.Conn] {
 					s.gone = true
 				}
 			}
-		case Killed:
+		case DirectorKilled:
 			down[r.Director] = true
 			for _, s := range wants {
 				if s.director == r.Director {
 					s.gone = true
 				}
 			}
-		case Returned:
+		case DirectorStarted:
 			delete(down, r.Director)
 		}
-		if r.What == GaveUp {
+		if r.Kind == ClientTimedOut {
 			if s := wants[k]; s != nil && !s.answered && !s.gone {
 				s.gone = false
 				c.Unanswered++
@@ -84,7 +84,7 @@
 		switch {
 		case s.answered:
 		case s.gone:
-			c.Gone++
+			c.Abandoned++
 		default:
 			c.Unanswered++
 		}
--- a/internal/witness/witness_test.go
+++ b/internal/witness/witness_test.go
@@ -13,10 +13,10 @@
 
 const ms = time.Millisecond
 
-var terms = Terms{
-	Tariffs: map[string]Tariff{"exam": {Paid: true, Floor: 1, Seats: 2}, "clip": {}},
-	Grace:   250 * ms, Warmup: 10 * time.Second, ColdFrom: 0.5, Multiple: 2, TipAfter: time.Second, Most: 4,
-	Spare: 1, Share: 0.1, Span: 5 * time.Second, Slack: 50 * ms,
+var terms = Limits{
+	Tariffs:    map[string]TariffLimits{"exam": {Paid: true, MinRung: 1, Seats: 2}, "clip": {}},
+	DrainGrace: 250 * ms, Warmup: 10 * time.Second, InitialShare: 0.5, OverloadMultiple: 2, OverloadWindow: time.Second, MaxLegs: 4,
+	MinRetries: 1, RetryRatio: 0.1, RetryWindow: 5 * time.Second, Tolerance: 50 * ms,
 }
 
 // A log is a record that is written down line by line, each at a time in milliseconds.
@@ -25,19 +25,19 @@
 func (l *log) add(at int, r Record) { r.At = time.Duration(at) * ms; *l = append(*l, r) }
 
 func (l *log) want(at int, conn uint64, tariff string) {
-	l.add(at, Record{What: wire.Request, Conn: conn, ID: "1", Director: "d", Tariff: tariff, Wait: 2 * time.Second})
+	l.add(at, Record{Kind: wire.Request, Conn: conn, RequestID: "1", Director: "d", Tariff: tariff, Wait: 2 * time.Second})
 }
 
 func (l *log) answer(at int, conn uint64, what, session string) {
-	l.add(at, Record{What: what, Conn: conn, ID: "1", Director: "d", Session: session})
+	l.add(at, Record{Kind: what, Conn: conn, RequestID: "1", Director: "d", Session: session})
 }
 
 func (l *log) setup(at int, node string, leg uint64, session, tariff string) {
-	l.add(at, Record{What: wire.Setup, Node: node, Conn: 1, Leg: leg, Director: "d", Session: session, Tariff: tariff, Title: "t", Rung: 1})
+	l.add(at, Record{Kind: wire.Setup, Node: node, Conn: 1, Leg: leg, Director: "d", Session: session, Tariff: tariff, Title: "t", Rung: 1})
 }
 
 func (l *log) node(at int, what, node string, leg uint64) {
-	l.add(at, Record{What: what, Node: node, Conn: 1, Leg: leg})
+	l.add(at, Record{Kind: what, Node: node, Conn: 1, Leg: leg})
 }
 
 // Each rule has a record that breaks it and the nearest one that does not.
@@ -85,11 +85,11 @@
 		}},
 		{"a connection that its director ended", RuleAnswer, func(l *log, broken bool) {
 			l.want(0, 1, "clip")
-			by := ByUs
+			by := ClosedByRecorder
 			if broken {
-				by = ByPeer
+				by = ClosedByPeer
 			}
-			l.add(10, Record{What: Closed, Conn: 1, By: by})
+			l.add(10, Record{Kind: ConnClosed, Conn: 1, ClosedBy: by})
 			l.want(3000, 2, "clip")
 		}},
 		{"a close for want of room", RuleAnswer, func(l *log, broken bool) {
@@ -98,32 +98,32 @@
 			if broken {
 				why = "closed by peer: 1008 too many messages at once"
 			}
-			l.add(10, Record{What: Closed, Conn: 1, By: ByPeer, Why: why})
+			l.add(10, Record{Kind: ConnClosed, Conn: 1, ClosedBy: ClosedByPeer, Reason: why})
 			l.want(3000, 2, "clip")
 		}},
 		{"a director that was killed", RuleAnswer, func(l *log, broken bool) {
 			l.want(0, 1, "clip")
 			if !broken {
-				l.add(10, Record{What: Killed, Director: "d"})
+				l.add(10, Record{Kind: DirectorKilled, Director: "d"})
 			}
 			l.want(3000, 2, "clip")
 		}},
-		{"two legs out", RuleOnce, func(l *log, broken bool) {
+		{"two legs out", RuleSetupOnce, func(l *log, broken bool) {
 			l.setup(0, "a", 1, "d.1.1", "clip")
 			if !broken {
 				l.node(50, wire.End, "a", 1)
 			}
 			l.setup(100, "b", 2, "d.1.1", "clip")
 		}},
-		{"two legs out, the first timed out", RuleOnce, func(l *log, broken bool) {
+		{"two legs out, the first timed out", RuleSetupOnce, func(l *log, broken bool) {
 			within := 90 * ms
 			if broken {
 				within = 300 * ms
 			}
-			l.add(0, Record{What: wire.Setup, Node: "a", Conn: 1, Leg: 1, Director: "d", Session: "d.1.1", Tariff: "clip", Within: within})
+			l.add(0, Record{Kind: wire.Setup, Node: "a", Conn: 1, Leg: 1, Director: "d", Session: "d.1.1", Tariff: "clip", StartTimeout: within})
 			l.setup(100, "b", 2, "d.1.1", "clip")
 		}},
-		{"paid and sent again", RuleOnce, func(l *log, broken bool) {
+		{"paid and sent again", RuleSetupOnce, func(l *log, broken bool) {
 			l.setup(0, "a", 1, "d.1.1", "exam")
 			if broken {
 				l.node(10, wire.Failed, "a", 1)
@@ -132,7 +132,7 @@
 			}
 			l.setup(100, "b", 2, "d.1.1", "exam")
 		}},
-		{"paid and nacked", RuleOnce, func(l *log, broken bool) {
+		{"paid and nacked", RuleSetupOnce, func(l *log, broken bool) {
 			l.want(0, 1, "exam")
 			l.setup(1, "a", 1, "d.1.1", "exam")
 			if !broken {
@@ -140,7 +140,7 @@
 			}
 			l.answer(20, 1, wire.Nack, "d.1.1")
 		}},
-		{"full after accepted", RuleOnce, func(l *log, broken bool) {
+		{"full after accepted", RuleSetupOnce, func(l *log, broken bool) {
 			l.setup(0, "a", 1, "d.1.1", "exam")
 			if broken {
 				l.node(5, wire.Accepted, "a", 1)
@@ -148,14 +148,14 @@
 			l.node(10, wire.Full, "a", 1)
 			l.setup(100, "b", 2, "d.1.1", "exam")
 		}},
-		{"sent after its answer", RuleOnce, func(l *log, broken bool) {
+		{"sent after its answer", RuleSetupOnce, func(l *log, broken bool) {
 			l.want(0, 1, "clip")
 			if broken {
 				l.answer(20, 1, wire.Nack, "d.1.1")
 			}
 			l.setup(100, "b", 2, "d.1.1", "clip")
 		}},
-		{"too many legs", RuleOnce, func(l *log, broken bool) {
+		{"too many legs", RuleSetupOnce, func(l *log, broken bool) {
 			for i := range 40 {
 				l.want(0, uint64(i+1), "clip") // enough for rule 6
 				l.answer(1, uint64(i+1), wire.Nack, "")
@@ -169,7 +169,7 @@
 			}
 		}},
 		{"sent to a draining node", RuleDrain, func(l *log, broken bool) {
-			l.add(0, Record{What: Told, Director: "d", Node: "a", State: wire.Draining})
+			l.add(0, Record{Kind: ListReceived, Director: "d", Node: "a", State: wire.Draining})
 			if broken {
 				l.setup(301, "a", 1, "d.1.1", "clip")
 			} else {
@@ -177,15 +177,15 @@
 			}
 		}},
 		{"told twice counts from the first time", RuleDrain, func(l *log, broken bool) {
-			l.add(0, Record{What: Told, Director: "d", Node: "a", State: wire.Draining})
+			l.add(0, Record{Kind: ListReceived, Director: "d", Node: "a", State: wire.Draining})
 			if !broken {
-				l.add(100, Record{What: Told, Director: "d", Node: "a", State: wire.Up})
+				l.add(100, Record{Kind: ListReceived, Director: "d", Node: "a", State: wire.Up})
 			}
-			l.add(200, Record{What: Told, Director: "d", Node: "a", State: wire.Draining})
+			l.add(200, Record{Kind: ListReceived, Director: "d", Node: "a", State: wire.Draining})
 			l.setup(400, "a", 1, "d.1.1", "clip")
 		}},
-		{"a cold node is pushed", RuleCold, func(l *log, broken bool) {
-			l.add(0, Record{What: Started, Node: "a", Places: 50})
+		{"a cold node is pushed", RuleSlowStart, func(l *log, broken bool) {
+			l.add(0, Record{Kind: NodeStarted, Node: "a", MaxStreams: 50})
 			for i := range 10 { // the budget is 2 x 50 / 10 s x 0.5 = 5, and one for chance
 				if i == 6 && !broken {
 					return
@@ -193,13 +193,13 @@
 				l.setup(i*10, "a", uint64(i+1), "d.1."+string(rune('a'+i)), "clip")
 			}
 		}},
-		{"under the floor", RuleTerms, func(l *log, broken bool) {
+		{"under the floor", RuleTariffLimits, func(l *log, broken bool) {
 			l.setup(0, "a", 1, "d.1.1", "exam")
 			if broken {
-				l.add(10, Record{What: wire.Rung, Node: "a", Conn: 1, Leg: 1, Rung: 0})
+				l.add(10, Record{Kind: wire.Rung, Node: "a", Conn: 1, Leg: 1, Rung: 0})
 			}
 		}},
-		{"too many seats", RuleTerms, func(l *log, broken bool) {
+		{"too many seats", RuleTariffLimits, func(l *log, broken bool) {
 			l.setup(0, "a", 1, "d.1.1", "exam")
 			l.setup(0, "b", 2, "d.1.2", "exam")
 			if !broken {
@@ -207,7 +207,7 @@
 			}
 			l.setup(100, "c", 3, "d.1.3", "exam")
 		}},
-		{"too many further legs", RuleBudget, func(l *log, broken bool) {
+		{"too many further legs", RuleRetryBudget, func(l *log, broken bool) {
 			for i := range 10 {
 				l.want(i, uint64(i+1), "clip") // 1 + 0.1 x 10, and one for chance
 			}
@@ -228,12 +228,12 @@
 			Sort(l)
 			v := Check(terms, l)
 			for rule, f := range v {
-				if want := broken && rule == c.rule; (f.Broken > 0) != want {
-					t.Errorf("%s, broken %v: %s broken %d times: %v", c.name, broken, rule, f.Broken, f.Examples)
+				if want := broken && rule == c.rule; (f.Violations > 0) != want {
+					t.Errorf("%s, broken %v: %s broken %d times: %v", c.name, broken, rule, f.Violations, f.Examples)
 				}
 			}
-			if v.Kept() == broken {
-				t.Errorf("%s, broken %v: kept %v", c.name, broken, v.Kept())
+			if v.Passed() == broken {
+				t.Errorf("%s, broken %v: kept %v", c.name, broken, v.Passed())
 			}
 		}
 	}
@@ -249,8 +249,8 @@
 	l.node(102, wire.End, "a", 19)
 	l.node(110, wire.Accepted, "b", 20)
 	l.answer(111, 1, wire.Playing, "s")
-	if v := Check(terms, l); !v.Kept() {
-		t.Fatalf("%+v", v[RuleOnce])
+	if v := Check(terms, l); !v.Passed() {
+		t.Fatalf("%+v", v[RuleSetupOnce])
 	}
 }
 
@@ -262,13 +262,13 @@
 		kept  bool
 	}{{990, true}, {900, false}} {
 		var l log
-		l.add(100, Record{What: Told, Director: "d", Node: "a", State: wire.Draining})
+		l.add(100, Record{Kind: ListReceived, Director: "d", Node: "a", State: wire.Draining})
 		l.want(800, 1, "clip")
 		l.setup(x.setup, "a", 1, "s", "clip")
-		l.add(1000, Record{What: Told, Director: "d", Node: "a", State: wire.Up})
+		l.add(1000, Record{Kind: ListReceived, Director: "d", Node: "a", State: wire.Up})
 		l.node(1001, wire.Accepted, "a", 1)
 		l.answer(1002, 1, wire.Playing, "s")
-		if v := Check(terms, l); v.Kept() != x.kept || v[RuleDrain].Checked != 1 {
+		if v := Check(terms, l); v.Passed() != x.kept || v[RuleDrain].Checked != 1 {
 			t.Errorf("set-up at %d: %+v", x.setup, v[RuleDrain])
 		}
 	}
@@ -284,12 +284,12 @@
 	l.want(0, 3, "clip")
 	l.answer(10, 3, wire.Errored, "")
 	l.want(0, 4, "clip")
-	l.add(5, Record{What: wire.Cancel, Conn: 4, ID: "1"})
+	l.add(5, Record{Kind: wire.Cancel, Conn: 4, RequestID: "1"})
 	l.want(0, 5, "clip")
-	l.add(3000, Record{What: GaveUp, Conn: 5, ID: "1"})
-	l.add(3001, Record{What: Closed, Conn: 5, By: ByUs})
+	l.add(3000, Record{Kind: ClientTimedOut, Conn: 5, RequestID: "1"})
+	l.add(3001, Record{Kind: ConnClosed, Conn: 5, ClosedBy: ClosedByRecorder})
 	Sort(l)
-	if c := Tally(l); c != (Counts{Taken: 5, Played: 1, Nacked: 1, Errored: 1, Gone: 1, Unanswered: 1}) {
+	if c := CountOutcomes(l); c != (OutcomeCounts{Received: 5, Played: 1, Nacked: 1, Errored: 1, Abandoned: 1, Unanswered: 1}) {
 		t.Fatal(c)
 	}
 }
@@ -302,7 +302,7 @@
 	if err := kept.Save(file, terms, l); err != nil {
 		t.Fatal(err)
 	}
-	got, records, err := kept.Load[Terms, Record](file)
+	got, records, err := kept.Load[Limits, Record](file)
 	if err != nil || len(records) != 2 || records[1] != l[1] || got.Tariffs["exam"] != terms.Tariffs["exam"] {
 		t.Fatal(got, records, err)
 	}
@@ -310,7 +310,7 @@
 	if err := os.WriteFile(file, raw[:len(raw)-5], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := kept.Load[Terms, Record](file); err == nil || !strings.Contains(err.Error(), "day.zst") {
+	if _, _, err := kept.Load[Limits, Record](file); err == nil || !strings.Contains(err.Error(), "day.zst") {
 		t.Fatal("a record cut off is taken for whole", err)
 	}
 }
