--- a/cmd/fordusher/day.go
+++ b/cmd/fordusher/day.go
@@ -41,10 +41,10 @@
 }
 
 func (c *dayCommand) Run() error {
-	s := day.Default()
+	s := day.DefaultScript()
 	if c.Script != "" {
 		var err error
-		if s, err = day.Load(c.Script); err != nil {
+		if s, err = day.LoadScript(c.Script); err != nil {
 			return err
 		}
 	}
@@ -58,7 +58,7 @@
 			return err
 		}
 		var seed uint64
-		if s, seed, actions, err = day.Replay(records); err != nil {
+		if s, seed, actions, err = day.ReconstructRun(records); err != nil {
 			return badInput{fmt.Errorf("%s: %w", c.Replay, err)}
 		}
 		if c.Seed == 0 {
@@ -84,15 +84,15 @@
 	if c.Logs {
 		log = logger(os.Stderr)
 	}
-	opt := day.Options{Seed: c.Seed, Log: log, Slack: c.Slack, Progress: func(line string) { fmt.Fprintln(os.Stderr, line) }}
-	opt.Module = day.Baselines[c.Baseline]
+	opt := day.Options{Seed: c.Seed, Log: log, Tolerance: c.Slack, Progress: func(line string) { fmt.Fprintln(os.Stderr, line) }}
+	opt.NewDecider = day.Baselines[c.Baseline]
 	if err := c.imported(&opt); err != nil {
 		return err
 	}
 	if c.Processes && c.Virtual {
 		return badInput{errors.New("a day in virtual time has no processes: leave out --processes or --virtual")}
 	}
-	if c.Processes && opt.Module != nil {
+	if c.Processes && opt.NewDecider != nil {
 		return errors.New("a baseline runs in the day's own process only: leave out --processes or --baseline")
 	}
 	if c.Processes {
@@ -101,7 +101,7 @@
 			return err
 		}
 		defer p.close()
-		opt.Launch = p
+		opt.Launcher = p
 	}
 	if c.Profile != "" {
 		f, err := os.Create(c.Profile)
@@ -117,7 +117,7 @@
 	var r *day.Result
 	if c.Virtual {
 		began := time.Now()
-		v, err := emulator.Run(s, c.Seed, emulator.Options{Workers: c.Workers, Module: opt.Module, Say: opt.Progress, House: opt.House, Plan: opt.Plan, Until: c.Until,
+		v, err := emulator.Run(s, c.Seed, emulator.Options{Workers: c.Workers, Module: opt.NewDecider, Say: opt.Progress, House: opt.Config, Plan: opt.ListUpdates, Until: c.Until,
 			Actions: actions})
 		if err != nil {
 			return err
@@ -131,7 +131,7 @@
 		}
 	}
 	if c.Record != "" {
-		if err := kept.Save(c.Record, r.Terms, r.Records); err != nil {
+		if err := kept.Save(c.Record, r.Limits, r.Records); err != nil {
 			return err
 		}
 	}
@@ -148,12 +148,12 @@
 	case c.Processes:
 		return badInput{errors.New("--conf is played in the day's own process: leave out --processes")}
 	}
-	if opt.House, err = conf.Load(c.Conf); err != nil || c.Plan == "" {
+	if opt.Config, err = conf.Load(c.Conf); err != nil || c.Plan == "" {
 		return err
 	}
 	lines, at, err := readPlan(c.Plan)
 	for i, l := range lines {
-		opt.Plan = append(opt.Plan, day.Told{At: at[i], Entry: *l.Entry})
+		opt.ListUpdates = append(opt.ListUpdates, day.ListUpdate{At: at[i], Entry: *l.Entry})
 	}
 	return err
 }
@@ -167,7 +167,7 @@
 		}
 		fmt.Println(string(line))
 	}
-	if !r.Kept() {
+	if !r.Passed() {
 		return errBroken
 	}
 	return nil
--- a/cmd/fordusher/hunt.go
+++ b/cmd/fordusher/hunt.go
@@ -31,10 +31,10 @@
 	fmt.Printf("%d days, %d features\n", c.Days, features)
 	broken := false
 	for i, f := range finds {
-		words := fmt.Sprintf("%d requests; broken: %t; least left: %.3f of %s; credit %.3f", f.Result.Taken, !f.Result.Kept(), f.Result.Least,
+		words := fmt.Sprintf("%d requests; broken: %t; least left: %.3f of %s; credit %.3f", f.Result.Received, !f.Result.Passed(), f.Result.Least,
 			f.Result.LeastRule, f.Result.Credit)
 		fmt.Printf("%d. seed %d: %s\n", i+1, f.Script.Seed, words)
-		if !f.Result.Kept() {
+		if !f.Result.Passed() {
 			broken = true
 			for rule, x := range f.Result.Rules {
 				for _, e := range x.Examples {
@@ -49,7 +49,7 @@
 			return err
 		}
 		file := filepath.Join(c.Out, fmt.Sprintf("hunt-%d-%d.jsonc", c.Seed, i+1))
-		if err := os.WriteFile(file, f.Script.Text("Found by a hunt. "+words), 0o644); err != nil {
+		if err := os.WriteFile(file, f.Script.Format("Found by a hunt. "+words), 0o644); err != nil {
 			return err
 		}
 	}
@@ -69,7 +69,7 @@
 }
 
 func (c *shrinkCommand) Run() error {
-	s, err := day.Load(c.Script)
+	s, err := day.LoadScript(c.Script)
 	if err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 		case c.Least >= 0:
 			return r.Least < c.Least
 		}
-		return !r.Kept()
+		return !r.Passed()
 	}
 	smaller, tried, err := emulator.Shrink(s, fails, c.Most, func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
 	if err != nil {
@@ -94,7 +94,7 @@
 	if smaller == nil {
 		return badInput{fmt.Errorf("%s: the day does not fail with seed %d", c.Script, s.Seed)}
 	}
-	text := smaller.Text(fmt.Sprintf("Cut down from %s in %d days.", filepath.Base(c.Script), tried))
+	text := smaller.Format(fmt.Sprintf("Cut down from %s in %d days.", filepath.Base(c.Script), tried))
 	if c.Out != "" {
 		return os.WriteFile(c.Out, text, 0o644)
 	}
--- a/cmd/fordusher/processes.go
+++ b/cmd/fordusher/processes.go
@@ -90,8 +90,8 @@
 	return cmd, in, r, nil
 }
 
-// Director starts a director's process.
-func (p *processes) Director(house []byte, name, boot string, seed uint64) (day.Director, error) {
+// StartDirector starts a director's process.
+func (p *processes) StartDirector(house []byte, name, boot string, seed uint64) (day.DirectorHandle, error) {
 	file := filepath.Join(p.dir, name+".jsonc")
 	if err := os.WriteFile(file, house, 0o600); err != nil {
 		return nil, err
@@ -123,8 +123,8 @@
 	<-d.done
 }
 
-// Fleet starts the nodes' process.
-func (p *processes) Fleet(seed uint64, site node.Site, machines []node.Machine, _ *witness.Recorder, fell func(string)) (day.Fleet, error) {
+// StartNodes starts the nodes' process.
+func (p *processes) StartNodes(seed uint64, site node.Site, machines []node.Machine, _ *witness.Recorder, fell func(string)) (day.NodeFleet, error) {
 	spec, err := json.Marshal(farmSpec{seed, site, machines})
 	if err != nil {
 		return nil, err
@@ -218,7 +218,7 @@
 	return x.Start, x.Age
 }
 
-func (f *fleetProcess) Do(x node.Fault) { f.order(order{Fault: &x}) }
+func (f *fleetProcess) Inject(x node.Fault) { f.order(order{Fault: &x}) }
 
 func (f *fleetProcess) Records() ([]witness.Record, error) {
 	if _, err := f.order(order{Save: f.record}); err != nil {
@@ -283,7 +283,7 @@
 			x.Error = err.Error()
 		}
 		if o.Fault != nil {
-			host.Do(*o.Fault)
+			host.Inject(*o.Fault)
 		}
 		if o.Start != "" {
 			if addresses[o.Start] == "" {
--- a/cmd/fordusher/verify.go
+++ b/cmd/fordusher/verify.go
@@ -22,7 +22,7 @@
 			return err
 		}
 		fmt.Fprintf(os.Stdout, "%s: %d records", file, len(records))
-		if err := report(day.Judge(terms, records), c.JSON); err != nil {
+		if err := report(day.CheckRecords(terms, records), c.JSON); err != nil {
 			broken = true
 		}
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -272,13 +272,13 @@
 	if m := in.answer(t); m.Type != wire.Playing {
 		t.Fatal(m)
 	}
-	p.host.Do(node.Fault{Node: "n0", Silent: new(true)})
+	p.host.Inject(node.Fault{Node: "n0", Silent: new(true)})
 	for m := in.answer(t); m.Type != wire.SessionEnded; m = in.answer(t) {
 		if m.Type != wire.Rung {
 			t.Fatal(m)
 		}
 	}
-	p.host.Do(node.Fault{Node: "n0", Start: true})
+	p.host.Inject(node.Fault{Node: "n0", Start: true})
 	p.waitForLinks(1)
 }
 
@@ -291,7 +291,7 @@
 	if m := in.answer(t); m.Type != wire.Playing {
 		t.Fatal(m)
 	}
-	p.host.Do(node.Fault{Slow: new(100.0)}) // set-ups take a fifth of a second
+	p.host.Inject(node.Fault{Slow: new(100.0)}) // set-ups take a fifth of a second
 	c.Send(requestMessage("2", "exam"), 0)
 	eventually(t, "the set-up is out", func() bool { return p.d.lastSnapshot.Load().owed == 1 })
 	began := time.Now()
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -36,11 +36,11 @@
 
 func run(t *testing.T, text string, opt Options) *Result {
 	t.Helper()
-	s, err := Read("test.jsonc", []byte(text))
+	s, err := ParseScript("test.jsonc", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	opt.Log, opt.Slack = zerolog.Nop(), slack
+	opt.Log, opt.Tolerance = zerolog.Nop(), slack
 	if opt.Seed == 0 {
 		opt.Seed = 1
 	}
@@ -53,11 +53,11 @@
 
 func TestShortBadDayKeepsTheRules(t *testing.T) {
 	r := run(t, short, Options{})
-	if !r.Kept() {
+	if !r.Passed() {
 		r.Print(os.Stderr)
 		t.Fatal("a rule was broken")
 	}
-	if r.Taken != r.Played+r.Nacked+r.Errored+r.Gone || r.Played < 100 || r.Viewers != 500 {
+	if r.Received != r.Played+r.Nacked+r.Errored+r.Abandoned || r.Played < 100 || r.Clients != 500 {
 		t.Fatalf("%+v", r)
 	}
 	for _, rule := range []string{witness.RuleAnswer, witness.RuleSetupOnce, witness.RuleDrain, witness.RuleSlowStart, witness.RuleTariffLimits} {
@@ -70,13 +70,13 @@
 // Every kind of trouble runs, one after another, in a day of its own kind.
 func TestEveryTroubleRuns(t *testing.T) {
 	var troubles []string
-	for _, k := range Kinds {
+	for _, k := range IncidentKinds {
 		troubles = append(troubles, `{"kind": "`+k+`", "at": "300ms", "for": "700ms", "share": 0.08}`)
 	}
 	r := run(t, `{"length": "3s", "requests": 200, "directors": 2, "nodes": 20, "racks": 4, "titles": 10,
 		"viewers": {"mean_length": "800ms"}, "list": {"notice_low": "50ms", "notice_high": "200ms"},
 		"troubles": [`+strings.Join(troubles, ",")+`]}`, Options{Seed: 2})
-	if !r.Kept() {
+	if !r.Passed() {
 		r.Print(os.Stderr)
 		t.Fatal("a rule was broken")
 	}
@@ -134,7 +134,7 @@
 			"viewers": {"mean_length": "500ms"}, "list": {"notice_low": "50ms", "notice_high": "100ms"},
 			"troubles": [{"kind": "fast_errors", "at": "200ms", "for": "2s", "share": 0.5, "size": 0.5},
 				{"kind": "preempt", "at": "300ms", "for": "500ms", "share": 0.3, "size": 2}]}`
-		r := run(t, script, Options{Unguarded: true, Wrap: func(d director.Decider) director.Decider { return broken{d, change} }})
+		r := run(t, script, Options{DisableGuard: true, WrapDecider: func(d director.Decider) director.Decider { return broken{d, change} }})
 		if r.Rules[rule].Violations == 0 {
 			t.Errorf("%s is broken on purpose and not seen: %+v", rule, r.Rules[rule])
 		}
@@ -150,7 +150,7 @@
 		{`{"nodes": 2, "racks": 5}`, `there are 5 racks for 2 nodes`},
 		{`{`, `s:1:`},
 	} {
-		if _, err := Read("s", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseScript("s", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.text, err)
 		}
 	}
--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -42,25 +42,25 @@
 // A Layout is the place that a day is played in: nodes, racks, titles, and what directors are told of them.
 // The same script and seed always give the same one.
 type Layout struct {
-	Script   *Script
-	Seed     uint64
-	Site     node.Site
-	Machines []node.Machine
-	Entries  []wire.NodeEntry // of the machines, addresses and starts left out; Removed: not there at first
-	Titles   []wire.TitlePlacement
-	Worth    []float64
-	Plan     []Told
+	Script      *Script
+	Seed        uint64
+	Site        node.Site
+	Nodes       []node.Machine
+	Entries     []wire.NodeEntry // of the machines, addresses and starts left out; Removed: not there at first
+	Titles      []wire.TitlePlacement
+	Worth       []float64
+	ListUpdates []ListUpdate
 
 	house  *conf.Config // of an imported fleet; nil: the script's own
 	facts  houseFacts
 	chance *rand.Rand
 }
 
-// Lay lays out the place that a script describes.
-func Lay(s *Script, seed uint64) *Layout {
+// NewLayout lays out the place that a script describes.
+func NewLayout(s *Script, seed uint64) *Layout {
 	y := &Layout{Script: s, Seed: seed, Worth: worth, chance: rand.New(rand.NewPCG(seed, 2))}
 	const middle = 703.0
-	concurrent := float64(s.Requests) / s.Length.Seconds() * s.Mean.Seconds()
+	concurrent := float64(s.Requests) / s.Length.Seconds() * s.MeanLength.Seconds()
 	link := max(3*middle, concurrent*middle/s.Load/float64(s.Nodes))
 	perRack := (s.Nodes + s.Racks - 1) / s.Racks
 	y.facts = houseFacts{
@@ -89,16 +89,16 @@
 
 func (y *Layout) machine(e wire.NodeEntry, racks, places int, link float64) {
 	y.Entries = append(y.Entries, e)
-	y.Machines = append(y.Machines, node.Machine{Name: e.Node, Kind: e.MachineKind, Rack: e.Cell % racks, Places: places,
+	y.Nodes = append(y.Nodes, node.Machine{Name: e.Node, Kind: e.MachineKind, Rack: e.Cell % racks, Places: places,
 		Link: link * (0.85 + 0.3*y.chance.Float64()), Cores: 2, Work: 3 * time.Millisecond})
 }
 
-// LayImported lays out the place that a director's file describes: its nodes behind stand-ins, its titles.
-func LayImported(s *Script, seed uint64, h *conf.Config, plan []Told) (*Layout, error) {
+// NewLayoutFromConfig lays out the place that a director's file describes: its nodes behind stand-ins, its titles.
+func NewLayoutFromConfig(s *Script, seed uint64, h *conf.Config, plan []ListUpdate) (*Layout, error) {
 	if len(h.Nodes) == 0 || len(h.Titles) == 0 {
 		return nil, fmt.Errorf("the director's file has %d nodes and %d titles: a day needs some of both", len(h.Nodes), len(h.Titles))
 	}
-	y := &Layout{Script: s, Seed: seed, Titles: h.Titles, Worth: h.Ladder.Worth, Plan: plan, house: h, chance: rand.New(rand.NewPCG(seed, 2))}
+	y := &Layout{Script: s, Seed: seed, Titles: h.Titles, Worth: h.Ladder.Worth, ListUpdates: plan, house: h, chance: rand.New(rand.NewPCG(seed, 2))}
 	if len(y.Worth) == 0 {
 		for _, r := range h.Ladder.Rates {
 			y.Worth = append(y.Worth, r/h.Ladder.Rates[len(h.Ladder.Rates)-1])
@@ -135,8 +135,8 @@
 // DirectorName is the name of a director by its number.
 func DirectorName(i int) string { return "director-" + strconv.Itoa(i) }
 
-// House is what a director is told at its start, and, of the script's own place, the text that says so.
-func (y *Layout) House(i int, list string) (*conf.Config, []byte, error) {
+// DirectorConfig is what a director is told at its start, and, of the script's own place, the text that says so.
+func (y *Layout) DirectorConfig(i int, list string) (*conf.Config, []byte, error) {
 	name := DirectorName(i)
 	if y.house != nil {
 		h := *y.house
@@ -154,8 +154,8 @@
 	return house, text.Bytes(), err
 }
 
-// Viewer is the viewer of a number; hot is the share of them that want one of two titles.
-func (y *Layout) Viewer(h *conf.Config, number int, hot float64) (player.Viewer, *rand.Rand) {
+// Client is the viewer of a number; hot is the share of them that want one of two titles.
+func (y *Layout) Client(h *conf.Config, number int, hot float64) (player.Viewer, *rand.Rand) {
 	r := rand.New(rand.NewPCG(y.Seed, uint64(number)+1000))
 	v := player.Viewer{Number: number + 1, Key: strconv.FormatUint(r.Uint64(), 36)}
 	i := 0
@@ -173,7 +173,7 @@
 		title = r.IntN(min(2, len(y.Titles)))
 	}
 	v.Title = y.Titles[title].Title
-	v.Length = time.Duration(float64(y.Script.Mean) * (0.4 + 1.2*r.Float64()))
+	v.Length = time.Duration(float64(y.Script.MeanLength) * (0.4 + 1.2*r.Float64()))
 	best := min(t.Top, len(y.Worth)-1)
 	if r.Float64() < 0.2 {
 		v.Top = new(min(best, r.IntN(2)+1))
@@ -183,19 +183,19 @@
 	return v, r
 }
 
-// Extent is the day's length in seconds, with bursts counted as often as they multiply.
-func (y *Layout) Extent() float64 {
+// WeightedSeconds is the day's length in seconds, with bursts counted as often as they multiply.
+func (y *Layout) WeightedSeconds() float64 {
 	seconds := y.Script.Length.Seconds()
-	for _, t := range y.Script.Troubles {
+	for _, t := range y.Script.Incidents {
 		if t.Kind == "burst" {
-			seconds += min(t.For, y.Script.Length-t.At).Seconds() * (t.Size - 1)
+			seconds += min(t.Duration, y.Script.Length-t.At).Seconds() * (t.Size - 1)
 		}
 	}
 	return seconds
 }
 
-// Terms are the figures of the rules, as directors of a house were told them.
-func Terms(h *conf.Config, slack time.Duration) witness.Limits {
+// RuleLimits are the figures of the rules, as directors of a house were told them.
+func RuleLimits(h *conf.Config, slack time.Duration) witness.Limits {
 	t := witness.Limits{
 		Tariffs: map[string]witness.TariffLimits{}, DrainGrace: h.DrainGrace, Warmup: h.Ramp.Warmup, InitialShare: h.Ramp.InitialShare,
 		OverloadMultiple: h.Ramp.OverloadMultiple, OverloadWindow: h.Ramp.OverloadWindow, MaxLegs: h.Legs.MaxLegs, MinRetries: h.Legs.MinRetries, RetryRatio: h.Legs.RetryRatio,
--- a/internal/day/replay.go
+++ b/internal/day/replay.go
@@ -10,14 +10,14 @@
 	"fordusher/internal/witness"
 )
 
-// Replay finds in a day's record what it was and what was done in its course, each at the time at which it was
+// ReconstructRun finds in a day's record what it was and what was done in its course, each at the time at which it was
 // really done: the incident, to be gone through again.
-func Replay(records []witness.Record) (s *Script, seed uint64, timeline []Action, err error) {
+func ReconstructRun(records []witness.Record) (s *Script, seed uint64, timeline []Action, err error) {
 	var began time.Duration
 	for _, r := range records {
 		switch r.Kind {
 		case witness.RunStarted:
-			if s, err = Read("the record's script", []byte(r.Reason)); err != nil {
+			if s, err = ParseScript("the record's script", []byte(r.Reason)); err != nil {
 				return nil, 0, nil, err
 			}
 			if seed, err = strconv.ParseUint(r.RequestID, 10, 64); err != nil {
--- a/internal/day/result.go
+++ b/internal/day/result.go
@@ -15,34 +15,34 @@
 // Result is how a day went.
 type Result struct {
 	Seed       uint64           `json:"seed"`
-	Viewers    int              `json:"viewers"`
-	Taken      int              `json:"taken"` // requests that a director got
+	Clients    int              `json:"viewers"`
+	Received   int              `json:"taken"` // requests that a director got
 	Played     int              `json:"played"`
 	Nacked     int              `json:"nacked"`
 	Errored    int              `json:"errored"`
-	Gone       int              `json:"gone"` // the viewer left, or its director was killed, before an answer
+	Abandoned  int              `json:"gone"` // the viewer left, or its director was killed, before an answer
 	Unanswered int              `json:"unanswered"`
-	Again      int              `json:"again"` // of the requests taken, not their viewer's first
+	Retries    int              `json:"again"` // of the requests taken, not their viewer's first
 	P50        float64          `json:"p50_ms"`
 	P99        float64          `json:"p99_ms"`
-	Most       float64          `json:"max_ms"`
+	MaxLatency float64          `json:"max_ms"`
 	Credit     float64          `json:"credit"` // of sessions that played within the goal time, over what was asked for at the best rung
 	Legs       int              `json:"legs"`
 	Rules      witness.Findings `json:"rules"`
 
-	Terms   witness.Limits   `json:"-"`
+	Limits  witness.Limits   `json:"-"`
 	Records []witness.Record `json:"-"`
 }
 
-// Kept tells whether every rule was kept and every request ended in exactly one way.
-func (r *Result) Kept() bool { return r.Rules.Passed() && r.Unanswered == 0 }
+// Passed tells whether every rule was kept and every request ended in exactly one way.
+func (r *Result) Passed() bool { return r.Rules.Passed() && r.Unanswered == 0 }
 
 func (g *rig) result() (*Result, error) {
-	slack := g.opt.Slack
+	slack := g.opt.Tolerance
 	if slack == 0 {
 		slack = 100 * time.Millisecond
 	}
-	r := &Result{Seed: g.opt.Seed, Terms: Terms(g.first, slack), Records: g.record.Records()}
+	r := &Result{Seed: g.opt.Seed, Limits: RuleLimits(g.first, slack), Records: g.record.Records()}
 	more, err := g.fleet.Records()
 	if err != nil {
 		return nil, err
@@ -50,27 +50,27 @@
 	r.Records = append(r.Records, more...)
 	witness.Sort(r.Records)
 	r.judge()
-	r.Viewers = g.crowd.Viewers
-	r.Sum(g.crowd.Latency, g.crowd.InTime, g.crowd.Asked)
+	r.Clients = g.crowd.Viewers
+	r.Summarize(g.crowd.Latency, g.crowd.InTime, g.crowd.Asked)
 	return r, nil
 }
 
-// Sum works out latencies and credit: from request to playing, the sessions that played within the goal time,
+// Summarize works out latencies and credit: from request to playing, the sessions that played within the goal time,
 // and seconds asked for by tariff, at the worth of the best rung.
-func (r *Result) Sum(latency []time.Duration, inTime map[string]bool, wanted map[string]float64) {
+func (r *Result) Summarize(latency []time.Duration, inTime map[string]bool, wanted map[string]float64) {
 	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	for _, d := range latency {
 		h.RecordValue(max(1, d.Microseconds()))
 	}
-	r.P50, r.P99, r.Most = ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(99)), ms(h.Max())
+	r.P50, r.P99, r.MaxLatency = ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(99)), ms(h.Max())
 	var credit, asked float64
 	for _, x := range r.Records {
 		if x.Kind == witness.SessionEarned && inTime[x.Session] {
-			credit += r.Terms.Tariffs[x.Tariff].Credit * x.Seconds
+			credit += r.Limits.Tariffs[x.Tariff].Credit * x.Seconds
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(r.Terms.Tariffs)) {
-		asked += r.Terms.Tariffs[name].Credit * wanted[name]
+	for _, name := range slices.Sorted(maps.Keys(r.Limits.Tariffs)) {
+		asked += r.Limits.Tariffs[name].Credit * wanted[name]
 	}
 	if asked > 0 {
 		r.Credit = credit / asked
@@ -81,15 +81,15 @@
 
 // judge counts the endings and checks the rules, from the records alone.
 func (r *Result) judge() {
-	r.Rules = witness.Check(r.Terms, r.Records)
+	r.Rules = witness.Check(r.Limits, r.Records)
 	t := witness.CountOutcomes(r.Records)
-	r.Taken, r.Played, r.Nacked, r.Errored = t.Received, t.Played, t.Nacked, t.Errored
-	r.Gone, r.Unanswered, r.Again, r.Legs = t.Abandoned, t.Unanswered, t.Retries, t.Legs
+	r.Received, r.Played, r.Nacked, r.Errored = t.Received, t.Played, t.Nacked, t.Errored
+	r.Abandoned, r.Unanswered, r.Retries, r.Legs = t.Abandoned, t.Unanswered, t.Retries, t.Legs
 }
 
-// Judge checks records again that were kept.
-func Judge(terms witness.Limits, records []witness.Record) *Result {
-	r := &Result{Terms: terms, Records: records}
+// CheckRecords checks records again that were kept.
+func CheckRecords(terms witness.Limits, records []witness.Record) *Result {
+	r := &Result{Limits: terms, Records: records}
 	r.judge()
 	return r
 }
@@ -97,11 +97,11 @@
 // Print writes the table.
 func (r *Result) Print(w io.Writer) {
 	fmt.Fprintf(w, "\nrequests   taken %d: played %d, nacked %d, errored %d, gone %d, unanswered %d\n",
-		r.Taken, r.Played, r.Nacked, r.Errored, r.Gone, r.Unanswered)
-	fmt.Fprintf(w, "           of them %d came again; %d legs\n", r.Again, r.Legs)
-	if r.Viewers > 0 {
-		fmt.Fprintf(w, "set-up     p50 %.1f ms, p99 %.1f ms, longest %.1f ms\n", r.P50, r.P99, r.Most)
-		fmt.Fprintf(w, "credit     %.3f within the goal time, of %d viewers\n", r.Credit, r.Viewers)
+		r.Received, r.Played, r.Nacked, r.Errored, r.Abandoned, r.Unanswered)
+	fmt.Fprintf(w, "           of them %d came again; %d legs\n", r.Retries, r.Legs)
+	if r.Clients > 0 {
+		fmt.Fprintf(w, "set-up     p50 %.1f ms, p99 %.1f ms, longest %.1f ms\n", r.P50, r.P99, r.MaxLatency)
+		fmt.Fprintf(w, "credit     %.3f within the goal time, of %d viewers\n", r.Credit, r.Clients)
 	}
 	fmt.Fprintf(w, "\n%-16s %9s %7s\n", "rule", "checked", "broken")
 	for _, name := range witness.Rules {
@@ -111,7 +111,7 @@
 			fmt.Fprintf(w, "    %s\n", e)
 		}
 	}
-	if r.Kept() {
+	if r.Passed() {
 		fmt.Fprintln(w, "\nall rules kept")
 	} else {
 		fmt.Fprintln(w, "\nA RULE WAS BROKEN")
--- a/internal/day/rig.go
+++ b/internal/day/rig.go
@@ -24,38 +24,38 @@
 
 // Options are how a day is run.
 type Options struct {
-	Seed     uint64
-	Log      zerolog.Logger
-	Progress func(line string)                                  // a line now and then; may be nil
-	Module   func(h *conf.Config, seed uint64) director.Decider // nil: the module
-	// Unguarded is for tests: the loop sends what a module that is broken on purpose wants sent.
-	Unguarded bool
-	Wrap      func(d director.Decider) director.Decider // for tests that break it; may be nil
-	Launch    Launcher                                  // nil: everything in this process
-	Slack     time.Duration                             // of the witness; 0: 100 ms
-	House     *conf.Config                              // a director's file with nodes and titles to play instead of the script's own; may be nil
-	Plan      []Told                                    // what the list says in the course of the day
+	Seed       uint64
+	Log        zerolog.Logger
+	Progress   func(line string)                                  // a line now and then; may be nil
+	NewDecider func(h *conf.Config, seed uint64) director.Decider // nil: the module
+	// DisableGuard is for tests: the loop sends what a module that is broken on purpose wants sent.
+	DisableGuard bool
+	WrapDecider  func(d director.Decider) director.Decider // for tests that break it; may be nil
+	Launcher     Launcher                                  // nil: everything in this process
+	Tolerance    time.Duration                             // of the witness; 0: 100 ms
+	Config       *conf.Config                              // a director's file with nodes and titles to play instead of the script's own; may be nil
+	ListUpdates  []ListUpdate                              // what the list says in the course of the day
 }
 
-// Told is a line of the list at a time of the day.
-type Told struct {
+// ListUpdate is a line of the list at a time of the day.
+type ListUpdate struct {
 	At    time.Duration
 	Entry wire.NodeEntry
 }
 
-// A Director that runs somewhere.
-type Director interface {
+// A DirectorHandle that runs somewhere.
+type DirectorHandle interface {
 	Address() string
 	Kill()
 	Stop()
 	Done() <-chan struct{}
 }
 
-// Fleet is the stand-in nodes, wherever they run.
-type Fleet interface {
+// NodeFleet is the stand-in nodes, wherever they run.
+type NodeFleet interface {
 	Address(node string) string
 	Start(node string) (start uint64, age time.Duration)
-	Do(x node.Fault)
+	Inject(x node.Fault)
 	// Records are what the nodes saw, where that is not in the day's own record.
 	Records() ([]witness.Record, error)
 	Close()
@@ -63,8 +63,8 @@
 
 // A Launcher starts the parts of a day in processes of their own.
 type Launcher interface {
-	Fleet(seed uint64, site node.Site, machines []node.Machine, record *witness.Recorder, fell func(string)) (Fleet, error)
-	Director(house []byte, name, boot string, seed uint64) (Director, error)
+	StartNodes(seed uint64, site node.Site, machines []node.Machine, record *witness.Recorder, fell func(string)) (NodeFleet, error)
+	StartDirector(house []byte, name, boot string, seed uint64) (DirectorHandle, error)
 }
 
 // rig is a day under way.
@@ -73,7 +73,7 @@
 	opt    Options
 	layout *Layout
 	record *witness.Recorder
-	fleet  Fleet
+	fleet  NodeFleet
 	list   *list.Source
 	crowd  *player.Crowd
 	first  *conf.Config
@@ -91,7 +91,7 @@
 // A post is one director's place: who stands there now, and where viewers believe it to be.
 type post struct {
 	name    string
-	now     Director // nil while it is down
+	now     DirectorHandle // nil while it is down
 	address string
 }
 
@@ -110,17 +110,17 @@
 
 // build lays out the site, and starts the nodes, the list and the directors.
 func (g *rig) build() (err error) {
-	if g.opt.House == nil {
-		g.layout = Lay(g.script, g.opt.Seed)
-	} else if g.layout, err = LayImported(g.script, g.opt.Seed, g.opt.House, g.opt.Plan); err != nil {
+	if g.opt.Config == nil {
+		g.layout = NewLayout(g.script, g.opt.Seed)
+	} else if g.layout, err = NewLayoutFromConfig(g.script, g.opt.Seed, g.opt.Config, g.opt.ListUpdates); err != nil {
 		return err
 	}
 	y := g.layout
 	fell := func(name string) { g.say("%s was pushed over and stays down", name) }
-	if g.opt.Launch != nil {
-		g.fleet, err = g.opt.Launch.Fleet(g.opt.Seed, y.Site, y.Machines, g.record, fell)
+	if g.opt.Launcher != nil {
+		g.fleet, err = g.opt.Launcher.StartNodes(g.opt.Seed, y.Site, y.Nodes, g.record, fell)
 	} else {
-		g.fleet, err = node.Open(node.NewFarm(g.opt.Seed, y.Site, y.Machines), g.record, fell)
+		g.fleet, err = node.Open(node.NewFarm(g.opt.Seed, y.Site, y.Nodes), g.record, fell)
 	}
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 	var entries []wire.NodeEntry
 	for i, e := range y.Entries {
 		if e.State == wire.Removed { // the plan adds it
-			g.fleet.Do(node.Fault{Node: e.Node, Die: true})
+			g.fleet.Inject(node.Fault{Node: e.Node, Die: true})
 		} else {
 			entries = append(entries, g.entry(i, e.State))
 		}
@@ -143,7 +143,7 @@
 			return err
 		}
 	}
-	g.crowd = &player.Crowd{Habit: g.script.Habit, Record: g.record, Pick: g.pick}
+	g.crowd = &player.Crowd{Habit: g.script.Behavior, Record: g.record, Pick: g.pick}
 	return nil
 }
 
@@ -160,7 +160,7 @@
 // start puts a director at its post.
 func (g *rig) start(i int) error {
 	p := g.directors[i]
-	house, text, err := g.layout.House(i, g.list.Address())
+	house, text, err := g.layout.DirectorConfig(i, g.list.Address())
 	if err != nil {
 		return err
 	}
@@ -176,17 +176,17 @@
 		g.first = house
 	}
 	g.mu.Unlock()
-	var d Director
-	if g.opt.Launch != nil {
-		d, err = g.opt.Launch.Director(text, p.name, boot, seed)
+	var d DirectorHandle
+	if g.opt.Launcher != nil {
+		d, err = g.opt.Launcher.StartDirector(text, p.name, boot, seed)
 	} else {
-		house.DisableGuard = g.opt.Unguarded
+		house.DisableGuard = g.opt.DisableGuard
 		var module director.Decider = house.NewDecider(seed)
-		if g.opt.Module != nil {
-			module = g.opt.Module(house, seed)
+		if g.opt.NewDecider != nil {
+			module = g.opt.NewDecider(house, seed)
 		}
-		if g.opt.Wrap != nil {
-			module = g.opt.Wrap(module)
+		if g.opt.WrapDecider != nil {
+			module = g.opt.WrapDecider(module)
 		}
 		d, err = daemon.Start(house, boot, seed, module, g.opt.Log.With().Str("director", p.name).Logger())
 	}
@@ -217,8 +217,8 @@
 // run lets viewers come until the day's length is over, and waits for the last of them.
 func (g *rig) run(ctx context.Context) {
 	g.began = time.Now()
-	if g.opt.House == nil {
-		g.record.Add(witness.Record{Kind: witness.RunStarted, RequestID: strconv.FormatUint(g.opt.Seed, 10), Reason: string(g.script.Text(""))})
+	if g.opt.Config == nil {
+		g.record.Add(witness.Record{Kind: witness.RunStarted, RequestID: strconv.FormatUint(g.opt.Seed, 10), Reason: string(g.script.Format(""))})
 	}
 	end := g.began.Add(g.script.Length)
 	g.crowd.Ends = end.Add(2 * time.Second)
@@ -232,7 +232,7 @@
 	defer stop()
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
-	per := float64(g.script.Requests) / g.layout.Extent()
+	per := float64(g.script.Requests) / g.layout.WeightedSeconds()
 	came, due, last, said := 0, 0.0, g.began, g.began
 	for came < g.script.Requests && ctx.Err() == nil {
 		<-tick.C
@@ -243,7 +243,7 @@
 		g.mu.Unlock()
 		last = now
 		for ; due >= 1 && came < g.script.Requests; due-- {
-			v, r := g.layout.Viewer(g.first, came, hot)
+			v, r := g.layout.Client(g.first, came, hot)
 			came++
 			g.waiting.Go(func() { g.crowd.Watch(rest, v, r) })
 		}
@@ -280,7 +280,7 @@
 		g.record.Add(witness.Record{Kind: witness.ActionApplied, Reason: string(what)})
 	}
 	if a.Fault != nil {
-		g.fleet.Do(*a.Fault)
+		g.fleet.Inject(*a.Fault)
 	}
 	if w := a.List; w != nil {
 		if w.Entry != nil {
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -20,61 +20,61 @@
 //go:embed quarter.jsonc
 var badQuarter []byte
 
-// Kinds are the troubles that a script may name.
-var Kinds = []string{"ageing", "answer_lost", "balancer_roll", "burst", "crash", "deploy", "discovery_stale", "fast_errors",
+// IncidentKinds are the troubles that a script may name.
+var IncidentKinds = []string{"ageing", "answer_lost", "balancer_roll", "burst", "crash", "deploy", "discovery_stale", "fast_errors",
 	"hang", "hot_key", "origin_slow", "preempt", "shared_slow", "vanish"}
 
-// Trouble is one thing that goes wrong.
-type Trouble struct {
-	Kind  string
-	At    time.Duration
-	For   time.Duration
-	Share float64
-	Size  float64
+// Incident is one thing that goes wrong.
+type Incident struct {
+	Kind     string
+	At       time.Duration
+	Duration time.Duration
+	Share    float64
+	Size     float64
 }
 
 // Script is a day.
 type Script struct {
-	Length       time.Duration
-	Requests     int // viewers who come; those who come again are on top
-	Directors    int
-	Nodes        int
-	Racks        int
-	Titles       int
-	Load         float64 // of the links at the middle rate
-	Mean         time.Duration
-	Habit        player.Habit
-	NoticeLow    time.Duration
-	NoticeHigh   time.Duration
-	SilentNotice time.Duration
-	Troubles     []Trouble
-	Seed         uint64 // what chance is drawn from where nobody says otherwise; 0: 1
+	Length              time.Duration
+	Requests            int // viewers who come; those who come again are on top
+	Directors           int
+	Nodes               int
+	Racks               int
+	Titles              int
+	Load                float64 // of the links at the middle rate
+	MeanLength          time.Duration
+	Behavior            player.Habit
+	MinListDelay        time.Duration
+	MaxListDelay        time.Duration
+	SilentNodeListDelay time.Duration
+	Incidents           []Incident
+	Seed                uint64 // what chance is drawn from where nobody says otherwise; 0: 1
 }
 
-// Default is the script that ships with the program.
-func Default() *Script {
-	s, err := Read("bad.jsonc", badDay)
+// DefaultScript is the script that ships with the program.
+func DefaultScript() *Script {
+	s, err := ParseScript("bad.jsonc", badDay)
 	if err != nil {
 		panic(fmt.Sprintf("the script that ships with the program: %v", err))
 	}
 	return s
 }
 
-// Load reads a script's file, or the one that ships under the name bad-quarter; what is wrong with it comes
+// LoadScript reads a script's file, or the one that ships under the name bad-quarter; what is wrong with it comes
 // back as conf.Problems.
-func Load(file string) (*Script, error) {
+func LoadScript(file string) (*Script, error) {
 	if file == "bad-quarter" {
-		return Read("quarter.jsonc", badQuarter)
+		return ParseScript("quarter.jsonc", badQuarter)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	return Read(file, text)
+	return ParseScript(file, text)
 }
 
-// Read reads a script from its text.
-func Read(file string, text []byte) (*Script, error) {
+// ParseScript reads a script from its text.
+func ParseScript(file string, text []byte) (*Script, error) {
 	r, o := conf.Parse(file, text)
 	if err := r.Err(); err != nil {
 		return nil, err
@@ -93,8 +93,8 @@
 		r.AddProblem(o.OffsetOf("racks"), "there are %d racks for %d nodes", s.Racks, s.Nodes)
 	}
 	v := o.Object("viewers", false)
-	s.Mean = v.Duration("mean_length", 3*time.Second, 100*time.Millisecond, time.Hour, false)
-	s.Habit = player.Habit{
+	s.MeanLength = v.Duration("mean_length", 3*time.Second, 100*time.Millisecond, time.Hour, false)
+	s.Behavior = player.Habit{
 		Returns:   v.Number("returns", 0.88, 0, 1, false),
 		PauseLow:  v.Duration("pause_low", 200*time.Millisecond, 0, time.Hour, false),
 		PauseHigh: v.Duration("pause_high", 1200*time.Millisecond, 0, time.Hour, false),
@@ -103,34 +103,34 @@
 		Repeats:   v.Number("repeats", 0.02, 0, 1, false),
 		Drops:     v.Number("drops", 0.03, 0, 1, false),
 	}
-	if s.Habit.PauseLow > s.Habit.PauseHigh {
-		r.AddProblem(v.OffsetOf("pause_low"), "pause_low is %v, longer than pause_high, which is %v", s.Habit.PauseLow, s.Habit.PauseHigh)
+	if s.Behavior.PauseLow > s.Behavior.PauseHigh {
+		r.AddProblem(v.OffsetOf("pause_low"), "pause_low is %v, longer than pause_high, which is %v", s.Behavior.PauseLow, s.Behavior.PauseHigh)
 	}
 	v.ReportUnknownKeys()
 	l := o.Object("list", false)
-	s.NoticeLow = l.Duration("notice_low", 200*time.Millisecond, 0, time.Hour, false)
-	s.NoticeHigh = l.Duration("notice_high", 900*time.Millisecond, 0, time.Hour, false)
-	s.SilentNotice = l.Duration("silent_notice", 3*time.Second, 0, time.Hour, false)
-	if s.NoticeLow > s.NoticeHigh {
-		r.AddProblem(l.OffsetOf("notice_low"), "notice_low is %v, longer than notice_high, which is %v", s.NoticeLow, s.NoticeHigh)
+	s.MinListDelay = l.Duration("notice_low", 200*time.Millisecond, 0, time.Hour, false)
+	s.MaxListDelay = l.Duration("notice_high", 900*time.Millisecond, 0, time.Hour, false)
+	s.SilentNodeListDelay = l.Duration("silent_notice", 3*time.Second, 0, time.Hour, false)
+	if s.MinListDelay > s.MaxListDelay {
+		r.AddProblem(l.OffsetOf("notice_low"), "notice_low is %v, longer than notice_high, which is %v", s.MinListDelay, s.MaxListDelay)
 	}
 	l.ReportUnknownKeys()
 	o.Objects("troubles", false, func(_ int, t *conf.Object) {
-		x := Trouble{
-			Kind:  t.Text("kind", "", true),
-			At:    t.Duration("at", 0, 0, time.Hour, true),
-			For:   t.Duration("for", time.Second, time.Millisecond, time.Hour, false),
-			Share: t.Number("share", 0.1, 0, 1, false),
-			Size:  t.Number("size", defaultSize(t.Text("kind", "", false)), 0, 1000, false),
+		x := Incident{
+			Kind:     t.Text("kind", "", true),
+			At:       t.Duration("at", 0, 0, time.Hour, true),
+			Duration: t.Duration("for", time.Second, time.Millisecond, time.Hour, false),
+			Share:    t.Number("share", 0.1, 0, 1, false),
+			Size:     t.Number("size", defaultSize(t.Text("kind", "", false)), 0, 1000, false),
 		}
-		if x.Kind != "" && !slices.Contains(Kinds, x.Kind) {
-			r.AddProblem(t.OffsetOf("kind"), "unknown trouble %q; the troubles are %s", x.Kind, strings.Join(Kinds, ", "))
+		if x.Kind != "" && !slices.Contains(IncidentKinds, x.Kind) {
+			r.AddProblem(t.OffsetOf("kind"), "unknown trouble %q; the troubles are %s", x.Kind, strings.Join(IncidentKinds, ", "))
 		}
 		if x.At >= s.Length {
 			r.AddProblem(t.OffsetOf("at"), "%s begins at %v, but the day ends at %v", x.Kind, x.At, s.Length)
 		}
 		t.ReportUnknownKeys()
-		s.Troubles = append(s.Troubles, x)
+		s.Incidents = append(s.Incidents, x)
 	})
 	o.ReportUnknownKeys()
 	if err := r.Err(); err != nil {
@@ -139,20 +139,20 @@
 	return s, nil
 }
 
-// Text writes a script as a file that Read reads.
-func (s *Script) Text(comment string) []byte {
+// Format writes a script as a file that Read reads.
+func (s *Script) Format(comment string) []byte {
 	var b strings.Builder
 	if comment != "" {
 		fmt.Fprintf(&b, "// %s\n", strings.ReplaceAll(comment, "\n", "\n// "))
 	}
-	h := s.Habit
+	h := s.Behavior
 	fmt.Fprintf(&b, "{\n  \"seed\": %d, \"length\": \"%v\", \"requests\": %d, \"directors\": %d, \"nodes\": %d, \"racks\": %d, \"titles\": %d, \"load\": %g,\n", s.Seed,
 		s.Length, s.Requests, s.Directors, s.Nodes, s.Racks, s.Titles, s.Load)
 	fmt.Fprintf(&b, "  \"viewers\": {\"mean_length\": \"%v\", \"returns\": %g, \"pause_low\": \"%v\", \"pause_high\": \"%v\", \"heeds\": %g, \"hasty\": %g, \"repeats\": %g, \"drops\": %g},\n",
-		s.Mean, h.Returns, h.PauseLow, h.PauseHigh, h.Heeds, h.Hasty, h.Repeats, h.Drops)
-	fmt.Fprintf(&b, "  \"list\": {\"notice_low\": \"%v\", \"notice_high\": \"%v\", \"silent_notice\": \"%v\"},\n  \"troubles\": [\n", s.NoticeLow, s.NoticeHigh, s.SilentNotice)
-	for _, t := range s.Troubles {
-		fmt.Fprintf(&b, "    {\"kind\": \"%s\", \"at\": \"%v\", \"for\": \"%v\", \"share\": %g, \"size\": %g},\n", t.Kind, t.At, t.For, t.Share, t.Size)
+		s.MeanLength, h.Returns, h.PauseLow, h.PauseHigh, h.Heeds, h.Hasty, h.Repeats, h.Drops)
+	fmt.Fprintf(&b, "  \"list\": {\"notice_low\": \"%v\", \"notice_high\": \"%v\", \"silent_notice\": \"%v\"},\n  \"troubles\": [\n", s.MinListDelay, s.MaxListDelay, s.SilentNodeListDelay)
+	for _, t := range s.Incidents {
+		fmt.Fprintf(&b, "    {\"kind\": \"%s\", \"at\": \"%v\", \"for\": \"%v\", \"share\": %g, \"size\": %g},\n", t.Kind, t.At, t.Duration, t.Share, t.Size)
 	}
 	b.WriteString("  ],\n}\n")
 	return []byte(b.String())
--- a/internal/day/timeline.go
+++ b/internal/day/timeline.go
@@ -15,7 +15,7 @@
 type Action struct {
 	At       time.Duration
 	Fault    *node.Fault
-	List     *Word
+	List     *ListChange
 	Lag      *time.Duration // of the list, from now on
 	Kill     []int          // directors
 	Start    []int
@@ -25,8 +25,8 @@
 	Director bool // it is about directors: kept apart, since starting one takes its time
 }
 
-// A Word is what the list is to say of a machine, and how late.
-type Word struct {
+// A ListChange is what the list is to say of a machine, and how late.
+type ListChange struct {
 	Machine int
 	State   string
 	Entry   *wire.NodeEntry // what else changes; nil: nothing
@@ -44,9 +44,9 @@
 // Timeline is what happens in the course of a day: the same for the same layout, so that a day on sockets and
 // one in virtual time go through the same incident.
 func (y *Layout) Timeline() []Action {
-	c := &course{y: y, until: make([]time.Duration, len(y.Machines))}
+	c := &course{y: y, until: make([]time.Duration, len(y.Nodes))}
 	planned := map[string]bool{}
-	for _, t := range y.Plan {
+	for _, t := range y.ListUpdates {
 		planned[t.Entry.Node] = true
 	}
 	for i, e := range y.Entries {
@@ -55,8 +55,8 @@
 		}
 	}
 	c.plan()
-	troubles := slices.Clone(y.Script.Troubles)
-	slices.SortStableFunc(troubles, func(a, b Trouble) int { return cmp.Compare(a.At, b.At) })
+	troubles := slices.Clone(y.Script.Incidents)
+	slices.SortStableFunc(troubles, func(a, b Incident) int { return cmp.Compare(a.At, b.At) })
 	for _, t := range troubles {
 		c.trouble(t)
 	}
@@ -73,16 +73,16 @@
 // notice is how late the list learns of a change.
 func (c *course) notice() time.Duration {
 	s := c.y.Script
-	return s.NoticeLow + time.Duration(c.y.chance.Int64N(int64(s.NoticeHigh-s.NoticeLow)+1))
+	return s.MinListDelay + time.Duration(c.y.chance.Int64N(int64(s.MaxListDelay-s.MinListDelay)+1))
 }
 
 func (c *course) fault(at time.Duration, x node.Fault) { c.do(Action{At: at, Fault: &x}) }
 
 func (c *course) list(at time.Duration, m int, state string, late time.Duration) {
-	c.do(Action{At: at, List: &Word{Machine: m, State: state, Late: late}})
+	c.do(Action{At: at, List: &ListChange{Machine: m, State: state, Late: late}})
 }
 
-func (c *course) name(m int) string { return c.y.Machines[m].Name }
+func (c *course) name(m int) string { return c.y.Nodes[m].Name }
 
 func (c *course) die(at time.Duration, m int) {
 	c.fault(at, node.Fault{Node: c.name(m), Die: true})
@@ -91,20 +91,20 @@
 
 func (c *course) comeBack(at time.Duration, m int) {
 	c.fault(at, node.Fault{Node: c.name(m), Start: true})
-	c.do(Action{At: at, List: &Word{Machine: m, State: wire.Up, Born: true, Late: c.notice()}})
+	c.do(Action{At: at, List: &ListChange{Machine: m, State: wire.Up, Born: true, Late: c.notice()}})
 }
 
 // plan is what the layout's plan has for the day, machines that are added starting cold.
 func (c *course) plan() {
 	at := map[string]int{}
-	down := make([]bool, len(c.y.Machines))
+	down := make([]bool, len(c.y.Nodes))
 	for i, e := range c.y.Entries {
 		at[e.Node] = i
 		down[i] = e.State == wire.Removed
 	}
-	for _, t := range c.y.Plan {
+	for _, t := range c.y.ListUpdates {
 		m := at[t.Entry.Node]
-		w := &Word{Machine: m, State: t.Entry.State, Entry: &t.Entry}
+		w := &ListChange{Machine: m, State: t.Entry.State, Entry: &t.Entry}
 		if down[m] && t.Entry.State != wire.Removed {
 			c.fault(t.At, node.Fault{Node: t.Entry.Node, Start: true})
 			w.Born = true
@@ -118,9 +118,9 @@
 }
 
 // take gives a trouble its share of the machines, of those that no other trouble has hold of meanwhile.
-func (c *course) take(t Trouble, until time.Duration) (machines []int) {
-	want := max(1, int(t.Share*float64(len(c.y.Machines))+0.5))
-	for _, m := range c.y.chance.Perm(len(c.y.Machines)) {
+func (c *course) take(t Incident, until time.Duration) (machines []int) {
+	want := max(1, int(t.Share*float64(len(c.y.Nodes))+0.5))
+	for _, m := range c.y.chance.Perm(len(c.y.Nodes)) {
 		if len(machines) < want && c.until[m] <= t.At {
 			c.until[m] = until
 			machines = append(machines, m)
@@ -130,7 +130,7 @@
 }
 
 // each does something to each machine of a trouble's share.
-func (c *course) each(t Trouble, lasts time.Duration, what string, f func(m int)) {
+func (c *course) each(t Incident, lasts time.Duration, what string, f func(m int)) {
 	machines := c.take(t, t.At+lasts)
 	c.say(t.At, "%s: %d nodes %s", t.Kind, len(machines), what)
 	for _, m := range machines {
@@ -139,29 +139,29 @@
 }
 
 // faults turns a fault on and off again.
-func (c *course) faults(t Trouble, what string, on, off node.Fault) {
-	c.each(t, t.For, what, func(m int) {
+func (c *course) faults(t Incident, what string, on, off node.Fault) {
+	c.each(t, t.Duration, what, func(m int) {
 		on, off := on, off // every machine has its own
 		on.Node, off.Node = c.name(m), c.name(m)
 		c.fault(t.At, on)
-		c.fault(t.At+t.For, off)
+		c.fault(t.At+t.Duration, off)
 	})
 }
 
 // trouble is one thing that goes wrong, from its time to its end.
-func (c *course) trouble(t Trouble) {
-	end := t.At + t.For
+func (c *course) trouble(t Incident) {
+	end := t.At + t.Duration
 	size := time.Duration(t.Size * float64(time.Second))
 	switch t.Kind {
 	case "crash":
-		c.each(t, t.For, "die, back cold", func(m int) {
+		c.each(t, t.Duration, "die, back cold", func(m int) {
 			c.die(t.At, m)
 			c.comeBack(end, m)
 		})
 	case "vanish":
-		c.each(t, t.For, "fall silent, back cold", func(m int) {
+		c.each(t, t.Duration, "fall silent, back cold", func(m int) {
 			c.fault(t.At, node.Fault{Node: c.name(m), Silent: new(true)})
-			c.list(t.At, m, wire.Removed, c.y.Script.SilentNotice)
+			c.list(t.At, m, wire.Removed, c.y.Script.SilentNodeListDelay)
 			c.comeBack(end, m)
 		})
 	case "hang":
@@ -171,9 +171,9 @@
 	case "answer_lost":
 		c.faults(t, "lose answers", node.Fault{Lose: &t.Size}, node.Fault{Lose: new(0.0)})
 	case "ageing":
-		c.each(t, t.For+2*time.Second, "grow slower and then die", func(m int) {
+		c.each(t, t.Duration+2*time.Second, "grow slower and then die", func(m int) {
 			for i := 1; i <= 20; i++ {
-				c.fault(t.At+t.For*time.Duration(i-1)/20, node.Fault{Node: c.name(m), Slow: new(1 + (t.Size-1)*float64(i)/20)})
+				c.fault(t.At+t.Duration*time.Duration(i-1)/20, node.Fault{Node: c.name(m), Slow: new(1 + (t.Size-1)*float64(i)/20)})
 			}
 			c.die(end, m)
 			c.comeBack(end+2*time.Second, m)
@@ -181,10 +181,10 @@
 	case "deploy":
 		c.deploy(t, size)
 	case "preempt":
-		c.each(t, size+t.For, "are taken away, replaced cold", func(m int) {
+		c.each(t, size+t.Duration, "are taken away, replaced cold", func(m int) {
 			c.list(t.At, m, wire.Draining, c.notice())
 			c.die(t.At+size, m)
-			c.comeBack(t.At+size+t.For, m)
+			c.comeBack(t.At+size+t.Duration, m)
 		})
 	case "discovery_stale":
 		c.say(t.At, "the list falls %.1f s behind", t.Size)
@@ -214,26 +214,26 @@
 
 // deploy replaces a share of the machines, an eighth of the fleet at a time: listed as draining, then ended
 // after a second, then back, cold, after size.
-func (c *course) deploy(t Trouble, size time.Duration) {
-	machines := c.take(t, t.At+t.For+size+c.y.Script.NoticeHigh+time.Second)
+func (c *course) deploy(t Incident, size time.Duration) {
+	machines := c.take(t, t.At+t.Duration+size+c.y.Script.MaxListDelay+time.Second)
 	c.say(t.At, "deploy: %d nodes are replaced in waves", len(machines))
-	batch := max(1, len(c.y.Machines)/8)
+	batch := max(1, len(c.y.Nodes)/8)
 	waves := (len(machines) + batch - 1) / batch
 	at := t.At
 	for w := range waves {
-		down := at + c.y.Script.NoticeHigh + time.Second
+		down := at + c.y.Script.MaxListDelay + time.Second
 		for _, m := range machines[w*batch : min(len(machines), (w+1)*batch)] {
 			c.list(at, m, wire.Draining, c.notice())
 			c.die(down, m)
 			c.comeBack(down+size, m)
 		}
-		at = max(at+t.For/time.Duration(waves), down+size)
+		at = max(at+t.Duration/time.Duration(waves), down+size)
 	}
 }
 
 // roll kills directors, a share at a time until all have been, and starts them again after size with nothing of
 // what they knew.
-func (c *course) roll(t Trouble, size time.Duration) {
+func (c *course) roll(t Incident, size time.Duration) {
 	n := c.y.Script.Directors
 	batch := max(1, int(t.Share*float64(n)))
 	at := t.At
@@ -244,6 +244,6 @@
 		}
 		c.do(Action{At: at, Kill: some, Director: true, Say: fmt.Sprintf("directors %d to %d are killed", some[0], some[len(some)-1])})
 		c.do(Action{At: at + size, Start: some, Director: true})
-		at = max(at+size, at+t.For*time.Duration(batch)/time.Duration(n))
+		at = max(at+size, at+t.Duration*time.Duration(batch)/time.Duration(n))
 	}
 }
--- a/internal/emulator/crowd.go
+++ b/internal/emulator/crowd.go
@@ -63,9 +63,9 @@
 // arrive lets viewers come at the day's rate.
 func (c *crowd) arrive(at time.Duration) {
 	w := c.w
-	c.due += float64(w.script.Requests) / w.layout.Extent() * c.rate * arriveEvery.Seconds()
+	c.due += float64(w.script.Requests) / w.layout.WeightedSeconds() * c.rate * arriveEvery.Seconds()
 	for ; c.due >= 1 && c.came < w.script.Requests; c.due-- {
-		x, r := w.layout.Viewer(w.house, c.came, c.hot)
+		x, r := w.layout.Client(w.house, c.came, c.hot)
 		c.came++
 		c.active++
 		c.wanted += x.Best * w.credit[x.Tariff]
@@ -107,7 +107,7 @@
 		return
 	}
 	v := s.v
-	h := w.script.Habit
+	h := w.script.Behavior
 	s.asked = at
 	m := wire.SessionMessage{Type: wire.Request, ID: s.id, Tariff: v.Tariff, Title: v.Title, Key: fmt.Sprintf("%s-%d", v.Key, v.key), MaxRung: v.Top,
 		WaitMS: v.Wait.Milliseconds(), LengthMS: v.left.Milliseconds(), Retry: v.try > 0}
@@ -197,7 +197,7 @@
 		s.plays = at
 		left := v.left
 		w.events.put(at+left+time.Second, func(at time.Duration) { c.leave(at, s, ending{played: left}) }) // the node ends it; this is for one that does not
-		if v.r.Float64() < w.script.Habit.Drops {
+		if v.r.Float64() < w.script.Behavior.Drops {
 			w.events.put(at+time.Duration(v.r.Int64N(int64(max(1, left)))), func(at time.Duration) {
 				c.leave(at, s, ending{played: at - s.plays, again: true, same: true})
 			})
@@ -267,7 +267,7 @@
 
 // end lets a viewer come again, or go home.
 func (c *crowd) end(at time.Duration, v *viewer, e ending) {
-	w, h := c.w, c.w.script.Habit
+	w, h := c.w, c.w.script.Behavior
 	v.left -= e.played
 	if e.played > 0 {
 		v.began = at
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -37,7 +37,7 @@
 	Say     func(line string)                                  // a line for each action; may be nil
 	Actions []day.Action                                       // in place of the script's timeline; nil: that
 	House   *conf.Config                                       // as in day.Options
-	Plan    []day.Told
+	Plan    []day.ListUpdate
 }
 
 // settle is how long directors run before the day begins.
@@ -206,7 +206,7 @@
 
 // start begins a run of a director.
 func (p *post) start(at time.Duration) error {
-	house, _, err := p.w.layout.House(p.number, "127.0.0.1:1")
+	house, _, err := p.w.layout.DirectorConfig(p.number, "127.0.0.1:1")
 	if err != nil {
 		return err
 	}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -23,14 +23,14 @@
 func TestBadDayIsTheSameEachTime(t *testing.T) {
 	first := ""
 	for _, workers := range []int{1, 4, 3} {
-		r, err := Run(day.Default(), 7, Options{Workers: workers})
+		r, err := Run(day.DefaultScript(), 7, Options{Workers: workers})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !r.Kept() {
+		if !r.Passed() {
 			t.Fatalf("%+v %+v", r.Result.Rules, r.Result)
 		}
-		if r.Played < 1000 || r.Taken != r.Played+r.Nacked+r.Errored+r.Gone {
+		if r.Played < 1000 || r.Received != r.Played+r.Nacked+r.Errored+r.Abandoned {
 			t.Fatalf("%+v", r.Result)
 		}
 		if first == "" {
@@ -48,7 +48,7 @@
 		t.Fatal(files, err)
 	}
 	for _, file := range files {
-		s, err := day.Load(file)
+		s, err := day.LoadScript(file)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,7 +56,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !r.Kept() {
+		if !r.Passed() {
 			t.Errorf("%s: %+v", file, r.Rules)
 		}
 	}
@@ -70,8 +70,8 @@
 		t.Fatal(features, err)
 	}
 	for _, f := range finds {
-		if !f.Result.Kept() {
-			t.Errorf("%+v\n%s", f.Result.Rules, f.Script.Text("broken"))
+		if !f.Result.Passed() {
+			t.Errorf("%+v\n%s", f.Result.Rules, f.Script.Format("broken"))
 		}
 	}
 }
@@ -79,7 +79,7 @@
 // A node that has just started, and more directors than its budget has set-ups: with the module it never falls,
 // whatever they had for it before. A baseline that looks at nothing pushes nodes over.
 func TestFreshNodeAndManyDirectors(t *testing.T) {
-	s, err := day.Read("many.jsonc", []byte(`{"length": "10s", "requests": 3000, "directors": 60, "nodes": 12, "racks": 3, "titles": 12, "load": 0.7,
+	s, err := day.ParseScript("many.jsonc", []byte(`{"length": "10s", "requests": 3000, "directors": 60, "nodes": 12, "racks": 3, "titles": 12, "load": 0.7,
 		"viewers": {"mean_length": "2s"}, "list": {"notice_low": "10ms", "notice_high": "200ms", "silent_notice": "1s"},
 		"troubles": [{"kind": "crash", "at": "2s", "for": "400ms", "share": 0.4}, {"kind": "vanish", "at": "5s", "for": "1s", "share": 0.3}]}`))
 	if err != nil {
@@ -99,7 +99,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if fell(r) > 0 || !r.Kept() || r.Rules[witness.RuleSlowStart].Checked == 0 {
+		if fell(r) > 0 || !r.Passed() || r.Rules[witness.RuleSlowStart].Checked == 0 {
 			t.Errorf("seed %d: %d nodes fell, %+v", seed, fell(r), r.Rules[witness.RuleSlowStart])
 		}
 		b, err := Run(s, seed, Options{Workers: 4, Module: day.Baselines["least-middle"]})
@@ -160,7 +160,7 @@
 func TestTheFleetTogetherOnColdNodes(t *testing.T) {
 	fell := 0 // a stand-in node falls as soon as its budget is passed, so that is as far as a baseline gets
 	for seed, directors := range []int{20, 25, 30} {
-		s, err := day.Read("cold.jsonc", fmt.Appendf(nil, `{"length": "9s", "requests": 5000, "directors": %d, "nodes": 12, "racks": 3,
+		s, err := day.ParseScript("cold.jsonc", fmt.Appendf(nil, `{"length": "9s", "requests": 5000, "directors": %d, "nodes": 12, "racks": 3,
  "titles": 12, "load": 2, "viewers": {"mean_length": "400ms"}, "list": {"notice_low": "10ms", "notice_high": "300ms", "silent_notice": "1s"},
  "troubles": [{"kind": "crash", "at": "2s", "for": "400ms", "share": 0.5},
   {"kind": "balancer_roll", "at": "2600ms", "for": "1500ms", "share": 0.34, "size": 0.2}]}`, directors))
@@ -172,7 +172,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			worst, early := overColdBudget(r, r.Terms, false)
+			worst, early := overColdBudget(r, r.Limits, false)
 			falls := 0
 			for _, x := range r.Records {
 				if x.Kind == witness.NodeExited && x.Reason == "pushed over" {
@@ -205,23 +205,23 @@
 	for range 200 {
 		s := mutate(r, drawScript(r))
 		s.Seed = r.Uint64() >> 12
-		again, err := day.Read("again", s.Text("a comment\nof two lines"))
-		if err == nil && len(s.Troubles) == 0 {
-			s.Troubles, again.Troubles = nil, nil
+		again, err := day.ParseScript("again", s.Format("a comment\nof two lines"))
+		if err == nil && len(s.Incidents) == 0 {
+			s.Incidents, again.Incidents = nil, nil
 		}
 		if err != nil || !reflect.DeepEqual(s, again) {
-			t.Fatalf("%v\n%+v\n%+v\n%s", err, s, again, s.Text(""))
+			t.Fatalf("%v\n%+v\n%+v\n%s", err, s, again, s.Format(""))
 		}
 	}
 }
 
 // A day that fails is cut down, and what is left fails still.
 func TestShrink(t *testing.T) {
-	s := day.Default()
+	s := day.DefaultScript()
 	s.Seed = 3
 	fails := func(r *Result) bool { return r.Errored > 0 }
 	smaller, tried, err := Shrink(s, fails, 60, func(string, ...any) {})
-	if err != nil || smaller == nil || tried > 60 || len(smaller.Troubles) >= len(s.Troubles) {
+	if err != nil || smaller == nil || tried > 60 || len(smaller.Incidents) >= len(s.Incidents) {
 		t.Fatal(smaller, tried, err)
 	}
 	if r, err := Run(smaller, smaller.Seed, Options{}); err != nil || !fails(r) {
@@ -235,22 +235,22 @@
 // The incident of a day on sockets, gone through again in virtual time: the same nodes die and start, in the
 // same order and at about the same times.
 func TestReplayOfASocketDay(t *testing.T) {
-	s, err := day.Read("short.jsonc", []byte(`{"length": "4s", "requests": 120, "directors": 2, "nodes": 8, "racks": 2, "titles": 6, "viewers": {"mean_length": "500ms"},
+	s, err := day.ParseScript("short.jsonc", []byte(`{"length": "4s", "requests": 120, "directors": 2, "nodes": 8, "racks": 2, "titles": 6, "viewers": {"mean_length": "500ms"},
 		"troubles": [{"kind": "crash", "at": "500ms", "for": "1s", "share": 0.4}, {"kind": "balancer_roll", "at": "1s", "for": "1s", "share": 0.5, "size": 0.4},
 		{"kind": "hang", "at": "2s", "for": "500ms", "share": 0.2}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r, err := day.Run(t.Context(), s, day.Options{Seed: 4})
-	if err != nil || !r.Kept() {
+	if err != nil || !r.Passed() {
 		t.Fatal(r, err)
 	}
-	again, seed, actions, err := day.Replay(r.Records)
+	again, seed, actions, err := day.ReconstructRun(r.Records)
 	if err != nil || seed != 4 {
 		t.Fatal(seed, err)
 	}
 	v, err := Run(again, seed, Options{Actions: actions})
-	if err != nil || !v.Kept() {
+	if err != nil || !v.Passed() {
 		t.Fatal(v, err)
 	}
 	type moment struct {
@@ -280,7 +280,7 @@
 			t.Errorf("%v on sockets, %v again", a[i], b[i])
 		}
 	}
-	if _, _, _, err := day.Replay(nil); err == nil {
+	if _, _, _, err := day.ReconstructRun(nil); err == nil {
 		t.Error("an empty record is replayed")
 	}
 }
@@ -289,7 +289,7 @@
 // the directors are started anew meanwhile and forget what they sent. The baseline breaks it at each size.
 func TestColdNodesInFleetsOfAnySize(t *testing.T) {
 	for seed, directors := range []int{1, 5, 100} {
-		s, err := day.Read("cold.jsonc", fmt.Appendf(nil, `{"length": "9s", "requests": 5000, "directors": %d, "nodes": 12, "racks": 3,
+		s, err := day.ParseScript("cold.jsonc", fmt.Appendf(nil, `{"length": "9s", "requests": 5000, "directors": %d, "nodes": 12, "racks": 3,
  "titles": 12, "load": 2, "viewers": {"mean_length": "400ms"}, "list": {"notice_low": "10ms", "notice_high": "300ms", "silent_notice": "1s"},
  "troubles": [{"kind": "crash", "at": "2s", "for": "400ms", "share": 0.5},
   {"kind": "balancer_roll", "at": "2600ms", "for": "1500ms", "share": 0.34, "size": 1}]}`, directors))
@@ -300,7 +300,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		worst, early := overColdBudget(r, r.Terms, true)
+		worst, early := overColdBudget(r, r.Limits, true)
 		if worst > 0 || early == 0 {
 			t.Errorf("%d directors: %d set-ups on cold nodes, %.1f over the budget at worst", directors, early, worst)
 		}
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -71,10 +71,10 @@
 		return nil, err
 	}
 	if script == "" {
-		x.Script = day.Default()
+		x.Script = day.DefaultScript()
 		return x, nil
 	}
-	x.Script, err = day.Load(filepath.Join(filepath.Dir(file), script))
+	x.Script, err = day.LoadScript(filepath.Join(filepath.Dir(file), script))
 	return x, err
 }
 
@@ -153,7 +153,7 @@
 		if err != nil {
 			return err
 		}
-		d.Hash, d.Taken, d.Played, d.Nacked, d.Errored, d.Legs, d.P99, d.Credit = r.Hash, r.Taken, r.Played, r.Nacked, r.Errored, r.Legs, r.P99, r.Credit
+		d.Hash, d.Taken, d.Played, d.Nacked, d.Errored, d.Legs, d.P99, d.Credit = r.Hash, r.Received, r.Played, r.Nacked, r.Errored, r.Legs, r.P99, r.Credit
 		d.Broken, d.Points = r.broken(), r.Points
 		for _, e := range r.Ends {
 			if took, ok := r.Recovery(e); ok {
--- a/internal/emulator/hunt.go
+++ b/internal/emulator/hunt.go
@@ -129,15 +129,15 @@
 		say("%s %d", rule, int(r.Rules[rule].MinMargin*20))
 		say("%s checked %d", rule, bits(r.Rules[rule].Checked))
 	}
-	say("nacked %d", bits(r.Nacked*64/max(1, r.Taken)))
-	say("errored %d", bits(r.Errored*1024/max(1, r.Taken)))
-	say("gone %d", bits(r.Gone*64/max(1, r.Taken)))
+	say("nacked %d", bits(r.Nacked*64/max(1, r.Received)))
+	say("errored %d", bits(r.Errored*1024/max(1, r.Received)))
+	say("gone %d", bits(r.Abandoned*64/max(1, r.Received)))
 	say("legs %d", int(8*float64(r.Legs)/float64(max(1, r.Played))))
 	say("credit %d", int(r.Credit*20))
 	say("p99 %d", bits(int(r.P99)))
-	for i, a := range f.Script.Troubles {
-		for _, b := range f.Script.Troubles[i+1:] {
-			if a.At < b.At+b.For && b.At < a.At+a.For {
+	for i, a := range f.Script.Incidents {
+		for _, b := range f.Script.Incidents[i+1:] {
+			if a.At < b.At+b.Duration && b.At < a.At+a.Duration {
 				say("%s with %s", min(a.Kind, b.Kind), max(a.Kind, b.Kind))
 			}
 		}
@@ -163,25 +163,25 @@
 func drawScript(r *rand.Rand) *day.Script {
 	s := &day.Script{
 		Length: time.Duration(between(r, 6, 20)*10) * 100 * time.Millisecond, Directors: 1 + int(between(r, 0, 12)), Nodes: 4 + int(between(r, 0, 40)),
-		Titles: 5 + int(between(r, 0, 60)), Load: round(0.4 + r.Float64()), Mean: time.Duration(5+r.IntN(60)) * 100 * time.Millisecond,
-		Habit: player.Habit{Returns: round(0.5 + r.Float64()/2), PauseLow: 200 * time.Millisecond, PauseHigh: 1200 * time.Millisecond, Heeds: round(r.Float64()),
+		Titles: 5 + int(between(r, 0, 60)), Load: round(0.4 + r.Float64()), MeanLength: time.Duration(5+r.IntN(60)) * 100 * time.Millisecond,
+		Behavior: player.Habit{Returns: round(0.5 + r.Float64()/2), PauseLow: 200 * time.Millisecond, PauseHigh: 1200 * time.Millisecond, Heeds: round(r.Float64()),
 			Hasty: round(between(r, 0, 0.2)), Repeats: round(between(r, 0, 0.1)), Drops: round(between(r, 0, 0.2))},
-		NoticeLow: time.Duration(r.IntN(400)) * time.Millisecond, SilentNotice: time.Duration(1+r.IntN(9)) * time.Second,
+		MinListDelay: time.Duration(r.IntN(400)) * time.Millisecond, SilentNodeListDelay: time.Duration(1+r.IntN(9)) * time.Second,
 	}
 	s.Racks = 1 + r.IntN(min(8, s.Nodes))
-	s.NoticeHigh = s.NoticeLow + time.Duration(r.IntN(2000))*time.Millisecond
+	s.MaxListDelay = s.MinListDelay + time.Duration(r.IntN(2000))*time.Millisecond
 	s.Requests = 100 + int(between(r, 0, 150)*s.Length.Seconds())
 	for range 1 + r.IntN(7) {
-		s.Troubles = append(s.Troubles, drawTrouble(r, s))
+		s.Incidents = append(s.Incidents, drawTrouble(r, s))
 	}
 	return s
 }
 
 func round(x float64) float64 { return math.Round(x*100) / 100 }
 
-func drawTrouble(r *rand.Rand, s *day.Script) day.Trouble {
-	t := day.Trouble{Kind: day.Kinds[r.IntN(len(day.Kinds))], At: time.Duration(r.Int64N(int64(s.Length*3/4)/1e6)) * time.Millisecond,
-		For: time.Duration(300+r.IntN(8000)) * time.Millisecond, Share: round(0.02 + between(r, 0, 0.6))}
+func drawTrouble(r *rand.Rand, s *day.Script) day.Incident {
+	t := day.Incident{Kind: day.IncidentKinds[r.IntN(len(day.IncidentKinds))], At: time.Duration(r.Int64N(int64(s.Length*3/4)/1e6)) * time.Millisecond,
+		Duration: time.Duration(300+r.IntN(8000)) * time.Millisecond, Share: round(0.02 + between(r, 0, 0.6))}
 	switch t.Kind {
 	case "answer_lost", "fast_errors", "hot_key":
 		t.Size = round(r.Float64())
@@ -196,22 +196,22 @@
 // mutate changes a day a little.
 func mutate(r *rand.Rand, from *day.Script) *day.Script {
 	s := *from
-	s.Troubles = slices.Clone(from.Troubles)
+	s.Incidents = slices.Clone(from.Incidents)
 	for range 1 + r.IntN(3) {
-		switch n := len(s.Troubles); r.IntN(9) {
+		switch n := len(s.Incidents); r.IntN(9) {
 		case 0, 1:
-			s.Troubles = append(s.Troubles, drawTrouble(r, &s))
+			s.Incidents = append(s.Incidents, drawTrouble(r, &s))
 		case 2:
 			if n > 1 {
-				s.Troubles = slices.Delete(s.Troubles, r.IntN(n), n)
+				s.Incidents = slices.Delete(s.Incidents, r.IntN(n), n)
 			}
 		case 3, 4:
 			if n > 0 {
 				i := r.IntN(n)
-				at := s.Troubles[i].At
-				s.Troubles[i] = drawTrouble(r, &s)
+				at := s.Incidents[i].At
+				s.Incidents[i] = drawTrouble(r, &s)
 				if r.IntN(2) == 0 {
-					s.Troubles[i].At = at
+					s.Incidents[i].At = at
 				}
 			}
 		case 5:
@@ -219,9 +219,9 @@
 		case 6:
 			s.Load = round(0.4 + r.Float64()*1.2)
 		case 7:
-			s.NoticeHigh = s.NoticeLow + time.Duration(r.IntN(10_000))*time.Millisecond
+			s.MaxListDelay = s.MinListDelay + time.Duration(r.IntN(10_000))*time.Millisecond
 		case 8:
-			s.Habit.Drops, s.Habit.Hasty, s.Habit.Repeats = round(between(r, 0, 0.5)), round(between(r, 0, 0.5)), round(between(r, 0, 0.5))
+			s.Behavior.Drops, s.Behavior.Hasty, s.Behavior.Repeats = round(between(r, 0, 0.5)), round(between(r, 0, 0.5)), round(between(r, 0, 0.5))
 		}
 	}
 	return &s
@@ -248,18 +248,18 @@
 		again = false
 		try := func(what string, change func(x *day.Script) bool) {
 			x := *s
-			x.Troubles = slices.Clone(s.Troubles)
+			x.Incidents = slices.Clone(s.Incidents)
 			if change(&x) && still(&x) {
 				s, again = &x, true
-				say("%s: %d troubles, %d nodes, %d directors, %d viewers, %v", what, len(x.Troubles), x.Nodes, x.Directors, x.Requests, x.Length)
+				say("%s: %d troubles, %d nodes, %d directors, %d viewers, %v", what, len(x.Incidents), x.Nodes, x.Directors, x.Requests, x.Length)
 			}
 		}
-		for i := len(s.Troubles) - 1; i >= 0; i-- {
+		for i := len(s.Incidents) - 1; i >= 0; i-- {
 			try("a trouble less", func(x *day.Script) bool {
-				if i >= len(x.Troubles) {
+				if i >= len(x.Incidents) {
 					return false
 				}
-				x.Troubles = slices.Delete(x.Troubles, i, i+1)
+				x.Incidents = slices.Delete(x.Incidents, i, i+1)
 				return true
 			})
 		}
@@ -282,7 +282,7 @@
 		try("a shorter day", func(x *day.Script) bool {
 			x.Length = (x.Length / 2).Round(100 * time.Millisecond)
 			x.Requests = max(1, x.Requests/2)
-			for _, t := range x.Troubles {
+			for _, t := range x.Incidents {
 				if t.At >= x.Length {
 					return false
 				}
@@ -290,8 +290,8 @@
 			return x.Length >= time.Second
 		})
 		for _, habit := range []func(x *day.Script) *float64{
-			func(x *day.Script) *float64 { return &x.Habit.Drops }, func(x *day.Script) *float64 { return &x.Habit.Hasty },
-			func(x *day.Script) *float64 { return &x.Habit.Repeats }, func(x *day.Script) *float64 { return &x.Habit.Returns },
+			func(x *day.Script) *float64 { return &x.Behavior.Drops }, func(x *day.Script) *float64 { return &x.Behavior.Hasty },
+			func(x *day.Script) *float64 { return &x.Behavior.Repeats }, func(x *day.Script) *float64 { return &x.Behavior.Returns },
 		} {
 			try("a habit less", func(x *day.Script) bool {
 				was := *habit(x)
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -33,9 +33,9 @@
 }
 
 func (w *world) result() *Result {
-	r := &Result{Result: day.Judge(day.Terms(w.house, slack), w.records)}
-	r.Seed, r.Viewers = w.layout.Seed, w.crowd.came
-	r.Sum(w.crowd.latency, w.crowd.inTime, w.crowd.asked)
+	r := &Result{Result: day.CheckRecords(day.RuleLimits(w.house, slack), w.records)}
+	r.Seed, r.Clients = w.layout.Seed, w.crowd.came
+	r.Summarize(w.crowd.latency, w.crowd.inTime, w.crowd.asked)
 	h := sha256.New()
 	e := json.NewEncoder(h)
 	for i := range w.records {
@@ -47,8 +47,8 @@
 	}
 	witness.Sort(r.Records)
 	r.Points = w.points
-	for _, t := range w.script.Troubles {
-		r.Ends = append(r.Ends, Ended{t.Kind, t.At, t.At + t.For})
+	for _, t := range w.script.Incidents {
+		r.Ends = append(r.Ends, Ended{t.Kind, t.At, t.At + t.Duration})
 	}
 	r.Least = 1
 	for _, rule := range witness.Rules {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -62,20 +62,20 @@
 		numbers: map[uint64]*link{}}
 	var err error
 	if opt.House == nil {
-		w.layout = day.Lay(s, seed)
-	} else if w.layout, err = day.LayImported(s, seed, opt.House, opt.Plan); err != nil {
+		w.layout = day.NewLayout(s, seed)
+	} else if w.layout, err = day.NewLayoutFromConfig(s, seed, opt.House, opt.Plan); err != nil {
 		return nil, err
 	}
 	y := w.layout
-	if w.house, _, err = y.House(0, "127.0.0.1:1"); err != nil {
+	if w.house, _, err = y.DirectorConfig(0, "127.0.0.1:1"); err != nil {
 		return nil, err
 	}
-	w.farm = node.NewFarm(seed, y.Site, y.Machines)
-	n := len(y.Machines)
+	w.farm = node.NewFarm(seed, y.Site, y.Nodes)
+	n := len(y.Nodes)
 	w.down, w.silent, w.hung, w.deaf = make([]bool, n), make([]bool, n), make([]bool, n), make([]time.Duration, n)
 	w.list = &list{w: w, directors: map[int]int{}, entries: slices.Clone(y.Entries)}
 	var listed []wire.NodeEntry
-	for i, m := range y.Machines {
+	for i, m := range y.Nodes {
 		w.machine[m.Name] = i
 		w.deaf[i] = -1
 		if y.Entries[i].State == wire.Removed {
@@ -205,7 +205,7 @@
 
 // fault does a fault to the machines, as a host on sockets does.
 func (w *world) fault(at time.Duration, x node.Fault) {
-	for i, m := range w.layout.Machines {
+	for i, m := range w.layout.Nodes {
 		if x.Node != "" && x.Node != m.Name || x.Rack != nil {
 			continue
 		}
@@ -253,17 +253,17 @@
 	back := at + w.delay(w.chance)
 	switch {
 	case w.down[m]:
-		w.answer(back, p, boot, director.LinkFailed{Node: w.layout.Machines[m].Name, Link: number})
+		w.answer(back, p, boot, director.LinkFailed{Node: w.layout.Nodes[m].Name, Link: number})
 		return
 	case w.silent[m] || w.hung[m]:
-		w.answer(max(back, until), p, boot, director.LinkFailed{Node: w.layout.Machines[m].Name, Link: number})
+		w.answer(max(back, until), p, boot, director.LinkFailed{Node: w.layout.Nodes[m].Name, Link: number})
 		return
 	}
 	w.lastNo++
 	l := &link{wayTo: wayTo{p.number, boot, number}, number: w.lastNo, machine: m, last: back}
 	w.links[l.wayTo], w.numbers[l.number] = l, l
-	w.answer(back, p, boot, director.LinkConnected{Node: w.layout.Machines[m].Name, Link: number})
-	w.nodesDo(at, w.farm.Opened(at, w.layout.Machines[m].Name, l.number))
+	w.answer(back, p, boot, director.LinkConnected{Node: w.layout.Nodes[m].Name, Link: number})
+	w.nodesDo(at, w.farm.Opened(at, w.layout.Nodes[m].Name, l.number))
 }
 
 // answer lets a director hear something at a time, if it still runs then.
@@ -289,7 +289,7 @@
 	}
 	w.seen(at, l, m)
 	if !w.silent[l.machine] {
-		w.nodesDo(at, w.farm.Said(at, w.layout.Machines[l.machine].Name, l.number, m))
+		w.nodesDo(at, w.farm.Said(at, w.layout.Nodes[l.machine].Name, l.number, m))
 	}
 }
 
@@ -298,7 +298,7 @@
 	if m.Type == wire.Hello || m.Type == wire.Measurement {
 		return
 	}
-	w.add(at, witness.Record{Kind: m.Type, Node: w.layout.Machines[l.machine].Name, Conn: l.number, Director: l.name, Session: m.Session, Leg: m.Leg,
+	w.add(at, witness.Record{Kind: m.Type, Node: w.layout.Nodes[l.machine].Name, Conn: l.number, Director: l.name, Session: m.Session, Leg: m.Leg,
 		Tariff: m.Tariff, Title: m.Title, Rung: m.Rung, StartTimeout: time.Duration(m.StartWithinMS) * time.Millisecond, Reason: m.Reason})
 }
 
@@ -312,7 +312,7 @@
 func (w *world) close(at time.Duration, l *link) {
 	delete(w.links, l.wayTo)
 	delete(w.numbers, l.number)
-	name := w.layout.Machines[l.machine].Name
+	name := w.layout.Nodes[l.machine].Name
 	w.add(at, witness.Record{Kind: witness.ConnClosed, Node: name, Conn: l.number})
 	w.nodesDo(at, w.farm.Closed(at, name, l.number))
 }
@@ -376,7 +376,7 @@
 	rings     time.Duration    // the next run that is arranged; 0: none
 }
 
-func (l *list) set(at time.Duration, word day.Word) {
+func (l *list) set(at time.Duration, word day.ListChange) {
 	if word.Entry != nil {
 		l.entries[word.Machine] = *word.Entry
 	}
--- a/internal/standin/node/host.go
+++ b/internal/standin/node/host.go
@@ -142,8 +142,8 @@
 	})
 }
 
-// Do does a fault: to the model and to the sockets.
-func (h *Host) Do(x Fault) {
+// Inject does a fault: to the model and to the sockets.
+func (h *Host) Inject(x Fault) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for name, s := range h.servers {
