--- a/cmd/fordusher/processes.go
+++ b/cmd/fordusher/processes.go
@@ -124,7 +124,7 @@
 }
 
 // StartNodes starts the nodes' process.
-func (p *processes) StartNodes(seed uint64, site node.Site, machines []node.Machine, _ *witness.Recorder, fell func(string)) (day.NodeFleet, error) {
+func (p *processes) StartNodes(seed uint64, site node.Environment, machines []node.Spec, _ *witness.Recorder, fell func(string)) (day.NodeFleet, error) {
 	spec, err := json.Marshal(farmSpec{seed, site, machines})
 	if err != nil {
 		return nil, err
@@ -143,9 +143,9 @@
 }
 
 type farmSpec struct {
-	Seed     uint64         `json:"seed"`
-	Site     node.Site      `json:"site"`
-	Machines []node.Machine `json:"machines"`
+	Seed     uint64           `json:"seed"`
+	Site     node.Environment `json:"site"`
+	Machines []node.Spec      `json:"machines"`
 }
 
 // An order is a line that a node process reads on standard input; each has one reply.
@@ -254,7 +254,7 @@
 		return fmt.Errorf("%s: no racks or no machines", c.Farm)
 	}
 	for _, m := range spec.Machines {
-		if m.Name == "" || m.Rack < 0 || m.Rack >= len(spec.Site.Uplinks) || m.Link <= 0 || m.Places <= 0 {
+		if m.Name == "" || m.Rack < 0 || m.Rack >= len(spec.Site.Uplinks) || m.LinkRate <= 0 || m.MaxStreams <= 0 {
 			return fmt.Errorf("%s: machine %q needs a name, places, link_kb and one of the %d racks", c.Farm, m.Name, len(spec.Site.Uplinks))
 		}
 	}
@@ -265,7 +265,7 @@
 		defer mu.Unlock()
 		json.NewEncoder(os.Stdout).Encode(x)
 	}
-	host, err := node.Open(node.NewFarm(spec.Seed, spec.Site, spec.Machines), &record, func(name string) { say(reply{Fell: name}) })
+	host, err := node.StartHost(node.NewModel(spec.Seed, spec.Site, spec.Machines), &record, func(name string) { say(reply{Fell: name}) })
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -36,14 +36,14 @@
 func newFixture(t testing.TB, nodes int, change ...string) *fixture {
 	t.Helper()
 	p := &fixture{t: t, recorder: &witness.Recorder{}}
-	var machines []node.Machine
+	var machines []node.Spec
 	for i := range nodes {
-		machines = append(machines, node.Machine{Name: fmt.Sprint("n", i), Kind: "box", Places: 50, Link: 1e5, Cores: 2, Work: 2 * ms})
+		machines = append(machines, node.Spec{Name: fmt.Sprint("n", i), Kind: "box", MaxStreams: 50, LinkRate: 1e5, Cores: 2, SetupTime: 2 * ms})
 	}
-	site := node.Site{Uplinks: []float64{1e6}, Warmup: time.Second, ColdFrom: 0.5, Multiple: 4, TipAfter: time.Second,
-		Late: 100 * ms, Every: time.Second, Refresh: 100 * ms}
+	site := node.Environment{Uplinks: []float64{1e6}, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4, OverloadWindow: time.Second,
+		ReportDelay: 100 * ms, ReportInterval: time.Second, LoadRefresh: 100 * ms}
 	var err error
-	if p.host, err = node.Open(node.NewFarm(1, site, machines), p.recorder, nil); err != nil {
+	if p.host, err = node.StartHost(node.NewModel(1, site, machines), p.recorder, nil); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.host.Close)
@@ -291,7 +291,7 @@
 	if m := in.answer(t); m.Type != wire.Playing {
 		t.Fatal(m)
 	}
-	p.host.Inject(node.Fault{Slow: new(100.0)}) // set-ups take a fifth of a second
+	p.host.Inject(node.Fault{SlowFactor: new(100.0)}) // set-ups take a fifth of a second
 	c.Send(requestMessage("2", "exam"), 0)
 	eventually(t, "the set-up is out", func() bool { return p.d.lastSnapshot.Load().owed == 1 })
 	began := time.Now()
--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -44,8 +44,8 @@
 type Layout struct {
 	Script      *Script
 	Seed        uint64
-	Site        node.Site
-	Nodes       []node.Machine
+	Site        node.Environment
+	Nodes       []node.Spec
 	Entries     []wire.NodeEntry // of the machines, addresses and starts left out; Removed: not there at first
 	Titles      []wire.TitlePlacement
 	Worth       []float64
@@ -75,10 +75,10 @@
 	for i := range s.Nodes {
 		y.machine(wire.NodeEntry{Node: "node-" + strconv.Itoa(i), State: wire.Up, MachineKind: "box", Zone: "hall", Weight: 1, Cell: i}, s.Racks, y.facts.Places, link)
 	}
-	y.Site = node.Site{
-		Uplinks: uplinks, Warmup: 5 * time.Second, ColdFrom: 0.4, Multiple: 4, TipAfter: time.Second,
-		Late: 600 * time.Millisecond, Every: 2 * time.Second, Refresh: 300 * time.Millisecond,
-		Worth: worth, StallCost: stallCost,
+	y.Site = node.Environment{
+		Uplinks: uplinks, Warmup: 5 * time.Second, InitialShare: 0.4, OverloadMultiple: 4, OverloadWindow: time.Second,
+		ReportDelay: 600 * time.Millisecond, ReportInterval: 2 * time.Second, LoadRefresh: 300 * time.Millisecond,
+		RungValues: worth, StallCost: stallCost,
 	}
 	copies := max(min(3, s.Nodes), s.Nodes/5)
 	for i := range s.Titles {
@@ -89,8 +89,8 @@
 
 func (y *Layout) machine(e wire.NodeEntry, racks, places int, link float64) {
 	y.Entries = append(y.Entries, e)
-	y.Nodes = append(y.Nodes, node.Machine{Name: e.Node, Kind: e.MachineKind, Rack: e.Cell % racks, Places: places,
-		Link: link * (0.85 + 0.3*y.chance.Float64()), Cores: 2, Work: 3 * time.Millisecond})
+	y.Nodes = append(y.Nodes, node.Spec{Name: e.Node, Kind: e.MachineKind, Rack: e.Cell % racks, MaxStreams: places,
+		LinkRate: link * (0.85 + 0.3*y.chance.Float64()), Cores: 2, SetupTime: 3 * time.Millisecond})
 }
 
 // NewLayoutFromConfig lays out the place that a director's file describes: its nodes behind stand-ins, its titles.
@@ -124,8 +124,8 @@
 		}
 		y.machine(e, h.Fleet.Racks, int(h.Ramp.MaxStreams[kind]), h.Fleet.LinkUnit*e.Weight)
 	}
-	y.Site = node.Site{Warmup: h.Ramp.Warmup, ColdFrom: h.Ramp.InitialShare, Multiple: h.Ramp.OverloadMultiple, TipAfter: h.Ramp.OverloadWindow,
-		Late: h.ReportTiming.Delay, Every: h.ReportTiming.Interval, Refresh: 300 * time.Millisecond, Worth: y.Worth, StallCost: stallCost}
+	y.Site = node.Environment{Warmup: h.Ramp.Warmup, InitialShare: h.Ramp.InitialShare, OverloadMultiple: h.Ramp.OverloadMultiple, OverloadWindow: h.Ramp.OverloadWindow,
+		ReportDelay: h.ReportTiming.Delay, ReportInterval: h.ReportTiming.Interval, LoadRefresh: 300 * time.Millisecond, RungValues: y.Worth, StallCost: stallCost}
 	for range h.Fleet.Racks {
 		y.Site.Uplinks = append(y.Site.Uplinks, h.Fleet.Uplink*(0.85+0.3*y.chance.Float64()))
 	}
--- a/internal/day/rig.go
+++ b/internal/day/rig.go
@@ -63,7 +63,7 @@
 
 // A Launcher starts the parts of a day in processes of their own.
 type Launcher interface {
-	StartNodes(seed uint64, site node.Site, machines []node.Machine, record *witness.Recorder, fell func(string)) (NodeFleet, error)
+	StartNodes(seed uint64, site node.Environment, machines []node.Spec, record *witness.Recorder, fell func(string)) (NodeFleet, error)
 	StartDirector(house []byte, name, boot string, seed uint64) (DirectorHandle, error)
 }
 
@@ -120,7 +120,7 @@
 	if g.opt.Launcher != nil {
 		g.fleet, err = g.opt.Launcher.StartNodes(g.opt.Seed, y.Site, y.Nodes, g.record, fell)
 	} else {
-		g.fleet, err = node.Open(node.NewFarm(g.opt.Seed, y.Site, y.Nodes), g.record, fell)
+		g.fleet, err = node.StartHost(node.NewModel(g.opt.Seed, y.Site, y.Nodes), g.record, fell)
 	}
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 	var entries []wire.NodeEntry
 	for i, e := range y.Entries {
 		if e.State == wire.Removed { // the plan adds it
-			g.fleet.Inject(node.Fault{Node: e.Node, Die: true})
+			g.fleet.Inject(node.Fault{Node: e.Node, Crash: true})
 		} else {
 			entries = append(entries, g.entry(i, e.State))
 		}
--- a/internal/day/timeline.go
+++ b/internal/day/timeline.go
@@ -85,7 +85,7 @@
 func (c *course) name(m int) string { return c.y.Nodes[m].Name }
 
 func (c *course) die(at time.Duration, m int) {
-	c.fault(at, node.Fault{Node: c.name(m), Die: true})
+	c.fault(at, node.Fault{Node: c.name(m), Crash: true})
 	c.list(at, m, wire.Removed, c.notice())
 }
 
@@ -112,7 +112,7 @@
 		c.say(t.At, "the list: %s %s", t.Entry.Node, t.Entry.State)
 		c.do(Action{At: t.At, List: w})
 		if down[m] = t.Entry.State == wire.Removed; down[m] {
-			c.fault(t.At, node.Fault{Node: t.Entry.Node, Die: true})
+			c.fault(t.At, node.Fault{Node: t.Entry.Node, Crash: true})
 		}
 	}
 }
@@ -167,13 +167,13 @@
 	case "hang":
 		c.faults(t, "take work and answer nothing", node.Fault{Hang: new(true)}, node.Fault{Hang: new(false)})
 	case "fast_errors":
-		c.faults(t, "fail set-ups quickly", node.Fault{Fail: &t.Size}, node.Fault{Fail: new(0.0)})
+		c.faults(t, "fail set-ups quickly", node.Fault{FailShare: &t.Size}, node.Fault{FailShare: new(0.0)})
 	case "answer_lost":
-		c.faults(t, "lose answers", node.Fault{Lose: &t.Size}, node.Fault{Lose: new(0.0)})
+		c.faults(t, "lose answers", node.Fault{LossShare: &t.Size}, node.Fault{LossShare: new(0.0)})
 	case "ageing":
 		c.each(t, t.Duration+2*time.Second, "grow slower and then die", func(m int) {
 			for i := 1; i <= 20; i++ {
-				c.fault(t.At+t.Duration*time.Duration(i-1)/20, node.Fault{Node: c.name(m), Slow: new(1 + (t.Size-1)*float64(i)/20)})
+				c.fault(t.At+t.Duration*time.Duration(i-1)/20, node.Fault{Node: c.name(m), SlowFactor: new(1 + (t.Size-1)*float64(i)/20)})
 			}
 			c.die(end, m)
 			c.comeBack(end+2*time.Second, m)
@@ -200,14 +200,14 @@
 		c.do(Action{At: end, Hot: new(0.0)})
 	case "shared_slow":
 		c.say(t.At, "all links give %.1f times less", t.Size)
-		c.fault(t.At, node.Fault{Shrink: &t.Size})
-		c.fault(end, node.Fault{Shrink: new(1.0)})
+		c.fault(t.At, node.Fault{BandwidthDivisor: &t.Size})
+		c.fault(end, node.Fault{BandwidthDivisor: new(1.0)})
 	case "origin_slow":
 		racks := max(1, len(c.y.Site.Uplinks)*3/10)
 		c.say(t.At, "the uplinks of %d racks give %.1f times less", racks, t.Size)
 		for i := range racks {
-			c.fault(t.At, node.Fault{Rack: &i, Shrink: &t.Size})
-			c.fault(end, node.Fault{Rack: &i, Shrink: new(1.0)})
+			c.fault(t.At, node.Fault{Rack: &i, BandwidthDivisor: &t.Size})
+			c.fault(end, node.Fault{Rack: &i, BandwidthDivisor: new(1.0)})
 		}
 	}
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -253,7 +253,7 @@
 	var some []*post
 	for w.err == nil && !w.over {
 		t := w.events.next()
-		if at, ok := w.farm.Next(); ok {
+		if at, ok := w.farm.NextDeadline(); ok {
 			t = min(t, at)
 		}
 		for i, p := range w.posts {
@@ -293,7 +293,7 @@
 func (w *world) run(stop time.Duration) {
 	for {
 		at := w.events.next()
-		if due, ok := w.farm.Next(); ok && due < at {
+		if due, ok := w.farm.NextDeadline(); ok && due < at {
 			if due >= stop {
 				return
 			}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -39,7 +39,7 @@
 	chance  *rand.Rand
 	posts   []*post
 	events  events
-	farm    *node.Farm
+	farm    *node.Model
 	machine map[string]int
 	down    []bool          // machines whose process has ended
 	silent  []bool          // machines that neither hear nor say anything
@@ -70,7 +70,7 @@
 	if w.house, _, err = y.DirectorConfig(0, "127.0.0.1:1"); err != nil {
 		return nil, err
 	}
-	w.farm = node.NewFarm(seed, y.Site, y.Nodes)
+	w.farm = node.NewModel(seed, y.Site, y.Nodes)
 	n := len(y.Nodes)
 	w.down, w.silent, w.hung, w.deaf = make([]bool, n), make([]bool, n), make([]bool, n), make([]time.Duration, n)
 	w.list = &list{w: w, directors: map[int]int{}, entries: slices.Clone(y.Entries)}
@@ -79,7 +79,7 @@
 		w.machine[m.Name] = i
 		w.deaf[i] = -1
 		if y.Entries[i].State == wire.Removed {
-			w.fault(0, node.Fault{Node: m.Name, Die: true})
+			w.fault(0, node.Fault{Node: m.Name, Crash: true})
 		} else {
 			listed = append(listed, w.entry(0, i, y.Entries[i].State))
 		}
@@ -121,7 +121,7 @@
 // sample keeps how the day stands, each second.
 func (w *world) sample(at time.Duration) {
 	p := Point{Second: len(w.points), There: w.crowd.active, Wanted: w.crowd.wanted}
-	p.Earning, p.Playing = w.farm.Earning(w.credit)
+	p.Earning, p.Playing = w.farm.EarningRate(w.credit)
 	w.points = append(w.points, p)
 	w.events.put(at+time.Second, w.sample)
 }
@@ -213,7 +213,7 @@
 			w.hung[i] = *x.Hang
 		}
 		switch {
-		case x.Die:
+		case x.Crash:
 			w.add(at, witness.Record{Kind: witness.NodeExited, Node: m.Name})
 			w.down[i] = true
 		case x.Silent != nil && *x.Silent:
@@ -223,7 +223,7 @@
 				w.add(at, witness.Record{Kind: witness.NodeExited, Node: m.Name, Reason: "came back anew"})
 			}
 			w.down[i], w.silent[i], w.hung[i] = false, false, false
-			w.add(at, witness.Record{Kind: witness.NodeStarted, Node: m.Name, MaxStreams: float64(m.Places)})
+			w.add(at, witness.Record{Kind: witness.NodeStarted, Node: m.Name, MaxStreams: float64(m.MaxStreams)})
 		}
 		w.hearing(at, i)
 	}
@@ -263,7 +263,7 @@
 	l := &link{wayTo: wayTo{p.number, boot, number}, number: w.lastNo, machine: m, last: back}
 	w.links[l.wayTo], w.numbers[l.number] = l, l
 	w.answer(back, p, boot, director.LinkConnected{Node: w.layout.Nodes[m].Name, Link: number})
-	w.nodesDo(at, w.farm.Opened(at, w.layout.Nodes[m].Name, l.number))
+	w.nodesDo(at, w.farm.ConnOpened(at, w.layout.Nodes[m].Name, l.number))
 }
 
 // answer lets a director hear something at a time, if it still runs then.
@@ -289,7 +289,7 @@
 	}
 	w.seen(at, l, m)
 	if !w.silent[l.machine] {
-		w.nodesDo(at, w.farm.Said(at, w.layout.Nodes[l.machine].Name, l.number, m))
+		w.nodesDo(at, w.farm.Receive(at, w.layout.Nodes[l.machine].Name, l.number, m))
 	}
 }
 
@@ -314,22 +314,22 @@
 	delete(w.numbers, l.number)
 	name := w.layout.Nodes[l.machine].Name
 	w.add(at, witness.Record{Kind: witness.ConnClosed, Node: name, Conn: l.number})
-	w.nodesDo(at, w.farm.Closed(at, name, l.number))
+	w.nodesDo(at, w.farm.ConnClosed(at, name, l.number))
 }
 
 // nodesDo carries out what the model of the nodes wants.
-func (w *world) nodesDo(at time.Duration, outs []node.Out) {
+func (w *world) nodesDo(at time.Duration, outs []node.Output) {
 	outs = slices.Clone(outs) // the model is called again meanwhile
 	for _, o := range outs {
 		m := w.machine[o.Node]
 		switch {
-		case o.Fell:
+		case o.Overloaded:
 			w.add(at, witness.Record{Kind: witness.NodeExited, Node: o.Node, Reason: "pushed over"})
 			w.down[m] = true
 			w.say(at, "%s was pushed over and stays down", o.Node)
 			continue
-		case o.Earned != nil:
-			w.add(at, witness.Record{Kind: witness.SessionEarned, Node: o.Node, Session: o.Earned.Session, Tariff: o.Earned.Tariff, Seconds: o.Earned.Seconds})
+		case o.Earning != nil:
+			w.add(at, witness.Record{Kind: witness.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
 			continue
 		}
 		l := w.numbers[o.Link]
@@ -338,7 +338,7 @@
 		}
 		p := w.posts[l.post]
 		l.last = max(l.last, at+w.delay(w.chance))
-		if o.Cut {
+		if o.Reset {
 			w.answer(l.last, p, l.boot, director.LinkLost{Link: l.link})
 			w.close(at, l)
 			continue
--- a/internal/load/cast.go
+++ b/internal/load/cast.go
@@ -78,7 +78,7 @@
 		var text bytes.Buffer
 		m := st.machines[0]
 		err := scenarioTemplate.Execute(&text, map[string]any{"Me": i, "Directors": s.Directors, "List": st.list.Address(), "Nodes": s.Nodes,
-			"Racks": s.Racks, "Link": m.Link, "Uplink": m.Link * float64((s.Nodes+s.Racks-1)/s.Racks), "Places": m.Places,
+			"Racks": s.Racks, "Link": m.LinkRate, "Uplink": m.LinkRate * float64((s.Nodes+s.Racks-1)/s.Racks), "Places": m.MaxStreams,
 			"Ping": s.Ping.String(), "Room": s.Room})
 		if err != nil {
 			return nil, err
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -72,7 +72,7 @@
 	s        Setups
 	host     *node.Host
 	list     *list.Source
-	machines []node.Machine
+	machines []node.Spec
 	titles   []wire.TitlePlacement
 }
 
@@ -91,12 +91,12 @@
 		uplinks = append(uplinks, uplink)
 	}
 	for i := range s.Nodes {
-		st.machines = append(st.machines, node.Machine{Name: "node-" + strconv.Itoa(i), Kind: "box", Rack: i % s.Racks, Places: places,
-			Link: link, Cores: 64, Work: 0})
+		st.machines = append(st.machines, node.Spec{Name: "node-" + strconv.Itoa(i), Kind: "box", Rack: i % s.Racks, MaxStreams: places,
+			LinkRate: link, Cores: 64, SetupTime: 0})
 	}
 	var err error
-	st.host, err = node.Open(node.NewFarm(s.Seed, node.Site{Uplinks: uplinks, Warmup: time.Second, ColdFrom: 0.5, Multiple: 4,
-		TipAfter: time.Second, Late: 900 * time.Millisecond, Every: 3750 * time.Millisecond, Refresh: 300 * time.Millisecond},
+	st.host, err = node.StartHost(node.NewModel(s.Seed, node.Environment{Uplinks: uplinks, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4,
+		OverloadWindow: time.Second, ReportDelay: 900 * time.Millisecond, ReportInterval: 3750 * time.Millisecond, LoadRefresh: 300 * time.Millisecond},
 		st.machines), record, nil)
 	if err != nil {
 		return nil, err
@@ -126,8 +126,8 @@
 	var text bytes.Buffer
 	m := st.machines[0]
 	err := houseTemplate.Execute(&text, map[string]any{
-		"List": st.list.Address(), "Nodes": st.s.Nodes, "Racks": st.s.Racks, "Link": m.Link,
-		"Uplink": m.Link * float64((st.s.Nodes+st.s.Racks-1)/st.s.Racks), "Places": m.Places,
+		"List": st.list.Address(), "Nodes": st.s.Nodes, "Racks": st.s.Racks, "Link": m.LinkRate,
+		"Uplink": m.LinkRate * float64((st.s.Nodes+st.s.Racks-1)/st.s.Racks), "Places": m.MaxStreams,
 	})
 	return text.Bytes(), err
 }
--- a/internal/standin/node/farm.go
+++ b/internal/standin/node/farm.go
@@ -13,58 +13,58 @@
 	"fordusher/internal/wire"
 )
 
-// Machine is one node as it is built.
-type Machine struct {
-	Name   string        `json:"name"`
-	Kind   string        `json:"kind"`
-	Rack   int           `json:"rack"`
-	Places int           `json:"places"`  // streams that it runs at most
-	Link   float64       `json:"link_kb"` // kB a second
-	Cores  int           `json:"cores"`   // set-ups worked on at one time
-	Work   time.Duration `json:"work"`    // of one core for a set-up
-}
-
-// Site is what all nodes have in common.
-type Site struct {
-	Uplinks     []float64     `json:"uplinks_kb"`   // of the racks, kB a second
-	RefusesFrom float64       `json:"refuses_from"` // a node answers full from so much of its link asked; 0: never
-	Warmup      time.Duration `json:"warmup"`
-	ColdFrom    float64       `json:"cold_from"`
-	Multiple    float64       `json:"multiple"`
-	TipAfter    time.Duration `json:"tip_after"`
-	Late        time.Duration `json:"late"`                 // of notes
-	Every       time.Duration `json:"every"`                // between notes of links
-	Refresh     time.Duration `json:"refresh"`              // of the load in answers
-	Worth       []float64     `json:"worth,omitempty"`      // of a second at each rung; empty: nothing is earned
-	StallCost   float64       `json:"stall_cost,omitempty"` // points of worth lost for each point of the rate missing under 98 in 100
+// Spec is one node as it is built.
+type Spec struct {
+	Name       string        `json:"name"`
+	Kind       string        `json:"kind"`
+	Rack       int           `json:"rack"`
+	MaxStreams int           `json:"places"`  // streams that it runs at most
+	LinkRate   float64       `json:"link_kb"` // kB a second
+	Cores      int           `json:"cores"`   // set-ups worked on at one time
+	SetupTime  time.Duration `json:"work"`    // of one core for a set-up
+}
+
+// Environment is what all nodes have in common.
+type Environment struct {
+	Uplinks          []float64     `json:"uplinks_kb"`   // of the racks, kB a second
+	RejectThreshold  float64       `json:"refuses_from"` // a node answers full from so much of its link asked; 0: never
+	Warmup           time.Duration `json:"warmup"`
+	InitialShare     float64       `json:"cold_from"`
+	OverloadMultiple float64       `json:"multiple"`
+	OverloadWindow   time.Duration `json:"tip_after"`
+	ReportDelay      time.Duration `json:"late"`                 // of notes
+	ReportInterval   time.Duration `json:"every"`                // between notes of links
+	LoadRefresh      time.Duration `json:"refresh"`              // of the load in answers
+	RungValues       []float64     `json:"worth,omitempty"`      // of a second at each rung; empty: nothing is earned
+	StallCost        float64       `json:"stall_cost,omitempty"` // points of worth lost for each point of the rate missing under 98 in 100
 }
 
 // Fault is something done to a node, or to all nodes' links and a rack's uplink. What it does not name
 // stays as it is.
 type Fault struct {
-	Node      string   `json:"node,omitempty"`
-	Rack      *int     `json:"rack,omitempty"`
-	Hang      *bool    `json:"hang,omitempty"`       // takes work, answers nothing
-	Slow      *float64 `json:"slow,omitempty"`       // set-ups take so many times as long
-	Fail      *float64 `json:"fail,omitempty"`       // share of set-ups that fail at once
-	Lose      *float64 `json:"lose,omitempty"`       // share of answers that get lost
-	LoseReset bool     `json:"lose_reset,omitempty"` // the connection is reset instead of silence
-	Twice     *float64 `json:"twice,omitempty"`      // share of answers that come twice
-	Shrink    *float64 `json:"shrink,omitempty"`     // the link (or the rack's uplink) gives so many times less
-	Die       bool     `json:"die,omitempty"`        // the process ends, its connections are reset
-	Silent    *bool    `json:"silent,omitempty"`     // the machine falls silent, or comes back
-	Start     bool     `json:"start,omitempty"`      // a process starts, cold
-}
-
-// An Out is a message to a director, or, with Cut, the reset of its connection, or, with Fell, word that the
+	Node             string   `json:"node,omitempty"`
+	Rack             *int     `json:"rack,omitempty"`
+	Hang             *bool    `json:"hang,omitempty"`       // takes work, answers nothing
+	SlowFactor       *float64 `json:"slow,omitempty"`       // set-ups take so many times as long
+	FailShare        *float64 `json:"fail,omitempty"`       // share of set-ups that fail at once
+	LossShare        *float64 `json:"lose,omitempty"`       // share of answers that get lost
+	ResetOnLoss      bool     `json:"lose_reset,omitempty"` // the connection is reset instead of silence
+	DuplicateShare   *float64 `json:"twice,omitempty"`      // share of answers that come twice
+	BandwidthDivisor *float64 `json:"shrink,omitempty"`     // the link (or the rack's uplink) gives so many times less
+	Crash            bool     `json:"die,omitempty"`        // the process ends, its connections are reset
+	Silent           *bool    `json:"silent,omitempty"`     // the machine falls silent, or comes back
+	Start            bool     `json:"start,omitempty"`      // a process starts, cold
+}
+
+// An Output is a message to a director, or, with Cut, the reset of its connection, or, with Fell, word that the
 // node was pushed over, or, with Earned, what a session has earned.
-type Out struct {
-	Node    string
-	Link    uint64
-	Message wire.NodeMessage
-	Cut     bool
-	Fell    bool
-	Earned  *Earning
+type Output struct {
+	Node       string
+	Link       uint64
+	Message    wire.NodeMessage
+	Reset      bool
+	Overloaded bool
+	Earning    *Earning
 }
 
 // Earning is what a session has earned by its end: seconds, each times its rung's worth and what is left of
@@ -97,7 +97,7 @@
 }
 
 type machine struct {
-	Machine
+	Spec
 	alive, silent bool
 	start         uint64
 	born          time.Duration // under 0: long ago
@@ -136,19 +136,19 @@
 	kind dueKind
 	node *machine
 	key  [2]uint64
-	out  Out
+	out  Output
 }
 
-// Farm is the model of all nodes of a place.
-type Farm struct {
-	site   Site
+// Model is the model of all nodes of a place.
+type Model struct {
+	site   Environment
 	chance *rand.Rand
 	nodes  map[string]*machine
 	order  []*machine
 	racks  []rack
 	queue  alarm.Queue[due]
 	now    time.Duration
-	out    []Out
+	out    []Output
 	starts uint64
 }
 
@@ -158,20 +158,20 @@
 	asked  float64
 }
 
-// NewFarm starts with warm nodes that run.
-func NewFarm(seed uint64, site Site, machines []Machine) *Farm {
-	f := &Farm{site: site, chance: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*machine{}}
+// NewModel starts with warm nodes that run.
+func NewModel(seed uint64, site Environment, machines []Spec) *Model {
+	f := &Model{site: site, chance: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*machine{}}
 	for _, u := range site.Uplinks {
 		f.racks = append(f.racks, rack{uplink: u, shrink: 1})
 	}
 	for _, m := range machines {
-		n := &machine{Machine: m, alive: true, born: -1, slow: 1, shrink: 1, streams: map[[2]uint64]*stream{},
+		n := &machine{Spec: m, alive: true, born: -1, slow: 1, shrink: 1, streams: map[[2]uint64]*stream{},
 			free: make([]time.Duration, max(1, m.Cores))}
 		f.starts++
 		n.start = f.starts
 		f.nodes[m.Name] = n
 		f.order = append(f.order, n)
-		if len(site.Worth) > 0 {
+		if len(site.RungValues) > 0 {
 			f.push(due{at: earnEvery, kind: dueEarn, node: n})
 		}
 	}
@@ -179,7 +179,7 @@
 }
 
 // Start tells which start a node is in, and how long ago that was (0: long ago).
-func (f *Farm) Start(now time.Duration, name string) (start uint64, age time.Duration) {
+func (f *Model) Start(now time.Duration, name string) (start uint64, age time.Duration) {
 	n := f.nodes[name]
 	if n.born < 0 {
 		return n.start, 0
@@ -187,21 +187,21 @@
 	return n.start, max(time.Millisecond, now-n.born)
 }
 
-// Next is when Step wants to be called at the latest; ok is false where nothing is due.
-func (f *Farm) Next() (at time.Duration, ok bool) {
+// NextDeadline is when Step wants to be called at the latest; ok is false where nothing is due.
+func (f *Model) NextDeadline() (at time.Duration, ok bool) {
 	return f.queue.NextDeadline()
 }
 
-func (f *Farm) push(d due) { f.queue.Add(d.at, d) }
+func (f *Model) push(d due) { f.queue.Add(d.at, d) }
 
 // Step works off what is due until now. The result is valid until the next call of any method.
-func (f *Farm) Step(now time.Duration) []Out {
+func (f *Model) Step(now time.Duration) []Output {
 	f.out = f.out[:0]
 	f.advance(now)
 	return f.out
 }
 
-func (f *Farm) advance(now time.Duration) {
+func (f *Model) advance(now time.Duration) {
 	for at, ok := f.queue.NextDeadline(); ok && at <= now; at, ok = f.queue.NextDeadline() {
 		d := f.queue.Pop()
 		f.now = max(f.now, d.at)
@@ -210,7 +210,7 @@
 	f.now = max(f.now, now)
 }
 
-func (f *Farm) happen(d due) {
+func (f *Model) happen(d due) {
 	n := d.node
 	if d.kind == dueEarn {
 		f.earn(n)
@@ -236,21 +236,21 @@
 	}
 }
 
-// Opened takes a new connection of a director.
-func (f *Farm) Opened(now time.Duration, node string, link uint64) []Out {
+// ConnOpened takes a new connection of a director.
+func (f *Model) ConnOpened(now time.Duration, node string, link uint64) []Output {
 	f.out = f.out[:0]
 	f.advance(now)
 	n := f.nodes[node]
-	n.directors = append(n.directors, &director{link: link, next: f.now + f.site.Every, nextPer: f.now + time.Second})
+	n.directors = append(n.directors, &director{link: link, next: f.now + f.site.ReportInterval, nextPer: f.now + time.Second})
 	if !n.noting {
 		n.noting = true
-		f.push(due{at: f.now + min(noteEvery, max(time.Millisecond, f.site.Every)), kind: dueNote, node: n})
+		f.push(due{at: f.now + min(noteEvery, max(time.Millisecond, f.site.ReportInterval)), kind: dueNote, node: n})
 	}
 	return f.out
 }
 
-// Closed ends a connection, and with it every stream of that director.
-func (f *Farm) Closed(now time.Duration, node string, link uint64) []Out {
+// ConnClosed ends a connection, and with it every stream of that director.
+func (f *Model) ConnClosed(now time.Duration, node string, link uint64) []Output {
 	f.out = f.out[:0]
 	f.advance(now)
 	n := f.nodes[node]
@@ -271,8 +271,8 @@
 	})
 }
 
-// Said takes a director's message.
-func (f *Farm) Said(now time.Duration, node string, link uint64, m wire.NodeMessage) []Out {
+// Receive takes a director's message.
+func (f *Model) Receive(now time.Duration, node string, link uint64, m wire.NodeMessage) []Output {
 	f.out = f.out[:0]
 	f.advance(now)
 	n := f.nodes[node]
@@ -303,19 +303,19 @@
 	return f.out
 }
 
-func (f *Farm) warmth(n *machine) float64 {
+func (f *Model) warmth(n *machine) float64 {
 	if n.born < 0 || f.now-n.born >= f.site.Warmup {
 		return 1
 	}
-	return f.site.ColdFrom + (1-f.site.ColdFrom)*float64(f.now-n.born)/float64(f.site.Warmup)
+	return f.site.InitialShare + (1-f.site.InitialShare)*float64(f.now-n.born)/float64(f.site.Warmup)
 }
 
-func (f *Farm) setup(n *machine, key [2]uint64, m wire.NodeMessage) {
+func (f *Model) setup(n *machine, key [2]uint64, m wire.NodeMessage) {
 	if warmth := f.warmth(n); warmth < 1 {
-		n.sends = append(slices.DeleteFunc(n.sends, func(t time.Duration) bool { return t <= f.now-f.site.TipAfter }), f.now)
-		can := f.site.Multiple * float64(n.Places) / f.site.Warmup.Seconds() * warmth * f.site.TipAfter.Seconds()
+		n.sends = append(slices.DeleteFunc(n.sends, func(t time.Duration) bool { return t <= f.now-f.site.OverloadWindow }), f.now)
+		can := f.site.OverloadMultiple * float64(n.MaxStreams) / f.site.Warmup.Seconds() * warmth * f.site.OverloadWindow.Seconds()
 		if float64(len(n.sends)) > can+2 {
-			f.out = append(f.out, Out{Node: n.Name, Fell: true})
+			f.out = append(f.out, Output{Node: n.Name, Overloaded: true})
 			f.die(n)
 			return
 		}
@@ -325,7 +325,7 @@
 	case n.fail > 0 && f.chance.Float64() < n.fail:
 		f.answer(n, key, wire.NodeMessage{Type: wire.Failed, Leg: key[1], Load: f.loadOf(n)})
 		return
-	case len(n.streams) >= n.Places, f.site.RefusesFrom > 0 && link >= f.site.RefusesFrom:
+	case len(n.streams) >= n.MaxStreams, f.site.RejectThreshold > 0 && link >= f.site.RejectThreshold:
 		f.answer(n, key, wire.NodeMessage{Type: wire.Full, Leg: key[1], Load: f.loadOf(n)})
 		return
 	}
@@ -342,13 +342,13 @@
 			core = i
 		}
 	}
-	work := time.Duration(float64(n.Work) * n.slow / f.warmth(n) * (0.8 + 0.4*f.chance.Float64()))
+	work := time.Duration(float64(n.SetupTime) * n.slow / f.warmth(n) * (0.8 + 0.4*f.chance.Float64()))
 	n.free[core] = max(n.free[core], f.now) + work
 	f.push(due{at: n.free[core], kind: dueSetup, node: n, key: key})
 }
 
 // ready starts a session whose set-up is done.
-func (f *Farm) ready(n *machine, key [2]uint64) {
+func (f *Model) ready(n *machine, key [2]uint64) {
 	s := n.streams[key]
 	if s == nil || s.plays {
 		return // called off meanwhile
@@ -367,10 +367,10 @@
 }
 
 // answer tells how a set-up ended, unless that gets lost.
-func (f *Farm) answer(n *machine, key [2]uint64, m wire.NodeMessage) {
+func (f *Model) answer(n *machine, key [2]uint64, m wire.NodeMessage) {
 	if n.lose > 0 && f.chance.Float64() < n.lose {
 		if n.loseReset {
-			f.out = append(f.out, Out{Node: n.Name, Link: key[0], Cut: true})
+			f.out = append(f.out, Output{Node: n.Name, Link: key[0], Reset: true})
 		}
 		return
 	}
@@ -380,8 +380,8 @@
 	}
 }
 
-func (f *Farm) tell(n *machine, link uint64, m wire.NodeMessage) {
-	out := Out{Node: n.Name, Link: link, Message: m}
+func (f *Model) tell(n *machine, link uint64, m wire.NodeMessage) {
+	out := Output{Node: n.Name, Link: link, Message: m}
 	if n.hung {
 		n.held = append(n.held, due{kind: dueTell, node: n, out: out})
 		return
@@ -390,13 +390,13 @@
 }
 
 // ask counts what a stream asks, or no longer asks, of the link and the uplink.
-func (f *Farm) ask(n *machine, rate float64) {
+func (f *Model) ask(n *machine, rate float64) {
 	n.asked += rate
 	f.racks[n.Rack].asked += rate
 }
 
 // drop ends a stream.
-func (f *Farm) drop(n *machine, key [2]uint64) {
+func (f *Model) drop(n *machine, key [2]uint64) {
 	if s := n.streams[key]; s != nil {
 		f.ask(n, -s.rate)
 		delete(n.streams, key)
@@ -404,40 +404,40 @@
 	}
 }
 
-func (f *Farm) pay(n *machine, s *stream) {
+func (f *Model) pay(n *machine, s *stream) {
 	if s.earned > 0 {
-		f.out = append(f.out, Out{Node: n.Name, Earned: &Earning{s.session, s.tariff, s.earned}})
+		f.out = append(f.out, Output{Node: n.Name, Earning: &Earning{s.session, s.tariff, s.earned}})
 	}
 }
 
 // earn counts what a node's sessions got since the last look.
-func (f *Farm) earn(n *machine) {
+func (f *Model) earn(n *machine) {
 	if !n.alive || n.silent || n.hung {
 		return
 	}
 	quality := max(0, 1-f.site.StallCost*max(0, 0.98-f.share(n)))
 	for _, s := range n.streams {
 		if s.plays {
-			s.earned += earnEvery.Seconds() * quality * f.site.Worth[min(s.rung, len(f.site.Worth)-1)]
+			s.earned += earnEvery.Seconds() * quality * f.site.RungValues[min(s.rung, len(f.site.RungValues)-1)]
 		}
 	}
 }
 
 // asked is what is asked of a node's link and of its rack's uplink, over what they give.
-func (f *Farm) asked(n *machine) (link, uplink float64) {
+func (f *Model) asked(n *machine) (link, uplink float64) {
 	r := &f.racks[n.Rack]
-	return max(0, n.asked) / (n.Link / n.shrink), max(0, r.asked) / (r.uplink / r.shrink)
+	return max(0, n.asked) / (n.LinkRate / n.shrink), max(0, r.asked) / (r.uplink / r.shrink)
 }
 
 // share is the share of its rate that a session on a node gets: what is short on the link or the uplink
 // is shared evenly.
-func (f *Farm) share(n *machine) float64 {
+func (f *Model) share(n *machine) float64 {
 	link, uplink := f.asked(n)
 	return 1 / max(1, link, uplink)
 }
 
-func (f *Farm) loadOf(n *machine) *wire.NodeLoad {
-	if n.load.Link == nil || f.now >= n.loadAt+f.site.Refresh {
+func (f *Model) loadOf(n *machine) *wire.NodeLoad {
+	if n.load.Link == nil || f.now >= n.loadAt+f.site.LoadRefresh {
 		link, uplink := f.asked(n)
 		noisy := func(x float64) *float64 { return new(x * (0.95 + 0.1*f.chance.Float64())) }
 		n.load = wire.NodeLoad{Streams: new(float64(len(n.streams))), Link: noisy(link), Uplink: noisy(uplink)}
@@ -451,7 +451,7 @@
 const noteEvery = 250 * time.Millisecond
 
 // notes tells a node's directors how their sessions there fare: late, each on its oldest session.
-func (f *Farm) notes(n *machine) {
+func (f *Model) notes(n *machine) {
 	if !n.alive || len(n.directors) == 0 {
 		n.noting = false
 		return
@@ -470,7 +470,7 @@
 			continue
 		}
 		later := func(kind int, value float64) {
-			f.push(due{at: f.now + f.site.Late, kind: dueTell, node: n, out: Out{Node: n.Name, Link: d.link,
+			f.push(due{at: f.now + f.site.ReportDelay, kind: dueTell, node: n, out: Output{Node: n.Name, Link: d.link,
 				Message: wire.NodeMessage{Type: wire.Measurement, Leg: on.leg, MeasurementKind: kind, MeasurementValue: value}}})
 		}
 		if f.now >= d.nextPer {
@@ -480,8 +480,8 @@
 			}
 			d.short = share < 0.98
 		}
-		if f.site.Every > 0 && f.now >= d.next {
-			d.next = f.now + f.site.Every
+		if f.site.ReportInterval > 0 && f.now >= d.next {
+			d.next = f.now + f.site.ReportInterval
 			later(3, link)
 			later(4, uplink)
 		}
@@ -490,11 +490,11 @@
 }
 
 // Apply does a fault.
-func (f *Farm) Apply(now time.Duration, x Fault) []Out {
+func (f *Model) Apply(now time.Duration, x Fault) []Output {
 	f.out = f.out[:0]
 	f.advance(now)
-	if x.Rack != nil && x.Shrink != nil {
-		f.racks[*x.Rack%len(f.racks)].shrink = *x.Shrink
+	if x.Rack != nil && x.BandwidthDivisor != nil {
+		f.racks[*x.Rack%len(f.racks)].shrink = *x.BandwidthDivisor
 		return f.out
 	}
 	for _, n := range f.order {
@@ -505,19 +505,19 @@
 	return f.out
 }
 
-func (f *Farm) apply(n *machine, x Fault) {
+func (f *Model) apply(n *machine, x Fault) {
 	set := func(to *float64, from *float64) {
 		if from != nil {
 			*to = *from
 		}
 	}
-	set(&n.slow, x.Slow)
-	set(&n.fail, x.Fail)
-	set(&n.lose, x.Lose)
-	set(&n.twice, x.Twice)
-	set(&n.shrink, x.Shrink)
-	if x.Lose != nil {
-		n.loseReset = x.LoseReset
+	set(&n.slow, x.SlowFactor)
+	set(&n.fail, x.FailShare)
+	set(&n.lose, x.LossShare)
+	set(&n.twice, x.DuplicateShare)
+	set(&n.shrink, x.BandwidthDivisor)
+	if x.LossShare != nil {
+		n.loseReset = x.ResetOnLoss
 	}
 	if x.Hang != nil && n.hung != *x.Hang {
 		n.hung = *x.Hang
@@ -529,7 +529,7 @@
 		}
 		f.advance(f.now)
 	}
-	if x.Die {
+	if x.Crash {
 		f.die(n)
 	}
 	if x.Silent != nil {
@@ -544,9 +544,9 @@
 	}
 }
 
-func (f *Farm) die(n *machine) {
+func (f *Model) die(n *machine) {
 	for _, d := range n.directors {
-		f.out = append(f.out, Out{Node: n.Name, Link: d.link, Cut: true})
+		f.out = append(f.out, Output{Node: n.Name, Link: d.link, Reset: true})
 	}
 	if slices.ContainsFunc(n.held, func(d due) bool { return d.kind == dueNote }) {
 		n.noting = false
@@ -560,9 +560,9 @@
 	clear(n.free)
 }
 
-// Earning is what all sessions earn at this moment, a second: each its tariff's credit, times the worth of its
+// EarningRate is what all sessions earn at this moment, a second: each its tariff's credit, times the worth of its
 // rung and what is left of that where the rate is short.
-func (f *Farm) Earning(credit map[string]float64) (rate float64, playing int) {
+func (f *Model) EarningRate(credit map[string]float64) (rate float64, playing int) {
 	for _, n := range f.order {
 		if !n.alive || n.silent || n.hung {
 			continue
@@ -571,7 +571,7 @@
 		for _, k := range n.keys() { // in order, so that the sum is the same each time
 			if s := n.streams[k]; s.plays {
 				playing++
-				rate += credit[s.tariff] * quality * f.site.Worth[min(s.rung, len(f.site.Worth)-1)]
+				rate += credit[s.tariff] * quality * f.site.RungValues[min(s.rung, len(f.site.RungValues)-1)]
 			}
 		}
 	}
@@ -579,4 +579,4 @@
 }
 
 // Streams counts a node's streams.
-func (f *Farm) Streams(name string) int { return len(f.nodes[name].streams) }
+func (f *Model) Streams(name string) int { return len(f.nodes[name].streams) }
--- a/internal/standin/node/farm_test.go
+++ b/internal/standin/node/farm_test.go
@@ -11,14 +11,14 @@
 
 const ms = time.Millisecond
 
-var site = Site{Uplinks: []float64{3000, 1e9}, Warmup: 10 * time.Second, ColdFrom: 0.5, Multiple: 2, TipAfter: time.Second,
-	Late: 500 * ms, Every: 2 * time.Second, Refresh: 100 * ms}
+var site = Environment{Uplinks: []float64{3000, 1e9}, Warmup: 10 * time.Second, InitialShare: 0.5, OverloadMultiple: 2, OverloadWindow: time.Second,
+	ReportDelay: 500 * ms, ReportInterval: 2 * time.Second, LoadRefresh: 100 * ms}
 
-func newFarm() *Farm {
-	return NewFarm(1, site, []Machine{
-		{Name: "a", Rack: 0, Places: 10, Link: 1000, Cores: 2, Work: 10 * ms},
-		{Name: "b", Rack: 0, Places: 10, Link: 4000, Cores: 2, Work: 10 * ms},
-		{Name: "c", Rack: 1, Places: 50, Link: 1e9, Cores: 2, Work: 10 * ms},
+func newFarm() *Model {
+	return NewModel(1, site, []Spec{
+		{Name: "a", Rack: 0, MaxStreams: 10, LinkRate: 1000, Cores: 2, SetupTime: 10 * ms},
+		{Name: "b", Rack: 0, MaxStreams: 10, LinkRate: 4000, Cores: 2, SetupTime: 10 * ms},
+		{Name: "c", Rack: 1, MaxStreams: 50, LinkRate: 1e9, Cores: 2, SetupTime: 10 * ms},
 	})
 }
 
@@ -27,8 +27,8 @@
 }
 
 // run steps a farm until a time and returns what it says, by type.
-func run(f *Farm, until time.Duration) (said []wire.NodeMessage) {
-	for at, ok := f.Next(); ok && at <= until; at, ok = f.Next() {
+func run(f *Model, until time.Duration) (said []wire.NodeMessage) {
+	for at, ok := f.NextDeadline(); ok && at <= until; at, ok = f.NextDeadline() {
 		for _, o := range f.Step(at) {
 			said = append(said, o.Message)
 		}
@@ -50,20 +50,20 @@
 // is less than the neighbour's own link would, and more than the first one's.
 func TestShortfallIsSharedEvenly(t *testing.T) {
 	f := newFarm()
-	f.Opened(0, "a", 1)
-	f.Opened(0, "b", 2)
+	f.ConnOpened(0, "a", 1)
+	f.ConnOpened(0, "b", 2)
 	for i, rate := range []float64{400, 400, 800} {
-		f.Said(0, "a", 1, setup(uint64(i+1), rate))
+		f.Receive(0, "a", 1, setup(uint64(i+1), rate))
 	}
 	if s := f.share(f.nodes["a"]); math.Abs(s-0.625) > 1e-9 {
 		t.Fatal(s)
 	}
-	f.Said(0, "b", 2, setup(1, 1200))
-	f.Said(0, "b", 2, setup(2, 1200))
+	f.Receive(0, "b", 2, setup(1, 1200))
+	f.Receive(0, "b", 2, setup(2, 1200))
 	if a, b := f.share(f.nodes["a"]), f.share(f.nodes["b"]); math.Abs(a-0.625) > 1e-9 || math.Abs(b-0.75) > 1e-9 {
 		t.Fatal(a, b)
 	}
-	f.Apply(0, Fault{Rack: new(0), Shrink: new(2.0)})
+	f.Apply(0, Fault{Rack: new(0), BandwidthDivisor: new(2.0)})
 	if b := f.share(f.nodes["b"]); math.Abs(b-0.375) > 1e-9 {
 		t.Fatal(b)
 	}
@@ -71,11 +71,11 @@
 
 func TestNotesComeLateAndOnce(t *testing.T) {
 	f := newFarm()
-	f.Opened(0, "a", 1)
-	f.Said(0, "a", 1, setup(1, 2000))
+	f.ConnOpened(0, "a", 1)
+	f.Receive(0, "a", 1, setup(1, 2000))
 	var first time.Duration
 	shares := 0
-	for at, ok := f.Next(); ok && at < 4500*ms; at, ok = f.Next() {
+	for at, ok := f.NextDeadline(); ok && at < 4500*ms; at, ok = f.NextDeadline() {
 		for _, o := range f.Step(at) {
 			if o.Message.MeasurementKind == 1 {
 				shares++
@@ -91,7 +91,7 @@
 	if first < 1500*ms || shares < 3 || shares > 4 {
 		t.Fatal(first, shares)
 	}
-	f.Said(4500*ms, "a", 1, wire.NodeMessage{Type: wire.Rung, Leg: 1, RateKB: 100})
+	f.Receive(4500*ms, "a", 1, wire.NodeMessage{Type: wire.Rung, Leg: 1, RateKB: 100})
 	after := 0
 	for _, m := range run(f, 12*time.Second) {
 		if m.MeasurementKind == 1 && m.MeasurementValue >= 0.98 {
@@ -105,10 +105,10 @@
 
 func TestPlacesAndFullAnswers(t *testing.T) {
 	f := newFarm()
-	f.Opened(0, "a", 1)
+	f.ConnOpened(0, "a", 1)
 	full := 0
 	for i := range 12 {
-		for _, o := range f.Said(0, "a", 1, setup(uint64(i+1), 1)) {
+		for _, o := range f.Receive(0, "a", 1, setup(uint64(i+1), 1)) {
 			full += count([]wire.NodeMessage{o.Message}, wire.Full)
 		}
 	}
@@ -125,16 +125,16 @@
 	for _, push := range []bool{false, true} {
 		f := newFarm()
 		f.Apply(0, Fault{Node: "c", Start: true})
-		f.Opened(0, "c", 1)
-		f.Opened(0, "c", 2)
+		f.ConnOpened(0, "c", 1)
+		f.ConnOpened(0, "c", 2)
 		fell := false
 		every := 200 * ms // 2 x 50 places / 10 s x 0.5 = 5 a second
 		if push {
 			every = 50 * ms
 		}
 		for i := range 20 {
-			for _, o := range f.Said(time.Duration(i)*every, "c", uint64(1+i%2), setup(uint64(i+1), 1)) {
-				fell = fell || o.Fell
+			for _, o := range f.Receive(time.Duration(i)*every, "c", uint64(1+i%2), setup(uint64(i+1), 1)) {
+				fell = fell || o.Overloaded
 			}
 		}
 		if fell != push {
@@ -145,9 +145,9 @@
 
 func TestFaults(t *testing.T) {
 	f := newFarm()
-	f.Opened(0, "a", 1)
+	f.ConnOpened(0, "a", 1)
 	f.Apply(0, Fault{Node: "a", Hang: new(true)})
-	f.Said(0, "a", 1, setup(1, 1))
+	f.Receive(0, "a", 1, setup(1, 1))
 	if n := len(run(f, 3*time.Second)); n != 0 {
 		t.Fatal("a node that hangs has said", n)
 	}
@@ -155,24 +155,24 @@
 	if len(late) == 0 || late[0].Message.Type != wire.Accepted {
 		t.Fatal("what waited does not go out", late)
 	}
-	f.Apply(3*time.Second, Fault{Node: "a", Fail: new(1.0)})
-	if o := f.Said(3*time.Second, "a", 1, setup(2, 1)); len(o) != 1 || o[0].Message.Type != wire.Failed {
+	f.Apply(3*time.Second, Fault{Node: "a", FailShare: new(1.0)})
+	if o := f.Receive(3*time.Second, "a", 1, setup(2, 1)); len(o) != 1 || o[0].Message.Type != wire.Failed {
 		t.Fatal(o)
 	}
-	f.Apply(3*time.Second, Fault{Node: "a", Fail: new(0.0), Lose: new(1.0)})
-	f.Said(3*time.Second, "a", 1, setup(3, 1))
+	f.Apply(3*time.Second, Fault{Node: "a", FailShare: new(0.0), LossShare: new(1.0)})
+	f.Receive(3*time.Second, "a", 1, setup(3, 1))
 	if n := count(run(f, 4*time.Second), wire.Accepted); n != 0 || f.Streams("a") != 2 {
 		t.Fatal("a lost answer came, or its work did not run", n, f.Streams("a"))
 	}
-	f.Apply(4*time.Second, Fault{Node: "a", Lose: new(0.0), Twice: new(1.0)})
-	f.Said(4*time.Second, "a", 1, setup(4, 1))
+	f.Apply(4*time.Second, Fault{Node: "a", LossShare: new(0.0), DuplicateShare: new(1.0)})
+	f.Receive(4*time.Second, "a", 1, setup(4, 1))
 	if n := count(run(f, 5*time.Second), wire.Accepted); n != 2 {
 		t.Fatal(n)
 	}
-	if o := f.Apply(5*time.Second, Fault{Node: "a", Die: true}); len(o) != 1 || !o[0].Cut {
+	if o := f.Apply(5*time.Second, Fault{Node: "a", Crash: true}); len(o) != 1 || !o[0].Reset {
 		t.Fatal(o)
 	}
-	if o := f.Said(5*time.Second, "a", 1, setup(5, 1)); len(o) != 0 {
+	if o := f.Receive(5*time.Second, "a", 1, setup(5, 1)); len(o) != 0 {
 		t.Fatal("a dead node speaks", o)
 	}
 	before, _ := f.Start(5*time.Second, "a")
@@ -185,11 +185,11 @@
 // A set-up that comes to its turn after its time is not started.
 func TestOverdueSetupIsNotStarted(t *testing.T) {
 	f := newFarm()
-	f.Opened(0, "a", 1)
-	f.Apply(0, Fault{Node: "a", Slow: new(20.0)})
+	f.ConnOpened(0, "a", 1)
+	f.Apply(0, Fault{Node: "a", SlowFactor: new(20.0)})
 	m := setup(1, 1)
 	m.StartWithinMS = 50
-	f.Said(0, "a", 1, m)
+	f.Receive(0, "a", 1, m)
 	said := run(f, time.Second)
 	if count(said, wire.Accepted) != 0 || count(said, wire.Failed) != 1 || f.Streams("a") != 0 {
 		t.Fatal(said)
@@ -201,16 +201,16 @@
 func TestQueueWaitsAsTheFormulaSays(t *testing.T) {
 	const work = 10 * time.Millisecond
 	for _, load := range []float64{0.3, 0.5, 0.7} {
-		f := NewFarm(1, Site{Uplinks: []float64{1e12}, Warmup: time.Second, ColdFrom: 1, Multiple: 1, TipAfter: time.Second, Late: time.Hour, Refresh: time.Hour},
-			[]Machine{{Name: "n", Places: 1 << 30, Link: 1e12, Cores: 1, Work: work}})
-		f.Opened(0, "n", 1)
+		f := NewModel(1, Environment{Uplinks: []float64{1e12}, Warmup: time.Second, InitialShare: 1, OverloadMultiple: 1, OverloadWindow: time.Second, ReportDelay: time.Hour, LoadRefresh: time.Hour},
+			[]Spec{{Name: "n", MaxStreams: 1 << 30, LinkRate: 1e12, Cores: 1, SetupTime: work}})
+		f.ConnOpened(0, "n", 1)
 		r := rand.New(rand.NewPCG(2, 2))
 		rate := load / work.Seconds()
 		came := map[uint64]time.Duration{}
 		var total time.Duration
 		served := 0
 		at := time.Duration(0)
-		take := func(now time.Duration, outs []Out) {
+		take := func(now time.Duration, outs []Output) {
 			for _, o := range outs {
 				if o.Message.Type == wire.Accepted {
 					total += now - came[o.Message.Leg]
@@ -221,13 +221,13 @@
 		}
 		for leg := uint64(1); leg <= 100_000; leg++ {
 			at += time.Duration(r.ExpFloat64() / rate * float64(time.Second))
-			for due, ok := f.Next(); ok && due <= at; due, ok = f.Next() {
+			for due, ok := f.NextDeadline(); ok && due <= at; due, ok = f.NextDeadline() {
 				take(due, f.Step(due))
 			}
 			came[leg] = at
-			take(at, f.Said(at, "n", 1, wire.NodeMessage{Type: wire.Setup, Leg: leg, RateKB: 1}))
+			take(at, f.Receive(at, "n", 1, wire.NodeMessage{Type: wire.Setup, Leg: leg, RateKB: 1}))
 			if leg > 1000 {
-				f.Said(at, "n", 1, wire.NodeMessage{Type: wire.End, Leg: leg - 1000})
+				f.Receive(at, "n", 1, wire.NodeMessage{Type: wire.End, Leg: leg - 1000})
 			}
 		}
 		s := work.Seconds()
--- a/internal/standin/node/host.go
+++ b/internal/standin/node/host.go
@@ -12,7 +12,7 @@
 // Host puts a farm behind sockets, one listener a node, and keeps the record of what crosses them.
 type Host struct {
 	mu      sync.Mutex // the farm, and what is below
-	farm    *Farm
+	farm    *Model
 	began   time.Duration
 	servers map[string]*transport.Server
 	links   map[uint64]*transport.Conn // emptied as connections end
@@ -27,8 +27,8 @@
 // bounds are the stand-in's own: it is generous, so that it is never what limits a director.
 var bounds = transport.Limits{MaxMessageBytes: wire.MaxNodeMessageBytes, MaxQueuedBytes: 16 << 20, WriteTimeout: 5 * time.Second, HandshakeTimeout: 10 * time.Second}
 
-// Open starts every node of a farm on a loopback port of its own. Fell is called when a node was pushed over.
-func Open(farm *Farm, record *witness.Recorder, fell func(node string)) (*Host, error) {
+// StartHost starts every node of a farm on a loopback port of its own. Fell is called when a node was pushed over.
+func StartHost(farm *Model, record *witness.Recorder, fell func(node string)) (*Host, error) {
 	h := &Host{
 		farm: farm, began: witness.MonotonicNow(), servers: map[string]*transport.Server{}, links: map[uint64]*transport.Conn{},
 		wake: make(chan struct{}, 1), quit: make(chan struct{}), record: record, silent: map[string]bool{}, fell: fell,
@@ -75,7 +75,7 @@
 		h.mu.Lock()
 		h.carryOut(h.farm.Step(h.now()))
 		wait := time.Second
-		if at, ok := h.farm.Next(); ok {
+		if at, ok := h.farm.NextDeadline(); ok {
 			wait = min(wait, max(0, at-h.now()))
 		}
 		h.mu.Unlock()
@@ -90,9 +90,9 @@
 }
 
 // carryOut sends what the farm wants sent; the lock is held.
-func (h *Host) carryOut(outs []Out) {
+func (h *Host) carryOut(outs []Output) {
 	for _, o := range outs {
-		if o.Fell {
+		if o.Overloaded {
 			h.record.Add(witness.Record{Kind: witness.NodeExited, Node: o.Node, Reason: "pushed over"})
 			if h.fell != nil {
 				go h.fell(o.Node)
@@ -100,15 +100,15 @@
 			h.servers[o.Node].SetRefusing(true)
 			continue
 		}
-		if o.Earned != nil {
-			h.record.Add(witness.Record{Kind: witness.SessionEarned, Node: o.Node, Session: o.Earned.Session, Tariff: o.Earned.Tariff, Seconds: o.Earned.Seconds})
+		if o.Earning != nil {
+			h.record.Add(witness.Record{Kind: witness.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
 			continue
 		}
 		c := h.links[o.Link]
 		if c == nil {
 			continue
 		}
-		if o.Cut {
+		if o.Reset {
 			delete(h.links, o.Link)
 			go c.Reset()
 			continue
@@ -154,7 +154,7 @@
 			s.SetSilent(*x.Hang)
 		}
 		switch {
-		case x.Die:
+		case x.Crash:
 			h.record.Add(witness.Record{Kind: witness.NodeExited, Node: name})
 			s.SetRefusing(true)
 		case x.Silent != nil && *x.Silent:
@@ -167,7 +167,7 @@
 			delete(h.silent, name)
 			s.SetSilent(false)
 			s.SetRefusing(false)
-			h.record.Add(witness.Record{Kind: witness.NodeStarted, Node: name, MaxStreams: float64(h.farm.nodes[name].Places)})
+			h.record.Add(witness.Record{Kind: witness.NodeStarted, Node: name, MaxStreams: float64(h.farm.nodes[name].MaxStreams)})
 		}
 	}
 	h.carryOut(h.farm.Apply(h.now(), x))
@@ -187,7 +187,7 @@
 	d.h.links[d.h.last] = c
 	c.SetID(d.h.last)
 	c.SetUserData("")
-	d.h.carryOut(d.h.farm.Opened(d.h.now(), d.node, d.h.last))
+	d.h.carryOut(d.h.farm.ConnOpened(d.h.now(), d.node, d.h.last))
 	d.h.stir()
 }
 
@@ -204,7 +204,7 @@
 	}
 	d.h.seen(d.node, c, c.ID(), m)
 	if !d.h.silent[d.node] {
-		d.h.carryOut(d.h.farm.Said(d.h.now(), d.node, c.ID(), m))
+		d.h.carryOut(d.h.farm.Receive(d.h.now(), d.node, c.ID(), m))
 		d.h.stir()
 	}
 }
@@ -217,6 +217,6 @@
 		return
 	}
 	d.h.record.Add(witness.Record{Kind: witness.ConnClosed, Node: d.node, Conn: c.ID()})
-	d.h.carryOut(d.h.farm.Closed(d.h.now(), d.node, c.ID()))
+	d.h.carryOut(d.h.farm.ConnClosed(d.h.now(), d.node, c.ID()))
 	d.h.stir()
 }
