--- a/cmd/fordusher/main_test.go
+++ b/cmd/fordusher/main_test.go
@@ -99,7 +99,7 @@
 
 // SIGTERM: a session that plays is told, and the process exits 0 within its term.
 func TestServeEndsInGoodOrder(t *testing.T) {
-	source, err := list.Open(witness.DiscardRecorder, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
+	source, err := list.Start(witness.DiscardRecorder, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,7 +176,7 @@
 // Descriptors run out while players connect: who is connected is served as before, and once some have gone
 // others get in. Accepting pauses meanwhile instead of spinning.
 func TestDescriptorsRunOut(t *testing.T) {
-	source, err := list.Open(witness.DiscardRecorder, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
+	source, err := list.Start(witness.DiscardRecorder, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fordusher/standins.go
+++ b/cmd/fordusher/standins.go
@@ -47,7 +47,7 @@
 	began := time.Now()
 	for i, l := range lines {
 		time.Sleep(at[i] - time.Since(began))
-		source.Set(*l.Entry, 0, 0)
+		source.UpdateNode(*l.Entry, 0, 0)
 		fmt.Fprintf(os.Stderr, "%v: %s %s\n", at[i], l.What, l.Entry.Node)
 	}
 	fmt.Fprintln(os.Stderr, "the plan is carried out")
@@ -67,7 +67,7 @@
 			return err
 		}
 	}
-	source, err := list.Open(&witness.Recorder{}, all.Nodes, all.Titles)
+	source, err := list.Start(&witness.Recorder{}, all.Nodes, all.Titles)
 	if err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 		if e.UptimeMS > 0 {
 			born = witness.MonotonicNow() - time.Duration(e.UptimeMS)*time.Millisecond
 		}
-		source.Set(e, born, 0)
+		source.UpdateNode(e, born, 0)
 	}
 	return in.Err()
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -51,7 +51,7 @@
 	for i, m := range machines {
 		entries = append(entries, wire.NodeEntry{Node: m.Name, Address: p.host.Address(m.Name), State: wire.Up, MachineKind: "box", Weight: 1, Cell: i, Incarnation: 1})
 	}
-	if p.discovery, err = list.Open(p.recorder, entries, []wire.TitlePlacement{{Title: "t", Copies: 8}}); err != nil {
+	if p.discovery, err = list.Start(p.recorder, entries, []wire.TitlePlacement{{Title: "t", Copies: 8}}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.discovery.Close)
--- a/internal/day/rig.go
+++ b/internal/day/rig.go
@@ -134,7 +134,7 @@
 			entries = append(entries, g.entry(i, e.State))
 		}
 	}
-	if g.list, err = list.Open(g.record, entries, y.Titles); err != nil {
+	if g.list, err = list.Start(g.record, entries, y.Titles); err != nil {
 		return err
 	}
 	for i := range g.script.Directors {
@@ -292,10 +292,10 @@
 		if w.Born {
 			born = witness.MonotonicNow()
 		}
-		g.list.Set(g.entry(w.Machine, w.State), born, w.Late)
+		g.list.UpdateNode(g.entry(w.Machine, w.State), born, w.Late)
 	}
 	if a.Lag != nil {
-		g.list.Lag(*a.Lag)
+		g.list.SetLag(*a.Lag)
 	}
 	g.mu.Lock()
 	if a.Rate != nil {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -84,7 +84,7 @@
 			listed = append(listed, w.entry(0, i, y.Entries[i].State))
 		}
 	}
-	w.list.book = book.NewBook(listed)
+	w.list.book = book.NewModel(listed)
 	for i := range s.Directors {
 		p := &post{w: w, number: i, name: day.DirectorName(i), chance: rand.New(rand.NewPCG(seed, uint64(i)<<8|22))}
 		w.posts = append(w.posts, p)
@@ -155,7 +155,7 @@
 		w.list.set(at, *a.List)
 	}
 	if a.Lag != nil {
-		w.list.book.Lag(*a.Lag)
+		w.list.book.SetLag(*a.Lag)
 		w.list.wake(at)
 	}
 	if a.Rate != nil {
@@ -370,7 +370,7 @@
 // A list is the list's source: its book, and the directors that listen.
 type list struct {
 	w         *world
-	book      *book.Book
+	book      *book.Model
 	entries   []wire.NodeEntry // of machines, as the list has or will have them
 	directors map[int]int      // boots of the directors that listen
 	rings     time.Duration    // the next run that is arranged; 0: none
@@ -384,13 +384,13 @@
 	if word.Born {
 		born = at
 	}
-	l.book.Set(l.w.entry(at, word.Machine, word.State), born, at+word.Late)
+	l.book.ScheduleUpdate(l.w.entry(at, word.Machine, word.State), born, at+word.Late)
 	l.wake(at)
 }
 
 // wake runs the list when something is due.
 func (l *list) wake(now time.Duration) {
-	if at, ok := l.book.Next(); ok && (l.rings == 0 || at < l.rings) {
+	if at, ok := l.book.NextDeadline(); ok && (l.rings == 0 || at < l.rings) {
 		l.rings = max(now, at)
 		l.w.events.put(l.rings, l.run)
 	}
@@ -401,7 +401,7 @@
 	if at == l.rings {
 		l.rings = 0
 	}
-	if m, ok := l.book.Due(at); ok {
+	if m, ok := l.book.TakeDue(at); ok {
 		raw := wire.Encode(m)
 		for i, p := range l.w.posts {
 			if boot, listens := l.directors[i]; listens {
@@ -445,9 +445,9 @@
 			l.w.add(at, witness.Record{Kind: witness.ListRequested, Director: m.Director})
 		}
 		l.directors[p.number] = boot
-		l.tell(at, p, boot, wire.Encode(l.book.Whole(at, l.w.layout.Titles)))
+		l.tell(at, p, boot, wire.Encode(l.book.Snapshot(at, l.w.layout.Titles)))
 	case wire.Acknowledge:
-		for _, e := range l.book.Told(m.Serial) {
+		for _, e := range l.book.EntriesOf(m.Serial) {
 			l.w.add(at, witness.Record{Kind: witness.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
 		}
 	}
--- a/internal/load/idle.go
+++ b/internal/load/idle.go
@@ -306,9 +306,9 @@
 			n++
 			e := wire.NodeEntry{Node: st.machines[i].Name, Address: st.host.Address(st.machines[i].Name), MachineKind: "box", Weight: 1, Cell: i, State: wire.Draining}
 			e.Incarnation, _ = st.host.Start(e.Node)
-			st.list.Set(e, 0, 0)
+			st.list.UpdateNode(e, 0, 0)
 			e.State = wire.Up
-			st.list.Set(e, 0, 700*time.Millisecond)
+			st.list.UpdateNode(e, 0, 700*time.Millisecond)
 		}
 	}()
 	r.Together, err = s.against(ctx, st, d.Address(), "together")
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -109,7 +109,7 @@
 	for i := range s.Titles {
 		st.titles = append(st.titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i), FirstCell: r.IntN(s.Nodes), Copies: min(6, s.Nodes)})
 	}
-	st.list, err = list.Open(record, entries, st.titles)
+	st.list, err = list.Start(record, entries, st.titles)
 	if err != nil {
 		st.host.Close()
 		return nil, err
--- a/internal/standin/list/book.go
+++ b/internal/standin/list/book.go
@@ -8,9 +8,9 @@
 	"fordusher/internal/wire"
 )
 
-// A Book is the model of the list's source, without sockets or a clock: what is told of each node, what is to be
+// A Model is the model of the list's source, without sockets or a clock: what is told of each node, what is to be
 // told later, and what was told under which serial. The source on sockets and the emulator keep one each.
-type Book struct {
+type Model struct {
 	nodes   map[string]line // as it is told
 	changes []change        // not told yet, by time
 	lag     time.Duration
@@ -30,36 +30,36 @@
 
 const keepSerials = 4096
 
-// NewBook starts with nodes that have long been there.
-func NewBook(nodes []wire.NodeEntry) *Book {
-	b := &Book{nodes: map[string]line{}, told: map[uint64][]wire.NodeEntry{}}
+// NewModel starts with nodes that have long been there.
+func NewModel(nodes []wire.NodeEntry) *Model {
+	b := &Model{nodes: map[string]line{}, told: map[uint64][]wire.NodeEntry{}}
 	for _, e := range nodes {
 		b.nodes[e.Node] = line{NodeEntry: e}
 	}
 	return b
 }
 
-// Set changes a node's line, to be told at a time and the lag that there is then.
-func (b *Book) Set(e wire.NodeEntry, born, at time.Duration) {
+// ScheduleUpdate changes a node's line, to be told at a time and the lag that there is then.
+func (b *Model) ScheduleUpdate(e wire.NodeEntry, born, at time.Duration) {
 	b.changes = append(b.changes, change{at, line{e, born}})
 	slices.SortStableFunc(b.changes, func(x, y change) int { return int(min(1, max(-1, x.at-y.at))) })
 }
 
-// Lag makes the source run so much further behind.
-func (b *Book) Lag(by time.Duration) { b.lag = by }
+// SetLag makes the source run so much further behind.
+func (b *Model) SetLag(by time.Duration) { b.lag = by }
 
-// Next is when something is due to be told; ok is false where nothing is.
-func (b *Book) Next() (at time.Duration, ok bool) {
+// NextDeadline is when something is due to be told; ok is false where nothing is.
+func (b *Model) NextDeadline() (at time.Duration, ok bool) {
 	if len(b.changes) == 0 {
 		return 0, false
 	}
 	return b.changes[0].at + b.lag, true
 }
 
-// Due is the update that is to be told now; ok is false where there is none.
-func (b *Book) Due(now time.Duration) (m wire.DiscoveryMessage, ok bool) {
+// TakeDue is the update that is to be told now; ok is false where there is none.
+func (b *Model) TakeDue(now time.Duration) (m wire.DiscoveryMessage, ok bool) {
 	var entries []wire.NodeEntry
-	for at, some := b.Next(); some && at <= now; at, some = b.Next() {
+	for at, some := b.NextDeadline(); some && at <= now; at, some = b.NextDeadline() {
 		l := b.changes[0].line
 		b.changes = b.changes[1:]
 		b.nodes[l.Node] = l
@@ -74,8 +74,8 @@
 	return wire.DiscoveryMessage{Type: wire.Update, Serial: b.keep(entries), Nodes: entries}, true
 }
 
-// Whole is all that there is now.
-func (b *Book) Whole(now time.Duration, titles []wire.TitlePlacement) wire.DiscoveryMessage {
+// Snapshot is all that there is now.
+func (b *Model) Snapshot(now time.Duration, titles []wire.TitlePlacement) wire.DiscoveryMessage {
 	var all []wire.NodeEntry
 	for _, name := range slices.Sorted(maps.Keys(b.nodes)) {
 		all = append(all, b.nodes[name].aged(now))
@@ -83,10 +83,10 @@
 	return wire.DiscoveryMessage{Type: wire.Snapshot, Serial: b.keep(all), Nodes: all, Titles: titles}
 }
 
-// Told is what was told under a serial.
-func (b *Book) Told(serial uint64) []wire.NodeEntry { return b.told[serial] }
+// EntriesOf is what was told under a serial.
+func (b *Model) EntriesOf(serial uint64) []wire.NodeEntry { return b.told[serial] }
 
-func (b *Book) keep(entries []wire.NodeEntry) uint64 {
+func (b *Model) keep(entries []wire.NodeEntry) uint64 {
 	b.serial++
 	b.told[b.serial] = entries
 	delete(b.told, b.serial-keepSerials)
--- a/internal/standin/list/list.go
+++ b/internal/standin/list/list.go
@@ -16,7 +16,7 @@
 	mu       sync.Mutex
 	server   *transport.Server
 	record   *witness.Recorder
-	book     *Book
+	book     *Model
 	titles   []wire.TitlePlacement
 	wake     chan struct{}
 	quit     chan struct{}
@@ -25,10 +25,10 @@
 
 var bounds = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 20, WriteTimeout: 10 * time.Second, HandshakeTimeout: 10 * time.Second}
 
-// Open starts a source on a loopback port of its own.
-func Open(record *witness.Recorder, nodes []wire.NodeEntry, titles []wire.TitlePlacement) (*Source, error) {
+// Start starts a source on a loopback port of its own.
+func Start(record *witness.Recorder, nodes []wire.NodeEntry, titles []wire.TitlePlacement) (*Source, error) {
 	s := &Source{
-		record: record, book: NewBook(nodes), titles: titles,
+		record: record, book: NewModel(nodes), titles: titles,
 		wake: make(chan struct{}, 1), quit: make(chan struct{}), watchers: map[*transport.Conn]string{},
 	}
 	var err error
@@ -48,24 +48,24 @@
 	s.server.Close()
 }
 
-// Set changes a node's line; directors are told after the delay, and the lag that there is then.
-func (s *Source) Set(e wire.NodeEntry, born, after time.Duration) {
+// UpdateNode changes a node's line; directors are told after the delay, and the lag that there is then.
+func (s *Source) UpdateNode(e wire.NodeEntry, born, after time.Duration) {
 	s.mu.Lock()
-	s.book.Set(e, born, witness.MonotonicNow()+after)
+	s.book.ScheduleUpdate(e, born, witness.MonotonicNow()+after)
 	s.mu.Unlock()
 	s.stir()
 }
 
-// Lag makes the source run so much further behind.
-func (s *Source) Lag(by time.Duration) {
+// SetLag makes the source run so much further behind.
+func (s *Source) SetLag(by time.Duration) {
 	s.mu.Lock()
-	s.book.Lag(by)
+	s.book.SetLag(by)
 	s.mu.Unlock()
 	s.stir()
 }
 
-// Restart cuts every director off; they come back and are told everything.
-func (s *Source) Restart() { s.server.Each((*transport.Conn).Reset) }
+// ResetConnections cuts every director off; they come back and are told everything.
+func (s *Source) ResetConnections() { s.server.Each((*transport.Conn).Reset) }
 
 func (s *Source) stir() {
 	select {
@@ -78,13 +78,13 @@
 	for {
 		s.mu.Lock()
 		now, wait := witness.MonotonicNow(), time.Second
-		if m, ok := s.book.Due(now); ok {
+		if m, ok := s.book.TakeDue(now); ok {
 			raw := wire.Encode(m)
 			for c := range s.watchers {
 				c.Send(raw, 0)
 			}
 		}
-		if at, ok := s.book.Next(); ok {
+		if at, ok := s.book.NextDeadline(); ok {
 			wait = min(wait, max(time.Millisecond, at-now))
 		}
 		s.mu.Unlock()
@@ -115,9 +115,9 @@
 			s.record.Add(witness.Record{Kind: witness.ListRequested, Director: m.Director})
 		}
 		s.watchers[c] = m.Director
-		c.Send(wire.Encode(s.book.Whole(witness.MonotonicNow(), s.titles)), 0)
+		c.Send(wire.Encode(s.book.Snapshot(witness.MonotonicNow(), s.titles)), 0)
 	case wire.Acknowledge:
-		for _, e := range s.book.Told(m.Serial) {
+		for _, e := range s.book.EntriesOf(m.Serial) {
 			s.record.Add(witness.Record{Kind: witness.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
 		}
 	}
