--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -155,9 +155,9 @@
 }
 
 // Client is the viewer of a number; hot is the share of them that want one of two titles.
-func (y *Layout) Client(h *conf.Config, number int, hot float64) (player.Viewer, *rand.Rand) {
+func (y *Layout) Client(h *conf.Config, number int, hot float64) (player.Request, *rand.Rand) {
 	r := rand.New(rand.NewPCG(y.Seed, uint64(number)+1000))
-	v := player.Viewer{Number: number + 1, Key: strconv.FormatUint(r.Uint64(), 36)}
+	v := player.Request{ClientNumber: number + 1, Key: strconv.FormatUint(r.Uint64(), 36)}
 	i := 0
 	if x := r.Float64(); x < 0.3 {
 		i = 1
@@ -165,7 +165,7 @@
 		i = 2
 	}
 	t := h.Tariffs[i%len(h.Tariffs)]
-	v.Tariff, v.Paid, v.Wait, v.Goal = t.Name, t.AtMostOnce, t.HardStop, t.GoalTime
+	v.Tariff, v.Paid, v.Wait, v.StartGoal = t.Name, t.AtMostOnce, t.HardStop, t.GoalTime
 	// Some titles are wanted far more than others.
 	x := r.Float64()
 	title := int(x * x * float64(len(y.Titles)))
@@ -176,10 +176,10 @@
 	v.Length = time.Duration(float64(y.Script.MeanLength) * (0.4 + 1.2*r.Float64()))
 	best := min(t.Top, len(y.Worth)-1)
 	if r.Float64() < 0.2 {
-		v.Top = new(min(best, r.IntN(2)+1))
-		best = min(best, *v.Top)
+		v.MaxRung = new(min(best, r.IntN(2)+1))
+		best = min(best, *v.MaxRung)
 	}
-	v.Best = y.Worth[best]
+	v.BestRungValue = y.Worth[best]
 	return v, r
 }
 
--- a/internal/day/result.go
+++ b/internal/day/result.go
@@ -50,8 +50,8 @@
 	r.Records = append(r.Records, more...)
 	witness.Sort(r.Records)
 	r.judge()
-	r.Clients = g.crowd.Viewers
-	r.Summarize(g.crowd.Latency, g.crowd.InTime, g.crowd.Asked)
+	r.Clients = g.crowd.Clients
+	r.Summarize(g.crowd.Latency, g.crowd.StartedInTime, g.crowd.RequestedValue)
 	return r, nil
 }
 
--- a/internal/day/rig.go
+++ b/internal/day/rig.go
@@ -75,7 +75,7 @@
 	record *witness.Recorder
 	fleet  NodeFleet
 	list   *list.Source
-	crowd  *player.Crowd
+	crowd  *player.Population
 	first  *conf.Config
 
 	mu        sync.Mutex
@@ -143,7 +143,7 @@
 			return err
 		}
 	}
-	g.crowd = &player.Crowd{Habit: g.script.Behavior, Record: g.record, Pick: g.pick}
+	g.crowd = &player.Population{Behavior: g.script.Behavior, Recorder: g.record, PickDirector: g.pick}
 	return nil
 }
 
@@ -221,7 +221,7 @@
 		g.record.Add(witness.Record{Kind: witness.RunStarted, RequestID: strconv.FormatUint(g.opt.Seed, 10), Reason: string(g.script.Format(""))})
 	}
 	end := g.began.Add(g.script.Length)
-	g.crowd.Ends = end.Add(2 * time.Second)
+	g.crowd.Deadline = end.Add(2 * time.Second)
 	day, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	var troubles sync.WaitGroup
@@ -245,7 +245,7 @@
 		for ; due >= 1 && came < g.script.Requests; due-- {
 			v, r := g.layout.Client(g.first, came, hot)
 			came++
-			g.waiting.Go(func() { g.crowd.Watch(rest, v, r) })
+			g.waiting.Go(func() { g.crowd.RunClient(rest, v, r) })
 		}
 		if now.Sub(said) >= 2*time.Second {
 			said = now
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -43,7 +43,7 @@
 	Titles              int
 	Load                float64 // of the links at the middle rate
 	MeanLength          time.Duration
-	Behavior            player.Habit
+	Behavior            player.Behavior
 	MinListDelay        time.Duration
 	MaxListDelay        time.Duration
 	SilentNodeListDelay time.Duration
@@ -94,17 +94,17 @@
 	}
 	v := o.Object("viewers", false)
 	s.MeanLength = v.Duration("mean_length", 3*time.Second, 100*time.Millisecond, time.Hour, false)
-	s.Behavior = player.Habit{
-		Returns:   v.Number("returns", 0.88, 0, 1, false),
-		PauseLow:  v.Duration("pause_low", 200*time.Millisecond, 0, time.Hour, false),
-		PauseHigh: v.Duration("pause_high", 1200*time.Millisecond, 0, time.Hour, false),
-		Heeds:     v.Number("heeds", 0.8, 0, 1, false),
-		Hasty:     v.Number("hasty", 0.04, 0, 1, false),
-		Repeats:   v.Number("repeats", 0.02, 0, 1, false),
-		Drops:     v.Number("drops", 0.03, 0, 1, false),
+	s.Behavior = player.Behavior{
+		RetryShare:         v.Number("returns", 0.88, 0, 1, false),
+		MinRetryDelay:      v.Duration("pause_low", 200*time.Millisecond, 0, time.Hour, false),
+		MaxRetryDelay:      v.Duration("pause_high", 1200*time.Millisecond, 0, time.Hour, false),
+		HonorsBackoffShare: v.Number("heeds", 0.8, 0, 1, false),
+		CancelShare:        v.Number("hasty", 0.04, 0, 1, false),
+		DuplicateShare:     v.Number("repeats", 0.02, 0, 1, false),
+		DisconnectShare:    v.Number("drops", 0.03, 0, 1, false),
 	}
-	if s.Behavior.PauseLow > s.Behavior.PauseHigh {
-		r.AddProblem(v.OffsetOf("pause_low"), "pause_low is %v, longer than pause_high, which is %v", s.Behavior.PauseLow, s.Behavior.PauseHigh)
+	if s.Behavior.MinRetryDelay > s.Behavior.MaxRetryDelay {
+		r.AddProblem(v.OffsetOf("pause_low"), "pause_low is %v, longer than pause_high, which is %v", s.Behavior.MinRetryDelay, s.Behavior.MaxRetryDelay)
 	}
 	v.ReportUnknownKeys()
 	l := o.Object("list", false)
@@ -149,7 +149,7 @@
 	fmt.Fprintf(&b, "{\n  \"seed\": %d, \"length\": \"%v\", \"requests\": %d, \"directors\": %d, \"nodes\": %d, \"racks\": %d, \"titles\": %d, \"load\": %g,\n", s.Seed,
 		s.Length, s.Requests, s.Directors, s.Nodes, s.Racks, s.Titles, s.Load)
 	fmt.Fprintf(&b, "  \"viewers\": {\"mean_length\": \"%v\", \"returns\": %g, \"pause_low\": \"%v\", \"pause_high\": \"%v\", \"heeds\": %g, \"hasty\": %g, \"repeats\": %g, \"drops\": %g},\n",
-		s.MeanLength, h.Returns, h.PauseLow, h.PauseHigh, h.Heeds, h.Hasty, h.Repeats, h.Drops)
+		s.MeanLength, h.RetryShare, h.MinRetryDelay, h.MaxRetryDelay, h.HonorsBackoffShare, h.CancelShare, h.DuplicateShare, h.DisconnectShare)
 	fmt.Fprintf(&b, "  \"list\": {\"notice_low\": \"%v\", \"notice_high\": \"%v\", \"silent_notice\": \"%v\"},\n  \"troubles\": [\n", s.MinListDelay, s.MaxListDelay, s.SilentNodeListDelay)
 	for _, t := range s.Incidents {
 		fmt.Fprintf(&b, "    {\"kind\": \"%s\", \"at\": \"%v\", \"for\": \"%v\", \"share\": %g, \"size\": %g},\n", t.Kind, t.At, t.Duration, t.Share, t.Size)
--- a/internal/emulator/crowd.go
+++ b/internal/emulator/crowd.go
@@ -31,7 +31,7 @@
 
 // A viewer is one viewer's evening.
 type viewer struct {
-	player.Viewer
+	player.Request
 	r     *rand.Rand
 	try   int
 	key   int
@@ -68,9 +68,9 @@
 		x, r := w.layout.Client(w.house, c.came, c.hot)
 		c.came++
 		c.active++
-		c.wanted += x.Best * w.credit[x.Tariff]
-		c.asked[x.Tariff] += x.Length.Seconds() * x.Best
-		v := &viewer{Viewer: x, r: r, left: x.Length, began: at}
+		c.wanted += x.BestRungValue * w.credit[x.Tariff]
+		c.asked[x.Tariff] += x.Length.Seconds() * x.BestRungValue
+		v := &viewer{Request: x, r: r, left: x.Length, began: at}
 		c.ask(at, v)
 	}
 	if c.came < w.script.Requests {
@@ -109,10 +109,10 @@
 	v := s.v
 	h := w.script.Behavior
 	s.asked = at
-	m := wire.SessionMessage{Type: wire.Request, ID: s.id, Tariff: v.Tariff, Title: v.Title, Key: fmt.Sprintf("%s-%d", v.Key, v.key), MaxRung: v.Top,
+	m := wire.SessionMessage{Type: wire.Request, ID: s.id, Tariff: v.Tariff, Title: v.Title, Key: fmt.Sprintf("%s-%d", v.Key, v.key), MaxRung: v.MaxRung,
 		WaitMS: v.Wait.Milliseconds(), LengthMS: v.left.Milliseconds(), Retry: v.try > 0}
 	c.say(at, s, m, witness.Record{Tariff: v.Tariff, Title: v.Title, Wait: v.Wait, Retry: v.try > 0})
-	if v.r.Float64() < h.Repeats {
+	if v.r.Float64() < h.DuplicateShare {
 		c.say(at, s, m, witness.Record{Tariff: v.Tariff})
 	}
 	w.events.put(at+v.Wait+400*time.Millisecond, func(at time.Duration) { // an answer that comes late is still seen
@@ -121,7 +121,7 @@
 			c.leave(at, s, ending{again: !v.Paid})
 		}
 	})
-	if v.r.Float64() < h.Hasty { // around the time of an answer, so that the two often cross
+	if v.r.Float64() < h.CancelShare { // around the time of an answer, so that the two often cross
 		w.events.put(at+time.Duration(v.r.Int64N(int64(60*time.Millisecond))), func(at time.Duration) {
 			if s.over || s.plays > 0 {
 				return
@@ -134,7 +134,7 @@
 }
 
 func (c *crowd) record(s *seat, what string) witness.Record {
-	return witness.Record{Kind: what, Client: s.v.Number, Conn: s.conn, Director: c.w.posts[s.post].name, RequestID: s.id}
+	return witness.Record{Kind: what, Client: s.v.ClientNumber, Conn: s.conn, Director: c.w.posts[s.post].name, RequestID: s.id}
 }
 
 // say sends a viewer's message, by way of the codec.
@@ -191,13 +191,13 @@
 		c.leave(at, s, ending{again: !v.Paid})
 	case m.Type == wire.Playing:
 		c.latency = append(c.latency, at-s.asked)
-		if at-v.began <= v.Goal {
+		if at-v.began <= v.StartGoal {
 			c.inTime[m.Session] = true
 		}
 		s.plays = at
 		left := v.left
 		w.events.put(at+left+time.Second, func(at time.Duration) { c.leave(at, s, ending{played: left}) }) // the node ends it; this is for one that does not
-		if v.r.Float64() < w.script.Behavior.Drops {
+		if v.r.Float64() < w.script.Behavior.DisconnectShare {
 			w.events.put(at+time.Duration(v.r.Int64N(int64(max(1, left)))), func(at time.Duration) {
 				c.leave(at, s, ending{played: at - s.plays, again: true, same: true})
 			})
@@ -275,14 +275,14 @@
 	if !e.same {
 		v.key++
 	}
-	if !e.again || v.left < 200*time.Millisecond || v.r.Float64() >= h.Returns || at > settle+w.script.Length+2*time.Second {
+	if !e.again || v.left < 200*time.Millisecond || v.r.Float64() >= h.RetryShare || at > settle+w.script.Length+2*time.Second {
 		c.active--
-		c.wanted -= v.Best * w.credit[v.Tariff]
+		c.wanted -= v.BestRungValue * w.credit[v.Tariff]
 		c.home()
 		return
 	}
-	pause := h.PauseLow + time.Duration(v.r.Int64N(int64(max(1, h.PauseHigh-h.PauseLow))))
-	if e.backoff > 0 && v.r.Float64() < h.Heeds {
+	pause := h.MinRetryDelay + time.Duration(v.r.Int64N(int64(max(1, h.MaxRetryDelay-h.MinRetryDelay))))
+	if e.backoff > 0 && v.r.Float64() < h.HonorsBackoffShare {
 		pause = max(pause, e.backoff)
 	}
 	v.try++
--- a/internal/emulator/hunt.go
+++ b/internal/emulator/hunt.go
@@ -164,8 +164,8 @@
 	s := &day.Script{
 		Length: time.Duration(between(r, 6, 20)*10) * 100 * time.Millisecond, Directors: 1 + int(between(r, 0, 12)), Nodes: 4 + int(between(r, 0, 40)),
 		Titles: 5 + int(between(r, 0, 60)), Load: round(0.4 + r.Float64()), MeanLength: time.Duration(5+r.IntN(60)) * 100 * time.Millisecond,
-		Behavior: player.Habit{Returns: round(0.5 + r.Float64()/2), PauseLow: 200 * time.Millisecond, PauseHigh: 1200 * time.Millisecond, Heeds: round(r.Float64()),
-			Hasty: round(between(r, 0, 0.2)), Repeats: round(between(r, 0, 0.1)), Drops: round(between(r, 0, 0.2))},
+		Behavior: player.Behavior{RetryShare: round(0.5 + r.Float64()/2), MinRetryDelay: 200 * time.Millisecond, MaxRetryDelay: 1200 * time.Millisecond, HonorsBackoffShare: round(r.Float64()),
+			CancelShare: round(between(r, 0, 0.2)), DuplicateShare: round(between(r, 0, 0.1)), DisconnectShare: round(between(r, 0, 0.2))},
 		MinListDelay: time.Duration(r.IntN(400)) * time.Millisecond, SilentNodeListDelay: time.Duration(1+r.IntN(9)) * time.Second,
 	}
 	s.Racks = 1 + r.IntN(min(8, s.Nodes))
@@ -221,7 +221,7 @@
 		case 7:
 			s.MaxListDelay = s.MinListDelay + time.Duration(r.IntN(10_000))*time.Millisecond
 		case 8:
-			s.Behavior.Drops, s.Behavior.Hasty, s.Behavior.Repeats = round(between(r, 0, 0.5)), round(between(r, 0, 0.5)), round(between(r, 0, 0.5))
+			s.Behavior.DisconnectShare, s.Behavior.CancelShare, s.Behavior.DuplicateShare = round(between(r, 0, 0.5)), round(between(r, 0, 0.5)), round(between(r, 0, 0.5))
 		}
 	}
 	return &s
@@ -290,8 +290,8 @@
 			return x.Length >= time.Second
 		})
 		for _, habit := range []func(x *day.Script) *float64{
-			func(x *day.Script) *float64 { return &x.Behavior.Drops }, func(x *day.Script) *float64 { return &x.Behavior.Hasty },
-			func(x *day.Script) *float64 { return &x.Behavior.Repeats }, func(x *day.Script) *float64 { return &x.Behavior.Returns },
+			func(x *day.Script) *float64 { return &x.Behavior.DisconnectShare }, func(x *day.Script) *float64 { return &x.Behavior.CancelShare },
+			func(x *day.Script) *float64 { return &x.Behavior.DuplicateShare }, func(x *day.Script) *float64 { return &x.Behavior.RetryShare },
 		} {
 			try("a habit less", func(x *day.Script) bool {
 				was := *habit(x)
--- a/internal/standin/player/player.go
+++ b/internal/standin/player/player.go
@@ -16,46 +16,46 @@
 	"fordusher/internal/witness"
 )
 
-// Habit is how viewers behave.
-type Habit struct {
-	Returns   float64       `json:"returns"`   // share that come again after a break or a nack
-	PauseLow  time.Duration `json:"pause_low"` // before they do
-	PauseHigh time.Duration `json:"pause_high"`
-	Heeds     float64       `json:"heeds"`   // share that wait as long as a nack asks
-	Hasty     float64       `json:"hasty"`   // share that leave at some moment while they wait
-	Repeats   float64       `json:"repeats"` // share that send their request twice
-	Drops     float64       `json:"drops"`   // share whose connection breaks while they wait or play
+// Behavior is how viewers behave.
+type Behavior struct {
+	RetryShare         float64       `json:"returns"`   // share that come again after a break or a nack
+	MinRetryDelay      time.Duration `json:"pause_low"` // before they do
+	MaxRetryDelay      time.Duration `json:"pause_high"`
+	HonorsBackoffShare float64       `json:"heeds"`   // share that wait as long as a nack asks
+	CancelShare        float64       `json:"hasty"`   // share that leave at some moment while they wait
+	DuplicateShare     float64       `json:"repeats"` // share that send their request twice
+	DisconnectShare    float64       `json:"drops"`   // share whose connection breaks while they wait or play
 }
 
-// Viewer is one viewer's wish.
-type Viewer struct {
-	Number int
-	Tariff string
-	Paid   bool
-	Title  string
-	Key    string
-	Top    *int
-	Best   float64 // worth of the best rung that the viewer can use in its tariff
-	Wait   time.Duration
-	Goal   time.Duration
-	Length time.Duration
+// Request is one viewer's wish.
+type Request struct {
+	ClientNumber  int
+	Tariff        string
+	Paid          bool
+	Title         string
+	Key           string
+	MaxRung       *int
+	BestRungValue float64 // worth of the best rung that the viewer can use in its tariff
+	Wait          time.Duration
+	StartGoal     time.Duration
+	Length        time.Duration
 }
 
-// Crowd is all viewers of a day, and how they fared.
-type Crowd struct {
-	Habit  Habit
-	Record *witness.Recorder
-	Pick   func(r *rand.Rand) (name, address string) // of a director that viewers go to now
-	Ends   time.Time                                 // nobody comes again after it
-
-	conns   atomic.Uint64
-	mu      sync.Mutex
-	Tries   int                // requests
-	Agains  int                // of these, not the viewer's first
-	Latency []time.Duration    // from request to "plays"
-	InTime  map[string]bool    // sessions that played within the goal time since their viewer first asked, or was interrupted
-	Asked   map[string]float64 // seconds asked for, by tariff, at the worth of the best rung that the viewer can use
-	Viewers int
+// Population is all viewers of a day, and how they fared.
+type Population struct {
+	Behavior     Behavior
+	Recorder     *witness.Recorder
+	PickDirector func(r *rand.Rand) (name, address string) // of a director that viewers go to now
+	Deadline     time.Time                                 // nobody comes again after it
+
+	conns          atomic.Uint64
+	mu             sync.Mutex
+	Requests       int                // requests
+	Retries        int                // of these, not the viewer's first
+	Latency        []time.Duration    // from request to "plays"
+	StartedInTime  map[string]bool    // sessions that played within the goal time since their viewer first asked, or was interrupted
+	RequestedValue map[string]float64 // seconds asked for, by tariff, at the worth of the best rung that the viewer can use
+	Clients        int
 }
 
 var bounds = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 10, WriteTimeout: time.Second, HandshakeTimeout: time.Second}
@@ -67,7 +67,7 @@
 	in     chan wire.SessionMessage
 	closed chan struct{}
 	ours   atomic.Bool
-	crowd  *Crowd
+	crowd  *Population
 	viewer int
 	name   string // of the director
 }
@@ -81,7 +81,7 @@
 	}
 	switch m.Type {
 	case wire.Playing, wire.Nack, wire.Errored:
-		s.crowd.Record.Add(witness.Record{Kind: m.Type, Client: s.viewer, Conn: s.number, Director: s.name, RequestID: m.ID,
+		s.crowd.Recorder.Add(witness.Record{Kind: m.Type, Client: s.viewer, Conn: s.number, Director: s.name, RequestID: m.ID,
 			Session: m.Session, Node: m.Node, Rung: m.Rung, Reason: m.Reason})
 	}
 	select {
@@ -95,7 +95,7 @@
 	if s.ours.Load() {
 		by = witness.ClosedByRecorder
 	}
-	s.crowd.Record.Add(witness.Record{Kind: witness.ConnClosed, Client: s.viewer, Conn: s.number, Director: s.name, ClosedBy: by, Reason: why.Error()})
+	s.crowd.Recorder.Add(witness.Record{Kind: witness.ConnClosed, Client: s.viewer, Conn: s.number, Director: s.name, ClosedBy: by, Reason: why.Error()})
 	close(s.closed)
 }
 
@@ -105,14 +105,14 @@
 	s.conn.Close(1000, "bye")
 }
 
-// Watch is one viewer's whole evening: it ends when the viewer has watched to the end or has given up.
-func (c *Crowd) Watch(ctx context.Context, v Viewer, r *rand.Rand) {
+// RunClient is one viewer's whole evening: it ends when the viewer has watched to the end or has given up.
+func (c *Population) RunClient(ctx context.Context, v Request, r *rand.Rand) {
 	c.mu.Lock()
-	if c.InTime == nil {
-		c.InTime, c.Asked = map[string]bool{}, map[string]float64{}
+	if c.StartedInTime == nil {
+		c.StartedInTime, c.RequestedValue = map[string]bool{}, map[string]float64{}
 	}
-	c.Viewers++
-	c.Asked[v.Tariff] += v.Length.Seconds() * v.Best
+	c.Clients++
+	c.RequestedValue[v.Tariff] += v.Length.Seconds() * v.BestRungValue
 	c.mu.Unlock()
 	began := time.Now()
 	left := v.Length
@@ -127,11 +127,11 @@
 		if !end.same {
 			key++
 		}
-		if !end.again || left < 200*time.Millisecond || r.Float64() >= c.Habit.Returns || time.Now().After(c.Ends) {
+		if !end.again || left < 200*time.Millisecond || r.Float64() >= c.Behavior.RetryShare || time.Now().After(c.Deadline) {
 			return
 		}
-		pause := c.Habit.PauseLow + time.Duration(r.Int64N(int64(max(1, c.Habit.PauseHigh-c.Habit.PauseLow))))
-		if backoff > 0 && r.Float64() < c.Habit.Heeds {
+		pause := c.Behavior.MinRetryDelay + time.Duration(r.Int64N(int64(max(1, c.Behavior.MaxRetryDelay-c.Behavior.MinRetryDelay))))
+		if backoff > 0 && r.Float64() < c.Behavior.HonorsBackoffShare {
 			pause = max(pause, backoff)
 		}
 		select {
@@ -151,12 +151,12 @@
 }
 
 // try asks once.
-func (c *Crowd) try(ctx context.Context, v Viewer, r *rand.Rand, n int, key string, left time.Duration, began time.Time) ending {
-	name, address := c.Pick(r)
+func (c *Population) try(ctx context.Context, v Request, r *rand.Rand, n int, key string, left time.Duration, began time.Time) ending {
+	name, address := c.PickDirector(r)
 	if address == "" {
 		return ending{again: true} // nobody there
 	}
-	s := &seat{number: c.conns.Add(1), in: make(chan wire.SessionMessage, 32), closed: make(chan struct{}), crowd: c, viewer: v.Number, name: name}
+	s := &seat{number: c.conns.Add(1), in: make(chan wire.SessionMessage, 32), closed: make(chan struct{}), crowd: c, viewer: v.ClientNumber, name: name}
 	conn, err := transport.Dial(address, wire.SessionProtocol, time.Second, bounds, s, nil)
 	if err != nil {
 		return ending{again: true} // the director is not there: nothing was asked
@@ -164,26 +164,26 @@
 	s.conn = conn
 	defer s.leave()
 	id := strconv.Itoa(n + 1)
-	want := wire.SessionMessage{Type: wire.Request, ID: id, Tariff: v.Tariff, Title: v.Title, Key: key, MaxRung: v.Top,
+	want := wire.SessionMessage{Type: wire.Request, ID: id, Tariff: v.Tariff, Title: v.Title, Key: key, MaxRung: v.MaxRung,
 		WaitMS: v.Wait.Milliseconds(), LengthMS: left.Milliseconds(), Retry: n > 0}
-	c.Record.Add(witness.Record{Kind: wire.Request, Client: v.Number, Conn: s.number, Director: name, RequestID: id, Tariff: v.Tariff,
+	c.Recorder.Add(witness.Record{Kind: wire.Request, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id, Tariff: v.Tariff,
 		Title: v.Title, Wait: v.Wait, Retry: n > 0})
 	asked := time.Now()
 	conn.Send(wire.Encode(want), 0)
 	c.mu.Lock()
-	c.Tries++
+	c.Requests++
 	if n > 0 {
-		c.Agains++
+		c.Retries++
 	}
 	c.mu.Unlock()
-	if r.Float64() < c.Habit.Repeats {
-		c.Record.Add(witness.Record{Kind: wire.Request, Client: v.Number, Conn: s.number, Director: name, RequestID: id, Tariff: v.Tariff})
+	if r.Float64() < c.Behavior.DuplicateShare {
+		c.Recorder.Add(witness.Record{Kind: wire.Request, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id, Tariff: v.Tariff})
 		conn.Send(wire.Encode(want), 0)
 	}
 	patience := time.NewTimer(v.Wait + 400*time.Millisecond) // an answer that comes late is still seen
 	defer patience.Stop()
 	hasty := make(<-chan time.Time)
-	if r.Float64() < c.Habit.Hasty { // around the time of an answer, so that the two often cross
+	if r.Float64() < c.Behavior.CancelShare { // around the time of an answer, so that the two often cross
 		hasty = time.After(time.Duration(r.Int64N(int64(60 * time.Millisecond))))
 	}
 	for {
@@ -193,7 +193,7 @@
 		case <-s.closed:
 			return ending{again: true}
 		case <-hasty:
-			c.Record.Add(witness.Record{Kind: wire.Cancel, Client: v.Number, Conn: s.number, Director: name, RequestID: id})
+			c.Recorder.Add(witness.Record{Kind: wire.Cancel, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id})
 			conn.Send(wire.Encode(wire.SessionMessage{Type: wire.Cancel, ID: id}), 0)
 			select { // what crosses is still seen
 			case <-time.After(100 * time.Millisecond):
@@ -201,7 +201,7 @@
 			}
 			return ending{}
 		case <-patience.C:
-			c.Record.Add(witness.Record{Kind: witness.ClientTimedOut, Client: v.Number, Conn: s.number, Director: name, RequestID: id})
+			c.Recorder.Add(witness.Record{Kind: witness.ClientTimedOut, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id})
 			return ending{again: !v.Paid}
 		case m := <-s.in:
 			switch m.Type {
@@ -212,8 +212,8 @@
 			case wire.Playing:
 				c.mu.Lock()
 				c.Latency = append(c.Latency, time.Since(asked))
-				if time.Since(began) <= v.Goal {
-					c.InTime[m.Session] = true
+				if time.Since(began) <= v.StartGoal {
+					c.StartedInTime[m.Session] = true
 				}
 				c.mu.Unlock()
 				return c.play(ctx, s, r, left)
@@ -223,12 +223,12 @@
 }
 
 // play watches until the session ends, one way or the other.
-func (c *Crowd) play(ctx context.Context, s *seat, r *rand.Rand, left time.Duration) ending {
+func (c *Population) play(ctx context.Context, s *seat, r *rand.Rand, left time.Duration) ending {
 	began := time.Now()
 	end := time.NewTimer(left + time.Second) // the node ends it; this is for one that does not
 	defer end.Stop()
 	drop := make(<-chan time.Time)
-	if r.Float64() < c.Habit.Drops {
+	if r.Float64() < c.Behavior.DisconnectShare {
 		drop = time.After(time.Duration(r.Int64N(int64(left))))
 	}
 	for {
