--- a/cmd/fordusher/day.go
+++ b/cmd/fordusher/day.go
@@ -117,13 +117,13 @@
 	var r *day.Result
 	if c.Virtual {
 		began := time.Now()
-		v, err := emulator.Run(s, c.Seed, emulator.Options{Workers: c.Workers, Module: opt.NewDecider, Say: opt.Progress, House: opt.Config, Plan: opt.ListUpdates, Until: c.Until,
+		v, err := emulator.Run(s, c.Seed, emulator.Options{Workers: c.Workers, NewDecider: opt.NewDecider, Log: opt.Progress, Config: opt.Config, ListUpdates: opt.ListUpdates, Until: c.Until,
 			Actions: actions})
 		if err != nil {
 			return err
 		}
 		r = v.Result
-		fmt.Printf("%v of virtual time in %v, hash %s\n", v.Span.Round(time.Millisecond), time.Since(began).Round(time.Millisecond), v.Hash)
+		fmt.Printf("%v of virtual time in %v, hash %s\n", v.Duration.Round(time.Millisecond), time.Since(began).Round(time.Millisecond), v.Hash)
 	} else {
 		var err error
 		if r, err = day.Run(ctx, s, opt); err != nil {
--- a/cmd/fordusher/experiment.go
+++ b/cmd/fordusher/experiment.go
@@ -32,11 +32,11 @@
 	}
 	fmt.Print(t.Table())
 	if c.Against != "" {
-		o, err := emulator.LoadTrial(c.Against)
+		o, err := emulator.LoadExperimentResult(c.Against)
 		if err != nil {
 			return err
 		}
-		fmt.Print(t.Against(o))
+		fmt.Print(t.Compare(o))
 	}
 	if c.Charts == "" {
 		return nil
@@ -45,16 +45,16 @@
 		return err
 	}
 	name, _, _ := strings.Cut(filepath.Base(c.File), ".")
-	drawn, err := t.Charts(filepath.Join(c.Charts, name), c.Form)
+	drawn, err := t.DrawCharts(filepath.Join(c.Charts, name), c.Form)
 	for _, d := range drawn {
 		fmt.Println(d)
 	}
 	return err
 }
 
-func (c *experimentCommand) trial() (*emulator.Trial, error) {
+func (c *experimentCommand) trial() (*emulator.ExperimentResult, error) {
 	if strings.HasSuffix(c.File, ".zst") {
-		return emulator.LoadTrial(c.File)
+		return emulator.LoadExperimentResult(c.File)
 	}
 	x, err := emulator.LoadExperiment(c.File)
 	if err != nil {
--- a/cmd/fordusher/hunt.go
+++ b/cmd/fordusher/hunt.go
@@ -23,7 +23,7 @@
 func (c *huntCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	h := emulator.Hunt{Seed: c.Seed, Days: c.Days, Workers: c.Workers, Keep: c.Keep}
+	h := emulator.Search{Seed: c.Seed, Runs: c.Days, Workers: c.Workers, MaxResults: c.Keep}
 	finds, features, err := h.Run(ctx, func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
 	if err != nil && !errors.Is(err, context.Canceled) {
 		return err
@@ -31,8 +31,8 @@
 	fmt.Printf("%d days, %d features\n", c.Days, features)
 	broken := false
 	for i, f := range finds {
-		words := fmt.Sprintf("%d requests; broken: %t; least left: %.3f of %s; credit %.3f", f.Result.Received, !f.Result.Passed(), f.Result.Least,
-			f.Result.LeastRule, f.Result.Credit)
+		words := fmt.Sprintf("%d requests; broken: %t; least left: %.3f of %s; credit %.3f", f.Result.Received, !f.Result.Passed(), f.Result.MinMargin,
+			f.Result.MinMarginRule, f.Result.Credit)
 		fmt.Printf("%d. seed %d: %s\n", i+1, f.Script.Seed, words)
 		if !f.Result.Passed() {
 			broken = true
@@ -83,11 +83,11 @@
 			f := r.Rules[c.Rule]
 			return f != nil && (f.Violations > 0 || f.MinMargin < c.Least)
 		case c.Least >= 0:
-			return r.Least < c.Least
+			return r.MinMargin < c.Least
 		}
 		return !r.Passed()
 	}
-	smaller, tried, err := emulator.Shrink(s, fails, c.Most, func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
+	smaller, tried, err := emulator.MinimizeScript(s, fails, c.Most, func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
 	if err != nil {
 		return err
 	}
--- a/internal/emulator/crowd.go
+++ b/internal/emulator/crowd.go
@@ -147,7 +147,7 @@
 		return
 	}
 	// The shortest way that there is: messages of one viewer keep their order.
-	p.put(at+c.w.opt.Network.High, func(at time.Duration) {
+	p.put(at+c.w.opt.Latency.Max, func(at time.Duration) {
 		if p.boot != boot || !p.up {
 			return
 		}
@@ -253,7 +253,7 @@
 	}
 	c.close(at, s, "closed here", witness.ClosedByRecorder)
 	p := c.w.posts[s.post]
-	c.w.answer(at+c.w.opt.Network.High, p, s.boot, director.ClientLost{Conn: s.conn})
+	c.w.answer(at+c.w.opt.Latency.Max, p, s.boot, director.ClientLost{Conn: s.conn})
 	c.end(at, s.v, e)
 }
 
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -23,21 +23,21 @@
 	"fordusher/internal/witness"
 )
 
-// Network is how long messages are on their way, each drawn between the two.
-type Network struct {
-	Low, High time.Duration
+// LatencyRange is how long messages are on their way, each drawn between the two.
+type LatencyRange struct {
+	Min, Max time.Duration
 }
 
 // Options are how a day is played.
 type Options struct {
-	Network Network // zero: half a millisecond to two
-	Workers int     // cores; 0: one. It changes nothing but the time that a day takes
-	Until   time.Duration
-	Module  func(h *conf.Config, seed uint64) director.Decider // nil: the module
-	Say     func(line string)                                  // a line for each action; may be nil
-	Actions []day.Action                                       // in place of the script's timeline; nil: that
-	House   *conf.Config                                       // as in day.Options
-	Plan    []day.ListUpdate
+	Latency     LatencyRange // zero: half a millisecond to two
+	Workers     int          // cores; 0: one. It changes nothing but the time that a day takes
+	Until       time.Duration
+	NewDecider  func(h *conf.Config, seed uint64) director.Decider // nil: the module
+	Log         func(line string)                                  // a line for each action; may be nil
+	Actions     []day.Action                                       // in place of the script's timeline; nil: that
+	Config      *conf.Config                                       // as in day.Options
+	ListUpdates []day.ListUpdate
 }
 
 // settle is how long directors run before the day begins.
@@ -187,10 +187,10 @@
 			p.send(at, listWay, func(at time.Duration) { w.list.hears(at, p, boot, raw) })
 		case director.Withdraw: // what was sent has left: the kernel has it
 		case director.Log:
-			if w.opt.Say != nil {
+			if w.opt.Log != nil {
 				line := o.Text
 				// Whether anybody listens must change nothing: no chance is drawn for it.
-				p.out = append(p.out, sent{at + w.opt.Network.Low, func(at time.Duration) { w.say(at, "%s: %s", p.name, line) }})
+				p.out = append(p.out, sent{at + w.opt.Latency.Min, func(at time.Duration) { w.say(at, "%s: %s", p.name, line) }})
 			}
 		case director.ShutdownComplete:
 			p.up, p.end = false, true
@@ -213,8 +213,8 @@
 	p.boot++
 	seed := p.w.layout.Seed*1000 + uint64(p.number)<<20 + uint64(p.boot)
 	var module director.Decider
-	if p.w.opt.Module != nil {
-		module = p.w.opt.Module(house, seed)
+	if p.w.opt.NewDecider != nil {
+		module = p.w.opt.NewDecider(house, seed)
 	} else {
 		module = house.NewDecider(seed)
 	}
@@ -228,8 +228,8 @@
 
 // Run plays a day.
 func Run(s *day.Script, seed uint64, opt Options) (*Result, error) {
-	if opt.Network.High == 0 {
-		opt.Network = Network{500 * time.Microsecond, 2 * time.Millisecond}
+	if opt.Latency.Max == 0 {
+		opt.Latency = LatencyRange{500 * time.Microsecond, 2 * time.Millisecond}
 	}
 	w, err := newWorld(s, seed, opt)
 	if err != nil {
@@ -265,7 +265,7 @@
 		if t >= end {
 			break
 		}
-		stop := t + w.opt.Network.Low
+		stop := t + w.opt.Latency.Min
 		some = some[:0]
 		for i, p := range w.posts {
 			if nexts[i] < stop {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -64,7 +64,7 @@
 
 // 200 drawn days: no rule is broken, every request is answered.
 func TestDrawnDays(t *testing.T) {
-	h := Hunt{Seed: 5, Days: 200, Workers: runtime.GOMAXPROCS(0), Keep: 3}
+	h := Search{Seed: 5, Runs: 200, Workers: runtime.GOMAXPROCS(0), MaxResults: 3}
 	finds, features, err := h.Run(t.Context(), func(string, ...any) {})
 	if err != nil || features < 150 {
 		t.Fatal(features, err)
@@ -102,7 +102,7 @@
 		if fell(r) > 0 || !r.Passed() || r.Rules[witness.RuleSlowStart].Checked == 0 {
 			t.Errorf("seed %d: %d nodes fell, %+v", seed, fell(r), r.Rules[witness.RuleSlowStart])
 		}
-		b, err := Run(s, seed, Options{Workers: 4, Module: day.Baselines["least-middle"]})
+		b, err := Run(s, seed, Options{Workers: 4, NewDecider: day.Baselines["least-middle"]})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -168,7 +168,7 @@
 			t.Fatal(err)
 		}
 		for name, module := range map[string]func(h *conf.Config, seed uint64) director.Decider{"module": nil, "baseline": day.Baselines["least-middle"]} {
-			r, err := Run(s, uint64(seed), Options{Workers: 4, Module: module})
+			r, err := Run(s, uint64(seed), Options{Workers: 4, NewDecider: module})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -220,14 +220,14 @@
 	s := day.DefaultScript()
 	s.Seed = 3
 	fails := func(r *Result) bool { return r.Errored > 0 }
-	smaller, tried, err := Shrink(s, fails, 60, func(string, ...any) {})
+	smaller, tried, err := MinimizeScript(s, fails, 60, func(string, ...any) {})
 	if err != nil || smaller == nil || tried > 60 || len(smaller.Incidents) >= len(s.Incidents) {
 		t.Fatal(smaller, tried, err)
 	}
 	if r, err := Run(smaller, smaller.Seed, Options{}); err != nil || !fails(r) {
 		t.Fatal(err)
 	}
-	if none, _, err := Shrink(s, func(*Result) bool { return false }, 10, func(string, ...any) {}); none != nil || err != nil {
+	if none, _, err := MinimizeScript(s, func(*Result) bool { return false }, 10, func(string, ...any) {}); none != nil || err != nil {
 		t.Fatal("a day that does not fail was cut down")
 	}
 }
@@ -305,7 +305,7 @@
 			t.Errorf("%d directors: %d set-ups on cold nodes, %.1f over the budget at worst", directors, early, worst)
 		}
 		t.Logf("%d directors: %d set-ups on cold nodes, %.1f below the budget at the nearest", directors, early, -worst)
-		b, err := Run(s, uint64(seed), Options{Workers: 4, Module: day.Baselines["least-middle"]})
+		b, err := Run(s, uint64(seed), Options{Workers: 4, NewDecider: day.Baselines["least-middle"]})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -28,14 +28,14 @@
 	Name      string
 	Script    *day.Script
 	Seeds     int
-	From      int // the first seed
+	FirstSeed int // the first seed
 	Policies  []string
 	Directors []int
 	Loads     []float64
 }
 
-// ModulePolicy is the name of the module among the policies.
-const ModulePolicy = "module"
+// DefaultPolicy is the name of the module among the policies.
+const DefaultPolicy = "module"
 
 // LoadExperiment reads an experiment's file; what is wrong with it comes back as conf.Problems.
 func LoadExperiment(file string) (*Experiment, error) {
@@ -48,10 +48,10 @@
 		return nil, err
 	}
 	x := &Experiment{
-		Name:     o.Text("name", "", true),
-		Seeds:    o.Int("seeds", 10, 2, 10_000, false),
-		From:     o.Int("from", 1, 1, 1e9, false),
-		Policies: o.Texts("policies", false),
+		Name:      o.Text("name", "", true),
+		Seeds:     o.Int("seeds", 10, 2, 10_000, false),
+		FirstSeed: o.Int("from", 1, 1, 1e9, false),
+		Policies:  o.Texts("policies", false),
 	}
 	for _, n := range o.Numbers("directors", 1, 1000) {
 		x.Directors = append(x.Directors, int(n))
@@ -59,11 +59,11 @@
 	x.Loads = o.Numbers("loads", 0.01, 10)
 	script := o.Text("script", "", false)
 	if len(x.Policies) == 0 {
-		x.Policies = []string{ModulePolicy}
+		x.Policies = []string{DefaultPolicy}
 	}
 	for _, p := range x.Policies {
-		if p != ModulePolicy && day.Baselines[p] == nil {
-			r.AddProblem(o.OffsetOf("policies"), "there is no policy %q; there are %s and %s", p, ModulePolicy, strings.Join(names(day.Baselines), ", "))
+		if p != DefaultPolicy && day.Baselines[p] == nil {
+			r.AddProblem(o.OffsetOf("policies"), "there is no policy %q; there are %s and %s", p, DefaultPolicy, strings.Join(names(day.Baselines), ", "))
 		}
 	}
 	o.ReportUnknownKeys()
@@ -86,42 +86,42 @@
 	return all
 }
 
-// A Cell is a place of the grid.
-type Cell struct {
+// A GridPoint is a place of the grid.
+type GridPoint struct {
 	Directors int     `json:"directors"`
 	Load      float64 `json:"load"`
 }
 
-func (c Cell) String() string { return fmt.Sprintf("%d directors, load %g", c.Directors, c.Load) }
+func (c GridPoint) String() string { return fmt.Sprintf("%d directors, load %g", c.Directors, c.Load) }
 
-// A Day is one day of an experiment.
-type Day struct {
-	Cell
-	Policy     string    `json:"policy"`
-	Seed       uint64    `json:"seed"`
-	Hash       string    `json:"hash"`
-	Taken      int       `json:"taken"`
-	Played     int       `json:"played"`
-	Nacked     int       `json:"nacked"`
-	Errored    int       `json:"errored"`
-	Legs       int       `json:"legs"`
-	P99        float64   `json:"p99_ms"`
-	Credit     float64   `json:"credit"`
-	Broken     int       `json:"broken"`
-	Recoveries []float64 `json:"recoveries"` // seconds, of the troubles after which credit came back
-	Unmended   int       `json:"unmended"`   // troubles after which it did not while the day lasted
-	Points     []Point   `json:"points"`
+// A ExperimentRun is one day of an experiment.
+type ExperimentRun struct {
+	GridPoint
+	Policy      string    `json:"policy"`
+	Seed        uint64    `json:"seed"`
+	Hash        string    `json:"hash"`
+	Received    int       `json:"taken"`
+	Played      int       `json:"played"`
+	Nacked      int       `json:"nacked"`
+	Errored     int       `json:"errored"`
+	Legs        int       `json:"legs"`
+	P99         float64   `json:"p99_ms"`
+	Credit      float64   `json:"credit"`
+	Violations  int       `json:"broken"`
+	Recoveries  []float64 `json:"recoveries"` // seconds, of the troubles after which credit came back
+	Unrecovered int       `json:"unmended"`   // troubles after which it did not while the day lasted
+	Samples     []Sample  `json:"points"`
 }
 
-// Trial is the days of an experiment.
-type Trial struct {
-	Name string `json:"name"`
-	Days []Day  `json:"-"`
+// ExperimentResult is the days of an experiment.
+type ExperimentResult struct {
+	Name string          `json:"name"`
+	Runs []ExperimentRun `json:"-"`
 }
 
 // Run plays the whole grid on so many cores.
-func (x *Experiment) Run(ctx context.Context, workers int) (*Trial, error) {
-	t := &Trial{Name: x.Name}
+func (x *Experiment) Run(ctx context.Context, workers int) (*ExperimentResult, error) {
+	t := &ExperimentResult{Name: x.Name}
 	directors, loads := x.Directors, x.Loads
 	if len(directors) == 0 {
 		directors = []int{x.Script.Directors}
@@ -133,33 +133,33 @@
 		for _, l := range loads {
 			for _, p := range x.Policies {
 				for i := range x.Seeds {
-					t.Days = append(t.Days, Day{Cell: Cell{d, l}, Policy: p, Seed: uint64(x.From + i)})
+					t.Runs = append(t.Runs, ExperimentRun{GridPoint: GridPoint{d, l}, Policy: p, Seed: uint64(x.FirstSeed + i)})
 				}
 			}
 		}
 	}
-	return t, inParallel(workers, len(t.Days), func(i int) error {
+	return t, inParallel(workers, len(t.Runs), func(i int) error {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		d := &t.Days[i]
+		d := &t.Runs[i]
 		s := *x.Script
 		s.Directors, s.Load = d.Directors, d.Load
 		var module func(h *conf.Config, seed uint64) director.Decider
-		if d.Policy != ModulePolicy {
+		if d.Policy != DefaultPolicy {
 			module = day.Baselines[d.Policy]
 		}
-		r, err := Run(&s, d.Seed, Options{Module: module})
+		r, err := Run(&s, d.Seed, Options{NewDecider: module})
 		if err != nil {
 			return err
 		}
-		d.Hash, d.Taken, d.Played, d.Nacked, d.Errored, d.Legs, d.P99, d.Credit = r.Hash, r.Received, r.Played, r.Nacked, r.Errored, r.Legs, r.P99, r.Credit
-		d.Broken, d.Points = r.broken(), r.Points
-		for _, e := range r.Ends {
-			if took, ok := r.Recovery(e); ok {
+		d.Hash, d.Received, d.Played, d.Nacked, d.Errored, d.Legs, d.P99, d.Credit = r.Hash, r.Received, r.Played, r.Nacked, r.Errored, r.Legs, r.P99, r.Credit
+		d.Violations, d.Samples = r.broken(), r.Samples
+		for _, e := range r.Incidents {
+			if took, ok := r.RecoveryTime(e); ok {
 				d.Recoveries = append(d.Recoveries, took.Seconds())
 			} else {
-				d.Unmended++
+				d.Unrecovered++
 			}
 		}
 		return nil
@@ -167,18 +167,18 @@
 }
 
 // Save keeps a trial in a compressed file.
-func (t *Trial) Save(file string) error { return kept.Save(file, t, t.Days) }
+func (t *ExperimentResult) Save(file string) error { return kept.Save(file, t, t.Runs) }
 
-// LoadTrial reads what Save wrote.
-func LoadTrial(file string) (*Trial, error) {
-	t, days, err := kept.Load[*Trial, Day](file)
+// LoadExperimentResult reads what Save wrote.
+func LoadExperimentResult(file string) (*ExperimentResult, error) {
+	t, days, err := kept.Load[*ExperimentResult, ExperimentRun](file)
 	switch {
 	case err != nil:
 		return nil, err
 	case t == nil || t.Name == "":
 		return nil, fmt.Errorf("%s: not an experiment's results", file)
 	}
-	t.Days = days
+	t.Runs = days
 	return t, nil
 }
 
@@ -192,26 +192,26 @@
 }
 
 // group is the days of one place and policy, by seed.
-func (t *Trial) group(c Cell, policy string) (days []Day) {
-	for _, d := range t.Days {
-		if d.Cell == c && d.Policy == policy {
+func (t *ExperimentResult) group(c GridPoint, policy string) (days []ExperimentRun) {
+	for _, d := range t.Runs {
+		if d.GridPoint == c && d.Policy == policy {
 			days = append(days, d)
 		}
 	}
 	return days
 }
 
-func (t *Trial) cells() (all []Cell) {
-	for _, d := range t.Days {
-		if !slices.Contains(all, d.Cell) {
-			all = append(all, d.Cell)
+func (t *ExperimentResult) cells() (all []GridPoint) {
+	for _, d := range t.Runs {
+		if !slices.Contains(all, d.GridPoint) {
+			all = append(all, d.GridPoint)
 		}
 	}
 	return all
 }
 
-func (t *Trial) policies() (all []string) {
-	for _, d := range t.Days {
+func (t *ExperimentResult) policies() (all []string) {
+	for _, d := range t.Runs {
 		if !slices.Contains(all, d.Policy) {
 			all = append(all, d.Policy)
 		}
@@ -219,7 +219,7 @@
 	return all
 }
 
-func of(days []Day, f func(d Day) float64) (all []float64) {
+func of(days []ExperimentRun, f func(d ExperimentRun) float64) (all []float64) {
 	for _, d := range days {
 		all = append(all, f(d))
 	}
@@ -228,7 +228,7 @@
 
 // Table writes means over seeds with their 95% confidence intervals, and each policy's paired difference in
 // credit to the first one, day by day.
-func (t *Trial) Table() string {
+func (t *ExperimentResult) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n%-26s %-14s %5s %16s %16s %8s %9s %9s %10s %9s %7s\n", t.Name, "", "policy", "days", "credit", "over the first", "nacked", "errored",
 		"legs/play", "recovery s", "unmended", "broken")
@@ -239,14 +239,14 @@
 			if len(days) == 0 {
 				continue
 			}
-			credit := of(days, func(d Day) float64 { return d.Credit })
+			credit := of(days, func(d ExperimentRun) float64 { return d.Credit })
 			over := ""
 			if first == nil {
 				first = credit
 			} else if len(first) == len(credit) {
 				over = difference(credit, first)
 			}
-			sum := func(f func(d Day) int) (n int) {
+			sum := func(f func(d ExperimentRun) int) (n int) {
 				for _, d := range days {
 					n += f(d)
 				}
@@ -256,15 +256,15 @@
 			for _, d := range days {
 				recoveries = append(recoveries, d.Recoveries...)
 			}
-			taken := float64(sum(func(d Day) int { return d.Taken }))
+			taken := float64(sum(func(d ExperimentRun) int { return d.Received }))
 			mean := math.NaN()
 			if len(recoveries) > 0 {
 				mean = stat.Mean(recoveries, nil)
 			}
 			fmt.Fprintf(&b, "%-26s %-14s %5d %8.3f ± %.3f %16s %7.1f%% %8.2f%% %9.3f %10.2f %9d %7d\n", c, p, len(days), stat.Mean(credit, nil), interval(credit), over,
-				100*float64(sum(func(d Day) int { return d.Nacked }))/taken, 100*float64(sum(func(d Day) int { return d.Errored }))/taken,
-				float64(sum(func(d Day) int { return d.Legs }))/float64(max(1, sum(func(d Day) int { return d.Played }))), mean,
-				sum(func(d Day) int { return d.Unmended }), sum(func(d Day) int { return d.Broken }))
+				100*float64(sum(func(d ExperimentRun) int { return d.Nacked }))/taken, 100*float64(sum(func(d ExperimentRun) int { return d.Errored }))/taken,
+				float64(sum(func(d ExperimentRun) int { return d.Legs }))/float64(max(1, sum(func(d ExperimentRun) int { return d.Played }))), mean,
+				sum(func(d ExperimentRun) int { return d.Unrecovered }), sum(func(d ExperimentRun) int { return d.Violations }))
 		}
 	}
 	return b.String()
@@ -279,8 +279,8 @@
 	return fmt.Sprintf("%+.3f ± %.3f", stat.Mean(d, nil), interval(d))
 }
 
-// Against compares two trials, place by place and policy by policy, on the seeds that both have.
-func (t *Trial) Against(o *Trial) string {
+// Compare compares two trials, place by place and policy by policy, on the seeds that both have.
+func (t *ExperimentResult) Compare(o *ExperimentResult) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s over %s, paired by seed\n%-26s %-14s %5s %16s\n", t.Name, o.Name, "", "policy", "days", "credit")
 	for _, c := range t.cells() {
@@ -303,9 +303,9 @@
 	return b.String()
 }
 
-// Charts draws, for each place of the grid, what part of what was wanted was earned in each second, the mean
+// DrawCharts draws, for each place of the grid, what part of what was wanted was earned in each second, the mean
 // over seeds, a line for each policy.
-func (t *Trial) Charts(path, form string) (drawn []string, err error) {
+func (t *ExperimentResult) DrawCharts(path, form string) (drawn []string, err error) {
 	for i, c := range t.cells() {
 		p := plot.New()
 		p.Title.Text = t.Name + ": " + c.String()
@@ -318,8 +318,8 @@
 			for second := 0; ; second++ {
 				var parts []float64
 				for _, d := range days {
-					if second < len(d.Points) && d.Points[second].Wanted > 0 {
-						parts = append(parts, min(1, d.Points[second].Earning/d.Points[second].Wanted))
+					if second < len(d.Samples) && d.Samples[second].MaxEarning > 0 {
+						parts = append(parts, min(1, d.Samples[second].Earning/d.Samples[second].MaxEarning))
 					}
 				}
 				if len(parts) < max(1, len(days)/2) {
--- a/internal/emulator/experiment_test.go
+++ b/internal/emulator/experiment_test.go
@@ -24,27 +24,27 @@
 		t.Fatal(err)
 	}
 	trial, err := x.Run(t.Context(), 4)
-	if err != nil || len(trial.Days) != 12 {
-		t.Fatal(len(trial.Days), err)
+	if err != nil || len(trial.Runs) != 12 {
+		t.Fatal(len(trial.Runs), err)
 	}
 	kept := filepath.Join(dir, "x.zst")
 	if err := trial.Save(kept); err != nil {
 		t.Fatal(err)
 	}
-	again, err := LoadTrial(kept)
+	again, err := LoadExperimentResult(kept)
 	if err != nil || again.Table() != trial.Table() || !strings.Contains(trial.Table(), "round-robin") {
 		t.Fatal(err, trial.Table())
 	}
-	if drawn, err := again.Charts(filepath.Join(dir, "c"), "svg"); err != nil || len(drawn) != 2 {
+	if drawn, err := again.DrawCharts(filepath.Join(dir, "c"), "svg"); err != nil || len(drawn) != 2 {
 		t.Fatal(drawn, err)
 	}
 	// Against itself there is no difference.
-	if text := trial.Against(again); strings.Count(text, "+0.000 ± 0.000") != 4 {
+	if text := trial.Compare(again); strings.Count(text, "+0.000 ± 0.000") != 4 {
 		t.Error(text)
 	}
-	for _, d := range trial.Days {
-		if d.Policy == ModulePolicy && (d.Broken > 0 || d.Played < 200) {
-			t.Errorf("%+v", d.Cell)
+	for _, d := range trial.Runs {
+		if d.Policy == DefaultPolicy && (d.Violations > 0 || d.Played < 200) {
+			t.Errorf("%+v", d.GridPoint)
 		}
 	}
 	for text, want := range map[string]string{`{"name": "x", "policies": ["modul"]}`: `x.jsonc:1:27: there is no policy "modul"`, `{"seeds": 1}`: `"name" is missing`} {
@@ -69,13 +69,13 @@
 func TestRecovery(t *testing.T) {
 	r := &Result{}
 	for second, earning := range []float64{10, 10, 10, 10, 10, 2, 2, 5, 9, 9.6, 10} {
-		r.Points = append(r.Points, Point{Second: second, Earning: earning, Wanted: 10})
+		r.Samples = append(r.Samples, Sample{Second: second, Earning: earning, MaxEarning: 10})
 	}
-	if took, ok := r.Recovery(Ended{Begin: 5e9, End: 7e9}); !ok || took.Seconds() != 2 {
+	if took, ok := r.RecoveryTime(IncidentInterval{Begin: 5e9, End: 7e9}); !ok || took.Seconds() != 2 {
 		t.Error(took, ok)
 	}
-	r.Points = r.Points[:9]
-	if _, ok := r.Recovery(Ended{Begin: 5e9, End: 7e9}); ok {
+	r.Samples = r.Samples[:9]
+	if _, ok := r.RecoveryTime(IncidentInterval{Begin: 5e9, End: 7e9}); ok {
 		t.Error("recovered though the day ended before")
 	}
 }
--- a/internal/emulator/hunt.go
+++ b/internal/emulator/hunt.go
@@ -15,20 +15,20 @@
 	"fordusher/internal/witness"
 )
 
-// A Hunt draws days and looks for those in which a rule is broken, or nearly. What has shown something new (a
+// A Search draws days and looks for those in which a rule is broken, or nearly. What has shown something new (a
 // rule nearer to its bound, other endings, troubles that overlap) is drawn from again.
-type Hunt struct {
-	Seed    uint64
-	Days    int
-	Workers int
-	Keep    int // of the worst days
+type Search struct {
+	Seed       uint64
+	Runs       int
+	Workers    int
+	MaxResults int // of the worst days
 }
 
-// A Find is a day of a hunt.
-type Find struct {
-	Script *day.Script
-	Result *Result
-	News   int // features that no day before had shown
+// A SearchResult is a day of a hunt.
+type SearchResult struct {
+	Script      *day.Script
+	Result      *Result
+	NewFeatures int // features that no day before had shown
 }
 
 // broken counts the breaches of all rules, and requests without an answer.
@@ -41,8 +41,8 @@
 }
 
 // worse ranks finds: by broken rules, then by the smallest margin to one, then by credit.
-func worse(a, b *Find) int {
-	return cmp.Or(-cmp.Compare(a.Result.broken(), b.Result.broken()), cmp.Compare(a.Result.Least, b.Result.Least),
+func worse(a, b *SearchResult) int {
+	return cmp.Or(-cmp.Compare(a.Result.broken(), b.Result.broken()), cmp.Compare(a.Result.MinMargin, b.Result.MinMargin),
 		cmp.Compare(a.Result.Credit, b.Result.Credit))
 }
 
@@ -51,13 +51,13 @@
 const generation = 32
 
 // Run hunts; the worst days come first. Seen is how many features were reached.
-func (h Hunt) Run(ctx context.Context, say func(format string, args ...any)) (finds []*Find, seen int, err error) {
+func (h Search) Run(ctx context.Context, say func(format string, args ...any)) (finds []*SearchResult, seen int, err error) {
 	chance := rand.New(rand.NewPCG(h.Seed, 31))
 	features := map[string]bool{}
 	var corpus []*day.Script
-	for done := 0; done < h.Days && ctx.Err() == nil; {
-		var batch []*Find
-		for range min(generation, h.Days-done) {
+	for done := 0; done < h.Runs && ctx.Err() == nil; {
+		var batch []*SearchResult
+		for range min(generation, h.Runs-done) {
 			var s *day.Script
 			if len(corpus) > 0 && chance.Float64() < 0.7 {
 				s = mutate(chance, corpus[chance.IntN(len(corpus))])
@@ -65,7 +65,7 @@
 				s = drawScript(chance)
 			}
 			s.Seed = chance.Uint64() >> 12
-			batch = append(batch, &Find{Script: s})
+			batch = append(batch, &SearchResult{Script: s})
 		}
 		if err := inParallel(h.Workers, len(batch), func(i int) (err error) {
 			batch[i].Result, err = Run(batch[i].Script, batch[i].Script.Seed, Options{})
@@ -77,21 +77,21 @@
 			for _, x := range f.features() {
 				if !features[x] {
 					features[x] = true
-					f.News++
+					f.NewFeatures++
 				}
 			}
-			if f.News > 0 {
+			if f.NewFeatures > 0 {
 				corpus = append(corpus, f.Script)
 			}
-			f.Result.Records, f.Result.Points = nil, nil
+			f.Result.Records, f.Result.Samples = nil, nil
 			finds = append(finds, f)
 		}
 		done += len(batch)
 		slices.SortStableFunc(finds, worse)
-		finds = finds[:min(len(finds), max(1, h.Keep))]
+		finds = finds[:min(len(finds), max(1, h.MaxResults))]
 		w := finds[0]
-		say("%d days, %d features; the worst: %d broken, %.2f left of %s, credit %.3f", done, len(features), w.Result.broken(), w.Result.Least,
-			w.Result.LeastRule, w.Result.Credit)
+		say("%d days, %d features; the worst: %d broken, %.2f left of %s, credit %.3f", done, len(features), w.Result.broken(), w.Result.MinMargin,
+			w.Result.MinMarginRule, w.Result.Credit)
 	}
 	return finds, len(features), ctx.Err()
 }
@@ -122,7 +122,7 @@
 }
 
 // features are what a day has shown, in classes.
-func (f *Find) features() (all []string) {
+func (f *SearchResult) features() (all []string) {
 	r := f.Result
 	say := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
 	for _, rule := range witness.Rules {
@@ -227,9 +227,9 @@
 	return &s
 }
 
-// Shrink cuts a day down as far as it still fails: troubles are left out, what there is of nodes, directors,
+// MinimizeScript cuts a day down as far as it still fails: troubles are left out, what there is of nodes, directors,
 // viewers and time is halved, habits are dropped. It tries so many days at the most, and returns how many.
-func Shrink(s *day.Script, fails func(r *Result) bool, most int, say func(format string, args ...any)) (smaller *day.Script, tried int, err error) {
+func MinimizeScript(s *day.Script, fails func(r *Result) bool, most int, say func(format string, args ...any)) (smaller *day.Script, tried int, err error) {
 	still := func(x *day.Script) bool {
 		if tried >= most || err != nil {
 			return false
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -16,17 +16,17 @@
 // A Result is how a day in virtual time went.
 type Result struct {
 	*day.Result
-	Hash string        `json:"hash"` // of all that was recorded
-	Span time.Duration `json:"span"` // of virtual time
+	Hash     string        `json:"hash"` // of all that was recorded
+	Duration time.Duration `json:"span"` // of virtual time
 
-	Points    []Point `json:"-"`
-	Ends      []Ended `json:"-"`          // of troubles, for what recovering took
-	LeastRule string  `json:"least_rule"` // that came nearest to being broken
-	Least     float64 `json:"least"`      // what part of what it allows was left over then
+	Samples       []Sample           `json:"-"`
+	Incidents     []IncidentInterval `json:"-"`          // of troubles, for what recovering took
+	MinMarginRule string             `json:"least_rule"` // that came nearest to being broken
+	MinMargin     float64            `json:"least"`      // what part of what it allows was left over then
 }
 
-// Ended is a trouble that has ended.
-type Ended struct {
+// IncidentInterval is a trouble that has ended.
+type IncidentInterval struct {
 	Kind  string
 	Begin time.Duration
 	End   time.Duration
@@ -43,17 +43,17 @@
 	}
 	r.Hash = hex.EncodeToString(h.Sum(nil)[:8])
 	if n := len(w.records); n > 0 {
-		r.Span = w.records[n-1].At
+		r.Duration = w.records[n-1].At
 	}
 	witness.Sort(r.Records)
-	r.Points = w.points
+	r.Samples = w.points
 	for _, t := range w.script.Incidents {
-		r.Ends = append(r.Ends, Ended{t.Kind, t.At, t.At + t.Duration})
+		r.Incidents = append(r.Incidents, IncidentInterval{t.Kind, t.At, t.At + t.Duration})
 	}
-	r.Least = 1
+	r.MinMargin = 1
 	for _, rule := range witness.Rules {
-		if x := r.Rules[rule].MinMargin; x < r.Least {
-			r.Least, r.LeastRule = x, rule
+		if x := r.Rules[rule].MinMargin; x < r.MinMargin {
+			r.MinMargin, r.MinMarginRule = x, rule
 		}
 	}
 	return r
@@ -62,19 +62,19 @@
 // back is the part of the credit before a trouble that counts as recovered.
 const back = 0.95
 
-// Recovery is how long it took from a trouble's end until credit was back at 95% of what it was in the five
+// RecoveryTime is how long it took from a trouble's end until credit was back at 95% of what it was in the five
 // seconds before the trouble, as a part of what was wanted; ok is false where there is no such time: nothing was
 // earned before, or it did not come back while the day lasted.
-func (r *Result) Recovery(e Ended) (took time.Duration, ok bool) {
-	part := func(p Point) float64 {
-		if p.Wanted == 0 {
+func (r *Result) RecoveryTime(e IncidentInterval) (took time.Duration, ok bool) {
+	part := func(p Sample) float64 {
+		if p.MaxEarning == 0 {
 			return 0
 		}
-		return p.Earning / p.Wanted
+		return p.Earning / p.MaxEarning
 	}
 	begin, end := int(e.Begin/time.Second), int((e.End+time.Second-1)/time.Second)
 	before, n := 0.0, 0
-	for _, p := range r.Points {
+	for _, p := range r.Samples {
 		if p.Second >= begin-5 && p.Second < begin {
 			before += part(p)
 			n++
@@ -83,7 +83,7 @@
 	if n == 0 || before == 0 {
 		return 0, false
 	}
-	for _, p := range r.Points {
+	for _, p := range r.Samples {
 		if p.Second >= end && part(p) >= back*before/float64(n) {
 			return time.Duration(p.Second)*time.Second - e.End, true
 		}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -52,7 +52,7 @@
 	records []witness.Record
 	crowd   crowd
 	credit  map[string]float64 // of tariffs
-	points  []Point
+	points  []Sample
 	over    bool
 	err     error
 }
@@ -61,9 +61,9 @@
 	w := &world{opt: opt, script: s, chance: rand.New(rand.NewPCG(seed, 21)), machine: map[string]int{}, links: map[wayTo]*link{},
 		numbers: map[uint64]*link{}}
 	var err error
-	if opt.House == nil {
+	if opt.Config == nil {
 		w.layout = day.NewLayout(s, seed)
-	} else if w.layout, err = day.NewLayoutFromConfig(s, seed, opt.House, opt.Plan); err != nil {
+	} else if w.layout, err = day.NewLayoutFromConfig(s, seed, opt.Config, opt.ListUpdates); err != nil {
 		return nil, err
 	}
 	y := w.layout
@@ -109,18 +109,18 @@
 	return w, nil
 }
 
-// A Point is how a day stands at one second.
-type Point struct {
-	Second  int     `json:"second"`
-	Earning float64 `json:"earning"` // credit a second, of all that play
-	Wanted  float64 `json:"wanted"`  // the same if all who are there played at their best rung
-	Playing int     `json:"playing"`
-	There   int     `json:"there"` // viewers who play, wait, or pause before they come again
+// A Sample is how a day stands at one second.
+type Sample struct {
+	Second        int     `json:"second"`
+	Earning       float64 `json:"earning"` // credit a second, of all that play
+	MaxEarning    float64 `json:"wanted"`  // the same if all who are there played at their best rung
+	Playing       int     `json:"playing"`
+	ActiveClients int     `json:"there"` // viewers who play, wait, or pause before they come again
 }
 
 // sample keeps how the day stands, each second.
 func (w *world) sample(at time.Duration) {
-	p := Point{Second: len(w.points), There: w.crowd.active, Wanted: w.crowd.wanted}
+	p := Sample{Second: len(w.points), ActiveClients: w.crowd.active, MaxEarning: w.crowd.wanted}
 	p.Earning, p.Playing = w.farm.EarningRate(w.credit)
 	w.points = append(w.points, p)
 	w.events.put(at+time.Second, w.sample)
@@ -132,15 +132,15 @@
 }
 
 func (w *world) say(at time.Duration, format string, args ...any) {
-	if w.opt.Say != nil {
-		w.opt.Say(fmt.Sprintf("%9.3fs  ", (at-settle).Seconds()) + fmt.Sprintf(format, args...))
+	if w.opt.Log != nil {
+		w.opt.Log(fmt.Sprintf("%9.3fs  ", (at-settle).Seconds()) + fmt.Sprintf(format, args...))
 	}
 }
 
 // delay is how long a message is on its way.
 func (w *world) delay(r *rand.Rand) time.Duration {
-	n := w.opt.Network
-	return n.Low + time.Duration(r.Int64N(int64(n.High-n.Low)+1))
+	n := w.opt.Latency
+	return n.Min + time.Duration(r.Int64N(int64(n.Max-n.Min)+1))
 }
 
 // act does what the timeline has.
@@ -417,7 +417,7 @@
 	if p.boot != boot || !p.up {
 		return
 	}
-	p.put(at+l.w.opt.Network.High, func(at time.Duration) {
+	p.put(at+l.w.opt.Latency.Max, func(at time.Duration) {
 		if p.boot != boot || !p.up {
 			return
 		}
