--- a/cmd/fordusher/load.go
+++ b/cmd/fordusher/load.go
@@ -56,7 +56,7 @@
 		return err
 	}
 	defer p.close()
-	i := load.Idle{Connections: n, For: c.For, Ping: c.Ping}
+	i := load.IdleLoad{Connections: n, Duration: c.For, Ping: c.Ping}
 	var results []*load.IdleResult
 	for _, what := range []struct {
 		name  string
@@ -109,14 +109,14 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	runtime.GOMAXPROCS(c.Cores)
-	x := load.Million{Connections: c.Connections, Ping: c.Ping, Rate: c.Rate, For: c.For, Nodes: c.Nodes}
+	x := load.InMemoryLoad{Connections: c.Connections, Ping: c.Ping, Rate: c.Rate, Duration: c.For, Nodes: c.Nodes}
 	r, err := x.Run(ctx, func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
 	if err != nil {
 		return err
 	}
 	fmt.Print(r.Table())
 	for c.Climb && ctx.Err() == nil {
-		if why := r.Ends(memoryFree()); why != "" {
+		if why := r.LimitReason(memoryFree()); why != "" {
 			fmt.Println("the climb ends:", why)
 			break
 		}
@@ -165,7 +165,7 @@
 	if err := printJSON(true, ready{Listen: ln.Addr().String(), Metrics: page.Addr().String()}); err != nil {
 		return err
 	}
-	return load.Plain(ctx, ln, c.Ping)
+	return load.ServeBaseline(ctx, ln, c.Ping)
 }
 
 // idle starts a director that takes so many idle connections, on one core.
@@ -211,11 +211,11 @@
 func (c *setupsCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	s := load.Setups{Rate: c.Rate, Playing: c.Playing, For: c.For, Warm: c.Warm, Nodes: c.Nodes, Racks: c.Racks, Titles: c.Titles,
+	s := load.SetupLoad{Rate: c.Rate, Playing: c.Playing, Duration: c.For, Warmup: c.Warm, Nodes: c.Nodes, Racks: c.Racks, Titles: c.Titles,
 		Connections: c.Connections, Seed: c.Seed}
 	fmt.Printf("%d cores here, %d for the director; %g set-ups a second, %d sessions playing, %d nodes, %v after %v\n",
 		runtime.NumCPU(), c.Cores, c.Rate, c.Playing, c.Nodes, c.For, c.Warm)
-	direct, err := s.Direct(ctx)
+	direct, err := s.RunDirect(ctx)
 	if err != nil {
 		return err
 	}
@@ -224,18 +224,18 @@
 		return err
 	}
 	defer p.close()
-	through, err := s.Through(ctx, func(house []byte) (load.Process, error) { return p.measured(house, c.Cores, c.Profile) })
+	through, err := s.RunThroughDirector(ctx, func(house []byte) (load.Process, error) { return p.measured(house, c.Cores, c.Profile) })
 	if err != nil {
 		return err
 	}
-	fmt.Print(load.Table(direct, through))
+	fmt.Print(load.SetupTable(direct, through))
 	fmt.Printf("added: p50 %.3f ms, p99 %.3f ms\n", through.P50-direct.P50, through.P99-direct.P99)
 	if c.Chart != "" {
-		if err := load.Chart(c.Chart, fmt.Sprintf("%g set-ups a second, %d playing, %d nodes", c.Rate, c.Playing, c.Nodes), direct, through); err != nil {
+		if err := load.DrawLatencyChart(c.Chart, fmt.Sprintf("%g set-ups a second, %d playing, %d nodes", c.Rate, c.Playing, c.Nodes), direct, through); err != nil {
 			return err
 		}
 	}
-	return printJSON(c.JSON, map[string]any{"load": s, "cores": runtime.NumCPU(), "director_cores": c.Cores, "results": []*load.Result{direct, through}})
+	return printJSON(c.JSON, map[string]any{"load": s, "cores": runtime.NumCPU(), "director_cores": c.Cores, "results": []*load.SetupResult{direct, through}})
 }
 
 // measured starts a director's process on so many cores.
@@ -273,16 +273,16 @@
 	return 0
 }
 
-// Collect makes the process collect its garbage, so that what it holds is what it needs.
-func (m *measuredProcess) Collect() {
+// CollectGarbage makes the process collect its garbage, so that what it holds is what it needs.
+func (m *measuredProcess) CollectGarbage() {
 	if answer, err := http.Get("http://" + m.told.Metrics + "/debug/pprof/heap?gc=1"); err == nil {
 		io.Copy(io.Discard, answer.Body)
 		answer.Body.Close()
 	}
 }
 
-// Figures reads the process's metrics page; what has labels is left out.
-func (m *measuredProcess) Figures() map[string]float64 {
+// Metrics reads the process's metrics page; what has labels is left out.
+func (m *measuredProcess) Metrics() map[string]float64 {
 	all := map[string]float64{}
 	answer, err := http.Get("http://" + m.told.Metrics + "/metrics")
 	if err != nil {
--- a/cmd/fordusher/main.go
+++ b/cmd/fordusher/main.go
@@ -45,7 +45,7 @@
 func main() {
 	var c commands
 	ctx := kong.Parse(&c, kong.Name("fordusher"), kong.Description("A session front: places and shapes video sessions on streaming servers."),
-		kong.UsageOnError(), kong.Vars{"scenarios": strings.Join(load.Scenarios(), ", "), "cores": strconv.Itoa(runtime.NumCPU())}, kong.Exit(func(code int) {
+		kong.UsageOnError(), kong.Vars{"scenarios": strings.Join(load.ScenarioNames(), ", "), "cores": strconv.Itoa(runtime.NumCPU())}, kong.Exit(func(code int) {
 			if code != 0 {
 				code = exitInput
 			}
--- a/cmd/fordusher/scenario.go
+++ b/cmd/fordusher/scenario.go
@@ -48,11 +48,11 @@
 // theatre starts a scenario's processes.
 type theatre struct{ *processes }
 
-func (t theatre) Director(house []byte, cores int) (load.Watched, error) {
+func (t theatre) StartDirector(house []byte, cores int) (load.MonitoredProcess, error) {
 	return t.measured(house, cores, "")
 }
 
-func (t theatre) Client() (io.WriteCloser, *bufio.Reader, func(), error) {
+func (t theatre) StartClient() (io.WriteCloser, *bufio.Reader, func(), error) {
 	cmd, in, out, err := t.launch(nil, "load", "client")
 	if err != nil {
 		return nil, nil, nil, err
@@ -75,7 +75,7 @@
 		<-ctx.Done()
 		os.Exit(0)
 	}()
-	return load.Client(ctx, os.Stdin, os.Stdout)
+	return load.RunClient(ctx, os.Stdin, os.Stdout)
 }
 
 type plotCommand struct {
@@ -98,7 +98,7 @@
 			return err
 		}
 		name, _, _ := strings.Cut(filepath.Base(file), ".")
-		drawn, err := a.Charts(filepath.Join(c.Out, name), c.Form)
+		drawn, err := a.DrawCharts(filepath.Join(c.Out, name), c.Form)
 		if err != nil {
 			return err
 		}
--- a/internal/load/archive.go
+++ b/internal/load/archive.go
@@ -9,46 +9,46 @@
 	"fordusher/internal/kept"
 )
 
-// A Head begins an archive.
-type Head struct {
+// A ArchiveHeader begins an archive.
+type ArchiveHeader struct {
 	Scenario *Scenario `json:"scenario"`
 	Cores    int       `json:"cores"` // of the machine
 	At       string    `json:"at"`
 }
 
-// A Row is one second of one run: of a part, or of a director where Part is empty.
-type Row struct {
+// A ArchiveRow is one second of one run: of a part, or of a director where Part is empty.
+type ArchiveRow struct {
 	Run    string `json:"run"` // "with", "without"
 	Repeat int    `json:"repeat,omitempty"`
 	Sample
-	Director int   `json:"director,omitempty"`
-	Used     *Used `json:"used,omitempty"`
+	Director int           `json:"director,omitempty"`
+	Usage    *ProcessUsage `json:"used,omitempty"`
 	h        *hdrhistogram.Histogram
 }
 
-// Used is what a director's process used.
-type Used struct {
-	CPU    float64 `json:"cpu"`    // cores, in this second
-	RSS    float64 `json:"rss"`    // bytes
-	Heap   float64 `json:"heap"`   // bytes
-	Kernel float64 `json:"kernel"` // bytes that the machine's TCP sockets hold, all processes'
-	Conns  float64 `json:"conns"`  // players connected
-	Late   float64 `json:"late"`   // seconds, the loop's greatest lateness
-	Mode   float64 `json:"mode"`
+// ProcessUsage is what a director's process used.
+type ProcessUsage struct {
+	CPU          float64 `json:"cpu"`    // cores, in this second
+	RSS          float64 `json:"rss"`    // bytes
+	Heap         float64 `json:"heap"`   // bytes
+	SocketMemory float64 `json:"kernel"` // bytes that the machine's TCP sockets hold, all processes'
+	Conns        float64 `json:"conns"`  // players connected
+	LoopDelay    float64 `json:"late"`   // seconds, the loop's greatest lateness
+	OverloadMode float64 `json:"mode"`
 }
 
 // An Archive is a scenario's results, every second of them.
 type Archive struct {
-	Head Head
-	Rows []Row
+	Header ArchiveHeader
+	Rows   []ArchiveRow
 }
 
 // Save writes an archive to a compressed file.
-func (a *Archive) Save(file string) error { return kept.Save(file, a.Head, a.Rows) }
+func (a *Archive) Save(file string) error { return kept.Save(file, a.Header, a.Rows) }
 
 // LoadArchive reads what Save wrote; a cut or foreign file is an error that names it.
 func LoadArchive(file string) (*Archive, error) {
-	head, rows, err := kept.Load[Head, Row](file)
+	head, rows, err := kept.Load[ArchiveHeader, ArchiveRow](file)
 	switch {
 	case err != nil:
 		return nil, err
@@ -72,8 +72,8 @@
 	h *hdrhistogram.Histogram
 }
 
-// P is a quantile's latency, in ms.
-func (s *Summary) P(q float64) float64 { return float64(s.h.ValueAtQuantile(q)) / 1000 }
+// Percentile is a quantile's latency, in ms.
+func (s *Summary) Percentile(q float64) float64 { return float64(s.h.ValueAtQuantile(q)) / 1000 }
 
 // runs are the runs of an archive, in their order of coming.
 func (a *Archive) runs() (names []string) {
@@ -89,9 +89,9 @@
 
 // Summaries adds up the measured seconds, by run and part.
 func (a *Archive) Summaries() (all []*Summary) {
-	warm := int(a.Head.Scenario.Warm / time.Second)
+	warm := int(a.Header.Scenario.Warmup / time.Second)
 	for _, run := range a.runs() {
-		for _, p := range a.Head.Scenario.Parts {
+		for _, p := range a.Header.Scenario.Parts {
 			s := &Summary{Run: run, Sample: Sample{Part: p.Name}, h: newHistogram()}
 			seen := false
 			for _, r := range a.Rows {
--- a/internal/load/cast.go
+++ b/internal/load/cast.go
@@ -26,21 +26,21 @@
 
 var scenarioTemplate = template.Must(template.New("house").Parse(scenarioHouse))
 
-// A Theatre starts the processes of a scenario.
-type Theatre interface {
-	// Director starts a director on so many cores.
-	Director(house []byte, cores int) (Watched, error)
-	// Client starts a client process; what is written to in and read from out is as Client has it.
-	Client() (in io.WriteCloser, out *bufio.Reader, end func(), err error)
+// A Launcher starts the processes of a scenario.
+type Launcher interface {
+	// StartDirector starts a director on so many cores.
+	StartDirector(house []byte, cores int) (MonitoredProcess, error)
+	// StartClient starts a client process; what is written to in and read from out is as Client has it.
+	StartClient() (in io.WriteCloser, out *bufio.Reader, end func(), err error)
 }
 
 // Run plays a scenario: each repeat without the parts that are to be left out, where there are any, and
 // with all of them.
-func (s *Scenario) Run(ctx context.Context, theatre Theatre, say func(format string, args ...any)) (*Archive, error) {
-	a := &Archive{Head: Head{Scenario: s, Cores: runtime.NumCPU(), At: time.Now().UTC().Format(time.RFC3339)}}
+func (s *Scenario) Run(ctx context.Context, theatre Launcher, say func(format string, args ...any)) (*Archive, error) {
+	a := &Archive{Header: ArchiveHeader{Scenario: s, Cores: runtime.NumCPU(), At: time.Now().UTC().Format(time.RFC3339)}}
 	for repeat := range s.Repeats {
 		for _, run := range []string{"without", "with"} {
-			if run == "without" && len(s.Without) == 0 {
+			if run == "without" && len(s.ExcludedParts) == 0 {
 				continue
 			}
 			rows, err := s.play(ctx, theatre, run, s.Seed+uint64(repeat))
@@ -58,14 +58,14 @@
 }
 
 // play is one run.
-func (s *Scenario) play(ctx context.Context, theatre Theatre, run string, seed uint64) ([]Row, error) {
-	site := Setups{Rate: 1, Playing: s.Playing, Nodes: s.Nodes, Racks: s.Racks, Titles: s.Titles, Seed: seed}
+func (s *Scenario) play(ctx context.Context, theatre Launcher, run string, seed uint64) ([]ArchiveRow, error) {
+	site := SetupLoad{Rate: 1, Playing: s.Playing, Nodes: s.Nodes, Racks: s.Racks, Titles: s.Titles, Seed: seed}
 	st, err := site.open()
 	if err != nil {
 		return nil, err
 	}
 	defer st.close()
-	var directors []Watched
+	var directors []MonitoredProcess
 	defer func() {
 		var wait sync.WaitGroup
 		for _, d := range directors {
@@ -79,11 +79,11 @@
 		m := st.machines[0]
 		err := scenarioTemplate.Execute(&text, map[string]any{"Me": i, "Directors": s.Directors, "List": st.list.Address(), "Nodes": s.Nodes,
 			"Racks": s.Racks, "Link": m.LinkRate, "Uplink": m.LinkRate * float64((s.Nodes+s.Racks-1)/s.Racks), "Places": m.MaxStreams,
-			"Ping": s.Ping.String(), "Room": s.Room})
+			"Ping": s.Ping.String(), "Room": s.MaxConnections})
 		if err != nil {
 			return nil, err
 		}
-		d, err := theatre.Director(text.Bytes(), s.Cores)
+		d, err := theatre.StartDirector(text.Bytes(), s.Cores)
 		if err != nil {
 			return nil, err
 		}
@@ -94,9 +94,9 @@
 
 	cast := make([]*client, s.Clients)
 	for i := range cast {
-		o := Order{Client: i, Seed: seed, Directors: addresses, Titles: s.Titles, Warm: s.Warm, For: s.For}
+		o := ClientOrder{Client: i, Seed: seed, Directors: addresses, Titles: s.Titles, Warmup: s.Warmup, Duration: s.Duration}
 		for _, p := range s.Parts {
-			if p = p.deal(i, s.Clients); p.Connections > 0 && (run == "with" || !slices.Contains(s.Without, p.Name)) {
+			if p = p.deal(i, s.Clients); p.Connections > 0 && (run == "with" || !slices.Contains(s.ExcludedParts, p.Name)) {
 				o.Parts = append(o.Parts, p)
 			}
 		}
@@ -113,7 +113,7 @@
 		}
 	}
 	for _, d := range directors {
-		d.Collect() // what connecting left behind is no part of what connections cost
+		d.CollectGarbage() // what connecting left behind is no part of what connections cost
 	}
 	began := witness.MonotonicNow() + 200*time.Millisecond
 	for _, c := range cast {
@@ -121,11 +121,11 @@
 			return nil, err
 		}
 	}
-	seconds := int((s.Warm+s.For)/time.Second) + 1
-	var rows []Row
-	watched := make(chan []Row)
+	seconds := int((s.Warmup+s.Duration)/time.Second) + 1
+	var rows []ArchiveRow
+	watched := make(chan []ArchiveRow)
 	go func() { watched <- s.watch(directors, run, began, seconds) }()
-	all := map[string]*Row{}
+	all := map[string]*ArchiveRow{}
 	for _, c := range cast {
 		if err := c.read(run, all, seconds*len(c.order.Parts)); err != nil {
 			<-watched
@@ -148,7 +148,7 @@
 }
 
 // watch reads what the directors use, each second.
-func (s *Scenario) watch(directors []Watched, run string, began time.Duration, seconds int) (rows []Row) {
+func (s *Scenario) watch(directors []MonitoredProcess, run string, began time.Duration, seconds int) (rows []ArchiveRow) {
 	before := make([]time.Duration, len(directors))
 	last := witness.MonotonicNow()
 	for i, d := range directors {
@@ -159,12 +159,12 @@
 		kernel := socketMemory()
 		now := witness.MonotonicNow()
 		for i, d := range directors {
-			figures := d.Figures()
+			figures := d.Metrics()
 			cpu := d.CPU()
-			rows = append(rows, Row{Run: run, Sample: Sample{Second: second}, Director: i, Used: &Used{
+			rows = append(rows, ArchiveRow{Run: run, Sample: Sample{Second: second}, Director: i, Usage: &ProcessUsage{
 				CPU: (cpu - before[i]).Seconds() / (now - last).Seconds(), RSS: float64(d.RSS()), Heap: figures["go_memstats_heap_inuse_bytes"],
-				Kernel: kernel, Conns: figures["fordusher_player_connections"], Late: figures["fordusher_loop_late_seconds"],
-				Mode: figures["fordusher_room_mode"]}})
+				SocketMemory: kernel, Conns: figures["fordusher_player_connections"], LoopDelay: figures["fordusher_loop_late_seconds"],
+				OverloadMode: figures["fordusher_room_mode"]}})
 			before[i] = cpu
 		}
 		last = now
@@ -174,19 +174,19 @@
 
 // A client is a client process as the parent has it.
 type client struct {
-	order Order
+	order ClientOrder
 	in    io.WriteCloser
 	out   *bufio.Reader
 	end   func()
 }
 
-func hire(theatre Theatre, o Order) (*client, error) {
+func hire(theatre Launcher, o ClientOrder) (*client, error) {
 	line, err := json.Marshal(o)
 	if err != nil {
 		return nil, err
 	}
 	c := &client{order: o}
-	if c.in, c.out, c.end, err = theatre.Client(); err != nil {
+	if c.in, c.out, c.end, err = theatre.StartClient(); err != nil {
 		return nil, err
 	}
 	if _, err := c.in.Write(append(line, '\n')); err != nil {
@@ -197,7 +197,7 @@
 }
 
 // read adds a client's samples to the rows of all.
-func (c *client) read(run string, all map[string]*Row, n int) error {
+func (c *client) read(run string, all map[string]*ArchiveRow, n int) error {
 	d := json.NewDecoder(c.out)
 	for range n {
 		var x Sample
@@ -207,7 +207,7 @@
 		key := fmt.Sprint(x.Second, x.Part)
 		r := all[key]
 		if r == nil {
-			r = &Row{Run: run, Sample: Sample{Second: x.Second, Part: x.Part}}
+			r = &ArchiveRow{Run: run, Sample: Sample{Second: x.Second, Part: x.Part}}
 			all[key] = r
 		}
 		r.add(&x)
@@ -228,5 +228,5 @@
 // add adds another's counts.
 func (s *Sample) add(x *Sample) {
 	s.Due, s.Answered, s.Nacked, s.Errored = s.Due+x.Due, s.Answered+x.Answered, s.Nacked+x.Nacked, s.Errored+x.Errored
-	s.Turned, s.Lost, s.Open = s.Turned+x.Turned, s.Lost+x.Lost, s.Open+x.Open
+	s.Rejected, s.Lost, s.Open = s.Rejected+x.Rejected, s.Lost+x.Lost, s.Open+x.Open
 }
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -23,15 +23,15 @@
 	"fordusher/internal/witness"
 )
 
-// An Order is what a client process is told on its standard input, one JSON object on a line.
-type Order struct {
+// An ClientOrder is what a client process is told on its standard input, one JSON object on a line.
+type ClientOrder struct {
 	Client    int           `json:"client"`
 	Seed      uint64        `json:"seed"`
 	Parts     []Part        `json:"parts"`
 	Directors []string      `json:"directors"`
 	Titles    int           `json:"titles"`
-	Warm      time.Duration `json:"warm"`
-	For       time.Duration `json:"for"`
+	Warmup    time.Duration `json:"warm"`
+	Duration  time.Duration `json:"for"`
 }
 
 // A Sample is what one part of one client did in one second.
@@ -42,7 +42,7 @@
 	Answered int64  `json:"answered"` // as wished: it plays
 	Nacked   int64  `json:"nacked"`
 	Errored  int64  `json:"errored"`
-	Turned   int64  `json:"turned"` // connections turned away or failed
+	Rejected int64  `json:"turned"` // connections turned away or failed
 	Lost     int64  `json:"lost"`   // connections that ended without our doing
 	Open     int64  `json:"open"`   // connections now
 	Latency  []byte `json:"latency,omitempty"`
@@ -92,7 +92,7 @@
 // A crowd is one part's clients in one process.
 type crowd struct {
 	Part
-	o      Order
+	o      ClientOrder
 	r      *rand.Rand // of the schedule
 	source netip.Addr
 	tally  tally
@@ -102,15 +102,15 @@
 	asked  map[*transport.Conn][]time.Duration // chatter: due times of repetitions under way, at most 64 each
 }
 
-// Client is a client process: it reads an order from in, connects, says that it is ready, waits for a line
+// RunClient is a client process: it reads an order from in, connects, says that it is ready, waits for a line
 // with the time to begin, and writes a sample a second for each part.
-func Client(ctx context.Context, in io.Reader, out io.Writer) error {
+func RunClient(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, 1<<20)
 	if !lines.Scan() {
 		return fmt.Errorf("no order")
 	}
-	var o Order
+	var o ClientOrder
 	if err := json.Unmarshal(lines.Bytes(), &o); err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 	for _, c := range crowds {
 		wait.Go(func() { c.run(ctx, time.Duration(began)) })
 	}
-	seconds := int((o.Warm + o.For) / time.Second)
+	seconds := int((o.Warmup + o.Duration) / time.Second)
 	for second := range seconds + 1 { // the last is for answers to what was due before
 		time.Sleep(time.Duration(began) + time.Duration(second+1)*time.Second - witness.MonotonicNow())
 		for _, c := range crowds {
@@ -187,7 +187,7 @@
 				var err error
 				var x *transport.Conn
 				var raw net.Conn
-				if c.Kind == KindSlow || c.Kind == KindNever {
+				if c.Kind == KindSlowReaders || c.Kind == KindNeverReaders {
 					raw, err = c.stubborn(i)
 				} else {
 					x, err = c.dial(i)
@@ -217,7 +217,7 @@
 		c.schedule(ctx, began, func(n int, due time.Duration) {
 			c.ask(c.conns[n%len(c.conns)], "s"+strconv.FormatInt(int64(due), 36), n)
 		})
-	case KindChatter:
+	case KindDuplicates:
 		for i, x := range c.conns {
 			c.ask(x, "c", i)
 		}
@@ -243,7 +243,7 @@
 		<-ctx.Done()
 		return
 	}
-	due, end := began, began+c.o.Warm+c.o.For
+	due, end := began, began+c.o.Warmup+c.o.Duration
 	for n := 0; ; n++ {
 		due += time.Duration(c.r.ExpFloat64() / c.Rate * float64(time.Second))
 		if due >= end || ctx.Err() != nil {
@@ -260,8 +260,8 @@
 // ask asks for a session; the id of a set-up's request holds when it was due.
 func (c *crowd) ask(x *transport.Conn, id string, n int) {
 	length := c.Length
-	if c.Kind == KindChatter {
-		length = c.o.Warm + c.o.For
+	if c.Kind == KindDuplicates {
+		length = c.o.Warmup + c.o.Duration
 	}
 	x.Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip", Title: "title-" + strconv.Itoa(n%c.o.Titles),
 		Key: fmt.Sprintf("%s-%d-%d-%s", c.Name, c.o.Client, n, id), WaitMS: 3000, LengthMS: length.Milliseconds()}), 0)
@@ -321,14 +321,14 @@
 		select {
 		case slots <- true:
 		default:
-			c.tally.add(func(s *Sample) { s.Turned++ })
+			c.tally.add(func(s *Sample) { s.Rejected++ })
 			return
 		}
 		wait.Go(func() {
 			defer func() { <-slots }()
 			x, err := c.dial(n)
 			if err != nil {
-				c.tally.add(func(s *Sample) { s.Turned++ })
+				c.tally.add(func(s *Sample) { s.Rejected++ })
 				return
 			}
 			c.ask(x, "r"+strconv.FormatInt(int64(due), 36), n)
@@ -390,7 +390,7 @@
 // press lets clients that do not read make the director write: each burst is pings on one connection, each
 // of which it has to answer. A connection that the director ends is replaced.
 func (c *crowd) press(ctx context.Context, began time.Duration) {
-	if c.Kind == KindSlow {
+	if c.Kind == KindSlowReaders {
 		for i := range c.raw {
 			go c.sip(ctx, i)
 		}
@@ -432,7 +432,7 @@
 	c.tally.add(func(s *Sample) { s.Lost++ })
 	x, err := c.stubborn(i)
 	if err != nil {
-		c.tally.add(func(s *Sample) { s.Turned++ })
+		c.tally.add(func(s *Sample) { s.Rejected++ })
 		return
 	}
 	c.mu.Lock()
--- a/internal/load/idle.go
+++ b/internal/load/idle.go
@@ -27,10 +27,10 @@
 	"fordusher/internal/witness"
 )
 
-// Idle is a load of players that are connected and say nothing.
-type Idle struct {
+// IdleLoad is a load of players that are connected and say nothing.
+type IdleLoad struct {
 	Connections int           `json:"connections"`
-	For         time.Duration `json:"for"`  // how long the processor time of idleness is measured
+	Duration    time.Duration `json:"for"`  // how long the processor time of idleness is measured
 	Ping        time.Duration `json:"ping"` // as the processes were started with; told with the results
 }
 
@@ -46,23 +46,23 @@
 	Goroutines  int     `json:"goroutines"`
 }
 
-// A Watched process tells what it uses.
-type Watched interface {
+// A MonitoredProcess process tells what it uses.
+type MonitoredProcess interface {
 	Process
 	RSS() int64
-	// Collect makes it collect its garbage.
-	Collect()
-	// Figures reads the process's own metrics page.
-	Figures() map[string]float64
+	// CollectGarbage makes it collect its garbage.
+	CollectGarbage()
+	// Metrics reads the process's own metrics page.
+	Metrics() map[string]float64
 }
 
 // Run opens idle connections to a process and measures what they cost it.
-func (i Idle) Run(ctx context.Context, name string, p Watched) (*IdleResult, error) {
+func (i IdleLoad) Run(ctx context.Context, name string, p MonitoredProcess) (*IdleResult, error) {
 	settle := func() (heap, stacks, rss, kernel float64) {
 		time.Sleep(2 * time.Second)
-		p.Collect()
-		p.Collect()
-		f := p.Figures()
+		p.CollectGarbage()
+		p.CollectGarbage()
+		f := p.Metrics()
 		return f["go_memstats_heap_inuse_bytes"], f["go_memstats_stack_inuse_bytes"], float64(p.RSS()), socketMemory()
 	}
 	heap0, stacks0, rss0, kernel0 := settle()
@@ -102,11 +102,11 @@
 	n := float64(len(conns))
 	heap, stacks, rss, kernel := settle()
 	cpu := p.CPU()
-	time.Sleep(i.For)
+	time.Sleep(i.Duration)
 	cpu = p.CPU() - cpu
 	r := &IdleResult{Name: name, Connections: len(conns), Heap: (heap - heap0) / n, Stacks: (stacks - stacks0) / n, RSS: (rss - rss0) / n,
-		Kernel: (kernel - kernel0) / n, CPU: float64(cpu.Microseconds()) / 1000 / n * float64(time.Minute) / float64(i.For),
-		Goroutines: int(p.Figures()["go_goroutines"])}
+		Kernel: (kernel - kernel0) / n, CPU: float64(cpu.Microseconds()) / 1000 / n * float64(time.Minute) / float64(i.Duration),
+		Goroutines: int(p.Metrics()["go_goroutines"])}
 	if lost := h.closed.Load(); lost > 0 {
 		return r, fmt.Errorf("%s: %d connections were lost", name, lost)
 	}
@@ -148,9 +148,9 @@
 	return b.String()
 }
 
-// Plain is the baseline: the same door written with a goroutine and a timer for each connection, as the
+// ServeBaseline is the baseline: the same door written with a goroutine and a timer for each connection, as the
 // standard library suggests. It answers handshakes, pings every so often, and reads until it is closed.
-func Plain(ctx context.Context, ln net.Listener, ping time.Duration) error {
+func ServeBaseline(ctx context.Context, ln net.Listener, ping time.Duration) error {
 	server := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		up := ws.HTTPUpgrader{Protocol: func(p string) bool { return p == wire.SessionProtocol }}
 		conn, rw, _, err := up.Upgrade(r, w)
@@ -191,36 +191,36 @@
 	}
 }
 
-// Million is a director with idle connections in memory, below the same connection code, while set-ups go
+// InMemoryLoad is a director with idle connections in memory, below the same connection code, while set-ups go
 // on over sockets and drains come in.
-type Million struct {
+type InMemoryLoad struct {
 	Connections int           `json:"connections"`
 	Ping        time.Duration `json:"ping"`
 	Rate        float64       `json:"rate"` // set-ups a second
-	For         time.Duration `json:"for"`
+	Duration    time.Duration `json:"for"`
 	Nodes       int           `json:"nodes"`
 }
 
-// MillionResult is how that went.
-type MillionResult struct {
-	Million
-	Bytes     float64 `json:"bytes"`        // of Go's memory for each connection, all in
-	Record    float64 `json:"record_bytes"` // of these, the loop's and the limits' record with its timer
-	Before    *Result `json:"before"`       // set-ups without the idle connections
-	Among     *Result `json:"among"`        // set-ups among them, signs of life going on
-	Together  *Result `json:"together"`     // set-ups while all timers are due at once
-	Drains    int     `json:"drains"`
-	DrainMost float64 `json:"drain_most_ms"` // longest from word of a drain until the last set-up to that node
-	Pings     int64   `json:"pings"`
-	Lost      int64   `json:"lost"`
+// InMemoryResult is how that went.
+type InMemoryResult struct {
+	InMemoryLoad
+	Bytes         float64      `json:"bytes"`        // of Go's memory for each connection, all in
+	RecordBytes   float64      `json:"record_bytes"` // of these, the loop's and the limits' record with its timer
+	Before        *SetupResult `json:"before"`       // set-ups without the idle connections
+	WithIdle      *SetupResult `json:"among"`        // set-ups among them, signs of life going on
+	TimersAligned *SetupResult `json:"together"`     // set-ups while all timers are due at once
+	Drains        int          `json:"drains"`
+	MaxDrainDelay float64      `json:"drain_most_ms"` // longest from word of a drain until the last set-up to that node
+	Pings         int64        `json:"pings"`
+	Lost          int64        `json:"lost"`
 }
 
 const handshake = "GET / HTTP/1.1\r\nHost: d\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\n" +
 	"Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Protocol: " + wire.SessionProtocol + "\r\n\r\n"
 
 // Run measures; the program should run on so many cores as are to be told of.
-func (x Million) Run(ctx context.Context, say func(format string, args ...any)) (*MillionResult, error) {
-	s := Setups{Rate: x.Rate, Playing: int(x.Rate), For: x.For, Warm: time.Second, Nodes: x.Nodes, Racks: max(1, x.Nodes/7), Titles: 50,
+func (x InMemoryLoad) Run(ctx context.Context, say func(format string, args ...any)) (*InMemoryResult, error) {
+	s := SetupLoad{Rate: x.Rate, Playing: int(x.Rate), Duration: x.Duration, Warmup: time.Second, Nodes: x.Nodes, Racks: max(1, x.Nodes/7), Titles: 50,
 		Connections: 50, Seed: 1}
 	record := &witness.Recorder{}
 	st, err := s.openWith(record)
@@ -243,8 +243,8 @@
 	}
 	defer d.Kill()
 	time.Sleep(1500 * time.Millisecond)
-	r := &MillionResult{Million: x, Record: x.record(house)}
-	say("%.0f bytes a record with its timer", r.Record)
+	r := &InMemoryResult{InMemoryLoad: x, RecordBytes: x.record(house)}
+	say("%.0f bytes a record with its timer", r.RecordBytes)
 	if r.Before, err = s.against(ctx, st, d.Address(), "before"); err != nil {
 		return nil, err
 	}
@@ -282,13 +282,13 @@
 	}
 	r.Bytes = (inUse() - before) / float64(x.Connections)
 	say("%.0f bytes a connection", r.Bytes)
-	if r.Among, err = s.against(ctx, st, d.Address(), "among"); err != nil {
+	if r.WithIdle, err = s.against(ctx, st, d.Address(), "among"); err != nil {
 		return nil, err
 	}
 	// All timers due at once: the clock jumps by a span of signs of life, in the middle of the load; a drain
 	// comes every so often.
 	go func() {
-		time.Sleep(s.Warm + x.For/4)
+		time.Sleep(s.Warmup + x.Duration/4)
 		d.AdvanceClock(x.Ping)
 	}()
 	stop := make(chan bool)
@@ -311,29 +311,29 @@
 			st.list.UpdateNode(e, 0, 700*time.Millisecond)
 		}
 	}()
-	r.Together, err = s.against(ctx, st, d.Address(), "together")
+	r.TimersAligned, err = s.against(ctx, st, d.Address(), "together")
 	close(stop)
 	r.Drains = <-drained
 	if err != nil {
 		return nil, err
 	}
-	r.DrainMost = drainMost(record.Records())
+	r.MaxDrainDelay = drainMost(record.Records())
 	r.Pings, r.Lost = pings.Load(), lost.Load()
 	runtime.KeepAlive(conns)
 	return r, nil
 }
 
-// Ends tells why twice as many connections need not be tried, with so much memory free; empty: they can be.
-func (r *MillionResult) Ends(free float64) string {
+// LimitReason tells why twice as many connections need not be tried, with so much memory free; empty: they can be.
+func (r *InMemoryResult) LimitReason(free float64) string {
 	const grace = 250 // ms, the drain grace that the load's house has
-	answered := r.Together.Played + r.Together.Nacked + r.Together.Errored
+	answered := r.TimersAligned.Played + r.TimersAligned.Nacked + r.TimersAligned.Errored
 	switch {
-	case r.DrainMost > grace:
-		return fmt.Sprintf("a set-up came to a node %.0f ms after word of its drain", r.DrainMost)
+	case r.MaxDrainDelay > grace:
+		return fmt.Sprintf("a set-up came to a node %.0f ms after word of its drain", r.MaxDrainDelay)
 	case r.Lost > 0:
 		return fmt.Sprintf("%d connections were lost", r.Lost)
-	case answered < int64(r.Together.Due):
-		return fmt.Sprintf("%d of %d set-ups were not answered in time", int64(r.Together.Due)-answered, r.Together.Due)
+	case answered < int64(r.TimersAligned.Due):
+		return fmt.Sprintf("%d of %d set-ups were not answered in time", int64(r.TimersAligned.Due)-answered, r.TimersAligned.Due)
 	case 2*r.Bytes*float64(r.Connections)*1.5 > free: // a collection needs room beside what is held
 		return fmt.Sprintf("twice as many need %.1f GiB and room for a collection, %.1f GiB are free", 2*r.Bytes*float64(r.Connections)/(1<<30), free/(1<<30))
 	}
@@ -341,7 +341,7 @@
 }
 
 // record measures what the loop and the limits hold for a connection, its timer in it, without transport.
-func (x Million) record(house *conf.Config) float64 {
+func (x InMemoryLoad) record(house *conf.Config) float64 {
 	before := inUse()
 	l := house.NewLoop("1", 1, house.NewDecider(1))
 	for i := range x.Connections {
@@ -388,8 +388,8 @@
 }
 
 // Table writes it.
-func (r *MillionResult) Table() string {
+func (r *InMemoryResult) Table() string {
 	return fmt.Sprintf("%d idle connections: %.0f bytes each in all, %.2f GiB; record with its timer %.0f bytes\n", r.Connections, r.Bytes,
-		r.Bytes*float64(r.Connections)/(1<<30), r.Record) + Table(r.Before, r.Among, r.Together) +
-		fmt.Sprintf("%d drains, longest until the last set-up %.1f ms; %d signs of life asked for, %d connections lost\n", r.Drains, r.DrainMost, r.Pings, r.Lost)
+		r.Bytes*float64(r.Connections)/(1<<30), r.RecordBytes) + SetupTable(r.Before, r.WithIdle, r.TimersAligned) +
+		fmt.Sprintf("%d drains, longest until the last set-up %.1f ms; %d signs of life asked for, %d connections lost\n", r.Drains, r.MaxDrainDelay, r.Pings, r.Lost)
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -30,12 +30,12 @@
 
 var houseTemplate = template.Must(template.New("house").Parse(houseText))
 
-// Setups is a load of set-ups at a steady rate, with so many sessions playing meanwhile.
-type Setups struct {
+// SetupLoad is a load of set-ups at a steady rate, with so many sessions playing meanwhile.
+type SetupLoad struct {
 	Rate        float64       `json:"rate"` // a second
 	Playing     int           `json:"playing"`
-	For         time.Duration `json:"for"`  // measured
-	Warm        time.Duration `json:"warm"` // before that, at the same rate
+	Duration    time.Duration `json:"for"`  // measured
+	Warmup      time.Duration `json:"warm"` // before that, at the same rate
 	Nodes       int           `json:"nodes"`
 	Racks       int           `json:"racks"`
 	Titles      int           `json:"titles"`
@@ -43,8 +43,8 @@
 	Seed        uint64        `json:"seed"`
 }
 
-// Result is how one run of a load went.
-type Result struct {
+// SetupResult is how one run of a load went.
+type SetupResult struct {
 	Name      string    `json:"name"`
 	Due       int       `json:"due"`
 	Played    int64     `json:"played"`
@@ -69,17 +69,17 @@
 
 // A site is the stand-ins of one run.
 type site struct {
-	s        Setups
+	s        SetupLoad
 	host     *node.Host
 	list     *list.Source
 	machines []node.Spec
 	titles   []wire.TitlePlacement
 }
 
-func (s Setups) open() (*site, error) { return s.openWith(witness.DiscardRecorder) }
+func (s SetupLoad) open() (*site, error) { return s.openWith(witness.DiscardRecorder) }
 
 // openWith starts the stand-ins with a recorder.
-func (s Setups) openWith(record *witness.Recorder) (*site, error) {
+func (s SetupLoad) openWith(record *witness.Recorder) (*site, error) {
 	st := &site{s: s}
 	r := rand.New(rand.NewPCG(s.Seed, 3))
 	const middle = 703.0
@@ -160,11 +160,11 @@
 
 var quantiles = []float64{0, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.95, 99.99, 100}
 
-func (m *meter) result(name string, due int) *Result {
+func (m *meter) result(name string, due int) *SetupResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at := func(q float64) float64 { return float64(m.h.ValueAtQuantile(q)) / 1000 }
-	r := &Result{Name: name, Due: due, Played: m.played, Nacked: m.nacked.Load(), Errored: m.errored.Load(),
+	r := &SetupResult{Name: name, Due: due, Played: m.played, Nacked: m.nacked.Load(), Errored: m.errored.Load(),
 		P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(m.h.Max()) / 1000}
 	for _, q := range quantiles {
 		r.Quantiles = append(r.Quantiles, q)
@@ -175,9 +175,9 @@
 
 // schedule calls send for each request when it is due, or at once where that is past, and tells how many
 // were due after the warm-up. Gaps are drawn from the exponential distribution.
-func (s Setups) schedule(ctx context.Context, began time.Duration, send func(n int, due time.Duration)) (measured int) {
+func (s SetupLoad) schedule(ctx context.Context, began time.Duration, send func(n int, due time.Duration)) (measured int) {
 	r := rand.New(rand.NewPCG(s.Seed, 4))
-	from, end := began+s.Warm, began+s.Warm+s.For
+	from, end := began+s.Warmup, began+s.Warmup+s.Duration
 	due := began
 	for n := 1; ; n++ {
 		due += time.Duration(r.ExpFloat64() / s.Rate * float64(time.Second))
@@ -196,15 +196,15 @@
 
 var bounds = transport.Limits{MaxMessageBytes: wire.MaxNodeMessageBytes, MaxQueuedBytes: 64 << 20, WriteTimeout: 10 * time.Second}
 
-// Direct measures players that speak to nodes themselves: what is there without a director.
-func (s Setups) Direct(ctx context.Context) (*Result, error) {
+// RunDirect measures players that speak to nodes themselves: what is there without a director.
+func (s SetupLoad) RunDirect(ctx context.Context) (*SetupResult, error) {
 	st, err := s.open()
 	if err != nil {
 		return nil, err
 	}
 	defer st.close()
 	began := witness.MonotonicNow()
-	m := newMeter(began + s.Warm)
+	m := newMeter(began + s.Warmup)
 	h := &direct{m: m}
 	var conns []*transport.Conn
 	for _, x := range st.machines {
@@ -216,7 +216,7 @@
 		conns = append(conns, c)
 	}
 	began = witness.MonotonicNow()
-	m.from = began + s.Warm
+	m.from = began + s.Warmup
 	length := s.length()
 	due := s.schedule(ctx, began, func(n int, due time.Duration) {
 		conns[n%len(conns)].Send(wire.Encode(wire.NodeMessage{Type: wire.Setup, Leg: uint64(due), Session: "s", Tariff: "clip", Title: "t",
@@ -227,7 +227,7 @@
 }
 
 // length is how long a session plays so that so many play at one time.
-func (s Setups) length() time.Duration {
+func (s SetupLoad) length() time.Duration {
 	return max(time.Millisecond, time.Duration(float64(s.Playing)/s.Rate*float64(time.Second)))
 }
 
@@ -249,8 +249,8 @@
 	}
 }
 
-// Through measures players that ask a director.
-func (s Setups) Through(ctx context.Context, launch func(house []byte) (Process, error)) (*Result, error) {
+// RunThroughDirector measures players that ask a director.
+func (s SetupLoad) RunThroughDirector(ctx context.Context, launch func(house []byte) (Process, error)) (*SetupResult, error) {
 	st, err := s.open()
 	if err != nil {
 		return nil, err
@@ -279,12 +279,12 @@
 }
 
 // against measures players that ask a director which runs already.
-func (s Setups) against(ctx context.Context, st *site, address, name string) (*Result, error) {
+func (s SetupLoad) against(ctx context.Context, st *site, address, name string) (*SetupResult, error) {
 	return s.measure(ctx, st, address, name, func() {})
 }
 
 // measure puts the load on a director; begin is called when what is due begins to count.
-func (s Setups) measure(ctx context.Context, st *site, address, name string, begin func()) (*Result, error) {
+func (s SetupLoad) measure(ctx context.Context, st *site, address, name string, begin func()) (*SetupResult, error) {
 	m := newMeter(0)
 	h := &through{m: m}
 	var conns []*transport.Conn
@@ -297,7 +297,7 @@
 		conns = append(conns, c)
 	}
 	began := witness.MonotonicNow()
-	m.from = began + s.Warm
+	m.from = began + s.Warmup
 	length := s.length()
 	counts := false
 	due := s.schedule(ctx, began, func(n int, due time.Duration) {
@@ -335,8 +335,8 @@
 	}
 }
 
-// Table writes results side by side.
-func Table(results ...*Result) string {
+// SetupTable writes results side by side.
+func SetupTable(results ...*SetupResult) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-20s %8s %8s %7s %8s %9s %9s %9s %9s %9s %6s\n", "", "due", "played", "nacked", "errored", "p50 ms", "p90 ms", "p99 ms",
 		"p99.9 ms", "max ms", "cores")
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -12,8 +12,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Chart draws latency over quantiles into a file, whose ending (.svg, .png) tells the form.
-func Chart(file, title string, results ...*Result) error {
+// DrawLatencyChart draws latency over quantiles into a file, whose ending (.svg, .png) tells the form.
+func DrawLatencyChart(file, title string, results ...*SetupResult) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "share of requests"
@@ -46,28 +46,28 @@
 // scenario says what to leave out, the ratio of each part's p99 with it to that without.
 func (a *Archive) Table() string {
 	var b strings.Builder
-	s := a.Head.Scenario
+	s := a.Header.Scenario
 	fmt.Fprintf(&b, "%s: %d directors of %d cores, %d clients, %v after %v, %d repeats; machine of %d cores, %s\n", s.Name, s.Directors, s.Cores,
-		s.Clients, s.For, s.Warm, s.Repeats, a.Head.Cores, a.Head.At)
+		s.Clients, s.Duration, s.Warmup, s.Repeats, a.Header.Cores, a.Header.At)
 	fmt.Fprintf(&b, "%-8s %-14s %9s %9s %8s %8s %8s %8s %8s %9s %9s %9s\n", "run", "part", "due", "answered", "nacked", "errored", "turned", "lost", "open",
 		"p50 ms", "p99 ms", "max ms")
 	all := a.Summaries()
 	for _, x := range all {
-		fmt.Fprintf(&b, "%-8s %-14s %9d %9d %8d %8d %8d %8d %8d", x.Run, x.Part, x.Due, x.Answered, x.Nacked, x.Errored, x.Turned, x.Lost, x.Open)
+		fmt.Fprintf(&b, "%-8s %-14s %9d %9d %8d %8d %8d %8d %8d", x.Run, x.Part, x.Due, x.Answered, x.Nacked, x.Errored, x.Rejected, x.Lost, x.Open)
 		if x.h.TotalCount() > 0 {
-			fmt.Fprintf(&b, " %9.3f %9.3f %9.3f", x.P(50), x.P(99), float64(x.h.Max())/1000)
+			fmt.Fprintf(&b, " %9.3f %9.3f %9.3f", x.Percentile(50), x.Percentile(99), float64(x.h.Max())/1000)
 		}
 		b.WriteByte('\n')
 	}
-	warm := int(s.Warm / time.Second)
+	warm := int(s.Warmup / time.Second)
 	for _, run := range a.runs() {
 		var n, cpu, rss, heap, kernel, conns, late float64
 		for _, r := range a.Rows {
-			if r.Run == run && r.Used != nil && r.Second >= warm {
+			if r.Run == run && r.Usage != nil && r.Second >= warm {
 				n++
-				cpu += r.Used.CPU
-				conns += r.Used.Conns
-				rss, heap, kernel, late = max(rss, r.Used.RSS), max(heap, r.Used.Heap), max(kernel, r.Used.Kernel), max(late, r.Used.Late)
+				cpu += r.Usage.CPU
+				conns += r.Usage.Conns
+				rss, heap, kernel, late = max(rss, r.Usage.RSS), max(heap, r.Usage.Heap), max(kernel, r.Usage.SocketMemory), max(late, r.Usage.LoopDelay)
 			}
 		}
 		if n > 0 {
@@ -78,41 +78,41 @@
 	for _, x := range all {
 		for _, y := range all {
 			if x.Run == "with" && y.Run == "without" && x.Part == y.Part && y.h.TotalCount() > 0 && x.h.TotalCount() > 0 {
-				fmt.Fprintf(&b, "%s, p99 with %s over without: %.2f (p50 %.2f)\n", x.Part, strings.Join(s.Without, ", "), x.P(99)/y.P(99), x.P(50)/y.P(50))
+				fmt.Fprintf(&b, "%s, p99 with %s over without: %.2f (p50 %.2f)\n", x.Part, strings.Join(s.ExcludedParts, ", "), x.Percentile(99)/y.Percentile(99), x.Percentile(50)/y.Percentile(50))
 			}
 		}
 	}
 	return b.String()
 }
 
-// Charts draws an archive into files that begin with a path: p99 by second, what directors used by second.
-func (a *Archive) Charts(path, form string) (drawn []string, err error) {
+// DrawCharts draws an archive into files that begin with a path: p99 by second, what directors used by second.
+func (a *Archive) DrawCharts(path, form string) (drawn []string, err error) {
 	type series struct {
 		file, title, unit string
-		of                func(r *Row) (name string, y float64, ok bool)
+		of                func(r *ArchiveRow) (name string, y float64, ok bool)
 	}
-	part := func(f func(r *Row) float64) func(r *Row) (string, float64, bool) {
-		return func(r *Row) (string, float64, bool) {
+	part := func(f func(r *ArchiveRow) float64) func(r *ArchiveRow) (string, float64, bool) {
+		return func(r *ArchiveRow) (string, float64, bool) {
 			if r.Part == "" || r.h == nil {
 				return "", 0, false
 			}
 			return r.Part + " " + r.Run, f(r), true
 		}
 	}
-	used := func(f func(u *Used) float64) func(r *Row) (string, float64, bool) {
-		return func(r *Row) (string, float64, bool) {
-			if r.Used == nil {
+	used := func(f func(u *ProcessUsage) float64) func(r *ArchiveRow) (string, float64, bool) {
+		return func(r *ArchiveRow) (string, float64, bool) {
+			if r.Usage == nil {
 				return "", 0, false
 			}
-			return fmt.Sprintf("director %d %s", r.Director, r.Run), f(r.Used), true
+			return fmt.Sprintf("director %d %s", r.Director, r.Run), f(r.Usage), true
 		}
 	}
 	for _, x := range []series{
-		{"p99", "p99 of each second", "ms from the due time", part(func(r *Row) float64 { return float64(r.h.ValueAtQuantile(99)) / 1000 })},
-		{"answers", "answers as wished", "a second", part(func(r *Row) float64 { return float64(r.Answered) })},
-		{"cpu", "processor", "cores", used(func(u *Used) float64 { return u.CPU })},
-		{"memory", "resident memory", "MB", used(func(u *Used) float64 { return u.RSS / 1e6 })},
-		{"connections", "players connected", "", used(func(u *Used) float64 { return u.Conns })},
+		{"p99", "p99 of each second", "ms from the due time", part(func(r *ArchiveRow) float64 { return float64(r.h.ValueAtQuantile(99)) / 1000 })},
+		{"answers", "answers as wished", "a second", part(func(r *ArchiveRow) float64 { return float64(r.Answered) })},
+		{"cpu", "processor", "cores", used(func(u *ProcessUsage) float64 { return u.CPU })},
+		{"memory", "resident memory", "MB", used(func(u *ProcessUsage) float64 { return u.RSS / 1e6 })},
+		{"connections", "players connected", "", used(func(u *ProcessUsage) float64 { return u.Conns })},
 	} {
 		lines := map[string]plotter.XYs{}
 		var names []string
@@ -131,7 +131,7 @@
 			continue
 		}
 		p := plot.New()
-		p.Title.Text = a.Head.Scenario.Name + ": " + x.title
+		p.Title.Text = a.Header.Scenario.Name + ": " + x.title
 		p.X.Label.Text, p.Y.Label.Text = "seconds", x.unit
 		p.Y.Min = 0
 		p.Add(plotter.NewGrid())
--- a/internal/load/scenario_test.go
+++ b/internal/load/scenario_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestShippedScenariosAreRead(t *testing.T) {
-	names := Scenarios()
+	names := ScenarioNames()
 	if len(names) < 5 {
 		t.Fatal(names)
 	}
@@ -34,7 +34,7 @@
 		{`{"name": "a", "parts": [], "nodes": 2, "racks": 3}`, `there are 3 racks for 2 nodes`},
 		{`{"parts": [{"kind": "idle", "conections": 3}]}`, `"conections"`},
 	} {
-		_, err := ReadScenario("s", []byte(x.text))
+		_, err := ParseScenario("s", []byte(x.text))
 		if err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%s\n got %v\nwant %s", x.text, err, x.want)
 		}
@@ -60,8 +60,8 @@
 
 // An archive comes back as it was, sums up the measured seconds alone, and one that was cut off is named.
 func TestArchive(t *testing.T) {
-	s := &Scenario{Name: "x", Warm: time.Second, For: 2 * time.Second, Parts: []Part{{Name: "p", Kind: KindSetups}}}
-	a := &Archive{Head: Head{Scenario: s, Cores: 4}}
+	s := &Scenario{Name: "x", Warmup: time.Second, Duration: 2 * time.Second, Parts: []Part{{Name: "p", Kind: KindSetups}}}
+	a := &Archive{Header: ArchiveHeader{Scenario: s, Cores: 4}}
 	for second := range 3 {
 		h := newHistogram()
 		h.RecordValue(int64(1000 * (second + 1)))
@@ -69,8 +69,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Rows = append(a.Rows, Row{Run: "with", Sample: Sample{Second: second, Part: "p", Due: 10, Answered: 1, Latency: raw}},
-			Row{Run: "with", Sample: Sample{Second: second}, Used: &Used{CPU: 0.5, RSS: 1e6}})
+		a.Rows = append(a.Rows, ArchiveRow{Run: "with", Sample: Sample{Second: second, Part: "p", Due: 10, Answered: 1, Latency: raw}},
+			ArchiveRow{Run: "with", Sample: Sample{Second: second}, Usage: &ProcessUsage{CPU: 0.5, RSS: 1e6}})
 	}
 	dir := t.TempDir()
 	file := filepath.Join(dir, "a.zst")
@@ -82,13 +82,13 @@
 		t.Fatal(err)
 	}
 	sum := b.Summaries()
-	if len(sum) != 1 || sum[0].Due != 20 || sum[0].P(100) < 2.9 || sum[0].P(0) < 1.9 {
+	if len(sum) != 1 || sum[0].Due != 20 || sum[0].Percentile(100) < 2.9 || sum[0].Percentile(0) < 1.9 {
 		t.Fatalf("%+v", sum[0])
 	}
 	if !strings.Contains(b.Table(), "0.50 cores") {
 		t.Fatal(b.Table())
 	}
-	drawn, err := b.Charts(filepath.Join(dir, "x"), "svg")
+	drawn, err := b.DrawCharts(filepath.Join(dir, "x"), "svg")
 	if err != nil || len(drawn) != 5 {
 		t.Fatal(drawn, err)
 	}
@@ -106,22 +106,22 @@
 // Idle connections whose timers are all due in one moment, while set-ups go on and drains come: every set-up is
 // answered, none comes to a node after its grace, nobody is lost. The command with a million is the measure.
 func TestIdleTimersDueTogether(t *testing.T) {
-	x := Million{Connections: 20_000, Ping: time.Minute, Rate: 100, For: 1500 * time.Millisecond, Nodes: 10}
-	var r *MillionResult
+	x := InMemoryLoad{Connections: 20_000, Ping: time.Minute, Rate: 100, Duration: 1500 * time.Millisecond, Nodes: 10}
+	var r *InMemoryResult
 	for try := range 3 { // a machine that stands still is late by itself, but not three times running
 		var err error
 		if r, err = x.Run(t.Context(), t.Logf); err != nil {
 			t.Fatal(err)
 		}
-		if r.DrainMost <= 250 {
+		if r.MaxDrainDelay <= 250 {
 			break
 		}
-		t.Logf("try %d: latest set-up after %.0f ms", try, r.DrainMost)
+		t.Logf("try %d: latest set-up after %.0f ms", try, r.MaxDrainDelay)
 	}
-	if r.Lost > 0 || r.Drains == 0 || r.DrainMost > 250 {
-		t.Errorf("%d lost, %d drains, latest set-up after %.0f ms", r.Lost, r.Drains, r.DrainMost)
+	if r.Lost > 0 || r.Drains == 0 || r.MaxDrainDelay > 250 {
+		t.Errorf("%d lost, %d drains, latest set-up after %.0f ms", r.Lost, r.Drains, r.MaxDrainDelay)
 	}
-	for _, part := range []*Result{r.Before, r.Among, r.Together} {
+	for _, part := range []*SetupResult{r.Before, r.WithIdle, r.TimersAligned} {
 		if part.Due < 100 || part.Played+part.Nacked+part.Errored < int64(part.Due) {
 			t.Errorf("%+v", part)
 		}
