--- a/cmd/fordusher/scale.go
+++ b/cmd/fordusher/scale.go
@@ -42,7 +42,7 @@
 	var usual soak.Usage
 	broken := false
 	for i, n := range servers {
-		usage, err := soak.Measure(context.Background(), soak.ScaleOptions{Servers: n, Directors: directors[i], Length: c.Length, Program: program})
+		usage, err := soak.MeasureUsage(context.Background(), soak.ScaleOptions{Servers: n, Directors: directors[i], Length: c.Length, Program: program})
 		if err != nil {
 			return err
 		}
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -224,9 +224,9 @@
 		case r.void:
 			result.Void++
 		case !r.left.IsZero():
-			result.Left++
+			result.Cancelled++
 		case r.stood:
-			result.Stood++
+			result.Served++
 			if !r.over.IsZero() && !r.released {
 				l.violate(id, r, "it is over since %v and its client was not told", time.Since(r.over))
 			}
--- a/internal/soak/scale.go
+++ b/internal/soak/scale.go
@@ -51,8 +51,8 @@
 	listBytes   atomic.Int64
 }
 
-// Measure runs a director for a time and tells what it needed.
-func Measure(ctx context.Context, o ScaleOptions) (Usage, error) {
+// MeasureUsage runs a director for a time and tells what it needed.
+func MeasureUsage(ctx context.Context, o ScaleOptions) (Usage, error) {
 	r := &run{Options: Options{Seed: 1, Processes: 1, Servers: o.Servers, Directors: o.Directors, Length: o.Length, Program: o.Program, Faultless: true},
 		chance: rand.New(rand.NewPCG(1, 1)), ledger: newLedger()}
 	defer r.stop()
@@ -81,7 +81,7 @@
 	result := r.ledger.result(1, 0)
 	usage.Servers, usage.Descriptors = o.Servers, descriptors
 	usage.Connections, usage.ListBytes = r.fleet.counted.connections.Load(), r.fleet.counted.listBytes.Load()
-	usage.Requests, usage.Served, usage.Violations = result.Requests, result.Stood, result.Violations
+	usage.Requests, usage.Served, usage.Violations = result.Requests, result.Served, result.Violations
 	return usage, ctx.Err()
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -25,15 +25,15 @@
 
 // Result is what one run came to.
 type Result struct {
-	Seed                                 uint64
-	Requests, Stood, Refused, Left, Void int // Void: their director was killed
-	Attempts, Faults                     int
-	Violations                           []string
+	Seed                                       uint64
+	Requests, Served, Refused, Cancelled, Void int // Void: their director was killed
+	Attempts, Faults                           int
+	Violations                                 []string
 }
 
 func (r Result) String() string {
 	return fmt.Sprintf("seed %d: %d requests, %d stood, %d refused or failed, %d left, %d void, %d attempts, %d faults, %d violations",
-		r.Seed, r.Requests, r.Stood, r.Refused, r.Left, r.Void, r.Attempts, r.Faults, len(r.Violations))
+		r.Seed, r.Requests, r.Served, r.Refused, r.Cancelled, r.Void, r.Attempts, r.Faults, len(r.Violations))
 }
 
 // The spans of a run, beside Options.Length.
