--- a/cmd/fordusher/day.go
+++ b/cmd/fordusher/day.go
@@ -15,8 +15,8 @@
 	"fordusher/internal/conf"
 	"fordusher/internal/day"
 	"fordusher/internal/emulator"
-	"fordusher/internal/kept"
-	"fordusher/internal/witness"
+	"fordusher/internal/resultarchive"
+	"fordusher/internal/rulecheck"
 )
 
 type dayCommand struct {
@@ -53,7 +53,7 @@
 		if !c.Virtual {
 			return badInput{errors.New("--replay needs --virtual")}
 		}
-		_, records, err := kept.Load[witness.Limits, witness.Record](c.Replay)
+		_, records, err := resultarchive.Load[rulecheck.Limits, rulecheck.Record](c.Replay)
 		if err != nil {
 			return err
 		}
@@ -131,7 +131,7 @@
 		}
 	}
 	if c.Record != "" {
-		if err := kept.Save(c.Record, r.Limits, r.Records); err != nil {
+		if err := resultarchive.Save(c.Record, r.Limits, r.Records); err != nil {
 			return err
 		}
 	}
--- a/cmd/fordusher/standins.go
+++ b/cmd/fordusher/emulated.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"fordusher/internal/conf"
-	"fordusher/internal/standin/list"
+	"fordusher/internal/emulated/discovery"
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/transport"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
 type rosterCommand struct {
@@ -43,7 +43,7 @@
 }
 
 // carryOut lets the list say what a plan has, when it has it.
-func carryOut(source *list.Source, lines []planLine, at []time.Duration) {
+func carryOut(source *discovery.Source, lines []planLine, at []time.Duration) {
 	began := time.Now()
 	for i, l := range lines {
 		time.Sleep(at[i] - time.Since(began))
@@ -67,7 +67,7 @@
 			return err
 		}
 	}
-	source, err := list.Start(&witness.Recorder{}, all.Nodes, all.Titles)
+	source, err := discovery.Start(&rulecheck.Recorder{}, all.Nodes, all.Titles)
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 		}
 		born := time.Duration(0)
 		if e.UptimeMS > 0 {
-			born = witness.MonotonicNow() - time.Duration(e.UptimeMS)*time.Millisecond
+			born = rulecheck.MonotonicNow() - time.Duration(e.UptimeMS)*time.Millisecond
 		}
 		source.UpdateNode(e, born, 0)
 	}
--- a/cmd/fordusher/import.go
+++ b/cmd/fordusher/import.go
@@ -15,7 +15,7 @@
 	"fordusher/internal/haproxy"
 	"fordusher/internal/importer"
 	"fordusher/internal/wire"
-	"fordusher/turnover"
+	"fordusher/rollout"
 )
 
 // exitSkipped says that an import left something out.
@@ -192,29 +192,29 @@
 // planBetween asks the planner for the way from one house's nodes to another's, and lets its checker go
 // over what it says.
 func planBetween(old, now *conf.Config, t planTerms) ([]planLine, error) {
-	terms := turnover.Constraints{Cells: now.Fleet.Cells, Racks: now.Fleet.Racks, MaxPerRack: t.PerRack, MaxPerTitle: t.PerTitle, MaxWarming: t.Cold,
+	terms := rollout.Constraints{Cells: now.Fleet.Cells, Racks: now.Fleet.Racks, MaxPerRack: t.PerRack, MaxPerTitle: t.PerTitle, MaxWarming: t.Cold,
 		Warmup: now.Ramp.Warmup, DrainTime: t.Drain, PropagationDelay: t.Notice}
 	if old.Fleet.Cells != now.Fleet.Cells || old.Fleet.Racks != now.Fleet.Racks {
 		return nil, errors.New("no plan: fleet.cells or fleet.racks changed, which moves every title; start directors with the new file")
 	}
-	var titles []turnover.Title
+	var titles []rollout.Title
 	for _, t := range now.Titles {
-		titles = append(titles, turnover.Title{Name: t.Title, FirstCell: t.FirstCell, Copies: t.Copies})
+		titles = append(titles, rollout.Title{Name: t.Title, FirstCell: t.FirstCell, Copies: t.Copies})
 	}
 	entries := map[string]wire.NodeEntry{}
-	side := func(from []wire.NodeEntry) (all []turnover.Node) {
+	side := func(from []wire.NodeEntry) (all []rollout.Node) {
 		for _, e := range from {
-			all = append(all, turnover.Node{Name: e.Node, Cell: e.Cell, Up: e.State == wire.Up, Weight: e.Weight,
+			all = append(all, rollout.Node{Name: e.Node, Cell: e.Cell, Up: e.State == wire.Up, Weight: e.Weight,
 				Identity: e.Address + " " + e.MachineKind + " " + e.Zone})
 		}
 		return all
 	}
 	have, want := side(old.Nodes), side(now.Nodes)
-	steps, blocked := turnover.Plan(have, want, titles, terms)
+	steps, blocked := rollout.Plan(have, want, titles, terms)
 	if blocked != nil {
 		return nil, fmt.Errorf("no plan: %w", blocked)
 	}
-	if err := turnover.Check(have, want, titles, terms, steps); err != nil {
+	if err := rollout.Check(have, want, titles, terms, steps); err != nil {
 		return nil, fmt.Errorf("no plan: the planner's own check finds %w", err)
 	}
 	for _, e := range old.Nodes {
@@ -229,16 +229,16 @@
 		for _, ch := range s.Changes {
 			e := entries[ch.Node.Name]
 			switch ch.Kind {
-			case turnover.Add:
+			case rollout.Add:
 				e = next[ch.Node.Name]
-			case turnover.Reopen, turnover.Reweight:
+			case rollout.Reopen, rollout.Reweight:
 				e.State, e.Weight = wire.Draining, ch.Node.Weight
 				if ch.Node.Up {
 					e.State = wire.Up
 				}
-			case turnover.Drain:
+			case rollout.Drain:
 				e.State = wire.Draining
-			case turnover.Remove:
+			case rollout.Remove:
 				e.State = wire.Removed
 			}
 			entries[ch.Node.Name] = e
--- a/cmd/fordusher/logging.go
+++ b/cmd/fordusher/logging.go
@@ -7,7 +7,7 @@
 
 	"github.com/rs/zerolog"
 
-	"fordusher/internal/herald"
+	"fordusher/internal/asynclog"
 )
 
 // envLogLevel names the variable that says how much is logged: "info", the default, or "debug", which has a line for
@@ -15,14 +15,14 @@
 const envLogLevel = "FORDUSHER_LOG_LEVEL"
 
 // logLevel reads how much is logged, and the pace that this takes.
-func logLevel(getenv func(string) string) (zerolog.Level, herald.RateLimit, error) {
+func logLevel(getenv func(string) string) (zerolog.Level, asynclog.RateLimit, error) {
 	switch level := getenv(envLogLevel); level {
 	case "", "info":
-		return zerolog.InfoLevel, herald.DefaultRate, nil
+		return zerolog.InfoLevel, asynclog.DefaultRate, nil
 	case "debug":
-		return zerolog.DebugLevel, herald.VerboseRate, nil
+		return zerolog.DebugLevel, asynclog.VerboseRate, nil
 	default:
-		return 0, herald.RateLimit{}, fmt.Errorf("%s is %q; it has to be info or debug", envLogLevel, level)
+		return 0, asynclog.RateLimit{}, fmt.Errorf("%s is %q; it has to be info or debug", envLogLevel, level)
 	}
 }
 
--- a/cmd/fordusher/main_test.go
+++ b/cmd/fordusher/main_test.go
@@ -15,11 +15,11 @@
 
 	"golang.org/x/sys/unix"
 
+	"fordusher/internal/emulated/discovery"
 	"fordusher/internal/load"
-	"fordusher/internal/standin/list"
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/transport"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
 // The test binary is the program too, for processes that the tests start.
@@ -99,7 +99,7 @@
 
 // SIGTERM: a session that plays is told, and the process exits 0 within its term.
 func TestServeEndsInGoodOrder(t *testing.T) {
-	source, err := list.Start(witness.DiscardRecorder, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
+	source, err := discovery.Start(rulecheck.DiscardRecorder, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +158,7 @@
 	if err := json.Unmarshal([]byte(lines[len(lines)-1]), &r); err != nil {
 		t.Fatal(err)
 	}
-	if r.Taken != r.Played+r.Nacked+r.Errored+r.Gone || r.Unanswered != 0 || r.Played < 50 || r.Rules[witness.RuleDrain].Checked < 50 {
+	if r.Taken != r.Played+r.Nacked+r.Errored+r.Gone || r.Unanswered != 0 || r.Played < 50 || r.Rules[rulecheck.RuleDrain].Checked < 50 {
 		t.Fatal(lines[len(lines)-1])
 	}
 	if code, out, _ := program(t, "verify", record); code != 0 || !strings.Contains(out, "all rules kept") {
@@ -176,7 +176,7 @@
 // Descriptors run out while players connect: who is connected is served as before, and once some have gone
 // others get in. Accepting pauses meanwhile instead of spinning.
 func TestDescriptorsRunOut(t *testing.T) {
-	source, err := list.Start(witness.DiscardRecorder, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
+	source, err := discovery.Start(rulecheck.DiscardRecorder, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fordusher/platform.go
+++ b/cmd/fordusher/platform.go
@@ -10,9 +10,9 @@
 	"syscall"
 	"time"
 
+	"fordusher/internal/asynclog"
 	"fordusher/internal/clock"
 	"fordusher/internal/daemon"
-	"fordusher/internal/herald"
 	"fordusher/internal/platform"
 )
 
@@ -48,7 +48,7 @@
 	if err != nil {
 		return badInput{err}
 	}
-	lines := herald.New(os.Stderr, pace)
+	lines := asynclog.New(os.Stderr, pace)
 	defer lines.Close(time.Second)
 	log := logger(lines).Level(level)
 	day := clock.NewMonotonicClock(time.Now)
--- a/cmd/fordusher/processes.go
+++ b/cmd/fordusher/processes.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"fordusher/internal/day"
-	"fordusher/internal/kept"
-	"fordusher/internal/standin/node"
-	"fordusher/internal/witness"
+	"fordusher/internal/emulated/node"
+	"fordusher/internal/resultarchive"
+	"fordusher/internal/rulecheck"
 )
 
 // processes starts a day's parts as processes of this same program, so that they can be killed outright.
@@ -124,7 +124,7 @@
 }
 
 // StartNodes starts the nodes' process.
-func (p *processes) StartNodes(seed uint64, site node.Environment, machines []node.Spec, _ *witness.Recorder, fell func(string)) (day.NodeFleet, error) {
+func (p *processes) StartNodes(seed uint64, site node.Environment, machines []node.Spec, _ *rulecheck.Recorder, fell func(string)) (day.NodeFleet, error) {
 	spec, err := json.Marshal(farmSpec{seed, site, machines})
 	if err != nil {
 		return nil, err
@@ -220,11 +220,11 @@
 
 func (f *fleetProcess) Inject(x node.Fault) { f.order(order{Fault: &x}) }
 
-func (f *fleetProcess) Records() ([]witness.Record, error) {
+func (f *fleetProcess) Records() ([]rulecheck.Record, error) {
 	if _, err := f.order(order{Save: f.record}); err != nil {
 		return nil, err
 	}
-	_, records, err := kept.Load[witness.Limits, witness.Record](f.record)
+	_, records, err := resultarchive.Load[rulecheck.Limits, rulecheck.Record](f.record)
 	return records, err
 }
 
@@ -258,7 +258,7 @@
 			return fmt.Errorf("%s: machine %q needs a name, places, link_kb and one of the %d racks", c.Farm, m.Name, len(spec.Site.Uplinks))
 		}
 	}
-	var record witness.Recorder
+	var record rulecheck.Recorder
 	var mu sync.Mutex
 	say := func(x any) {
 		mu.Lock()
@@ -293,7 +293,7 @@
 			}
 		}
 		if o.Save != "" {
-			if err := kept.Save(o.Save, witness.Limits{}, record.Records()); err != nil {
+			if err := resultarchive.Save(o.Save, rulecheck.Limits{}, record.Records()); err != nil {
 				x.Error = err.Error()
 			}
 		}
--- a/cmd/fordusher/serve.go
+++ b/cmd/fordusher/serve.go
@@ -21,9 +21,9 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
+	"fordusher/internal/asynclog"
 	"fordusher/internal/conf"
 	"fordusher/internal/daemon"
-	"fordusher/internal/herald"
 )
 
 type serveCommand struct {
@@ -62,7 +62,7 @@
 	if err != nil {
 		return badInput{err}
 	}
-	lines := herald.New(os.Stderr, pace)
+	lines := asynclog.New(os.Stderr, pace)
 	defer lines.Close(time.Second)
 	logger := logger(lines).Level(level)
 	var descriptors syscall.Rlimit
--- a/cmd/fordusher/verify.go
+++ b/cmd/fordusher/verify.go
@@ -5,8 +5,8 @@
 	"os"
 
 	"fordusher/internal/day"
-	"fordusher/internal/kept"
-	"fordusher/internal/witness"
+	"fordusher/internal/resultarchive"
+	"fordusher/internal/rulecheck"
 )
 
 type verifyCommand struct {
@@ -17,7 +17,7 @@
 func (c *verifyCommand) Run() error {
 	broken := false
 	for _, file := range c.Files {
-		terms, records, err := kept.Load[witness.Limits, witness.Record](file)
+		terms, records, err := resultarchive.Load[rulecheck.Limits, rulecheck.Record](file)
 		if err != nil {
 			return err
 		}
--- a/reach/reach.go
+++ b/connector/connector.go
@@ -1,14 +1,14 @@
-// Package reach decides when a director connects to nodes: at once where one is needed, again after a pause that
+// Package connector decides when a director connects to nodes: at once where one is needed, again after a pause that
 // doubles while it fails and is needed, and never to more than so many at a time. A node is needed from when the list
 // names it, or, where connections are made on need, while the caller says so. It does no I/O and has no clock: Step
 // takes what happened and when, and returns what is to be done.
-package reach
+package connector
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"fordusher/internal/alarm"
+	"fordusher/internal/timerqueue"
 )
 
 // ReconnectPolicy is how connections to nodes are tried.
@@ -83,8 +83,8 @@
 type node struct {
 	state  state
 	fails  int
-	due    time.Duration // no try before
-	turn   alarm.Handle  // while it is idle and needed
+	due    time.Duration     // no try before
+	turn   timerqueue.Handle // while it is idle and needed
 	needed bool
 	drop   bool // unlisted while a try was under way
 }
@@ -93,9 +93,9 @@
 type Connector struct {
 	pace   ReconnectPolicy
 	chance *rand.Rand
-	nodes  map[int]*node    // emptied as nodes are unlisted
-	turns  alarm.Queue[int] // of idle nodes
-	outs   int              // tries under way
+	nodes  map[int]*node         // emptied as nodes are unlisted
+	turns  timerqueue.Queue[int] // of idle nodes
+	outs   int                   // tries under way
 	plan   Plan
 }
 
--- a/reach/reach_test.go
+++ b/connector/connector_test.go
@@ -1,4 +1,4 @@
-package reach
+package connector
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "fordusher/internal/seeded"
+	_ "fordusher/internal/testseed"
 )
 
 var pace = ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 3, HeartbeatInterval: time.Second}
--- a/reach/doubt_test.go
+++ b/connector/suspect_test.go
@@ -1,4 +1,4 @@
-package reach
+package connector
 
 import (
 	"testing"
--- a/internal/herald/herald.go
+++ b/internal/asynclog/writer.go
@@ -1,9 +1,9 @@
-// Package herald writes log lines so that they are never the trouble themselves: whoever logs does not wait for
+// Package asynclog writes log lines so that they are never the trouble themselves: whoever logs does not wait for
 // whoever reads, and a storm of lines is cut to its first ones and a pace, with what was left out counted and said.
 //
 // zerolog's own diode does not wait either, but it overwrites the oldest lines, and those of an event's beginning are
 // the ones that tell what happened; its samplers drop without a count.
-package herald
+package asynclog
 
 import (
 	"bytes"
--- a/internal/herald/herald_test.go
+++ b/internal/asynclog/writer_test.go
@@ -1,4 +1,4 @@
-package herald
+package asynclog
 
 import (
 	"fmt"
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -9,13 +9,13 @@
 	"slices"
 	"time"
 
-	"fordusher/closing"
+	"fordusher/connector"
 	"fordusher/internal/director"
 	"fordusher/internal/transport"
 	"fordusher/internal/wire"
 	"fordusher/limits"
 	"fordusher/policy"
-	"fordusher/reach"
+	"fordusher/shutdown"
 )
 
 // Config is what a director is told at its start.
@@ -40,8 +40,8 @@
 	Legs                 policy.RetryPolicy
 	ReportTiming         policy.ReportTiming
 	ProtocolOptions      director.Options
-	ReconnectPolicy      reach.ReconnectPolicy
-	ShutdownPolicy       closing.Policy
+	ReconnectPolicy      connector.ReconnectPolicy
+	ShutdownPolicy       shutdown.Policy
 	Capacity             limits.Capacity
 	Queue                limits.QueuePolicy
 	ConnectionLimits     ConnectionLimits
@@ -116,7 +116,7 @@
 	}
 	p.ReportUnknownKeys()
 	c := o.Object("closing", false)
-	h.ShutdownPolicy = closing.Policy{
+	h.ShutdownPolicy = shutdown.Policy{
 		Timeout:       c.Duration("within", 8*time.Second, time.Millisecond, time.Hour, false),
 		BatchInterval: c.Duration("slice", 500*time.Millisecond, time.Millisecond, time.Minute, false),
 		CloseTimeout:  partWithin,
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -15,11 +15,11 @@
 
 	"fordusher/internal/conf"
 	"fordusher/internal/director"
-	"fordusher/internal/standin/list"
-	"fordusher/internal/standin/node"
+	"fordusher/internal/emulated/discovery"
+	"fordusher/internal/emulated/node"
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/transport"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
 const ms = time.Millisecond
@@ -29,13 +29,13 @@
 	t         testing.TB
 	d         *Daemon
 	host      *node.Host
-	discovery *list.Source
-	recorder  *witness.Recorder
+	discovery *discovery.Source
+	recorder  *rulecheck.Recorder
 }
 
 func newFixture(t testing.TB, nodes int, change ...string) *fixture {
 	t.Helper()
-	p := &fixture{t: t, recorder: &witness.Recorder{}}
+	p := &fixture{t: t, recorder: &rulecheck.Recorder{}}
 	var machines []node.Spec
 	for i := range nodes {
 		machines = append(machines, node.Spec{Name: fmt.Sprint("n", i), Kind: "box", MaxStreams: 50, LinkRate: 1e5, Cores: 2, SetupTime: 2 * ms})
@@ -51,7 +51,7 @@
 	for i, m := range machines {
 		entries = append(entries, wire.NodeEntry{Node: m.Name, Address: p.host.Address(m.Name), State: wire.Up, MachineKind: "box", Weight: 1, Cell: i, Incarnation: 1})
 	}
-	if p.discovery, err = list.Start(p.recorder, entries, []wire.TitlePlacement{{Title: "t", Copies: 8}}); err != nil {
+	if p.discovery, err = discovery.Start(p.recorder, entries, []wire.TitlePlacement{{Title: "t", Copies: 8}}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.discovery.Close)
--- a/internal/daemon/discovery.go
+++ b/internal/daemon/discovery.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"fordusher/connector"
 	"fordusher/internal/director"
 	"fordusher/internal/transport"
-	"fordusher/reach"
 )
 
 // SetDiscoveryAddress says that the list's source is at another address from now on.
@@ -21,8 +21,8 @@
 func (d *Daemon) followDiscovery() {
 	pace := d.config.ReconnectPolicy
 	pace.OnDemand = false // the list's source is needed all the time
-	r := reach.New(d.seed, pace)
-	plan := r.Step(d.now(), reach.Event{Kind: reach.Listed})
+	r := connector.New(d.seed, pace)
+	plan := r.Step(d.now(), connector.Event{Kind: connector.Listed})
 	for {
 		select {
 		case <-d.quit:
@@ -34,21 +34,21 @@
 			case <-d.quit:
 				return
 			case <-d.discoveryMoved: // it was tried where it is no more
-				plan = r.Step(d.now(), reach.Event{Kind: reach.Listed})
+				plan = r.Step(d.now(), connector.Event{Kind: connector.Listed})
 				continue
 			case <-time.After(max(0, plan.NextTimer-d.now())):
 			}
-			plan = r.Step(d.now(), reach.Event{Kind: reach.TimerFired})
+			plan = r.Step(d.now(), connector.Event{Kind: connector.TimerFired})
 			continue
 		}
 		h := &discoveryHandler{d: d, closed: make(chan struct{})}
 		conn, err := d.protocol.DialDiscovery(*d.discoveryAddress.Load(), time.Second, h)
 		if err != nil {
 			d.log.Warn().Err(err).Msg("the list can't be reached; the last one stays in force")
-			plan = r.Step(d.now(), reach.Event{Kind: reach.ConnectFailed})
+			plan = r.Step(d.now(), connector.Event{Kind: connector.ConnectFailed})
 			continue
 		}
-		r.Step(d.now(), reach.Event{Kind: reach.Connected})
+		r.Step(d.now(), connector.Event{Kind: connector.Connected})
 		for ended := false; !ended; {
 			select {
 			case <-d.quit:
@@ -64,7 +64,7 @@
 				}
 			}
 		}
-		plan = r.Step(d.now(), reach.Event{Kind: reach.ConnectionLost})
+		plan = r.Step(d.now(), connector.Event{Kind: connector.ConnectionLost})
 	}
 }
 
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -7,7 +7,7 @@
 	"fordusher/internal/transport"
 )
 
-// Stop orders the director to end as package closing decides; Done tells when it has.
+// Stop orders the director to end as package shutdown decides; Done tells when it has.
 func (d *Daemon) Stop() { d.inbox.put(item{input: director.Stop{}}) }
 
 // Done is closed once the director has ended.
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 
 	"fordusher/internal/director"
-	"fordusher/internal/witness"
+	"fordusher/internal/rulecheck"
 	"fordusher/policy"
 )
 
@@ -60,7 +60,7 @@
 	if r.Received != r.Played+r.Nacked+r.Errored+r.Abandoned || r.Played < 100 || r.Clients != 500 {
 		t.Fatalf("%+v", r)
 	}
-	for _, rule := range []string{witness.RuleAnswer, witness.RuleSetupOnce, witness.RuleDrain, witness.RuleSlowStart, witness.RuleTariffLimits} {
+	for _, rule := range []string{rulecheck.RuleAnswer, rulecheck.RuleSetupOnce, rulecheck.RuleDrain, rulecheck.RuleSlowStart, rulecheck.RuleTariffLimits} {
 		if r.Rules[rule].Checked < 5 {
 			t.Errorf("%s was checked %d times", rule, r.Rules[rule].Checked)
 		}
@@ -96,7 +96,7 @@
 	drained := map[string]bool{}
 	for rule, change := range map[string]func(policy.Event, []policy.Action) []policy.Action{
 		// A floor is ignored, in the module's own words.
-		witness.RuleTariffLimits: func(_ policy.Event, out []policy.Action) []policy.Action {
+		rulecheck.RuleTariffLimits: func(_ policy.Event, out []policy.Action) []policy.Action {
 			for i, a := range out {
 				if r, ok := a.(policy.SetRung); ok {
 					out[i] = policy.SetRung{ID: r.ID, Rung: 0}
@@ -105,7 +105,7 @@
 			return out
 		},
 		// Whoever drains is sent to on purpose.
-		witness.RuleDrain: func(e policy.Event, out []policy.Action) []policy.Action {
+		rulecheck.RuleDrain: func(e policy.Event, out []policy.Action) []policy.Action {
 			if r, ok := e.(policy.ServerList); ok {
 				for _, x := range r.Entries {
 					if x.State == policy.Draining {
@@ -123,7 +123,7 @@
 			return out
 		},
 		// Whoever failed is tried again, paid or not.
-		witness.RuleSetupOnce: func(e policy.Event, out []policy.Action) []policy.Action {
+		rulecheck.RuleSetupOnce: func(e policy.Event, out []policy.Action) []policy.Action {
 			if r, ok := e.(policy.LegResult); ok && r.Outcome == policy.Errored && !r.Final {
 				return []policy.Action{policy.Dispatch{ID: r.ID, Node: r.Node}}
 			}
--- a/internal/day/rig.go
+++ b/internal/day/harness.go
@@ -15,11 +15,11 @@
 	"fordusher/internal/conf"
 	"fordusher/internal/daemon"
 	"fordusher/internal/director"
-	"fordusher/internal/standin/list"
-	"fordusher/internal/standin/node"
-	"fordusher/internal/standin/player"
+	"fordusher/internal/emulated/client"
+	"fordusher/internal/emulated/discovery"
+	"fordusher/internal/emulated/node"
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
 // Options are how a day is run.
@@ -57,13 +57,13 @@
 	Start(node string) (start uint64, age time.Duration)
 	Inject(x node.Fault)
 	// Records are what the nodes saw, where that is not in the day's own record.
-	Records() ([]witness.Record, error)
+	Records() ([]rulecheck.Record, error)
 	Close()
 }
 
 // A Launcher starts the parts of a day in processes of their own.
 type Launcher interface {
-	StartNodes(seed uint64, site node.Environment, machines []node.Spec, record *witness.Recorder, fell func(string)) (NodeFleet, error)
+	StartNodes(seed uint64, site node.Environment, machines []node.Spec, record *rulecheck.Recorder, fell func(string)) (NodeFleet, error)
 	StartDirector(house []byte, name, boot string, seed uint64) (DirectorHandle, error)
 }
 
@@ -72,10 +72,10 @@
 	script *Script
 	opt    Options
 	layout *Layout
-	record *witness.Recorder
+	record *rulecheck.Recorder
 	fleet  NodeFleet
-	list   *list.Source
-	crowd  *player.Population
+	list   *discovery.Source
+	crowd  *client.Population
 	first  *conf.Config
 
 	mu        sync.Mutex
@@ -97,7 +97,7 @@
 
 // Run runs a day and returns how it went.
 func Run(ctx context.Context, s *Script, opt Options) (*Result, error) {
-	g := &rig{script: s, opt: opt, record: &witness.Recorder{}, rate: 1}
+	g := &rig{script: s, opt: opt, record: &rulecheck.Recorder{}, rate: 1}
 	if err := g.build(); err != nil {
 		g.close()
 		return nil, err
@@ -134,7 +134,7 @@
 			entries = append(entries, g.entry(i, e.State))
 		}
 	}
-	if g.list, err = list.Start(g.record, entries, y.Titles); err != nil {
+	if g.list, err = discovery.Start(g.record, entries, y.Titles); err != nil {
 		return err
 	}
 	for i := range g.script.Directors {
@@ -143,7 +143,7 @@
 			return err
 		}
 	}
-	g.crowd = &player.Population{Behavior: g.script.Behavior, Recorder: g.record, PickDirector: g.pick}
+	g.crowd = &client.Population{Behavior: g.script.Behavior, Recorder: g.record, PickDirector: g.pick}
 	return nil
 }
 
@@ -193,7 +193,7 @@
 	if err != nil {
 		return err
 	}
-	g.record.Add(witness.Record{Kind: witness.DirectorStarted, Director: p.name})
+	g.record.Add(rulecheck.Record{Kind: rulecheck.DirectorStarted, Director: p.name})
 	g.mu.Lock()
 	p.now, p.address = d, d.Address()
 	g.mu.Unlock()
@@ -218,7 +218,7 @@
 func (g *rig) run(ctx context.Context) {
 	g.began = time.Now()
 	if g.opt.Config == nil {
-		g.record.Add(witness.Record{Kind: witness.RunStarted, RequestID: strconv.FormatUint(g.opt.Seed, 10), Reason: string(g.script.Format(""))})
+		g.record.Add(rulecheck.Record{Kind: rulecheck.RunStarted, RequestID: strconv.FormatUint(g.opt.Seed, 10), Reason: string(g.script.Format(""))})
 	}
 	end := g.began.Add(g.script.Length)
 	g.crowd.Deadline = end.Add(2 * time.Second)
@@ -277,7 +277,7 @@
 
 func (g *rig) act(a Action) {
 	if what, err := json.Marshal(a); err == nil {
-		g.record.Add(witness.Record{Kind: witness.ActionApplied, Reason: string(what)})
+		g.record.Add(rulecheck.Record{Kind: rulecheck.ActionApplied, Reason: string(what)})
 	}
 	if a.Fault != nil {
 		g.fleet.Inject(*a.Fault)
@@ -290,7 +290,7 @@
 		}
 		born := time.Duration(0)
 		if w.Born {
-			born = witness.MonotonicNow()
+			born = rulecheck.MonotonicNow()
 		}
 		g.list.UpdateNode(g.entry(w.Machine, w.State), born, w.Late)
 	}
@@ -318,7 +318,7 @@
 // kill ends a director at once. Around the moment, what it still owes is excused from the earlier word, and
 // what it still sent is held against it until the later one.
 func (g *rig) kill(p *post) {
-	g.record.Add(witness.Record{Kind: witness.DirectorKilled, Director: p.name})
+	g.record.Add(rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: p.name})
 	g.mu.Lock()
 	d := p.now
 	p.now = nil
@@ -326,7 +326,7 @@
 	if d != nil {
 		d.Kill()
 	}
-	g.record.Add(witness.Record{Kind: witness.DirectorKilled, Director: p.name})
+	g.record.Add(rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: p.name})
 }
 
 func (g *rig) close() {
--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -13,10 +13,10 @@
 	_ "embed"
 
 	"fordusher/internal/conf"
-	"fordusher/internal/standin/node"
-	"fordusher/internal/standin/player"
+	"fordusher/internal/emulated/client"
+	"fordusher/internal/emulated/node"
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
 //go:embed house.jsonc
@@ -155,9 +155,9 @@
 }
 
 // Client is the viewer of a number; hot is the share of them that want one of two titles.
-func (y *Layout) Client(h *conf.Config, number int, hot float64) (player.Request, *rand.Rand) {
+func (y *Layout) Client(h *conf.Config, number int, hot float64) (client.Request, *rand.Rand) {
 	r := rand.New(rand.NewPCG(y.Seed, uint64(number)+1000))
-	v := player.Request{ClientNumber: number + 1, Key: strconv.FormatUint(r.Uint64(), 36)}
+	v := client.Request{ClientNumber: number + 1, Key: strconv.FormatUint(r.Uint64(), 36)}
 	i := 0
 	if x := r.Float64(); x < 0.3 {
 		i = 1
@@ -195,14 +195,14 @@
 }
 
 // RuleLimits are the figures of the rules, as directors of a house were told them.
-func RuleLimits(h *conf.Config, slack time.Duration) witness.Limits {
-	t := witness.Limits{
-		Tariffs: map[string]witness.TariffLimits{}, DrainGrace: h.DrainGrace, Warmup: h.Ramp.Warmup, InitialShare: h.Ramp.InitialShare,
+func RuleLimits(h *conf.Config, slack time.Duration) rulecheck.Limits {
+	t := rulecheck.Limits{
+		Tariffs: map[string]rulecheck.TariffLimits{}, DrainGrace: h.DrainGrace, Warmup: h.Ramp.Warmup, InitialShare: h.Ramp.InitialShare,
 		OverloadMultiple: h.Ramp.OverloadMultiple, OverloadWindow: h.Ramp.OverloadWindow, MaxLegs: h.Legs.MaxLegs, MinRetries: h.Legs.MinRetries, RetryRatio: h.Legs.RetryRatio,
 		RetryWindow: h.Legs.Window, Tolerance: slack,
 	}
 	for _, x := range h.Tariffs {
-		t.Tariffs[x.Name] = witness.TariffLimits{Paid: x.AtMostOnce, MinRung: x.Floor, Seats: x.Seats, Credit: x.Credit, StartGoal: x.GoalTime}
+		t.Tariffs[x.Name] = rulecheck.TariffLimits{Paid: x.AtMostOnce, MinRung: x.Floor, Seats: x.Seats, Credit: x.Credit, StartGoal: x.GoalTime}
 	}
 	return t
 }
--- a/internal/day/replay.go
+++ b/internal/day/replay.go
@@ -7,16 +7,16 @@
 	"strconv"
 	"time"
 
-	"fordusher/internal/witness"
+	"fordusher/internal/rulecheck"
 )
 
 // ReconstructRun finds in a day's record what it was and what was done in its course, each at the time at which it was
 // really done: the incident, to be gone through again.
-func ReconstructRun(records []witness.Record) (s *Script, seed uint64, timeline []Action, err error) {
+func ReconstructRun(records []rulecheck.Record) (s *Script, seed uint64, timeline []Action, err error) {
 	var began time.Duration
 	for _, r := range records {
 		switch r.Kind {
-		case witness.RunStarted:
+		case rulecheck.RunStarted:
 			if s, err = ParseScript("the record's script", []byte(r.Reason)); err != nil {
 				return nil, 0, nil, err
 			}
@@ -24,7 +24,7 @@
 				return nil, 0, nil, fmt.Errorf("the record's seed: %w", err)
 			}
 			began = r.At
-		case witness.ActionApplied:
+		case rulecheck.ActionApplied:
 			var a Action
 			if err := json.Unmarshal([]byte(r.Reason), &a); err != nil {
 				return nil, 0, nil, fmt.Errorf("the record's action at %v: %w", r.At, err)
--- a/internal/day/result.go
+++ b/internal/day/result.go
@@ -9,29 +9,29 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fordusher/internal/witness"
+	"fordusher/internal/rulecheck"
 )
 
 // Result is how a day went.
 type Result struct {
-	Seed       uint64           `json:"seed"`
-	Clients    int              `json:"viewers"`
-	Received   int              `json:"taken"` // requests that a director got
-	Played     int              `json:"played"`
-	Nacked     int              `json:"nacked"`
-	Errored    int              `json:"errored"`
-	Abandoned  int              `json:"gone"` // the viewer left, or its director was killed, before an answer
-	Unanswered int              `json:"unanswered"`
-	Retries    int              `json:"again"` // of the requests taken, not their viewer's first
-	P50        float64          `json:"p50_ms"`
-	P99        float64          `json:"p99_ms"`
-	MaxLatency float64          `json:"max_ms"`
-	Credit     float64          `json:"credit"` // of sessions that played within the goal time, over what was asked for at the best rung
-	Legs       int              `json:"legs"`
-	Rules      witness.Findings `json:"rules"`
+	Seed       uint64             `json:"seed"`
+	Clients    int                `json:"viewers"`
+	Received   int                `json:"taken"` // requests that a director got
+	Played     int                `json:"played"`
+	Nacked     int                `json:"nacked"`
+	Errored    int                `json:"errored"`
+	Abandoned  int                `json:"gone"` // the viewer left, or its director was killed, before an answer
+	Unanswered int                `json:"unanswered"`
+	Retries    int                `json:"again"` // of the requests taken, not their viewer's first
+	P50        float64            `json:"p50_ms"`
+	P99        float64            `json:"p99_ms"`
+	MaxLatency float64            `json:"max_ms"`
+	Credit     float64            `json:"credit"` // of sessions that played within the goal time, over what was asked for at the best rung
+	Legs       int                `json:"legs"`
+	Rules      rulecheck.Findings `json:"rules"`
 
-	Limits  witness.Limits   `json:"-"`
-	Records []witness.Record `json:"-"`
+	Limits  rulecheck.Limits   `json:"-"`
+	Records []rulecheck.Record `json:"-"`
 }
 
 // Passed tells whether every rule was kept and every request ended in exactly one way.
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	r.Records = append(r.Records, more...)
-	witness.Sort(r.Records)
+	rulecheck.Sort(r.Records)
 	r.judge()
 	r.Clients = g.crowd.Clients
 	r.Summarize(g.crowd.Latency, g.crowd.StartedInTime, g.crowd.RequestedValue)
@@ -65,7 +65,7 @@
 	r.P50, r.P99, r.MaxLatency = ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(99)), ms(h.Max())
 	var credit, asked float64
 	for _, x := range r.Records {
-		if x.Kind == witness.SessionEarned && inTime[x.Session] {
+		if x.Kind == rulecheck.SessionEarned && inTime[x.Session] {
 			credit += r.Limits.Tariffs[x.Tariff].Credit * x.Seconds
 		}
 	}
@@ -81,14 +81,14 @@
 
 // judge counts the endings and checks the rules, from the records alone.
 func (r *Result) judge() {
-	r.Rules = witness.Check(r.Limits, r.Records)
-	t := witness.CountOutcomes(r.Records)
+	r.Rules = rulecheck.Check(r.Limits, r.Records)
+	t := rulecheck.CountOutcomes(r.Records)
 	r.Received, r.Played, r.Nacked, r.Errored = t.Received, t.Played, t.Nacked, t.Errored
 	r.Abandoned, r.Unanswered, r.Retries, r.Legs = t.Abandoned, t.Unanswered, t.Retries, t.Legs
 }
 
 // CheckRecords checks records again that were kept.
-func CheckRecords(terms witness.Limits, records []witness.Record) *Result {
+func CheckRecords(terms rulecheck.Limits, records []rulecheck.Record) *Result {
 	r := &Result{Limits: terms, Records: records}
 	r.judge()
 	return r
@@ -104,7 +104,7 @@
 		fmt.Fprintf(w, "credit     %.3f within the goal time, of %d viewers\n", r.Credit, r.Clients)
 	}
 	fmt.Fprintf(w, "\n%-16s %9s %7s\n", "rule", "checked", "broken")
-	for _, name := range witness.Rules {
+	for _, name := range rulecheck.Rules {
 		f := r.Rules[name]
 		fmt.Fprintf(w, "%-16s %9d %7d\n", name, f.Checked, f.Violations)
 		for _, e := range f.Examples {
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"fordusher/internal/conf"
-	"fordusher/internal/standin/player"
+	"fordusher/internal/emulated/client"
 )
 
 //go:embed bad.jsonc
@@ -43,7 +43,7 @@
 	Titles              int
 	Load                float64 // of the links at the middle rate
 	MeanLength          time.Duration
-	Behavior            player.Behavior
+	Behavior            client.Behavior
 	MinListDelay        time.Duration
 	MaxListDelay        time.Duration
 	SilentNodeListDelay time.Duration
@@ -94,7 +94,7 @@
 	}
 	v := o.Object("viewers", false)
 	s.MeanLength = v.Duration("mean_length", 3*time.Second, 100*time.Millisecond, time.Hour, false)
-	s.Behavior = player.Behavior{
+	s.Behavior = client.Behavior{
 		RetryShare:         v.Number("returns", 0.88, 0, 1, false),
 		MinRetryDelay:      v.Duration("pause_low", 200*time.Millisecond, 0, time.Hour, false),
 		MaxRetryDelay:      v.Duration("pause_high", 1200*time.Millisecond, 0, time.Hour, false),
--- a/internal/day/timeline.go
+++ b/internal/day/timeline.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"fordusher/internal/standin/node"
+	"fordusher/internal/emulated/node"
 	"fordusher/internal/wire"
 )
 
--- a/internal/director/attempt.go
+++ b/internal/director/attempt.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"fordusher/internal/alarm"
+	"fordusher/internal/timerqueue"
 	"fordusher/internal/wire"
 	"fordusher/policy"
 )
@@ -30,7 +30,7 @@
 	node          *node
 	phase         legPhase
 	deadline      time.Duration // it is cut off then
-	deadlineTimer alarm.Handle
+	deadlineTimer timerqueue.Handle
 	link          uint64 // loose: that its set-up was sent on
 	startedAt     time.Duration
 	rungPending   bool // loose: its node is still to be told the rung
--- a/internal/director/connections.go
+++ b/internal/director/connections.go
@@ -4,13 +4,13 @@
 	"slices"
 	"time"
 
+	"fordusher/connector"
 	"fordusher/internal/wire"
 	"fordusher/limits"
-	"fordusher/reach"
 )
 
-// stepConnector tells package reach what happened and carries out its plan.
-func (l *Loop) stepConnector(e reach.Event) reach.Plan {
+// stepConnector tells package connector what happened and carries out its plan.
+func (l *Loop) stepConnector(e connector.Event) connector.Plan {
 	plan := l.connector.Step(l.now, e)
 	for _, place := range slices.Clone(plan.Dial) { // what follows may ask for another plan
 		n := l.nodesByIndex[place]
@@ -61,7 +61,7 @@
 
 // connectExhausted is for a node that can't be connected to for want of descriptors.
 func (l *Loop) connectExhausted(n *node) {
-	l.stepConnector(reach.Event{Node: n.index, Kind: reach.NoCapacity})
+	l.stepConnector(connector.Event{Node: n.index, Kind: connector.NoCapacity})
 	for _, g := range sorted(n.legs) {
 		if g.phase == legWaiting && !n.connecting {
 			l.endLeg(g, outcomeConnectAttemptFailed, nil)
@@ -69,7 +69,7 @@
 	}
 }
 
-// updateLinkNeed tells package reach whether there is anything to be done at a node, where connections are made on need, and
+// updateLinkNeed tells package connector whether there is anything to be done at a node, where connections are made on need, and
 // says whether one is being made.
 func (l *Loop) updateLinkNeed(n *node) (coming bool) {
 	needs := len(n.legs) > 0 || len(n.pendingEnds) > 0
@@ -77,11 +77,11 @@
 		return false
 	}
 	n.linkNeeded = needs
-	what := reach.Unneeded
+	what := connector.Unneeded
 	if needs {
-		what = reach.Needed
+		what = connector.Needed
 	}
-	return !l.stepConnector(reach.Event{Node: n.index, Kind: what}).BackingOff && n.listed
+	return !l.stepConnector(connector.Event{Node: n.index, Kind: what}).BackingOff && n.listed
 }
 
 // connectFailureOutcome is the fate of a leg whose node could not be connected to.
@@ -141,7 +141,7 @@
 	if !l.options.NoHello {
 		l.emit(SendNode{Link: e.Link, Message: wire.NodeMessage{Type: wire.Hello, Director: l.name}})
 	}
-	l.stepConnector(reach.Event{Node: n.index, Kind: reach.Connected})
+	l.stepConnector(connector.Event{Node: n.index, Kind: connector.Connected})
 	if n.dialedAddress != n.address { // the list has moved it meanwhile
 		l.disconnect(n, closedAsMoved)
 		return
@@ -189,11 +189,11 @@
 		l.timers.Cancel(n.pingTimer)
 		l.timers.Cancel(n.idleTimer)
 	}
-	what := reach.ConnectFailed
+	what := connector.ConnectFailed
 	if e.Refused {
-		what = reach.Refused
+		what = connector.Refused
 	}
-	n.suspect = l.stepConnector(reach.Event{Node: n.index, Kind: what}).Suspect
+	n.suspect = l.stepConnector(connector.Event{Node: n.index, Kind: what}).Suspect
 	for _, g := range sorted(n.legs) {
 		if g.phase == legWaiting {
 			l.endLeg(g, l.connectFailureOutcome(n), nil)
@@ -230,9 +230,9 @@
 	}
 	l.releaseLinkNeed(n, e.Link)
 	if n.listed {
-		l.stepConnector(reach.Event{Node: n.index, Kind: reach.ConnectionLost})
+		l.stepConnector(connector.Event{Node: n.index, Kind: connector.ConnectionLost})
 	} else {
-		l.stepConnector(reach.Event{Node: n.index, Kind: reach.Unlisted})
+		l.stepConnector(connector.Event{Node: n.index, Kind: connector.Unlisted})
 	}
 	l.endLegsOfLink(n, e.Link, e.Unsent)
 	if !n.listed && l.options.Detached { // nothing will be heard of it any more
@@ -241,7 +241,7 @@
 	l.dropNode(n)
 }
 
-// releaseLinkNeed tells package reach of a connection that has ended with all there was to do on it, before it hears of that:
+// releaseLinkNeed tells package connector of a connection that has ended with all there was to do on it, before it hears of that:
 // another one is not needed.
 func (l *Loop) releaseLinkNeed(n *node, link uint64) {
 	if !n.linkNeeded || len(n.pendingEnds) > 0 {
@@ -253,7 +253,7 @@
 		}
 	}
 	n.linkNeeded = false
-	l.stepConnector(reach.Event{Node: n.index, Kind: reach.Unneeded})
+	l.stepConnector(connector.Event{Node: n.index, Kind: connector.Unneeded})
 }
 
 // endLegsOfLink ends what a node's connection takes with it.
@@ -280,10 +280,10 @@
 // linkAlive hangs up on a node that has been quiet for too long.
 func (l *Loop) linkAlive(e LinkAlive) {
 	if n := l.links[e.Link]; n != nil && n.connected && l.options.Detached {
-		if l.stepConnector(reach.Event{Node: n.index, Kind: reach.Received, Age: e.IdleFor}).Close && l.playsSince(n, l.now-e.IdleFor) {
+		if l.stepConnector(connector.Event{Node: n.index, Kind: connector.Received, Age: e.IdleFor}).Close && l.playsSince(n, l.now-e.IdleFor) {
 			l.probeSuspectLink(n, e.Link)
 		}
-	} else if n != nil && n.connected && l.stepConnector(reach.Event{Node: n.index, Kind: reach.Received, Age: e.IdleFor}).Close {
+	} else if n != nil && n.connected && l.stepConnector(connector.Event{Node: n.index, Kind: connector.Received, Age: e.IdleFor}).Close {
 		l.log("node %s has been quiet for %v: its connection is given up, %d legs with it", n.name,
 			e.IdleFor.Round(time.Millisecond), len(n.legs))
 		l.closeLink(n, e.Link, closedAsUnresponsive)
--- a/internal/director/deadlines.go
+++ b/internal/director/deadlines.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"fordusher/connector"
 	"fordusher/policy"
-	"fordusher/reach"
 )
 
 // stallThreshold is how late the loop may be before it counts as having stood still.
@@ -71,7 +71,7 @@
 		}
 	case timerConnector:
 		l.connectorTimer = 0
-		l.stepConnector(reach.Event{Kind: reach.TimerFired})
+		l.stepConnector(connector.Event{Kind: connector.TimerFired})
 	case timerPing:
 		if n := l.links[t.id]; n != nil && n.connected && n.link == t.id {
 			l.emit(ProbeLink{t.id})
--- a/internal/director/loose.go
+++ b/internal/director/detached.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"fordusher/internal/alarm"
+	"fordusher/connector"
+	"fordusher/internal/timerqueue"
 	"fordusher/internal/wire"
 	"fordusher/policy"
-	"fordusher/reach"
 )
 
 // Where Manners.Loose holds, a session that plays belongs to no connection. What differs by that is here; the
@@ -241,7 +241,7 @@
 // probeSuspectLink checks a node's connection by making another.
 func (l *Loop) probeSuspectLink(n *node, link uint64) {
 	if l.options.Detached && n.connected && n.link == link && !n.connecting && l.nodes[n.name] == n {
-		l.stepConnector(reach.Event{Node: n.index, Kind: reach.Suspected})
+		l.stepConnector(connector.Event{Node: n.index, Kind: connector.Suspected})
 	}
 }
 
@@ -250,7 +250,7 @@
 func (l *Loop) replaceLink(n *node) {
 	l.timers.Cancel(n.pingTimer)
 	l.timers.Cancel(n.idleTimer)
-	n.pingTimer, n.idleTimer = alarm.Handle(0), alarm.Handle(0)
+	n.pingTimer, n.idleTimer = timerqueue.Handle(0), timerqueue.Handle(0)
 	if n.replacedLink != 0 {
 		l.closeLink(n, n.replacedLink, closedAsSuperseded)
 		l.linkLost(LinkLost{Link: n.replacedLink})
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -21,12 +21,12 @@
 	"strconv"
 	"time"
 
-	"fordusher/closing"
-	"fordusher/internal/alarm"
+	"fordusher/connector"
+	"fordusher/internal/timerqueue"
 	"fordusher/internal/wire"
 	"fordusher/limits"
 	"fordusher/policy"
-	"fordusher/reach"
+	"fordusher/shutdown"
 )
 
 // Tariff is a tariff under the name that players give it.
@@ -43,7 +43,7 @@
 	SessionsPerConnection int           // sessions that one player's connection may have
 	NoHello               bool          // nodes do not say which start they are in: a connection that is made is ready
 	// Detached: what plays belongs to no connection, of a player or of a node. It outlives both, what concerns it may
-	// come and be told on any, and a request's id is its session's own name. See loose.go.
+	// come and be told on any, and a request's id is its session's own name. See detached.go.
 	Detached bool
 }
 
@@ -62,11 +62,11 @@
 	kindIndex        map[string]int
 	ladder           policy.Ladder
 	options          Options
-	shutdownPolicy   closing.Policy
-	connector        *reach.Connector
-	connectorTimer   alarm.Handle // the one for reach
+	shutdownPolicy   shutdown.Policy
+	connector        *connector.Connector
+	connectorTimer   timerqueue.Handle // the one for connector
 	connectorTimerAt time.Duration
-	reconnectPolicy  reach.ReconnectPolicy
+	reconnectPolicy  connector.ReconnectPolicy
 	limits           *limits.Limits
 	queue            *limits.RequestQueue
 
@@ -84,7 +84,7 @@
 	legs            map[uint64]*leg     // emptied as legs end
 	nodes           map[string]*node    // emptied as nodes leave the list and their last leg ends
 	links           map[uint64]*node    // emptied as links end
-	nodesByIndex    []*node             // by small index, for reach; a place is used again
+	nodesByIndex    []*node             // by small index, for connector; a place is used again
 	freeNodeIndexes []int
 	titles          map[string]title // as long as the list's catalogue
 	listReceived    bool             // a whole list has come
@@ -96,7 +96,7 @@
 	lastSession, lastLeg, lastLink uint64
 
 	owed, playing           int
-	shutdown                *closing.Sequence
+	shutdown                *shutdown.Sequence
 	ended                   bool
 	closingClients          bool // clients' connections are being closed, and no more are accepted
 	limitsPending           bool // the limits have more to do now
@@ -108,10 +108,10 @@
 
 // New starts a director. Boot is a word that no other run of this director has used.
 func New(name, boot string, seed uint64, module Decider, tariffs []Tariff, kinds []string,
-	ladder policy.Ladder, manners Options, pace reach.ReconnectPolicy, term closing.Policy, room limits.Capacity, queue limits.QueuePolicy) *Loop {
+	ladder policy.Ladder, manners Options, pace connector.ReconnectPolicy, term shutdown.Policy, room limits.Capacity, queue limits.QueuePolicy) *Loop {
 	l := &Loop{
 		name: name, boot: boot, decider: module, tariffs: tariffs, ladder: ladder, options: manners, shutdownPolicy: term,
-		tariffIndex: map[string]int{}, kindIndex: map[string]int{}, connector: reach.New(seed, pace), reconnectPolicy: pace,
+		tariffIndex: map[string]int{}, kindIndex: map[string]int{}, connector: connector.New(seed, pace), reconnectPolicy: pace,
 		limits: limits.New(seed, room), queue: limits.NewRequestQueue(seed, queue),
 		conns: map[uint64]*conn{}, sessions: map[uint64]*session{}, sessionsByKey: map[string]*session{},
 		legs: map[uint64]*leg{}, nodes: map[string]*node{}, links: map[uint64]*node{},
@@ -225,7 +225,7 @@
 	case DiscoveryLost:
 	case Stop:
 		if l.shutdown == nil {
-			l.shutdown = closing.Start(l.now, l.shutdownPolicy)
+			l.shutdown = shutdown.Start(l.now, l.shutdownPolicy)
 			if !l.options.Detached { // there a connection is no more than the way for a request, which is told to come again
 				l.stepLimits(limits.Event{Kind: limits.Draining})
 			}
--- a/internal/director/list.go
+++ b/internal/director/discovery.go
@@ -3,9 +3,9 @@
 import (
 	"hash/fnv"
 
+	"fordusher/connector"
 	"fordusher/internal/wire"
 	"fordusher/policy"
-	"fordusher/reach"
 )
 
 type title struct {
@@ -144,7 +144,7 @@
 		}
 		n.listed = true
 		if !n.connected {
-			l.stepConnector(reach.Event{Node: n.index, Kind: reach.Listed})
+			l.stepConnector(connector.Event{Node: n.index, Kind: connector.Listed})
 		}
 	}
 	return out
@@ -155,7 +155,7 @@
 	if n.listed {
 		n.listed = false
 		if !n.connected { // else once the connection ends
-			l.stepConnector(reach.Event{Node: n.index, Kind: reach.Unlisted})
+			l.stepConnector(connector.Event{Node: n.index, Kind: connector.Unlisted})
 			l.nodeDead(n)
 		}
 	}
--- a/internal/director/stage_test.go
+++ b/internal/director/harness_test.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"time"
 
-	"fordusher/closing"
+	"fordusher/connector"
 	"fordusher/internal/wire"
 	"fordusher/limits"
 	"fordusher/policy"
-	"fordusher/reach"
+	"fordusher/shutdown"
 )
 
 const ms = time.Millisecond
@@ -52,7 +52,7 @@
 	s := &harness{t: t, links: map[string]uint64{}}
 	s.loop = New("d", "b", 1, module, testTariffs, []string{"box"}, ladder,
 		Options{AnswerMargin: 50 * ms, Linger: time.Second, ConnectTimeout: 250 * ms, SessionsPerConnection: 4},
-		reach.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second}, closing.Policy{Timeout: 2 * time.Second, BatchInterval: 100 * ms},
+		connector.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second}, shutdown.Policy{Timeout: 2 * time.Second, BatchInterval: 100 * ms},
 		limits.Capacity{MaxConnections: 1000, MaxHandshakes: 100, HeartbeatInterval: 10 * time.Second, IdleTimeout: time.Minute, HandshakeTimeout: time.Second, MaxRetryAfter: 10 * time.Second},
 		limits.QueuePolicy{MaxWait: 200 * ms, MaxRetryAfter: 10 * time.Second})
 	change(s.loop)
--- a/internal/director/messages.go
+++ b/internal/director/messages.go
@@ -89,7 +89,7 @@
 	DiscoveryLost struct{}
 	// Tick says that the time asked for by Next has come.
 	Tick struct{}
-	// Stop orders the director to end as package closing decides.
+	// Stop orders the director to end as package shutdown decides.
 	Stop struct{}
 )
 
--- a/internal/director/nodes.go
+++ b/internal/director/nodes.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"fordusher/internal/alarm"
+	"fordusher/internal/timerqueue"
 	"fordusher/internal/wire"
 	"fordusher/policy"
 )
@@ -33,12 +33,12 @@
 	probeLink           uint64             // loose: the connection that is being made beside a doubted one
 	replacedLink        uint64             // loose: the connection before, until the set-ups sent on it have ended
 	pendingEnds         []wire.NodeMessage // loose: what is still to be called off there; emptied by the next connection
-	pingTimer           alarm.Handle
-	idleTimer           alarm.Handle    // looks whether the connection has been idle for too long
-	lastUsed            time.Duration   // when anything last went either way
-	linkNeeded          bool            // where connections are made on need: there is something to be done there
-	suspect             bool            // the last tries to connect speak against it
-	legs                map[uint64]*leg // emptied as legs end
+	pingTimer           timerqueue.Handle
+	idleTimer           timerqueue.Handle // looks whether the connection has been idle for too long
+	lastUsed            time.Duration     // when anything last went either way
+	linkNeeded          bool              // where connections are made on need: there is something to be done there
+	suspect             bool              // the last tries to connect speak against it
+	legs                map[uint64]*leg   // emptied as legs end
 }
 
 // sorted goes through a map by its keys' order, so that the same inputs give the same outputs.
--- a/internal/director/need_test.go
+++ b/internal/director/ondemand_test.go
@@ -4,17 +4,17 @@
 	"testing"
 	"time"
 
+	"fordusher/connector"
 	"fordusher/internal/wire"
 	"fordusher/limits"
-	"fordusher/reach"
 )
 
 // newOnDemandHarness is a stage whose nodes are connected to on need, with so many descriptors.
 func newOnDemandHarness(t testingT, nodes, descriptors int) *harness {
 	s := newHarnessWith(t, nodes, func(l *Loop) {
 		l.options.Detached, l.options.NoHello, l.options.Linger = true, true, 0
-		l.reconnectPolicy = reach.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second, OnDemand: true, IdleTimeout: 20 * time.Second}
-		l.connector = reach.New(1, l.reconnectPolicy)
+		l.reconnectPolicy = connector.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second, OnDemand: true, IdleTimeout: 20 * time.Second}
+		l.connector = connector.New(1, l.reconnectPolicy)
 		l.limits = limits.New(1, limits.Capacity{MaxConnections: 100, MaxHandshakes: 100, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
 			HandshakeTimeout: time.Second, MaxRetryAfter: time.Second, DisplaceIdleAfter: time.Second, MaxDescriptors: descriptors})
 	})
@@ -100,7 +100,7 @@
 		t.Fatal("held against the node")
 	}
 	s.advance(200 * ms)
-	s.loop.stepConnector(reach.Event{Node: s.loop.nodes[first.Node].index, Kind: reach.Needed})
+	s.loop.stepConnector(connector.Event{Node: s.loop.nodes[first.Node].index, Kind: connector.Needed})
 	s.step(LinkFailed{Node: first.Node, Link: s.loop.nodes[first.Node].link})
 	if !s.loop.nodes[first.Node].suspect {
 		t.Fatal("not held against the node")
--- a/internal/director/properties_test.go
+++ b/internal/director/properties_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 	"fordusher/policy"
 )
 
@@ -71,7 +71,7 @@
 	return c.steps
 }
 
-func describeViolations(v witness.Findings) string {
+func describeViolations(v rulecheck.Findings) string {
 	var all []string
 	for _, rule := range slices.Sorted(maps.Keys(v)) {
 		for _, x := range v[rule].Examples {
@@ -83,14 +83,14 @@
 
 // Rule 1: each request that is taken gets exactly one final answer, before its hard stop.
 func TestRule1OneAnswerInTime(t *testing.T) {
-	requireProperty(t, defaultSimConfig(witness.RuleAnswer), func(c *simConfig) {
+	requireProperty(t, defaultSimConfig(rulecheck.RuleAnswer), func(c *simConfig) {
 		c.dropOutput = func(o Output) bool { m, ok := o.(SendClient); return ok && m.Message.Type == wire.Errored }
 	})
 }
 
 // Rule 2: a paid set-up that may have run is neither sent again nor nacked, and never are two legs of a session out.
 func TestRule2PaidSetUpOnce(t *testing.T) {
-	requireProperty(t, defaultSimConfig(witness.RuleSetupOnce), func(c *simConfig) {
+	requireProperty(t, defaultSimConfig(rulecheck.RuleSetupOnce), func(c *simConfig) {
 		c.alterEvent = func(e policy.Event) policy.Event {
 			if r, ok := e.(policy.LegResult); ok && r.Outcome == policy.Errored {
 				r.Outcome = policy.ConnectFailed
@@ -103,7 +103,7 @@
 
 // Rule 3: from the moment a director was told that a node drains or is gone, nothing new reaches it from there.
 func TestRule3NothingToADrainingNode(t *testing.T) {
-	requireProperty(t, defaultSimConfig(witness.RuleDrain), func(c *simConfig) {
+	requireProperty(t, defaultSimConfig(rulecheck.RuleDrain), func(c *simConfig) {
 		c.alterEvent = alterEntries(func(e *policy.NodeEntry) { e.State = policy.Up })
 		c.guardDisabled = true
 	})
@@ -113,7 +113,7 @@
 func TestGuardStopsInvalidDecisions(t *testing.T) {
 	refused := uint64(0)
 	for seed := range uint64(20) {
-		c := defaultSimConfig(witness.RuleDrain)
+		c := defaultSimConfig(rulecheck.RuleDrain)
 		c.alterEvent = alterEntries(func(e *policy.NodeEntry) { e.State = policy.Up })
 		w := newSimulation(t, seed, c)
 		if v := w.run(); !v.Passed() {
@@ -145,7 +145,7 @@
 
 // scarceSimConfig is a town in which a node that has started takes a set-up a second from all directors together.
 func scarceSimConfig() simConfig {
-	c := defaultSimConfig(witness.RuleSlowStart)
+	c := defaultSimConfig(rulecheck.RuleSlowStart)
 	c.directors, c.nodes, c.steps, c.maxBurst = 4, 2, 120, 8
 	c.tariffs = testTariffs[:1]
 	c.ramp = policy.Ramp{MaxStreams: []float64{20}, Warmup: 4 * time.Second, InitialShare: 0.4, OverloadMultiple: 2, OverloadWindow: time.Second}
@@ -172,7 +172,7 @@
 		widen func(*policy.Tariff)
 	}{{"floors", func(x *policy.Tariff) { x.Floor = 0 }}, {"seats", func(x *policy.Tariff) { x.Seats = 0 }}} {
 		t.Run(c.name, func(t *testing.T) {
-			town := defaultSimConfig(witness.RuleTariffLimits)
+			town := defaultSimConfig(rulecheck.RuleTariffLimits)
 			town.tariffs, town.nodes, town.maxBurst = testTariffs[1:], 4, 6
 			requireProperty(t, town, func(x *simConfig) {
 				x.alterPolicy = func(g *policyConfig) {
@@ -187,7 +187,7 @@
 
 // Rule 6: legs beyond the first of each session stay within the ration of their span.
 func TestRule6RetryBudget(t *testing.T) {
-	c := defaultSimConfig(witness.RuleRetryBudget)
+	c := defaultSimConfig(rulecheck.RuleRetryBudget)
 	c.nodes, c.steps, c.maxBurst, c.tariffs, c.nodeReplies = 4, 120, 6, testTariffs[:1], []string{wire.Accepted, wire.Full, wire.Full, wire.Ended}
 	c.legs = policy.RetryPolicy{MaxLegs: 4, MinRetries: 2, RetryRatio: 0.02, Window: 3 * time.Second}
 	requireProperty(t, c, func(c *simConfig) {
--- a/internal/director/session.go
+++ b/internal/director/session.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"fordusher/internal/alarm"
+	"fordusher/internal/timerqueue"
 	"fordusher/internal/wire"
 	"fordusher/policy"
 )
@@ -39,8 +39,8 @@
 	request     string
 	leg         *leg
 	legsSent    int
-	answerTimer alarm.Handle
-	lingerTimer alarm.Handle
+	answerTimer timerqueue.Handle
+	lingerTimer timerqueue.Handle
 
 	mayHaveRun      bool   // an attempt of it may have run
 	description     []byte // for the node; until the session has its answer
--- a/internal/director/stop.go
+++ b/internal/director/shutdown.go
@@ -1,7 +1,7 @@
 package director
 
 import (
-	"fordusher/closing"
+	"fordusher/shutdown"
 )
 
 // logInvariants says at the end what the guard has refused.
@@ -15,7 +15,7 @@
 
 // stepShutdown works on a stop under way.
 func (l *Loop) stepShutdown() {
-	plan := l.shutdown.Step(l.now, closing.Remaining{Owed: l.owed, Playing: l.playing, Clients: len(l.conns)})
+	plan := l.shutdown.Step(l.now, shutdown.Remaining{Owed: l.owed, Playing: l.playing, Clients: len(l.conns)})
 	if plan.CloseClients {
 		l.closeClients(plan.Done)
 	}
--- a/internal/director/town_test.go
+++ b/internal/director/simulation_test.go
@@ -8,12 +8,12 @@
 	"slices"
 	"time"
 
-	"fordusher/closing"
+	"fordusher/connector"
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 	"fordusher/limits"
 	"fordusher/policy"
-	"fordusher/reach"
+	"fordusher/shutdown"
 )
 
 // A simulation is several directors' loops with the real module, on nodes that they share, with a list and viewers that
@@ -25,7 +25,7 @@
 	now           time.Duration
 	directors     []*simDirector
 	nodes         []*simNode
-	records       []witness.Record
+	records       []rulecheck.Record
 	lastID        uint64 // of connections
 	opportunities int    // how often the rule that is looked at could have been broken
 }
@@ -55,7 +55,7 @@
 	legs    policy.RetryPolicy
 }
 
-// A alteredDecider is a module that is told something else than what happened.
+// An alteredDecider is a module that is told something else than what happened.
 type alteredDecider struct {
 	Decider
 	alterEvent func(policy.Event) policy.Event
@@ -129,7 +129,7 @@
 	return w
 }
 
-func (w *simulation) record(r witness.Record) {
+func (w *simulation) record(r rulecheck.Record) {
 	r.At = w.now
 	w.records = append(w.records, r)
 }
@@ -162,11 +162,11 @@
 	}
 	p.loop = New(p.name(), fmt.Sprint(p.boot), seed, module, c.tariffs, []string{"box"}, ladder,
 		Options{AnswerMargin: 50 * ms, Linger: time.Second, ConnectTimeout: 250 * ms, SessionsPerConnection: 4},
-		reach.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second}, closing.Policy{Timeout: 2 * time.Second, BatchInterval: 100 * ms},
+		connector.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second}, shutdown.Policy{Timeout: 2 * time.Second, BatchInterval: 100 * ms},
 		limits.Capacity{MaxConnections: 1000, MaxHandshakes: 100, HeartbeatInterval: 10 * time.Second, IdleTimeout: time.Minute, HandshakeTimeout: time.Second, MaxRetryAfter: 10 * time.Second},
 		limits.QueuePolicy{MaxWait: 200 * ms, MaxRetryAfter: 10 * time.Second})
 	p.loop.guardDisabled = c.guardDisabled
-	p.record(witness.Record{Kind: witness.DirectorStarted, Director: p.name()})
+	p.record(rulecheck.Record{Kind: rulecheck.DirectorStarted, Director: p.name()})
 	p.step(DiscoveryConnected{})
 }
 
@@ -195,8 +195,8 @@
 	switch o := o.(type) {
 	case SendClient:
 		if k := o.Message.Type; k == wire.Playing || k == wire.Nack || k == wire.Errored {
-			p.record(witness.Record{Kind: k, Director: p.name(), Conn: o.Conn, RequestID: o.Message.ID, Session: o.Message.Session})
-			if p.config.rule == witness.RuleAnswer && k != wire.Playing {
+			p.record(rulecheck.Record{Kind: k, Director: p.name(), Conn: o.Conn, RequestID: o.Message.ID, Session: o.Message.Session})
+			if p.config.rule == rulecheck.RuleAnswer && k != wire.Playing {
 				p.opportunities++
 			}
 		}
@@ -205,14 +205,14 @@
 	case RejectClient:
 		p.conns = slices.DeleteFunc(p.conns, func(x uint64) bool { return x == o.Conn })
 	case CloseClient:
-		p.record(witness.Record{Kind: witness.ConnClosed, Conn: o.Conn, ClosedBy: witness.ClosedByPeer, Reason: fmt.Sprintf("%d %s", o.Code, o.Reason)})
+		p.record(rulecheck.Record{Kind: rulecheck.ConnClosed, Conn: o.Conn, ClosedBy: rulecheck.ClosedByPeer, Reason: fmt.Sprintf("%d %s", o.Code, o.Reason)})
 		p.disconnectClient(o.Conn)
 	case Connect:
 		p.nodeLinks[o.Link] = &nodeLink{node: p.nodes[slices.IndexFunc(p.nodes, func(m *simNode) bool { return m.name == o.Node })], legs: map[uint64]simLeg{}}
 	case SendNode:
 		l := p.nodeLinks[o.Link]
 		if l != nil && o.Message.Type == wire.End { // from now on it is no leg of this director, whenever the node hears of it
-			p.record(witness.Record{Kind: wire.End, Node: l.node.name, Conn: l.conn, Director: p.name(), Leg: o.Message.Leg})
+			p.record(rulecheck.Record{Kind: wire.End, Node: l.node.name, Conn: l.conn, Director: p.name(), Leg: o.Message.Leg})
 		}
 		switch {
 		case l == nil || !l.connected:
@@ -238,12 +238,12 @@
 	case SendDiscovery:
 		switch o.Message.Type {
 		case wire.Subscribe:
-			p.record(witness.Record{Kind: witness.ListRequested, Director: p.name()})
+			p.record(rulecheck.Record{Kind: rulecheck.ListRequested, Director: p.name()})
 			p.sendFullList(false)
 		case wire.Acknowledge:
 			for _, e := range p.unackedEntries[o.Message.Serial] {
-				p.record(witness.Record{Kind: witness.ListReceived, Director: p.name(), Node: e.Node, State: e.State})
-				if p.config.rule == witness.RuleDrain && e.State != wire.Up {
+				p.record(rulecheck.Record{Kind: rulecheck.ListReceived, Director: p.name(), Node: e.Node, State: e.State})
+				if p.config.rule == rulecheck.RuleDrain && e.State != wire.Up {
 					p.opportunities++
 				}
 			}
@@ -257,12 +257,12 @@
 // deliver is a message that has reached its node.
 func (p *simDirector) deliver(l *nodeLink, o SendNode) {
 	m := o.Message
-	r := witness.Record{Kind: m.Type, Node: l.node.name, Conn: l.conn, Director: p.name(), Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
+	r := rulecheck.Record{Kind: m.Type, Node: l.node.name, Conn: l.conn, Director: p.name(), Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
 		Title: m.Title, Rung: m.Rung, StartTimeout: time.Duration(m.StartWithinMS) * ms}
 	switch m.Type {
 	case wire.Setup:
 		l.legs[m.Leg] = simLeg{expiresAt: p.now + r.StartTimeout}
-		if l.node.startedInRun && p.now < l.node.startedAt+p.config.ramp.Warmup && p.config.rule == witness.RuleSlowStart {
+		if l.node.startedInRun && p.now < l.node.startedAt+p.config.ramp.Warmup && p.config.rule == rulecheck.RuleSlowStart {
 			p.opportunities++
 		}
 	case wire.Rung:
@@ -285,7 +285,7 @@
 // removeLink is a connection's end as its node sees it.
 func (p *simDirector) removeLink(link uint64) (l *nodeLink) {
 	if l = p.nodeLinks[link]; l != nil && l.connected {
-		p.record(witness.Record{Kind: witness.ConnClosed, Node: l.node.name, Conn: l.conn})
+		p.record(rulecheck.Record{Kind: rulecheck.ConnClosed, Node: l.node.name, Conn: l.conn})
 	}
 	delete(p.nodeLinks, link)
 	return l
@@ -396,7 +396,7 @@
 	case 6:
 		if len(p.conns) > 0 && w.oneIn(2) {
 			conn := pick(w, p.conns)
-			w.record(witness.Record{Kind: witness.ConnClosed, Conn: conn, ClosedBy: witness.ClosedByRecorder})
+			w.record(rulecheck.Record{Kind: rulecheck.ConnClosed, Conn: conn, ClosedBy: rulecheck.ClosedByRecorder})
 			p.disconnectClient(conn)
 		}
 	case 7, 8, 9, 10, 11, 12:
@@ -446,7 +446,7 @@
 
 // kill ends a director at once, with all its connections.
 func (p *simDirector) kill() {
-	p.record(witness.Record{Kind: witness.DirectorKilled, Director: p.name()})
+	p.record(rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: p.name()})
 	for _, made := range []bool{true, false} {
 		for _, link := range p.links(made) {
 			p.removeLink(link)
@@ -486,7 +486,7 @@
 		return
 	}
 	waited := time.Duration(pick(p.simulation, []int{0, 0, 0, 0, 120, 300})) * ms
-	r := witness.Record{Kind: m.Type, Director: p.name(), Conn: v.conn, RequestID: m.ID, Tariff: m.Tariff, Title: m.Title, Wait: time.Duration(m.WaitMS) * ms}
+	r := rulecheck.Record{Kind: m.Type, Director: p.name(), Conn: v.conn, RequestID: m.ID, Tariff: m.Tariff, Title: m.Title, Wait: time.Duration(m.WaitMS) * ms}
 	for _, t := range p.config.tariffs {
 		if t.Name == m.Tariff { // what has stood in line for longer than the viewer waits is answered in the same step
 			r.Wait = max(waited, min(r.Wait, t.HardStop)) - waited
@@ -494,7 +494,7 @@
 	}
 	// A key that is shown again takes the session over, and excuses the request that had it.
 	if s := p.loop.sessionsByKey[m.Key]; m.Type == wire.Request && s != nil && s.conn != nil && s.conn.requests[m.ID] == nil {
-		p.record(witness.Record{Kind: wire.Cancel, Director: p.name(), Conn: s.conn.id, RequestID: s.request})
+		p.record(rulecheck.Record{Kind: wire.Cancel, Director: p.name(), Conn: s.conn.id, RequestID: s.request})
 	}
 	p.record(r)
 	p.step(ClientReceived{Conn: v.conn, Message: m, Waited: waited})
@@ -540,12 +540,12 @@
 			return
 		default:
 			delete(l.legs, legs[i])
-			if p.config.rule == witness.RuleSetupOnce && !was.plays {
+			if p.config.rule == rulecheck.RuleSetupOnce && !was.plays {
 				p.opportunities++
 			}
 		}
 		if m.Type != wire.Measurement {
-			p.record(witness.Record{Kind: m.Type, Node: l.node.name, Conn: l.conn, Director: p.name(), Leg: m.Leg})
+			p.record(rulecheck.Record{Kind: m.Type, Node: l.node.name, Conn: l.conn, Director: p.name(), Leg: m.Leg})
 		}
 		if p.oneIn(3) {
 			m.Load = &wire.NodeLoad{Streams: new(pick(p.simulation, []float64{0, 5, 1e6})), Link: new(p.Float64() * 2)}
@@ -582,7 +582,7 @@
 func (w *simulation) toggleNode(m *simNode) {
 	if m.up {
 		m.up = false
-		w.record(witness.Record{Kind: witness.NodeExited, Node: m.name})
+		w.record(rulecheck.Record{Kind: rulecheck.NodeExited, Node: m.name})
 		for _, p := range w.directors {
 			for _, link := range p.links(true) {
 				if l := p.nodeLinks[link]; l != nil && l.node == m {
@@ -596,7 +596,7 @@
 	if m.incarnation += uint64(1 + w.IntN(3)); w.oneIn(4) { // another number, not a higher one
 		m.incarnation = w.Uint64N(50) + 100
 	}
-	w.record(witness.Record{Kind: witness.NodeStarted, Node: m.name, MaxStreams: w.config.ramp.MaxStreams[0]})
+	w.record(rulecheck.Record{Kind: rulecheck.NodeStarted, Node: m.name, MaxStreams: w.config.ramp.MaxStreams[0]})
 }
 
 // changeEntry lets the list say something new of a node, to some directors now and to the others later.
@@ -623,20 +623,20 @@
 }
 
 // run goes through a town's days and lets the witness judge them.
-func (w *simulation) run() witness.Findings {
+func (w *simulation) run() rulecheck.Findings {
 	w.advance(1100 * ms)
 	for range w.config.steps {
 		w.step()
 	}
 	w.advance(5 * time.Second)
 	c := w.config
-	terms := witness.Limits{Tariffs: map[string]witness.TariffLimits{}, DrainGrace: 0, Warmup: c.ramp.Warmup, InitialShare: c.ramp.InitialShare, OverloadMultiple: c.ramp.OverloadMultiple,
+	terms := rulecheck.Limits{Tariffs: map[string]rulecheck.TariffLimits{}, DrainGrace: 0, Warmup: c.ramp.Warmup, InitialShare: c.ramp.InitialShare, OverloadMultiple: c.ramp.OverloadMultiple,
 		OverloadWindow: c.ramp.OverloadWindow, MaxLegs: c.legs.MaxLegs, MinRetries: c.legs.MinRetries, RetryRatio: c.legs.RetryRatio, RetryWindow: c.legs.Window}
 	for _, t := range c.tariffs {
-		terms.Tariffs[t.Name] = witness.TariffLimits{Paid: t.AtMostOnce, MinRung: t.Floor, Seats: t.Seats}
+		terms.Tariffs[t.Name] = rulecheck.TariffLimits{Paid: t.AtMostOnce, MinRung: t.Floor, Seats: t.Seats}
 	}
-	witness.Sort(w.records)
-	return witness.Check(terms, w.records)
+	rulecheck.Sort(w.records)
+	return rulecheck.Check(terms, w.records)
 }
 
 // shutDown lets everybody go and looks for what is left on the books.
--- a/internal/director/timers.go
+++ b/internal/director/timers.go
@@ -1,6 +1,6 @@
 package director
 
-import "fordusher/internal/alarm"
+import "fordusher/internal/timerqueue"
 
 type timerKind int
 
@@ -24,4 +24,4 @@
 	id   uint64
 }
 
-type timerQueue = alarm.Queue[timer]
+type timerQueue = timerqueue.Queue[timer]
--- a/internal/standin/player/player.go
+++ b/internal/emulated/client/client.go
@@ -1,6 +1,6 @@
-// Package player is the stand-in for players and the viewers before them: each connects, asks, waits as
+// Package client is the stand-in for players and the viewers before them: each connects, asks, waits as
 // long as it will, plays, leaves, and comes again as viewers do.
-package player
+package client
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/transport"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
 // Behavior is how viewers behave.
@@ -44,7 +44,7 @@
 // Population is all viewers of a day, and how they fared.
 type Population struct {
 	Behavior     Behavior
-	Recorder     *witness.Recorder
+	Recorder     *rulecheck.Recorder
 	PickDirector func(r *rand.Rand) (name, address string) // of a director that viewers go to now
 	Deadline     time.Time                                 // nobody comes again after it
 
@@ -81,7 +81,7 @@
 	}
 	switch m.Type {
 	case wire.Playing, wire.Nack, wire.Errored:
-		s.crowd.Recorder.Add(witness.Record{Kind: m.Type, Client: s.viewer, Conn: s.number, Director: s.name, RequestID: m.ID,
+		s.crowd.Recorder.Add(rulecheck.Record{Kind: m.Type, Client: s.viewer, Conn: s.number, Director: s.name, RequestID: m.ID,
 			Session: m.Session, Node: m.Node, Rung: m.Rung, Reason: m.Reason})
 	}
 	select {
@@ -91,11 +91,11 @@
 }
 
 func (s *seat) Closed(_ *transport.Conn, why error, _ []uint64) {
-	by := witness.ClosedByPeer
+	by := rulecheck.ClosedByPeer
 	if s.ours.Load() {
-		by = witness.ClosedByRecorder
+		by = rulecheck.ClosedByRecorder
 	}
-	s.crowd.Recorder.Add(witness.Record{Kind: witness.ConnClosed, Client: s.viewer, Conn: s.number, Director: s.name, ClosedBy: by, Reason: why.Error()})
+	s.crowd.Recorder.Add(rulecheck.Record{Kind: rulecheck.ConnClosed, Client: s.viewer, Conn: s.number, Director: s.name, ClosedBy: by, Reason: why.Error()})
 	close(s.closed)
 }
 
@@ -166,7 +166,7 @@
 	id := strconv.Itoa(n + 1)
 	want := wire.SessionMessage{Type: wire.Request, ID: id, Tariff: v.Tariff, Title: v.Title, Key: key, MaxRung: v.MaxRung,
 		WaitMS: v.Wait.Milliseconds(), LengthMS: left.Milliseconds(), Retry: n > 0}
-	c.Recorder.Add(witness.Record{Kind: wire.Request, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id, Tariff: v.Tariff,
+	c.Recorder.Add(rulecheck.Record{Kind: wire.Request, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id, Tariff: v.Tariff,
 		Title: v.Title, Wait: v.Wait, Retry: n > 0})
 	asked := time.Now()
 	conn.Send(wire.Encode(want), 0)
@@ -177,7 +177,7 @@
 	}
 	c.mu.Unlock()
 	if r.Float64() < c.Behavior.DuplicateShare {
-		c.Recorder.Add(witness.Record{Kind: wire.Request, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id, Tariff: v.Tariff})
+		c.Recorder.Add(rulecheck.Record{Kind: wire.Request, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id, Tariff: v.Tariff})
 		conn.Send(wire.Encode(want), 0)
 	}
 	patience := time.NewTimer(v.Wait + 400*time.Millisecond) // an answer that comes late is still seen
@@ -193,7 +193,7 @@
 		case <-s.closed:
 			return ending{again: true}
 		case <-hasty:
-			c.Recorder.Add(witness.Record{Kind: wire.Cancel, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id})
+			c.Recorder.Add(rulecheck.Record{Kind: wire.Cancel, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id})
 			conn.Send(wire.Encode(wire.SessionMessage{Type: wire.Cancel, ID: id}), 0)
 			select { // what crosses is still seen
 			case <-time.After(100 * time.Millisecond):
@@ -201,7 +201,7 @@
 			}
 			return ending{}
 		case <-patience.C:
-			c.Recorder.Add(witness.Record{Kind: witness.ClientTimedOut, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id})
+			c.Recorder.Add(rulecheck.Record{Kind: rulecheck.ClientTimedOut, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id})
 			return ending{again: !v.Paid}
 		case m := <-s.in:
 			switch m.Type {
--- a/internal/standin/list/book.go
+++ b/internal/emulated/discovery/model.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"maps"
--- a/internal/standin/list/list.go
+++ b/internal/emulated/discovery/source.go
@@ -1,21 +1,21 @@
-// Package list is the stand-in for the list's source: it pushes changes to every director, late, further
+// Package discovery is the stand-in for the list's source: it pushes changes to every director, late, further
 // behind when it lags, and starts again with nothing but the truth.
-package list
+package discovery
 
 import (
 	"sync"
 	"time"
 
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/transport"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
 // Source is a list of nodes and titles that directors follow.
 type Source struct {
 	mu       sync.Mutex
 	server   *transport.Server
-	record   *witness.Recorder
+	record   *rulecheck.Recorder
 	book     *Model
 	titles   []wire.TitlePlacement
 	wake     chan struct{}
@@ -26,7 +26,7 @@
 var bounds = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 20, WriteTimeout: 10 * time.Second, HandshakeTimeout: 10 * time.Second}
 
 // Start starts a source on a loopback port of its own.
-func Start(record *witness.Recorder, nodes []wire.NodeEntry, titles []wire.TitlePlacement) (*Source, error) {
+func Start(record *rulecheck.Recorder, nodes []wire.NodeEntry, titles []wire.TitlePlacement) (*Source, error) {
 	s := &Source{
 		record: record, book: NewModel(nodes), titles: titles,
 		wake: make(chan struct{}, 1), quit: make(chan struct{}), watchers: map[*transport.Conn]string{},
@@ -51,7 +51,7 @@
 // UpdateNode changes a node's line; directors are told after the delay, and the lag that there is then.
 func (s *Source) UpdateNode(e wire.NodeEntry, born, after time.Duration) {
 	s.mu.Lock()
-	s.book.ScheduleUpdate(e, born, witness.MonotonicNow()+after)
+	s.book.ScheduleUpdate(e, born, rulecheck.MonotonicNow()+after)
 	s.mu.Unlock()
 	s.stir()
 }
@@ -77,7 +77,7 @@
 func (s *Source) run() {
 	for {
 		s.mu.Lock()
-		now, wait := witness.MonotonicNow(), time.Second
+		now, wait := rulecheck.MonotonicNow(), time.Second
 		if m, ok := s.book.TakeDue(now); ok {
 			raw := wire.Encode(m)
 			for c := range s.watchers {
@@ -112,13 +112,13 @@
 	switch m.Type {
 	case wire.Subscribe:
 		if s.watchers[c] == "" {
-			s.record.Add(witness.Record{Kind: witness.ListRequested, Director: m.Director})
+			s.record.Add(rulecheck.Record{Kind: rulecheck.ListRequested, Director: m.Director})
 		}
 		s.watchers[c] = m.Director
-		c.Send(wire.Encode(s.book.Snapshot(witness.MonotonicNow(), s.titles)), 0)
+		c.Send(wire.Encode(s.book.Snapshot(rulecheck.MonotonicNow(), s.titles)), 0)
 	case wire.Acknowledge:
 		for _, e := range s.book.EntriesOf(m.Serial) {
-			s.record.Add(witness.Record{Kind: witness.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
+			s.record.Add(rulecheck.Record{Kind: rulecheck.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
 		}
 	}
 }
--- a/internal/standin/node/host.go
+++ b/internal/emulated/node/host.go
@@ -4,9 +4,9 @@
 	"sync"
 	"time"
 
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/transport"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
 // Host puts a farm behind sockets, one listener a node, and keeps the record of what crosses them.
@@ -19,7 +19,7 @@
 	last    uint64
 	wake    chan struct{}
 	quit    chan struct{}
-	record  *witness.Recorder
+	record  *rulecheck.Recorder
 	silent  map[string]bool
 	fell    func(node string)
 }
@@ -28,9 +28,9 @@
 var bounds = transport.Limits{MaxMessageBytes: wire.MaxNodeMessageBytes, MaxQueuedBytes: 16 << 20, WriteTimeout: 5 * time.Second, HandshakeTimeout: 10 * time.Second}
 
 // StartHost starts every node of a farm on a loopback port of its own. Fell is called when a node was pushed over.
-func StartHost(farm *Model, record *witness.Recorder, fell func(node string)) (*Host, error) {
+func StartHost(farm *Model, record *rulecheck.Recorder, fell func(node string)) (*Host, error) {
 	h := &Host{
-		farm: farm, began: witness.MonotonicNow(), servers: map[string]*transport.Server{}, links: map[uint64]*transport.Conn{},
+		farm: farm, began: rulecheck.MonotonicNow(), servers: map[string]*transport.Server{}, links: map[uint64]*transport.Conn{},
 		wake: make(chan struct{}, 1), quit: make(chan struct{}), record: record, silent: map[string]bool{}, fell: fell,
 	}
 	for _, n := range farm.order {
@@ -56,7 +56,7 @@
 }
 
 // Records are none: what the host sees goes to the recorder that it was given.
-func (h *Host) Records() ([]witness.Record, error) { return nil, nil }
+func (h *Host) Records() ([]rulecheck.Record, error) { return nil, nil }
 
 // Close ends all nodes.
 func (h *Host) Close() {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (h *Host) now() time.Duration { return witness.MonotonicNow() - h.began }
+func (h *Host) now() time.Duration { return rulecheck.MonotonicNow() - h.began }
 
 func (h *Host) run() {
 	timer := time.NewTimer(time.Hour)
@@ -93,7 +93,7 @@
 func (h *Host) carryOut(outs []Output) {
 	for _, o := range outs {
 		if o.Overloaded {
-			h.record.Add(witness.Record{Kind: witness.NodeExited, Node: o.Node, Reason: "pushed over"})
+			h.record.Add(rulecheck.Record{Kind: rulecheck.NodeExited, Node: o.Node, Reason: "pushed over"})
 			if h.fell != nil {
 				go h.fell(o.Node)
 			}
@@ -101,7 +101,7 @@
 			continue
 		}
 		if o.Earning != nil {
-			h.record.Add(witness.Record{Kind: witness.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
+			h.record.Add(rulecheck.Record{Kind: rulecheck.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
 			continue
 		}
 		c := h.links[o.Link]
@@ -136,7 +136,7 @@
 		return
 	}
 	name, _ := c.UserData().(string)
-	h.record.Add(witness.Record{
+	h.record.Add(rulecheck.Record{
 		Kind: m.Type, Node: node, Conn: link, Director: name, Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
 		Title: m.Title, Rung: m.Rung, StartTimeout: time.Duration(m.StartWithinMS) * time.Millisecond, Reason: m.Reason,
 	})
@@ -155,19 +155,19 @@
 		}
 		switch {
 		case x.Crash:
-			h.record.Add(witness.Record{Kind: witness.NodeExited, Node: name})
+			h.record.Add(rulecheck.Record{Kind: rulecheck.NodeExited, Node: name})
 			s.SetRefusing(true)
 		case x.Silent != nil && *x.Silent:
 			h.silent[name] = true
 			s.SetSilent(true)
 		case x.Start:
 			if h.silent[name] {
-				h.record.Add(witness.Record{Kind: witness.NodeExited, Node: name, Reason: "came back anew"})
+				h.record.Add(rulecheck.Record{Kind: rulecheck.NodeExited, Node: name, Reason: "came back anew"})
 			}
 			delete(h.silent, name)
 			s.SetSilent(false)
 			s.SetRefusing(false)
-			h.record.Add(witness.Record{Kind: witness.NodeStarted, Node: name, MaxStreams: float64(h.farm.nodes[name].MaxStreams)})
+			h.record.Add(rulecheck.Record{Kind: rulecheck.NodeStarted, Node: name, MaxStreams: float64(h.farm.nodes[name].MaxStreams)})
 		}
 	}
 	h.carryOut(h.farm.Apply(h.now(), x))
@@ -216,7 +216,7 @@
 	if c.ID() == 0 {
 		return
 	}
-	d.h.record.Add(witness.Record{Kind: witness.ConnClosed, Node: d.node, Conn: c.ID()})
+	d.h.record.Add(rulecheck.Record{Kind: rulecheck.ConnClosed, Node: d.node, Conn: c.ID()})
 	d.h.carryOut(d.h.farm.ConnClosed(d.h.now(), d.node, c.ID()))
 	d.h.stir()
 }
--- a/internal/standin/node/farm.go
+++ b/internal/emulated/node/model.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"fordusher/internal/alarm"
+	"fordusher/internal/timerqueue"
 	"fordusher/internal/wire"
 )
 
@@ -146,7 +146,7 @@
 	nodes  map[string]*machine
 	order  []*machine
 	racks  []rack
-	queue  alarm.Queue[due]
+	queue  timerqueue.Queue[due]
 	now    time.Duration
 	out    []Output
 	starts uint64
--- a/internal/emulator/crowd.go
+++ b/internal/emulator/clients.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"fordusher/internal/director"
-	"fordusher/internal/standin/player"
+	"fordusher/internal/emulated/client"
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
-// A crowd is the model of all viewers: what player.Crowd does with goroutines on sockets, as events.
+// A crowd is the model of all viewers: what client.Population does with goroutines on sockets, as events.
 type crowd struct {
 	w       *world
 	rate    float64
@@ -31,7 +31,7 @@
 
 // A viewer is one viewer's evening.
 type viewer struct {
-	player.Request
+	client.Request
 	r     *rand.Rand
 	try   int
 	key   int
@@ -111,13 +111,13 @@
 	s.asked = at
 	m := wire.SessionMessage{Type: wire.Request, ID: s.id, Tariff: v.Tariff, Title: v.Title, Key: fmt.Sprintf("%s-%d", v.Key, v.key), MaxRung: v.MaxRung,
 		WaitMS: v.Wait.Milliseconds(), LengthMS: v.left.Milliseconds(), Retry: v.try > 0}
-	c.say(at, s, m, witness.Record{Tariff: v.Tariff, Title: v.Title, Wait: v.Wait, Retry: v.try > 0})
+	c.say(at, s, m, rulecheck.Record{Tariff: v.Tariff, Title: v.Title, Wait: v.Wait, Retry: v.try > 0})
 	if v.r.Float64() < h.DuplicateShare {
-		c.say(at, s, m, witness.Record{Tariff: v.Tariff})
+		c.say(at, s, m, rulecheck.Record{Tariff: v.Tariff})
 	}
 	w.events.put(at+v.Wait+400*time.Millisecond, func(at time.Duration) { // an answer that comes late is still seen
 		if !s.over && s.plays == 0 && !s.leaving {
-			w.add(at, c.record(s, witness.ClientTimedOut))
+			w.add(at, c.record(s, rulecheck.ClientTimedOut))
 			c.leave(at, s, ending{again: !v.Paid})
 		}
 	})
@@ -127,18 +127,18 @@
 				return
 			}
 			s.leaving = true
-			c.say(at, s, wire.SessionMessage{Type: wire.Cancel, ID: s.id}, witness.Record{})
+			c.say(at, s, wire.SessionMessage{Type: wire.Cancel, ID: s.id}, rulecheck.Record{})
 			w.events.put(at+100*time.Millisecond, func(at time.Duration) { c.leave(at, s, ending{}) })
 		})
 	}
 }
 
-func (c *crowd) record(s *seat, what string) witness.Record {
-	return witness.Record{Kind: what, Client: s.v.ClientNumber, Conn: s.conn, Director: c.w.posts[s.post].name, RequestID: s.id}
+func (c *crowd) record(s *seat, what string) rulecheck.Record {
+	return rulecheck.Record{Kind: what, Client: s.v.ClientNumber, Conn: s.conn, Director: c.w.posts[s.post].name, RequestID: s.id}
 }
 
 // say sends a viewer's message, by way of the codec.
-func (c *crowd) say(at time.Duration, s *seat, m wire.SessionMessage, also witness.Record) {
+func (c *crowd) say(at time.Duration, s *seat, m wire.SessionMessage, also rulecheck.Record) {
 	r := c.record(s, m.Type)
 	r.Tariff, r.Title, r.Wait, r.Retry = also.Tariff, also.Title, also.Wait, also.Retry
 	c.w.add(at, r)
@@ -232,7 +232,7 @@
 	}
 	slices.Sort(conns)
 	for _, conn := range conns {
-		c.w.events.put(at+c.w.delay(c.w.chance), func(at time.Duration) { c.w.playerClosed(at, conn, "connection lost", witness.ClosedByPeer) })
+		c.w.events.put(at+c.w.delay(c.w.chance), func(at time.Duration) { c.w.playerClosed(at, conn, "connection lost", rulecheck.ClosedByPeer) })
 	}
 }
 
@@ -240,7 +240,7 @@
 	s.over = true
 	delete(c.seats, s.conn)
 	if s.asked > 0 { // who was never let in has asked nothing
-		r := c.record(s, witness.ConnClosed)
+		r := c.record(s, rulecheck.ConnClosed)
 		r.RequestID, r.ClosedBy, r.Reason = "", by, why
 		c.w.add(at, r)
 	}
@@ -251,7 +251,7 @@
 	if s.over {
 		return
 	}
-	c.close(at, s, "closed here", witness.ClosedByRecorder)
+	c.close(at, s, "closed here", rulecheck.ClosedByRecorder)
 	p := c.w.posts[s.post]
 	c.w.answer(at+c.w.opt.Latency.Max, p, s.boot, director.ClientLost{Conn: s.conn})
 	c.end(at, s.v, e)
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -15,12 +15,12 @@
 	"sync/atomic"
 	"time"
 
-	"fordusher/internal/alarm"
 	"fordusher/internal/conf"
 	"fordusher/internal/day"
 	"fordusher/internal/director"
+	"fordusher/internal/rulecheck"
+	"fordusher/internal/timerqueue"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
 // LatencyRange is how long messages are on their way, each drawn between the two.
@@ -45,7 +45,7 @@
 
 // events are what happens, each at its time; those of one time happen in the order in which they were put.
 type events struct {
-	alarm.Queue[func(at time.Duration)]
+	timerqueue.Queue[func(at time.Duration)]
 }
 
 func (q *events) put(at time.Duration, do func(at time.Duration)) { q.Add(at, do) }
@@ -157,11 +157,11 @@
 			p.hear(at, director.ClientAccepted(o))
 			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.welcome(at, o.Conn) })
 		case director.RejectClient:
-			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.playerClosed(at, o.Conn, "turned away", witness.ClosedByPeer) })
+			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.playerClosed(at, o.Conn, "turned away", rulecheck.ClosedByPeer) })
 		case director.CloseClient:
 			p.hear(at, director.ClientLost{Conn: o.Conn})
 			why := fmt.Sprintf("closed by peer: %d %s", o.Code, o.Reason)
-			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.playerClosed(at, o.Conn, why, witness.ClosedByPeer) })
+			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.playerClosed(at, o.Conn, why, rulecheck.ClosedByPeer) })
 			delete(p.lasts, playerWay(o.Conn))
 		case director.ProbeClient:
 			p.hear(at, director.ClientAlive{Conn: o.Conn})
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -14,8 +14,8 @@
 	"fordusher/internal/conf"
 	"fordusher/internal/day"
 	"fordusher/internal/director"
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
 // The bad day, in virtual time: every request is answered, no rule is broken, and the record is the same
@@ -87,7 +87,7 @@
 	}
 	fell := func(r *Result) (n int) {
 		for _, x := range r.Records {
-			if x.Kind == witness.NodeExited && x.Reason == "pushed over" {
+			if x.Kind == rulecheck.NodeExited && x.Reason == "pushed over" {
 				n++
 			}
 		}
@@ -99,8 +99,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if fell(r) > 0 || !r.Passed() || r.Rules[witness.RuleSlowStart].Checked == 0 {
-			t.Errorf("seed %d: %d nodes fell, %+v", seed, fell(r), r.Rules[witness.RuleSlowStart])
+		if fell(r) > 0 || !r.Passed() || r.Rules[rulecheck.RuleSlowStart].Checked == 0 {
+			t.Errorf("seed %d: %d nodes fell, %+v", seed, fell(r), r.Rules[rulecheck.RuleSlowStart])
 		}
 		b, err := Run(s, seed, Options{Workers: 4, NewDecider: day.Baselines["least-middle"]})
 		if err != nil {
@@ -116,16 +116,16 @@
 // overColdBudget is by how much the set-ups at a node within the warm-up after a start passed, at worst, what the fleet may
 // send it: the budget N of its warmth in any tipping time, and what chance may add, 2 x root of N + 2 (N under 30: 3 x root
 // of N + 3, where so is asked). Early is how many there were.
-func overColdBudget(r *Result, terms witness.Limits, small bool) (worst float64, early int) {
+func overColdBudget(r *Result, terms rulecheck.Limits, small bool) (worst float64, early int) {
 	worst = math.Inf(-1)
 	sent := map[string][]time.Duration{}
-	started, died := map[string]witness.Record{}, map[string]bool{}
+	started, died := map[string]rulecheck.Record{}, map[string]bool{}
 	for _, x := range r.Records {
 		switch x.Kind {
-		case witness.NodeExited:
+		case rulecheck.NodeExited:
 			died[x.Node] = true
 			delete(started, x.Node)
-		case witness.NodeStarted:
+		case rulecheck.NodeStarted:
 			if died[x.Node] { // at the day's begin they are warm
 				started[x.Node], sent[x.Node] = x, nil
 			}
@@ -175,7 +175,7 @@
 			worst, early := overColdBudget(r, r.Limits, false)
 			falls := 0
 			for _, x := range r.Records {
-				if x.Kind == witness.NodeExited && x.Reason == "pushed over" {
+				if x.Kind == rulecheck.NodeExited && x.Reason == "pushed over" {
 					falls++
 				}
 			}
@@ -257,9 +257,9 @@
 		what, node string
 		at         time.Duration
 	}
-	moments := func(records []witness.Record, began time.Duration) (all []moment) {
+	moments := func(records []rulecheck.Record, began time.Duration) (all []moment) {
 		for _, x := range records {
-			if x.Kind == witness.NodeExited || x.Kind == witness.NodeStarted {
+			if x.Kind == rulecheck.NodeExited || x.Kind == rulecheck.NodeStarted {
 				all = append(all, moment{x.Kind, x.Node, x.At - began})
 			}
 		}
@@ -267,7 +267,7 @@
 	}
 	var began time.Duration
 	for _, x := range r.Records {
-		if x.Kind == witness.RunStarted {
+		if x.Kind == rulecheck.RunStarted {
 			began = x.At
 		}
 	}
@@ -309,7 +309,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !slices.ContainsFunc(b.Records, func(x witness.Record) bool { return x.Kind == witness.NodeExited && x.Reason == "pushed over" }) {
+		if !slices.ContainsFunc(b.Records, func(x rulecheck.Record) bool { return x.Kind == rulecheck.NodeExited && x.Reason == "pushed over" }) {
 			t.Errorf("%d directors: with the baseline no node fell, so the day shows nothing", directors)
 		}
 	}
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -19,7 +19,7 @@
 	"fordusher/internal/conf"
 	"fordusher/internal/day"
 	"fordusher/internal/director"
-	"fordusher/internal/kept"
+	"fordusher/internal/resultarchive"
 )
 
 // An Experiment is a grid of days in virtual time: each place of the grid is played with each policy on each
@@ -94,7 +94,7 @@
 
 func (c GridPoint) String() string { return fmt.Sprintf("%d directors, load %g", c.Directors, c.Load) }
 
-// A ExperimentRun is one day of an experiment.
+// An ExperimentRun is one day of an experiment.
 type ExperimentRun struct {
 	GridPoint
 	Policy      string    `json:"policy"`
@@ -167,11 +167,11 @@
 }
 
 // Save keeps a trial in a compressed file.
-func (t *ExperimentResult) Save(file string) error { return kept.Save(file, t, t.Runs) }
+func (t *ExperimentResult) Save(file string) error { return resultarchive.Save(file, t, t.Runs) }
 
 // LoadExperimentResult reads what Save wrote.
 func LoadExperimentResult(file string) (*ExperimentResult, error) {
-	t, days, err := kept.Load[*ExperimentResult, ExperimentRun](file)
+	t, days, err := resultarchive.Load[*ExperimentResult, ExperimentRun](file)
 	switch {
 	case err != nil:
 		return nil, err
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"fordusher/internal/day"
-	"fordusher/internal/witness"
+	"fordusher/internal/rulecheck"
 )
 
 // slack is what the witness forgives: messages on their way, and answers that cross.
@@ -45,13 +45,13 @@
 	if n := len(w.records); n > 0 {
 		r.Duration = w.records[n-1].At
 	}
-	witness.Sort(r.Records)
+	rulecheck.Sort(r.Records)
 	r.Samples = w.points
 	for _, t := range w.script.Incidents {
 		r.Incidents = append(r.Incidents, IncidentInterval{t.Kind, t.At, t.At + t.Duration})
 	}
 	r.MinMargin = 1
-	for _, rule := range witness.Rules {
+	for _, rule := range rulecheck.Rules {
 		if x := r.Rules[rule].MinMargin; x < r.MinMargin {
 			r.MinMargin, r.MinMarginRule = x, rule
 		}
--- a/internal/emulator/hunt.go
+++ b/internal/emulator/search.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"fordusher/internal/day"
-	"fordusher/internal/standin/player"
-	"fordusher/internal/witness"
+	"fordusher/internal/emulated/client"
+	"fordusher/internal/rulecheck"
 )
 
 // A Search draws days and looks for those in which a rule is broken, or nearly. What has shown something new (a
@@ -125,7 +125,7 @@
 func (f *SearchResult) features() (all []string) {
 	r := f.Result
 	say := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
-	for _, rule := range witness.Rules {
+	for _, rule := range rulecheck.Rules {
 		say("%s %d", rule, int(r.Rules[rule].MinMargin*20))
 		say("%s checked %d", rule, bits(r.Rules[rule].Checked))
 	}
@@ -164,7 +164,7 @@
 	s := &day.Script{
 		Length: time.Duration(between(r, 6, 20)*10) * 100 * time.Millisecond, Directors: 1 + int(between(r, 0, 12)), Nodes: 4 + int(between(r, 0, 40)),
 		Titles: 5 + int(between(r, 0, 60)), Load: round(0.4 + r.Float64()), MeanLength: time.Duration(5+r.IntN(60)) * 100 * time.Millisecond,
-		Behavior: player.Behavior{RetryShare: round(0.5 + r.Float64()/2), MinRetryDelay: 200 * time.Millisecond, MaxRetryDelay: 1200 * time.Millisecond, HonorsBackoffShare: round(r.Float64()),
+		Behavior: client.Behavior{RetryShare: round(0.5 + r.Float64()/2), MinRetryDelay: 200 * time.Millisecond, MaxRetryDelay: 1200 * time.Millisecond, HonorsBackoffShare: round(r.Float64()),
 			CancelShare: round(between(r, 0, 0.2)), DuplicateShare: round(between(r, 0, 0.1)), DisconnectShare: round(between(r, 0, 0.2))},
 		MinListDelay: time.Duration(r.IntN(400)) * time.Millisecond, SilentNodeListDelay: time.Duration(1+r.IntN(9)) * time.Second,
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -9,10 +9,10 @@
 	"fordusher/internal/conf"
 	"fordusher/internal/day"
 	"fordusher/internal/director"
-	book "fordusher/internal/standin/list"
-	"fordusher/internal/standin/node"
+	book "fordusher/internal/emulated/discovery"
+	"fordusher/internal/emulated/node"
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
 // wayTo names a connection from a run of a director to a node.
@@ -49,7 +49,7 @@
 	numbers map[uint64]*link
 	lastNo  uint64
 	list    *list
-	records []witness.Record
+	records []rulecheck.Record
 	crowd   crowd
 	credit  map[string]float64 // of tariffs
 	points  []Sample
@@ -91,7 +91,7 @@
 		if err := p.start(0); err != nil {
 			return nil, err
 		}
-		w.add(0, witness.Record{Kind: witness.DirectorStarted, Director: p.name})
+		w.add(0, rulecheck.Record{Kind: rulecheck.DirectorStarted, Director: p.name})
 	}
 	timeline := opt.Actions
 	if timeline == nil {
@@ -126,7 +126,7 @@
 	w.events.put(at+time.Second, w.sample)
 }
 
-func (w *world) add(at time.Duration, r witness.Record) {
+func (w *world) add(at time.Duration, r rulecheck.Record) {
 	r.At = at
 	w.records = append(w.records, r)
 }
@@ -170,7 +170,7 @@
 	for _, i := range a.Start {
 		if p := w.posts[i]; !p.up {
 			w.err = p.start(at)
-			w.add(at, witness.Record{Kind: witness.DirectorStarted, Director: p.name})
+			w.add(at, rulecheck.Record{Kind: rulecheck.DirectorStarted, Director: p.name})
 		}
 	}
 }
@@ -180,7 +180,7 @@
 	if !p.up {
 		return
 	}
-	w.add(at, witness.Record{Kind: witness.DirectorKilled, Director: p.name})
+	w.add(at, rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: p.name})
 	p.up, p.stale = false, true
 	p.in = events{}
 	w.ended(at, p)
@@ -214,16 +214,16 @@
 		}
 		switch {
 		case x.Crash:
-			w.add(at, witness.Record{Kind: witness.NodeExited, Node: m.Name})
+			w.add(at, rulecheck.Record{Kind: rulecheck.NodeExited, Node: m.Name})
 			w.down[i] = true
 		case x.Silent != nil && *x.Silent:
 			w.silent[i] = true
 		case x.Start:
 			if w.silent[i] {
-				w.add(at, witness.Record{Kind: witness.NodeExited, Node: m.Name, Reason: "came back anew"})
+				w.add(at, rulecheck.Record{Kind: rulecheck.NodeExited, Node: m.Name, Reason: "came back anew"})
 			}
 			w.down[i], w.silent[i], w.hung[i] = false, false, false
-			w.add(at, witness.Record{Kind: witness.NodeStarted, Node: m.Name, MaxStreams: float64(m.MaxStreams)})
+			w.add(at, rulecheck.Record{Kind: rulecheck.NodeStarted, Node: m.Name, MaxStreams: float64(m.MaxStreams)})
 		}
 		w.hearing(at, i)
 	}
@@ -298,7 +298,7 @@
 	if m.Type == wire.Hello || m.Type == wire.Measurement {
 		return
 	}
-	w.add(at, witness.Record{Kind: m.Type, Node: w.layout.Nodes[l.machine].Name, Conn: l.number, Director: l.name, Session: m.Session, Leg: m.Leg,
+	w.add(at, rulecheck.Record{Kind: m.Type, Node: w.layout.Nodes[l.machine].Name, Conn: l.number, Director: l.name, Session: m.Session, Leg: m.Leg,
 		Tariff: m.Tariff, Title: m.Title, Rung: m.Rung, StartTimeout: time.Duration(m.StartWithinMS) * time.Millisecond, Reason: m.Reason})
 }
 
@@ -313,7 +313,7 @@
 	delete(w.links, l.wayTo)
 	delete(w.numbers, l.number)
 	name := w.layout.Nodes[l.machine].Name
-	w.add(at, witness.Record{Kind: witness.ConnClosed, Node: name, Conn: l.number})
+	w.add(at, rulecheck.Record{Kind: rulecheck.ConnClosed, Node: name, Conn: l.number})
 	w.nodesDo(at, w.farm.ConnClosed(at, name, l.number))
 }
 
@@ -324,12 +324,12 @@
 		m := w.machine[o.Node]
 		switch {
 		case o.Overloaded:
-			w.add(at, witness.Record{Kind: witness.NodeExited, Node: o.Node, Reason: "pushed over"})
+			w.add(at, rulecheck.Record{Kind: rulecheck.NodeExited, Node: o.Node, Reason: "pushed over"})
 			w.down[m] = true
 			w.say(at, "%s was pushed over and stays down", o.Node)
 			continue
 		case o.Earning != nil:
-			w.add(at, witness.Record{Kind: witness.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
+			w.add(at, rulecheck.Record{Kind: rulecheck.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
 			continue
 		}
 		l := w.numbers[o.Link]
@@ -442,13 +442,13 @@
 	switch m.Type {
 	case wire.Subscribe:
 		if _, listens := l.directors[p.number]; !listens {
-			l.w.add(at, witness.Record{Kind: witness.ListRequested, Director: m.Director})
+			l.w.add(at, rulecheck.Record{Kind: rulecheck.ListRequested, Director: m.Director})
 		}
 		l.directors[p.number] = boot
 		l.tell(at, p, boot, wire.Encode(l.book.Snapshot(at, l.w.layout.Titles)))
 	case wire.Acknowledge:
 		for _, e := range l.book.EntriesOf(m.Serial) {
-			l.w.add(at, witness.Record{Kind: witness.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
+			l.w.add(at, rulecheck.Record{Kind: rulecheck.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
 		}
 	}
 }
--- a/internal/haproxy/token.go
+++ b/internal/haproxy/token.go
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col)
 }
 
-// An SyntaxError is a text that HAProxy would not read either.
+// A SyntaxError is a text that HAProxy would not read either.
 type SyntaxError struct {
 	Position
 	Message string
--- a/internal/importer/against.go
+++ b/internal/importer/diff.go
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("%s: was %s, is %s", c.What, c.Before, c.After)
 }
 
-// An PreviousConfig is a director's file that was imported before and filled in since.
+// A PreviousConfig is a director's file that was imported before and filled in since.
 type PreviousConfig struct{ tree *tree }
 
 // ReadPreviousConfig reads it; what is wrong with it comes back as conf.Problems.
--- a/internal/load/archive.go
+++ b/internal/load/archive.go
@@ -6,17 +6,17 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fordusher/internal/kept"
+	"fordusher/internal/resultarchive"
 )
 
-// A ArchiveHeader begins an archive.
+// An ArchiveHeader begins an archive.
 type ArchiveHeader struct {
 	Scenario *Scenario `json:"scenario"`
 	Cores    int       `json:"cores"` // of the machine
 	At       string    `json:"at"`
 }
 
-// A ArchiveRow is one second of one run: of a part, or of a director where Part is empty.
+// An ArchiveRow is one second of one run: of a part, or of a director where Part is empty.
 type ArchiveRow struct {
 	Run    string `json:"run"` // "with", "without"
 	Repeat int    `json:"repeat,omitempty"`
@@ -44,11 +44,11 @@
 }
 
 // Save writes an archive to a compressed file.
-func (a *Archive) Save(file string) error { return kept.Save(file, a.Header, a.Rows) }
+func (a *Archive) Save(file string) error { return resultarchive.Save(file, a.Header, a.Rows) }
 
 // LoadArchive reads what Save wrote; a cut or foreign file is an error that names it.
 func LoadArchive(file string) (*Archive, error) {
-	head, rows, err := kept.Load[ArchiveHeader, ArchiveRow](file)
+	head, rows, err := resultarchive.Load[ArchiveHeader, ArchiveRow](file)
 	switch {
 	case err != nil:
 		return nil, err
--- a/internal/load/client.go
+++ b/internal/load/client_process.go
@@ -18,12 +18,12 @@
 	"github.com/gobwas/ws"
 	"golang.org/x/sys/unix"
 
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/transport"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
-// An ClientOrder is what a client process is told on its standard input, one JSON object on a line.
+// A ClientOrder is what a client process is told on its standard input, one JSON object on a line.
 type ClientOrder struct {
 	Client    int           `json:"client"`
 	Seed      uint64        `json:"seed"`
@@ -69,7 +69,7 @@
 func (t *tally) took(due time.Duration) {
 	t.mu.Lock()
 	t.now.Answered++
-	t.h.RecordValue(max(1, (witness.MonotonicNow() - due).Microseconds()))
+	t.h.RecordValue(max(1, (rulecheck.MonotonicNow() - due).Microseconds()))
 	t.mu.Unlock()
 }
 
@@ -140,7 +140,7 @@
 	}
 	seconds := int((o.Warmup + o.Duration) / time.Second)
 	for second := range seconds + 1 { // the last is for answers to what was due before
-		time.Sleep(time.Duration(began) + time.Duration(second+1)*time.Second - witness.MonotonicNow())
+		time.Sleep(time.Duration(began) + time.Duration(second+1)*time.Second - rulecheck.MonotonicNow())
 		for _, c := range crowds {
 			s, err := c.tally.turn(second, c.Name)
 			if err == nil {
@@ -249,7 +249,7 @@
 		if due >= end || ctx.Err() != nil {
 			return
 		}
-		for now := witness.MonotonicNow(); now < due; now = witness.MonotonicNow() {
+		for now := rulecheck.MonotonicNow(); now < due; now = rulecheck.MonotonicNow() {
 			time.Sleep(due - now)
 		}
 		c.tally.add(func(s *Sample) { s.Due++ })
--- a/internal/load/idle.go
+++ b/internal/load/idle_connections.go
@@ -22,9 +22,9 @@
 	"fordusher/internal/conf"
 	"fordusher/internal/daemon"
 	"fordusher/internal/director"
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/transport"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
 // IdleLoad is a load of players that are connected and say nothing.
@@ -222,7 +222,7 @@
 func (x InMemoryLoad) Run(ctx context.Context, say func(format string, args ...any)) (*InMemoryResult, error) {
 	s := SetupLoad{Rate: x.Rate, Playing: int(x.Rate), Duration: x.Duration, Warmup: time.Second, Nodes: x.Nodes, Racks: max(1, x.Nodes/7), Titles: 50,
 		Connections: 50, Seed: 1}
-	record := &witness.Recorder{}
+	record := &rulecheck.Recorder{}
 	st, err := s.openWith(record)
 	if err != nil {
 		return nil, err
@@ -358,12 +358,12 @@
 
 // drainMost is the longest time from word of a drain, as the director acknowledged it, until a set-up that
 // still came to the node.
-func drainMost(records []witness.Record) float64 {
+func drainMost(records []rulecheck.Record) float64 {
 	told := map[string]time.Duration{}
 	most := time.Duration(0)
 	for _, r := range records {
 		switch r.Kind {
-		case witness.ListReceived:
+		case rulecheck.ListReceived:
 			if r.State == wire.Up {
 				delete(told, r.Node)
 			} else if _, known := told[r.Node]; !known {
--- a/internal/load/cast.go
+++ b/internal/load/run.go
@@ -18,7 +18,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fordusher/internal/witness"
+	"fordusher/internal/rulecheck"
 )
 
 //go:embed scenario_house.jsonc
@@ -115,7 +115,7 @@
 	for _, d := range directors {
 		d.CollectGarbage() // what connecting left behind is no part of what connections cost
 	}
-	began := witness.MonotonicNow() + 200*time.Millisecond
+	began := rulecheck.MonotonicNow() + 200*time.Millisecond
 	for _, c := range cast {
 		if _, err := fmt.Fprintln(c.in, strconv.FormatInt(int64(began), 10)); err != nil {
 			return nil, err
@@ -150,14 +150,14 @@
 // watch reads what the directors use, each second.
 func (s *Scenario) watch(directors []MonitoredProcess, run string, began time.Duration, seconds int) (rows []ArchiveRow) {
 	before := make([]time.Duration, len(directors))
-	last := witness.MonotonicNow()
+	last := rulecheck.MonotonicNow()
 	for i, d := range directors {
 		before[i] = d.CPU()
 	}
 	for second := range seconds {
-		time.Sleep(began + time.Duration(second+1)*time.Second - witness.MonotonicNow())
+		time.Sleep(began + time.Duration(second+1)*time.Second - rulecheck.MonotonicNow())
 		kernel := socketMemory()
-		now := witness.MonotonicNow()
+		now := rulecheck.MonotonicNow()
 		for i, d := range directors {
 			figures := d.Metrics()
 			cpu := d.CPU()
--- a/internal/load/scenario_test.go
+++ b/internal/load/scenario_test.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"pgregory.net/rapid"
 
-	_ "fordusher/internal/seeded"
+	_ "fordusher/internal/testseed"
 )
 
 func TestShippedScenariosAreRead(t *testing.T) {
--- a/internal/load/load.go
+++ b/internal/load/setup_rate.go
@@ -18,11 +18,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fordusher/internal/standin/list"
-	"fordusher/internal/standin/node"
+	"fordusher/internal/emulated/discovery"
+	"fordusher/internal/emulated/node"
+	"fordusher/internal/rulecheck"
 	"fordusher/internal/transport"
 	"fordusher/internal/wire"
-	"fordusher/internal/witness"
 )
 
 //go:embed house.jsonc
@@ -71,15 +71,15 @@
 type site struct {
 	s        SetupLoad
 	host     *node.Host
-	list     *list.Source
+	list     *discovery.Source
 	machines []node.Spec
 	titles   []wire.TitlePlacement
 }
 
-func (s SetupLoad) open() (*site, error) { return s.openWith(witness.DiscardRecorder) }
+func (s SetupLoad) open() (*site, error) { return s.openWith(rulecheck.DiscardRecorder) }
 
 // openWith starts the stand-ins with a recorder.
-func (s SetupLoad) openWith(record *witness.Recorder) (*site, error) {
+func (s SetupLoad) openWith(record *rulecheck.Recorder) (*site, error) {
 	st := &site{s: s}
 	r := rand.New(rand.NewPCG(s.Seed, 3))
 	const middle = 703.0
@@ -109,7 +109,7 @@
 	for i := range s.Titles {
 		st.titles = append(st.titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i), FirstCell: r.IntN(s.Nodes), Copies: min(6, s.Nodes)})
 	}
-	st.list, err = list.Start(record, entries, st.titles)
+	st.list, err = discovery.Start(record, entries, st.titles)
 	if err != nil {
 		st.host.Close()
 		return nil, err
@@ -184,7 +184,7 @@
 		if due >= end || ctx.Err() != nil {
 			return measured
 		}
-		for now := witness.MonotonicNow(); now < due; now = witness.MonotonicNow() {
+		for now := rulecheck.MonotonicNow(); now < due; now = rulecheck.MonotonicNow() {
 			time.Sleep(due - now) // what oversleeps counts as latency, with a director and without
 		}
 		if due >= from {
@@ -203,7 +203,7 @@
 		return nil, err
 	}
 	defer st.close()
-	began := witness.MonotonicNow()
+	began := rulecheck.MonotonicNow()
 	m := newMeter(began + s.Warmup)
 	h := &direct{m: m}
 	var conns []*transport.Conn
@@ -215,7 +215,7 @@
 		defer c.Abort()
 		conns = append(conns, c)
 	}
-	began = witness.MonotonicNow()
+	began = rulecheck.MonotonicNow()
 	m.from = began + s.Warmup
 	length := s.length()
 	due := s.schedule(ctx, began, func(n int, due time.Duration) {
@@ -236,7 +236,7 @@
 func (h *direct) Opened(*transport.Conn)                  {}
 func (h *direct) Closed(*transport.Conn, error, []uint64) {}
 func (h *direct) Message(_ *transport.Conn, raw []byte) {
-	now := witness.MonotonicNow()
+	now := rulecheck.MonotonicNow()
 	m, err := wire.DecodeNodeMessage(raw)
 	switch {
 	case err != nil:
@@ -267,11 +267,11 @@
 	defer p.Kill()
 	time.Sleep(1500 * time.Millisecond) // connections to all nodes, and past the caution of a new director
 	var cpu, from time.Duration
-	r, err := s.measure(ctx, st, p.Address(), "through a director", func() { from, cpu = witness.MonotonicNow(), p.CPU() })
+	r, err := s.measure(ctx, st, p.Address(), "through a director", func() { from, cpu = rulecheck.MonotonicNow(), p.CPU() })
 	if err != nil {
 		return nil, err
 	}
-	used, span := p.CPU()-cpu, witness.MonotonicNow()-from
+	used, span := p.CPU()-cpu, rulecheck.MonotonicNow()-from
 	if span > 0 {
 		r.CPU = used.Seconds() / span.Seconds()
 	}
@@ -296,7 +296,7 @@
 		defer c.Abort()
 		conns = append(conns, c)
 	}
-	began := witness.MonotonicNow()
+	began := rulecheck.MonotonicNow()
 	m.from = began + s.Warmup
 	length := s.length()
 	counts := false
@@ -318,7 +318,7 @@
 func (h *through) Opened(*transport.Conn)                  {}
 func (h *through) Closed(*transport.Conn, error, []uint64) {}
 func (h *through) Message(_ *transport.Conn, raw []byte) {
-	now := witness.MonotonicNow()
+	now := rulecheck.MonotonicNow()
 	m, err := wire.DecodeSessionMessage(raw)
 	if err != nil {
 		return
--- a/internal/loopback/address.go
+++ b/internal/loopback/address.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// An ReservedAddress is a TCP address at which anybody may listen with SO_REUSEADDR, as package net does, and which the system
+// A ReservedAddress is a TCP address at which anybody may listen with SO_REUSEADDR, as package net does, and which the system
 // gives to no outgoing connection until Close. While nobody listens at it, connections to it are refused.
 type ReservedAddress struct {
 	descriptor int
--- a/internal/platform/program_test.go
+++ b/internal/platform/daemon_test.go
@@ -26,7 +26,7 @@
 // testTimeout is the longest that a test waits for what has to come; nothing waits for it to pass.
 const testTimeout = 10 * time.Second
 
-// A emulatedNode is a media node: reply says what goes back for a set-up, word for word; nothing where it is empty.
+// An emulatedNode is a media node: reply says what goes back for a set-up, word for word; nothing where it is empty.
 type emulatedNode struct {
 	t        *testing.T
 	ln       net.Listener
@@ -444,7 +444,7 @@
 	}
 }
 
-// A emulatedDiscovery tells what it is told to, and notes from which number it is asked.
+// An emulatedDiscovery tells what it is told to, and notes from which number it is asked.
 type emulatedDiscovery struct {
 	ln    net.Listener
 	asked chan uint64
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"fordusher/internal/director"
-	_ "fordusher/internal/seeded"
+	_ "fordusher/internal/testseed"
 	"fordusher/internal/wire"
 	"fordusher/policy"
 )
--- a/internal/platform/start.go
+++ b/internal/platform/start_config.go
@@ -9,14 +9,14 @@
 	"strconv"
 	"time"
 
-	"fordusher/closing"
+	"fordusher/connector"
 	"fordusher/internal/conf"
 	"fordusher/internal/director"
 	"fordusher/internal/simwire"
 	"fordusher/internal/transport"
 	"fordusher/internal/wire"
 	"fordusher/limits"
-	"fordusher/reach"
+	"fordusher/shutdown"
 )
 
 // The variables that tell a director what it is.
@@ -199,12 +199,12 @@
 	h.ProtocolOptions = director.Options{
 		AnswerMargin: answerMargin, ConnectTimeout: connect, SessionsPerConnection: maxRequestsPerConnection, NoHello: true, Detached: true,
 	}
-	h.ReconnectPolicy = reach.ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 64}
+	h.ReconnectPolicy = connector.ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 64}
 	h.ReconnectPolicy.IdleTimeout = time.Duration(idleTimeoutFraction * float64(simwire.SecondsToDuration(t.Permissions.Idle)))
 	if every := simwire.SecondsToDuration(t.Family.ReportInterval); every > 0 { // a node with sessions is heard so often
 		h.ReconnectPolicy.HeartbeatInterval = (every + time.Second) / 3
 	}
-	h.ShutdownPolicy = closing.Policy{Timeout: p.shutdownTimeout(), BatchInterval: 200 * time.Millisecond, MinDuration: p.minShutdownTime(), CloseTimeout: p.clientCloseTimeout()}
+	h.ShutdownPolicy = shutdown.Policy{Timeout: p.shutdownTimeout(), BatchInterval: 200 * time.Millisecond, MinDuration: p.minShutdownTime(), CloseTimeout: p.clientCloseTimeout()}
 	sockets := p.Limits.Sockets
 	if sockets == 0 {
 		sockets = 1024
--- a/internal/kept/kept.go
+++ b/internal/resultarchive/resultarchive.go
@@ -1,5 +1,5 @@
-// Package kept writes and reads results as compressed lines of JSON: a head that says what they are, and rows.
-package kept
+// Package resultarchive writes and reads results as compressed lines of JSON: a head that says what they are, and rows.
+package resultarchive
 
 import (
 	"bufio"
--- a/internal/kept/kept_test.go
+++ b/internal/resultarchive/resultarchive_test.go
@@ -1,4 +1,4 @@
-package kept
+package resultarchive
 
 import (
 	"errors"
--- a/internal/witness/record.go
+++ b/internal/rulecheck/recorder.go
@@ -1,6 +1,6 @@
-// Package witness keeps what crossed the sockets, as the stand-ins at their far ends saw it, and checks the
+// Package rulecheck keeps what crossed the sockets, as the stand-ins at their far ends saw it, and checks the
 // six rules from that record alone. It knows nothing of a director's books.
-package witness
+package rulecheck
 
 import (
 	"fmt"
--- a/internal/witness/witness_test.go
+++ b/internal/rulecheck/rulecheck_test.go
@@ -1,4 +1,4 @@
-package witness
+package rulecheck
 
 import (
 	"os"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"fordusher/internal/kept"
+	"fordusher/internal/resultarchive"
 	"fordusher/internal/wire"
 )
 
@@ -299,10 +299,10 @@
 	var l log
 	l.want(1, 1, "exam")
 	l.setup(2, "a", 1, "d.1.1", "exam")
-	if err := kept.Save(file, terms, l); err != nil {
+	if err := resultarchive.Save(file, terms, l); err != nil {
 		t.Fatal(err)
 	}
-	got, records, err := kept.Load[Limits, Record](file)
+	got, records, err := resultarchive.Load[Limits, Record](file)
 	if err != nil || len(records) != 2 || records[1] != l[1] || got.Tariffs["exam"] != terms.Tariffs["exam"] {
 		t.Fatal(got, records, err)
 	}
@@ -310,7 +310,7 @@
 	if err := os.WriteFile(file, raw[:len(raw)-5], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := kept.Load[Limits, Record](file); err == nil || !strings.Contains(err.Error(), "day.zst") {
+	if _, _, err := resultarchive.Load[Limits, Record](file); err == nil || !strings.Contains(err.Error(), "day.zst") {
 		t.Fatal("a record cut off is taken for whole", err)
 	}
 }
--- a/internal/witness/check.go
+++ b/internal/rulecheck/rules.go
@@ -1,4 +1,4 @@
-package witness
+package rulecheck
 
 import (
 	"cmp"
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -50,7 +50,7 @@
 	Number *uint64  `json:"frame"`
 }
 
-// An NodeEntry is a node in a registered list.
+// A NodeEntry is a node in a registered list.
 type NodeEntry struct {
 	State     string  `json:"stage_state"`
 	Node      string  `json:"node"`
--- a/internal/seeded/seeded.go
+++ b/internal/testseed/testseed.go
@@ -1,7 +1,7 @@
-// Package seeded is for tests. It gives the drawn tests of every package that imports it one seed, so that a run is the
+// Package testseed is for tests. It gives the drawn tests of every package that imports it one seed, so that a run is the
 // same as the last: a verdict never changes without a change of the code. On the command line -rapid.seed still draws
 // others.
-package seeded
+package testseed
 
 import (
 	"flag"
@@ -13,7 +13,7 @@
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true", "rapid.checks": "150"} {
 		if err := flag.Set(name, value); err != nil {
-			panic(fmt.Sprintf("seeded: %v", err))
+			panic(fmt.Sprintf("testseed: %v", err))
 		}
 	}
 }
--- a/internal/alarm/alarm.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,9 +1,9 @@
-// Package alarm holds times at which something is due: one or two for each connection, session, leg and link, a
+// Package timerqueue holds times at which something is due: one or two for each connection, session, leg and link, a
 // million and more at a time, each of which can be moved or called off. It reads no clock.
 //
 // It is a binary heap. A hierarchical wheel stood here for the timers of connections: moving one of a million cost it
 // 437 ns, a heap 494, and a set-up among a million connections the same (docs/hardening-review.md).
-package alarm
+package timerqueue
 
 import (
 	"container/heap"
@@ -119,7 +119,7 @@
 }
 
 // Push and Pop are for heap.Interface alone: adding and taking off go by Fix, which boxes nothing.
-func (q *queue[T]) Push(any) { panic("alarm: not used") }
+func (q *queue[T]) Push(any) { panic("timerqueue: not used") }
 
 // Pop is not used; see Push.
-func (q *queue[T]) Pop() any { panic("alarm: not used") }
+func (q *queue[T]) Pop() any { panic("timerqueue: not used") }
--- a/internal/alarm/alarm_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -1,4 +1,4 @@
-package alarm
+package timerqueue
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "fordusher/internal/seeded"
+	_ "fordusher/internal/testseed"
 )
 
 type set struct {
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -10,7 +10,7 @@
 	"github.com/gobwas/ws"
 )
 
-// A AdmissionHandler is a Handler that wants to be asked before a handshake is answered: it calls Accept or Reject on
+// An AdmissionHandler is a Handler that wants to be asked before a handshake is answered: it calls Accept or Reject on
 // the connection, then or later, from any goroutine.
 type AdmissionHandler interface {
 	Connecting(c *Conn)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,7 +1,7 @@
 // Package transport carries wire messages over WebSocket (RFC 6455) on netpoll: players', nodes' and the
 // list's connections alike, each with its own sub-protocol. It knows frames, sizes and queues, not what a
 // message means. Where a protocol frames its messages itself, a Split takes the place of WebSocket and all
-// else is shared: see plain.go.
+// else is shared: see tcp.go.
 //
 // A connection costs no goroutine while nothing moves on it. What comes in is handed to the Handler on
 // netpoll's workers, one call at a time for each connection; Send may be called by any goroutine and never
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -26,7 +26,7 @@
 	"net/netip"
 	"time"
 
-	"fordusher/internal/alarm"
+	"fordusher/internal/timerqueue"
 )
 
 // Capacity is what a director may use for its players' connections, and how it treats the idle ones.
@@ -146,7 +146,7 @@
 )
 
 type conn struct {
-	timer      alarm.Handle
+	timer      timerqueue.Handle
 	next, prev int32 // among the idle, the longest idle first
 	address    int32
 	stage      stage
@@ -174,7 +174,7 @@
 	addresses []address // a place is used again once nobody of it is connected
 	byAddr    map[netip.Addr]int32
 	freeAddr  []int32
-	timers    alarm.Queue[int32]
+	timers    timerqueue.Queue[int32]
 	now       time.Duration
 	memory    int64
 	nodes     int // descriptors that connections to nodes hold
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "fordusher/internal/seeded"
+	_ "fordusher/internal/testseed"
 )
 
 const ms = time.Millisecond
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "fordusher/internal/seeded"
+	_ "fordusher/internal/testseed"
 )
 
 // The first case is the paper's worked example.
--- a/turnover/check.go
+++ b/rollout/check.go
@@ -1,4 +1,4 @@
-package turnover
+package rollout
 
 import (
 	"fmt"
--- a/turnover/turnover.go
+++ b/rollout/rollout.go
@@ -1,4 +1,4 @@
-// Package turnover plans how a fleet gets from the nodes that it has to those that it is to have, in steps
+// Package rollout plans how a fleet gets from the nodes that it has to those that it is to have, in steps
 // that are safe to tell to directors while viewers watch. It does no I/O and has no clock: Plan takes both
 // fleets and returns the steps, or what stands in the way; Check goes through a plan by itself and finds
 // what it breaks.
@@ -6,7 +6,7 @@
 // The order is: nodes that are added or opened again, in waves as large as may be cold at one time; changes
 // of weight; nodes that change their place (drained, removed, and added there), since what is to be drained for
 // good still helps then; nodes that are drained, each removed once its sessions have had their time.
-package turnover
+package rollout
 
 import (
 	"fmt"
--- a/turnover/turnover_test.go
+++ b/rollout/rollout_test.go
@@ -1,4 +1,4 @@
-package turnover
+package rollout
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "fordusher/internal/seeded"
+	_ "fordusher/internal/testseed"
 )
 
 var terms = Constraints{Cells: 8, Racks: 2, MaxPerRack: 2, MaxPerTitle: 1, MaxWarming: 2, Warmup: 5 * time.Second, DrainTime: 10 * time.Second, PropagationDelay: time.Second}
--- a/closing/least_test.go
+++ b/shutdown/min_duration_test.go
@@ -1,4 +1,4 @@
-package closing
+package shutdown
 
 import (
 	"testing"
--- a/closing/closing.go
+++ b/shutdown/shutdown.go
@@ -1,7 +1,7 @@
-// Package closing decides how a director that is told to stop lets its sessions go: nothing new is
+// Package shutdown decides how a director that is told to stop lets its sessions go: nothing new is
 // taken, every answer owed goes out first, and the sessions that play are ended in slices that double,
 // so that their viewers do not all come to the other directors in one moment. It does no I/O and has no clock.
-package closing
+package shutdown
 
 import "time"
 
--- a/closing/closing_test.go
+++ b/shutdown/shutdown_test.go
@@ -1,4 +1,4 @@
-package closing
+package shutdown
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "fordusher/internal/seeded"
+	_ "fordusher/internal/testseed"
 )
 
 // Everything is let go by the term, whatever there was, and never more at once than the doubling or the
