--- a/internal/wire/codec_gen.go
+++ b/internal/wire/codec_gen.go
@@ -724,7 +724,160 @@
 func (v *NodeLoad) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson8255e396DecodeFordusherInternalWire3(l, v)
 }
-func easyjson8255e396DecodeFordusherInternalWire4(in *jlexer.Lexer, out *DiscoveryMessage) {
+func easyjson8255e396DecodeFordusherInternalWire4(in *jlexer.Lexer, out *NodeEntry) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "node":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Node = string(in.String())
+			}
+		case "address":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Address = string(in.String())
+			}
+		case "state":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.State = string(in.String())
+			}
+		case "kind":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.MachineKind = string(in.String())
+			}
+		case "zone":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Zone = string(in.String())
+			}
+		case "start":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Incarnation = uint64(in.Uint64())
+			}
+		case "age_ms":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.UptimeMS = int64(in.Int64())
+			}
+		case "weight":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Weight = float64(in.Float64())
+			}
+		case "cell":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Cell = int(in.Int())
+			}
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson8255e396EncodeFordusherInternalWire4(out *jwriter.Writer, in NodeEntry) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"node\":"
+		out.RawString(prefix[1:])
+		out.String(string(in.Node))
+	}
+	if in.Address != "" {
+		const prefix string = ",\"address\":"
+		out.RawString(prefix)
+		out.String(string(in.Address))
+	}
+	{
+		const prefix string = ",\"state\":"
+		out.RawString(prefix)
+		out.String(string(in.State))
+	}
+	if in.MachineKind != "" {
+		const prefix string = ",\"kind\":"
+		out.RawString(prefix)
+		out.String(string(in.MachineKind))
+	}
+	if in.Zone != "" {
+		const prefix string = ",\"zone\":"
+		out.RawString(prefix)
+		out.String(string(in.Zone))
+	}
+	if in.Incarnation != 0 {
+		const prefix string = ",\"start\":"
+		out.RawString(prefix)
+		out.Uint64(uint64(in.Incarnation))
+	}
+	if in.UptimeMS != 0 {
+		const prefix string = ",\"age_ms\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.UptimeMS))
+	}
+	if in.Weight != 0 {
+		const prefix string = ",\"weight\":"
+		out.RawString(prefix)
+		out.Float64(float64(in.Weight))
+	}
+	if in.Cell != 0 {
+		const prefix string = ",\"cell\":"
+		out.RawString(prefix)
+		out.Int(int(in.Cell))
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v NodeEntry) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjson8255e396EncodeFordusherInternalWire4(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v NodeEntry) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson8255e396EncodeFordusherInternalWire4(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *NodeEntry) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjson8255e396DecodeFordusherInternalWire4(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *NodeEntry) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson8255e396DecodeFordusherInternalWire4(l, v)
+}
+func easyjson8255e396DecodeFordusherInternalWire5(in *jlexer.Lexer, out *DiscoveryMessage) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -820,7 +973,7 @@
 		in.Consumed()
 	}
 }
-func easyjson8255e396EncodeFordusherInternalWire4(out *jwriter.Writer, in DiscoveryMessage) {
+func easyjson8255e396EncodeFordusherInternalWire5(out *jwriter.Writer, in DiscoveryMessage) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -872,177 +1025,24 @@
 
 // MarshalJSON supports json.Marshaler interface
 func (v DiscoveryMessage) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjson8255e396EncodeFordusherInternalWire4(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v DiscoveryMessage) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson8255e396EncodeFordusherInternalWire4(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *DiscoveryMessage) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjson8255e396DecodeFordusherInternalWire4(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *DiscoveryMessage) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson8255e396DecodeFordusherInternalWire4(l, v)
-}
-func easyjson8255e396DecodeFordusherInternalWire5(in *jlexer.Lexer, out *NodeEntry) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "node":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Node = string(in.String())
-			}
-		case "address":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Address = string(in.String())
-			}
-		case "state":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.State = string(in.String())
-			}
-		case "kind":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.MachineKind = string(in.String())
-			}
-		case "zone":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Zone = string(in.String())
-			}
-		case "start":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Incarnation = uint64(in.Uint64())
-			}
-		case "age_ms":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.UptimeMS = int64(in.Int64())
-			}
-		case "weight":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Weight = float64(in.Float64())
-			}
-		case "cell":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Cell = int(in.Int())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson8255e396EncodeFordusherInternalWire5(out *jwriter.Writer, in NodeEntry) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"node\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Node))
-	}
-	if in.Address != "" {
-		const prefix string = ",\"address\":"
-		out.RawString(prefix)
-		out.String(string(in.Address))
-	}
-	{
-		const prefix string = ",\"state\":"
-		out.RawString(prefix)
-		out.String(string(in.State))
-	}
-	if in.MachineKind != "" {
-		const prefix string = ",\"kind\":"
-		out.RawString(prefix)
-		out.String(string(in.MachineKind))
-	}
-	if in.Zone != "" {
-		const prefix string = ",\"zone\":"
-		out.RawString(prefix)
-		out.String(string(in.Zone))
-	}
-	if in.Incarnation != 0 {
-		const prefix string = ",\"start\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Incarnation))
-	}
-	if in.UptimeMS != 0 {
-		const prefix string = ",\"age_ms\":"
-		out.RawString(prefix)
-		out.Int64(int64(in.UptimeMS))
-	}
-	if in.Weight != 0 {
-		const prefix string = ",\"weight\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.Weight))
-	}
-	if in.Cell != 0 {
-		const prefix string = ",\"cell\":"
-		out.RawString(prefix)
-		out.Int(int(in.Cell))
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v NodeEntry) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson8255e396EncodeFordusherInternalWire5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v NodeEntry) MarshalEasyJSON(w *jwriter.Writer) {
+func (v DiscoveryMessage) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson8255e396EncodeFordusherInternalWire5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *NodeEntry) UnmarshalJSON(data []byte) error {
+func (v *DiscoveryMessage) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson8255e396DecodeFordusherInternalWire5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *NodeEntry) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *DiscoveryMessage) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson8255e396DecodeFordusherInternalWire5(l, v)
 }
