--- a/policy/health.go
+++ b/policy/health.go
@@ -5,79 +5,86 @@
 	"time"
 )
 
-// Health, from symptoms alone.
+// The health of nodes, judged only by the outcomes of this director's legs.
 
-// pauseLegs is how many leg times a node is left alone after a failed leg; trusted is the trickle
-// at which a node counts as well again; untried is after how many more pauses a paid leg is let through too.
 const (
-	pauseLegs = 8
-	trusted   = 8
-	untried   = 8
+	// pauseLegTimeouts is how long a node is set aside after a failed leg, in leg timeouts.
+	pauseLegTimeouts = 8
+	// healthyLegLimit is the leg limit at which a node counts as healthy again.
+	healthyLegLimit = 8
+	// atMostOncePauses is the number of further pauses after which legs of at-most-once tariffs may go to a
+	// node set aside, too.
+	atMostOncePauses = 8
 )
 
-// allows tells whether a leg may go to a node. One that was set aside gets a trickle of free ones first, and of
-// paid ones only once no free one has come for long: it guards a fleet of paid tariffs against losing node
-// after node for good.
-func (h *health) allows(outs int, paid bool, now time.Duration) bool {
-	if h.trickle == 0 {
+// allows reports whether a leg may go to a node with the given number of set-ups. After the pause, a node that was
+// set aside first gets a few legs of tariffs that allow several, and legs of at-most-once tariffs only if it
+// has not become healthy for long after. Without those, a fleet that serves at-most-once tariffs alone would
+// lose node after node for good.
+func (h *health) allows(setups int, atMostOnce bool, now time.Duration) bool {
+	if h.legLimit == 0 {
 		return true
 	}
-	from := h.until
-	if paid {
-		from += untried * h.pause
+	notBefore := h.until
+	if atMostOnce {
+		notBefore += atMostOncePauses * h.pause
 	}
-	return now >= from && outs < h.trickle
+	return now >= notBefore && setups < h.legLimit
 }
 
-func (h *health) wentWell() (well bool) {
-	if h.trickle == 0 {
+// legSucceeded raises the leg limit and reports whether the node has become healthy by that.
+func (h *health) legSucceeded() (healthy bool) {
+	if h.legLimit == 0 {
 		return false
 	}
-	h.trickle *= 2
-	if h.trickle >= trusted {
+	h.legLimit *= 2
+	if h.legLimit >= healthyLegLimit {
 		*h = health{}
 		return true
 	}
 	return false
 }
 
-// errored holds an error against its node once there is a second word on it: a free session's against the
-// first node if the next one accepts it, against neither if that errs as well. It guards the health of all
-// nodes against requests that none can serve, of a client that means harm or is broken.
-func (d *Director) errored(n *node, s *session) {
+// legErrored handles a leg that ended with an error. The error of a set-up is recorded against its node only if
+// it is confirmed. For a session that may have several legs, the next node decides: if it accepts the session,
+// the first node is to blame; if it fails too, neither is. This protects the health of all nodes against
+// requests of a malicious or broken client that no node can serve.
+func (d *Director) legErrored(n *node, s *session) {
 	switch {
 	case s.phase == playing:
 		d.recordFailure(n, s, Errored)
 	case d.rungs.tariffs[s.Tariff].AtMostOnce:
 		d.unconfirmedError(n, s)
-	case !s.erred:
-		s.errorAt = n.name
+	case !s.hadError:
+		s.firstErrorNode = n.name
 	default:
-		s.errorAt = ""
+		s.firstErrorNode = ""
 	}
-	s.erred = true
+	s.hadError = true
 }
 
-// unconfirmedError holds an error that no other node has a word on against its node if the last such one was there too.
+// unconfirmedError handles an error that no other node can confirm. It is recorded from the second one on since
+// the node last accepted a session.
 func (d *Director) unconfirmedError(n *node, s *session) {
-	if n.errors++; n.errors > 1 {
+	if n.unconfirmedErrors++; n.unconfirmedErrors > 1 {
 		d.recordFailure(n, s, Errored)
 	}
 }
 
-// recordFailure holds a leg's end, or its long silence, against the node.
-func (d *Director) recordFailure(n *node, s *session, o Outcome) {
-	s.suspected = true
-	if o == Full { // it runs, but has no room: its figure must be out of date
-		n.use.observe(max(d.load.link(n), cmp.Or(d.load.fleet.RefusalThreshold, 1)), n.size, 1, d.now)
+// recordFailure records a failed or overdue leg against its node: a Full outcome as load, any other by setting the
+// node aside.
+func (d *Director) recordFailure(n *node, s *session, outcome Outcome) {
+	s.failureRecorded = true
+	if outcome == Full { // the node runs but has no capacity left, so its last load report must be out of date
+		n.linkLoad.observe(max(d.load.linkUse(n), cmp.Or(d.load.fleet.RefusalThreshold, 1)), n.linkCapacity, 1, d.now)
 		return
 	}
-	if o != Errored {
+	if outcome != Errored {
 		n.suspectedAt = d.now
 	}
-	if n.health.trickle == 0 {
-		d.log("node %s set aside: outcome %d after %v", n.name, o, d.now-s.sent)
+	if n.health.legLimit == 0 {
+		d.log("node %s set aside: outcome %d after %v", n.name, outcome, d.now-s.sentAt)
 	}
-	pause := pauseLegs * legTime(d.rungs.tariffs[s.Tariff].GoalTime)
+	pause := pauseLegTimeouts * legTimeout(d.rungs.tariffs[s.Tariff].GoalTime)
 	n.health = health{1, pause, d.now + pause}
 }
--- a/policy/index.go
+++ b/policy/index.go
@@ -2,74 +2,75 @@
 
 import "slices"
 
-// An index finds nodes by where they are, so that what an event costs does not grow with nodes that it does not concern.
-// Places in the table of nodes are in rising order.
+// An index finds nodes by cell and rack, so that the cost of an event does not grow with the number of
+// nodes that it does not concern. Nodes are given as their indexes in Director.nodes, in ascending order.
 type index struct {
-	cells   [][]int // by cell
-	racks   [][]int // by rack, as many as have had a node
-	leaving []int   // those that were taken off the list; some may be on it again, or forgotten
-	found   []int   // the last answer of holders
-	members []*node // the last answer of members
+	cells         [][]int // by cell
+	racks         [][]int // by rack, up to the highest that has had a node
+	unlistedNodes []int   // nodes taken off the list; some may be listed again or dropped since
+	holderNodes   []int   // the last result of holders
+	rackNodes     []*node // the last result of inRack
 }
 
 func newIndex(cells int) index { return index{cells: make([][]int, max(1, cells))} }
 
 func (x *index) cell(n *node) *[]int { return &x.cells[n.cell%len(x.cells)] }
 
-// add takes in a node that is in no cell and no rack yet.
-func (x *index) add(place int, n *node) {
-	insert(x.cell(n), place)
+// add adds a node that is in no cell and no rack yet.
+func (x *index) add(i int, n *node) {
+	insertSorted(x.cell(n), i)
 	for len(x.racks) <= n.rack {
 		x.racks = append(x.racks, nil)
 	}
-	insert(&x.racks[n.rack], place)
+	insertSorted(&x.racks[n.rack], i)
 }
 
-// remove takes out a node that was added with the cell and the rack that it still has.
-func (x *index) remove(place int, n *node) {
-	take(x.cell(n), place)
-	take(&x.racks[n.rack], place)
+// remove removes a node, whose cell and rack must be the ones that it was added with.
+func (x *index) remove(i int, n *node) {
+	removeSorted(x.cell(n), i)
+	removeSorted(&x.racks[n.rack], i)
 }
 
-func insert(places *[]int, place int) {
-	at, there := slices.BinarySearch(*places, place)
-	if !there {
-		*places = slices.Insert(*places, at, place)
+func insertSorted(indexes *[]int, i int) {
+	at, found := slices.BinarySearch(*indexes, i)
+	if !found {
+		*indexes = slices.Insert(*indexes, at, i)
 	}
 }
 
-func take(places *[]int, place int) {
-	if at, there := slices.BinarySearch(*places, place); there {
-		*places = slices.Delete(*places, at, at+1)
+func removeSorted(indexes *[]int, i int) {
+	if at, found := slices.BinarySearch(*indexes, i); found {
+		*indexes = slices.Delete(*indexes, at, at+1)
 	}
 }
 
-// holders are the nodes of so many cells from a first one on. The answer is valid until the next call.
+// holders returns the nodes of the given number of consecutive cells from the first; after the last cell
+// it continues with cell 0. The result is valid until the next call.
 func (x *index) holders(first, copies int) []int {
-	x.found = x.found[:0]
+	x.holderNodes = x.holderNodes[:0]
 	for k := range min(copies, len(x.cells)) {
-		x.found = append(x.found, x.cells[(first+k)%len(x.cells)]...)
+		x.holderNodes = append(x.holderNodes, x.cells[(first+k)%len(x.cells)]...)
 	}
-	slices.Sort(x.found)
-	return x.found
+	slices.Sort(x.holderNodes)
+	return x.holderNodes
 }
 
-// inRack are the nodes of a rack. The answer is valid until the next call.
+// inRack returns the nodes of a rack. The result is valid until the next call.
 func (x *index) inRack(rack int, nodes []node) []*node {
-	x.members = x.members[:0]
+	x.rackNodes = x.rackNodes[:0]
 	if rack >= len(x.racks) {
 		return nil
 	}
-	for _, place := range x.racks[rack] {
-		x.members = append(x.members, &nodes[place])
+	for _, i := range x.racks[rack] {
+		x.rackNodes = append(x.rackNodes, &nodes[i])
 	}
-	return x.members
+	return x.rackNodes
 }
 
-// unlisted notes that a node was taken off the list.
-func (x *index) unlisted(place int, n *node) {
-	if !n.leaving {
-		n.leaving = true
-		x.leaving = append(x.leaving, place)
+// markUnlisted adds a node to unlistedNodes when the list removes it.
+func (x *index) markUnlisted(i int, n *node) {
+	if !n.queuedUnlisted {
+		n.queuedUnlisted = true
+		x.unlistedNodes = append(x.unlistedNodes, i)
 	}
 }
--- a/policy/index_map.go
+++ b/policy/index_map.go
@@ -1,7 +1,7 @@
 package policy
 
-// indexMap maps ids of one kind to small indices. An index is handed out again once its id has left,
-// so the door holds no more than are inside at one time.
+// indexMap assigns small indexes to ids. The index of a released id is assigned again, so that the indexes stay below
+// the largest number of ids assigned at one time.
 type indexMap[K comparable] struct {
 	indices map[K]int
 	free    []int
@@ -10,27 +10,28 @@
 
 func newIndexMap[K comparable]() indexMap[K] { return indexMap[K]{indices: map[K]int{}} }
 
-// assign gives an id an index; the second value tells that the index lies past all earlier ones.
-func (d *indexMap[K]) assign(id K) (index int, grown bool) {
-	if n := len(d.free); n > 0 {
-		index = d.free[n-1]
-		d.free = d.free[:n-1]
+// assign assigns an index to an id that has none. grown reports that the index is higher than all assigned
+// before.
+func (m *indexMap[K]) assign(id K) (index int, grown bool) {
+	if n := len(m.free); n > 0 {
+		index = m.free[n-1]
+		m.free = m.free[:n-1]
 	} else {
-		index, grown = d.size, true
-		d.size++
+		index, grown = m.size, true
+		m.size++
 	}
-	d.indices[id] = index
+	m.indices[id] = index
 	return index, grown
 }
 
-func (d *indexMap[K]) find(id K) (int, bool) {
-	index, ok := d.indices[id]
+func (m *indexMap[K]) find(id K) (int, bool) {
+	index, ok := m.indices[id]
 	return index, ok
 }
 
-func (d *indexMap[K]) release(id K) {
-	if index, ok := d.indices[id]; ok {
-		delete(d.indices, id)
-		d.free = append(d.free, index)
+func (m *indexMap[K]) release(id K) {
+	if index, ok := m.indices[id]; ok {
+		delete(m.indices, id)
+		m.free = append(m.free, index)
 	}
 }
--- a/policy/load_estimate.go
+++ b/policy/load_estimate.go
@@ -5,128 +5,137 @@
 	"time"
 )
 
-// Gauge: what is asked of links and uplinks, by this director's own count.
+// The estimate of the demand on links and uplinks, as a part of their capacity.
 
-// defaultLoad is what link and uplink use are held to be before any figure has come and once all have
-// faded; surely tells how many of its own sessions a director must see on a link to believe them as
-// much as what is usual.
 const (
+	// defaultLoad is the assumed load of links and uplinks before any report has arrived and after all
+	// reports have expired.
 	defaultLoad = 0.65
-	surely      = 2
-	recently    = 8 // figures that make up what is usual
-	// What a figure counts for at most in what is held to be usual elsewhere: it guards all links against
-	// one node that lies, or that hangs and delivers nothing.
-	believable        = 1 / dropThreshold
-	maxReportMultiple = 2 // times its places that a node may tell of as streams, run or set up
+	// priorSessions is the number of its own sessions on a link at which a director gives them the same
+	// weight as the baseline.
+	priorSessions   = 2
+	baselineReports = 8 // number of reports in a baseline
+	// maxBaselineReport limits what a report adds to a baseline. It protects the estimates of all links
+	// against one node that sends false values, or that hangs and delivers nothing.
+	maxBaselineReport = 1 / dropThreshold
+	// maxReportMultiple limits the streams that a node can report, running or being set up, to this multiple
+	// of its MaxStreams.
+	maxReportMultiple = 2
 )
 
-// count adds to what is asked of a node's link and of its rack's uplink.
-func (g *loadEstimate) count(n *node, onLink, onUplink float64) {
-	n.use.add(g.now, g.late, onLink)
-	g.racks[n.rack].use.add(g.now, g.late, onUplink)
+// addChange adds this director's changes to the demand on a node's link and on its rack's uplink.
+func (e *loadEstimate) addChange(n *node, onLink, onUplink float64) {
+	n.linkLoad.add(e.now, e.reportDelay, onLink)
+	e.racks[n.rack].uplinkLoad.add(e.now, e.reportDelay, onUplink)
 }
 
-// recordLink takes a figure of a node's link that tells of a time.
-func (g *loadEstimate) recordLink(n *node, figure float64, of time.Duration) {
-	if g.now >= n.baselineAt+g.late { // one that tells all the time is one node still
-		n.baselineAt = g.now
-		off := g.links.add(min(figure, believable)-n.ownLoad/n.size, recently, g.now)
-		g.spread += (math.Abs(off) - g.spread) / recently
+// recordLink records a reported load of a node's link at a time.
+func (e *loadEstimate) recordLink(n *node, load float64, at time.Duration) {
+	if e.now >= n.baselineAt+e.reportDelay { // each node counts at most once per report delay, however often it reports
+		n.baselineAt = e.now
+		deviation := e.linkBaseline.add(min(load, maxBaselineReport)-n.ownLoad/n.linkCapacity, baselineReports, e.now)
+		e.linkDeviation += (math.Abs(deviation) - e.linkDeviation) / baselineReports
 	}
-	n.use.observe(figure, n.size, smoothingFactor, of)
+	n.linkLoad.observe(load, n.linkCapacity, smoothingFactor, at)
 }
 
-// recordUplink takes a node's figure of its rack's uplink that tells of a time.
-func (g *loadEstimate) recordUplink(n *node, figure float64, of time.Duration) {
-	g.uplinkReported = true
-	r := &g.racks[n.rack]
-	r.reportUplink(n.name, figure, g.now, g.fresh)
-	if g.now >= r.baselineAt+g.late { // one that tells all the time is one rack still
-		r.baselineAt = g.now
-		g.uplinks.add(min(figure, believable)-r.ownLoad/g.fleet.Uplink, recently, g.now)
+// recordUplink records a node's report of the load of its rack's uplink at a time.
+func (e *loadEstimate) recordUplink(n *node, load float64, at time.Duration) {
+	e.uplinkReported = true
+	r := &e.racks[n.rack]
+	r.recordUplinkReport(n.name, load, e.now, e.freshFor)
+	if e.now >= r.baselineAt+e.reportDelay { // each rack counts at most once per report delay, however often it is reported
+		r.baselineAt = e.now
+		e.uplinkBaseline.add(min(load, maxBaselineReport)-r.ownLoad/e.fleet.Uplink, baselineReports, e.now)
 	}
-	r.use.observe(figure, g.fleet.Uplink, smoothingFactor, of)
+	r.uplinkLoad.observe(load, e.fleet.Uplink, smoothingFactor, at)
 }
 
-// amplification tells how many times over a change of a session that plays counts: the other directors
-// hear the same figure and act on it alike, each on its part of what is asked.
-func (g *loadEstimate) amplification(n *node) (link, uplink float64) {
-	echo := func(asked, own float64) float64 {
+// amplification returns by how much a rung change of a playing session is multiplied on link and uplink. The
+// other directors receive the same load reports and act alike, each on its part of the demand.
+func (e *loadEstimate) amplification(n *node) (link, uplink float64) {
+	factor := func(demand, own float64) float64 {
 		if own <= 0 {
 			return 1
 		}
-		return min(max(1, asked/own), 2*g.directors)
+		return min(max(1, demand/own), 2*e.directors)
 	}
-	return echo(g.link(n)*n.size, n.ownLoad), echo(g.uplink(n.rack)*g.fleet.Uplink, g.racks[n.rack].ownLoad)
+	return factor(e.linkUse(n)*n.linkCapacity, n.ownLoad), factor(e.uplinkUse(n.rack)*e.fleet.Uplink, e.racks[n.rack].ownLoad)
 }
 
-// ownShare is the part of what is asked of a node's link, or of its uplink if less, that is the director's own.
-func (g *loadEstimate) ownShare(n *node) float64 {
+// ownShare is this director's part of the demand on a node's link, or on its uplink if that part is smaller.
+func (e *loadEstimate) ownShare(n *node) float64 {
 	if n.ownLoad <= 0 {
 		return 0
 	}
-	onLink, onUplink := g.amplification(n)
+	onLink, onUplink := e.amplification(n)
 	return 1 / max(onLink, onUplink)
 }
 
-// link is the part of a node's link that is asked.
-func (g *loadEstimate) link(n *node) float64 { return g.figure(&n.use, n.size, n.ownLoad, g.links) }
+// linkUse is the estimated demand on a node's link.
+func (e *loadEstimate) linkUse(n *node) float64 {
+	return e.estimate(&n.linkLoad, n.linkCapacity, n.ownLoad, e.linkBaseline)
+}
 
-// uplink is the part of a rack's uplink that is asked; where that is never told it counts as free.
-func (g *loadEstimate) uplink(r int) float64 {
-	if !g.uplinkReported {
+// uplinkUse is the estimated demand on a rack's uplink. It is 0 while no uplink load has been reported.
+func (e *loadEstimate) uplinkUse(r int) float64 {
+	if !e.uplinkReported {
 		return 0
 	}
-	return g.figure(&g.racks[r].use, g.fleet.Uplink, g.racks[r].ownLoad, g.uplinks)
+	return e.estimate(&e.racks[r].uplinkLoad, e.fleet.Uplink, e.racks[r].ownLoad, e.uplinkBaseline)
 }
 
-// freshness is how far what was heard at a time still holds: half as far a switching time after more was due.
-func (g *loadEstimate) freshness(at time.Duration) float64 {
-	return math.Exp2(-max(0, float64(g.now-at-g.fresh)/float64(switchEvery)))
+// freshness is the weight of a report made at a time. It is 1 until the next report is due, then halves with
+// every switchEvery.
+func (e *loadEstimate) freshness(at time.Duration) float64 {
+	return math.Exp2(-max(0, float64(e.now-at-e.freshFor)/float64(switchEvery)))
 }
 
-// figure is the last one heard and what was changed since; as that fades it gives way to what is usual
-// elsewhere and this director's own use as a sample of all directors', weighed by what each can tell.
-// What is usual fades too: it guards against figures that nothing keeps true, be it one of a node that
-// is no longer heard or all of them, and against one session read as a full link.
-func (g *loadEstimate) figure(m *resourceLoad, size, own float64, u baseline) float64 {
-	usually := defaultLoad + (u.mean-defaultLoad)*g.freshness(u.at)
-	share := surely * g.middle
-	guess := (share + own) / (share/max(0.01, usually) + size/g.directors)
-	if !m.known {
+// estimate is the last observed load plus this director's changes since. As the observation loses its
+// freshness, a guess replaces it: the baseline and this director's own load, taken as a sample of all
+// directors' load, each weighted by how much it says. The baseline itself decays to defaultLoad. This
+// protects against reports that are no longer renewed, be it those of one node or of all, and against
+// taking one session for a full link.
+func (e *loadEstimate) estimate(resource *resourceLoad, capacity, ownLoad float64, base baseline) float64 {
+	prior := defaultLoad + (base.mean-defaultLoad)*e.freshness(base.updatedAt)
+	priorRate := priorSessions * e.middleRate
+	guess := (priorRate + ownLoad) / (priorRate/max(0.01, prior) + capacity/e.directors)
+	if !resource.known {
 		return guess
 	}
-	trust := g.freshness(m.observedAt)
-	return max(0, trust*(m.observed+m.since()/size)+(1-trust)*guess)
+	weight := e.freshness(resource.observedAt)
+	return max(0, weight*(resource.observed+resource.changeSum()/capacity)+(1-weight)*guess)
 }
 
-// projected tells what would be asked of a node's link and uplink with so much more. An uplink that is full by one other
-// node's word alone has room left for the lowest rung, unless uplinks elsewhere are near full too: a second node's
-// word closes the rack.
-func (g *loadEstimate) projected(n *node, onLink, onUplink float64) (link, uplink float64) {
-	link, uplink = g.link(n)+onLink/n.size, g.uplink(n.rack)+onUplink/g.fleet.Uplink
-	if g.racks[n.rack].singleReport(n.name, g.now) && g.uplinks.mean < headroomThreshold {
+// projected returns the demand on a node's link and uplink after the given additions, in kB a second. An uplink
+// that is full by the report of one other node alone keeps room for the lowest rung, unless the uplink baseline
+// is high too. The report of a second node closes the rack to set-ups.
+func (e *loadEstimate) projected(n *node, onLink, onUplink float64) (link, uplink float64) {
+	link, uplink = e.linkUse(n)+onLink/n.linkCapacity, e.uplinkUse(n.rack)+onUplink/e.fleet.Uplink
+	if e.racks[n.rack].fullByOneReport(n.name, e.now) && e.uplinkBaseline.mean < headroomThreshold {
 		uplink = min(uplink, fullThreshold)
 	}
 	return link, uplink
 }
 
-// streams counts a node's streams: from its report, else from its link use.
-func (g *loadEstimate) streams(n *node) float64 {
-	if n.reported < 0 || n.use.known && g.now-n.reportedAt > g.fresh {
-		return g.link(n) * n.size / g.usual
+// streamCount is a node's number of streams, from its report if that is recent, else from its link use.
+func (e *loadEstimate) streamCount(n *node) float64 {
+	if n.reportedStreams < 0 || n.linkLoad.known && e.now-n.reportedAt > e.freshFor {
+		return e.linkUse(n) * n.linkCapacity / e.meanStreamRate
 	}
-	return max(0, n.reported+float64(n.legs-n.legsThen))
+	return max(0, n.reportedStreams+float64(n.legs-n.legsAtReport))
 }
 
-func (g *loadEstimate) report(n *node, load Load) {
+// recordReport records a node's load report. Its link and uplink loads count only where no fresh
+// measurement is known.
+func (e *loadEstimate) recordReport(n *node, load Load) {
 	if load.Streams >= 0 {
-		n.reported, n.legsThen, n.reportedAt = load.Streams, n.legs, g.now
+		n.reportedStreams, n.legsAtReport, n.reportedAt = load.Streams, n.legs, e.now
 	}
-	if load.Link >= 0 && (!n.use.known || g.now-n.use.observedAt > g.fresh) {
-		g.recordLink(n, load.Link, g.now-g.late)
+	if load.Link >= 0 && (!n.linkLoad.known || e.now-n.linkLoad.observedAt > e.freshFor) {
+		e.recordLink(n, load.Link, e.now-e.reportDelay)
 	}
-	if up := &g.racks[n.rack].use; load.Uplink >= 0 && (!up.known || g.now-up.observedAt > g.fresh) {
-		g.recordUplink(n, load.Uplink, g.now-g.late)
+	if uplink := &e.racks[n.rack].uplinkLoad; load.Uplink >= 0 && (!uplink.known || e.now-uplink.observedAt > e.freshFor) {
+		e.recordUplink(n, load.Uplink, e.now-e.reportDelay)
 	}
 }
--- a/policy/pcg.go
+++ b/policy/pcg.go
@@ -13,21 +13,21 @@
 	old := uint64(*p)
 	*p = pcg(old*6364136223846793005 + 1442695040888963407)
 	x := uint32((old>>18 ^ old) >> 27)
-	turn := uint(old >> 59)
-	return x>>turn | x<<(-turn&31)
+	rotation := uint(old >> 59)
+	return x>>rotation | x<<(-rotation&31)
 }
 
-// below draws from 0 to n-1.
+// below returns a random number from 0 to n-1.
 func (p *pcg) below(n int) int { return int(uint64(p.next()) * uint64(n) >> 32) }
 
-// share draws from 0 up to 1.
-func (p *pcg) share() float64 { return float64(p.next()) / (1 << 32) }
+// uniform returns a random number from 0 up to, but not including, 1.
+func (p *pcg) uniform() float64 { return float64(p.next()) / (1 << 32) }
 
-// owner picks one of so many by a name.
-func owner(name string, directors int) int {
-	sum := uint32(2166136261) // FNV-1a
+// directorByHash returns the index of a director, chosen by the hash of a name.
+func directorByHash(name string, directors int) int {
+	hash := uint32(2166136261) // FNV-1a
 	for i := range len(name) {
-		sum = (sum ^ uint32(name[i])) * 16777619
+		hash = (hash ^ uint32(name[i])) * 16777619
 	}
-	return int(sum % uint32(directors))
+	return int(hash % uint32(directors))
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -5,103 +5,106 @@
 	"time"
 )
 
-// Placing.
+// The placement of sessions at nodes.
 
-// crossingWeight is how much more of its link a node may have asked than one in another zone, for
-// each part of a session's worth that crossing costs.
-const crossingWeight = 10
+// crossZoneWeight sets the cost of a node in another zone against link use: for each unit of
+// Fleet.CrossZoneCost, a node in the director's own zone is preferred while its link use is higher by less than this.
+const crossZoneWeight = 10
 
-// legTime is how long a leg may take before its node is suspect: two such legs and the time to
-// choose fit into the goal time.
-func legTime(goal time.Duration) time.Duration { return goal * 2 / 5 }
+// legTimeout is the time that a leg may take to be accepted before its node becomes suspect. Two such legs and
+// the time to choose their nodes fit into the goal time.
+func legTimeout(goal time.Duration) time.Duration { return goal * 2 / 5 }
 
-// place sends a held session's next leg, holds it while waiting can still help, or gives it up.
+// place starts a waiting session's next leg. It leaves the session waiting while a node may still become
+// available, and gives up when its time or its legs are used up.
 func (d *Director) place(i int) {
 	s := &d.sessions[i]
 	t := &d.rungs.tariffs[s.Tariff]
 	left := s.Deadline - d.now
-	late := d.now - s.receivedAt
-	if left <= 2*tickInterval || late >= t.GoalTime || len(s.tried) >= d.retries.legs.MaxLegs {
+	waited := d.now - s.receivedAt
+	if left <= 2*tickInterval || waited >= t.GoalTime || len(s.triedNodes) >= d.retries.policy.MaxLegs {
 		d.giveUp(i)
 		return
 	}
-	if t.Seats > 0 && d.seated(s) >= t.Seats || len(s.tried) > 0 && !d.retries.allows(d.now) {
+	if t.Seats > 0 && d.seatsTaken(s) >= t.Seats || len(s.triedNodes) > 0 && !d.retries.allows(d.now) {
 		return
 	}
-	at := d.choose(s, t)
-	if at < 0 {
+	chosen := d.chooseNode(s, t)
+	if chosen < 0 {
 		return
 	}
-	if len(s.tried) > 0 {
+	if len(s.triedNodes) > 0 {
 		d.retries.recordRetry(d.now)
 	}
-	n := &d.nodes[at]
-	s.node = at
-	reference := d.rungs.reference(s, n.fair)
-	rung := payoff(t.Floor, d.fitting(s, n, reference), reference, reference)
+	n := &d.nodes[chosen]
+	s.node = chosen
+	reference := d.rungs.referenceRung(s, n.fairRate)
+	rung := payoff(t.Floor, d.fittingRung(s, n, reference), reference, reference)
 	if rung != s.rung {
 		d.emit(SetRung{s.ID, rung})
 	}
-	var within time.Duration
+	var timeout time.Duration
 	if !t.AtMostOnce {
-		within = min(legTime(t.GoalTime), left)
+		timeout = min(legTimeout(t.GoalTime), left)
 	}
-	d.emit(Dispatch{s.ID, n.name, within})
-	s.phase, s.sent, s.suspected = settingUp, d.now, false
+	d.emit(Dispatch{s.ID, n.name, timeout})
+	s.phase, s.sentAt, s.failureRecorded = settingUp, d.now, false
 	d.takeSeat(s)
 	d.countLeg(n, 1)
 	n.setups++
-	d.slowStart.sent(n, d.now)
-	d.book(s, rung)
+	d.slowStart.recordSetup(n, d.now)
+	d.bookRung(s, rung)
 }
 
-// choose picks the lower link share of two random holders that may take the session and have room for
-// it at its lowest rung. It guards against overfilling what no step can relieve: on a link that is full
-// with sessions at their floor each further one costs the others more than it earns. Holders set aside
-// come last, for a paid session only where all are: trouble that strikes all is not theirs.
-func (d *Director) choose(s *session, t *Tariff) int {
-	var roomy, aside []int
-	well, least := 0, d.rungs.rate(s, t.Floor)
+// chooseNode returns the index of the node for a session's next leg, or -1. It draws two of the nodes that hold
+// the title, may take the session and have capacity for its lowest rung, and returns the one with the lower
+// placement cost. The capacity check keeps a link from an overload that no step down can relieve: on a link full
+// of sessions at their lowest rung, each further session costs the others more than it earns. Nodes set aside
+// come last. A session of an at-most-once tariff uses them only if all holders are set aside, because a
+// failure that affects all nodes is not the fault of any of them.
+func (d *Director) chooseNode(s *session, t *Tariff) int {
+	var candidates, aside []int
+	allowedNodes, lowestRate := 0, d.rungs.rate(s, t.Floor)
 	for _, i := range d.index.holders(s.FirstCell, s.Copies) {
 		n := &d.nodes[i]
 		if n.listed != Up {
 			continue
 		}
-		may := n.health.allows(n.setups, t.AtMostOnce, d.now)
-		if may {
-			well++
+		allowed := n.health.allows(n.setups, t.AtMostOnce, d.now)
+		if allowed {
+			allowedNodes++
 		}
-		link, uplink := d.load.projected(n, least, least)
+		link, uplink := d.load.projected(n, lowestRate, lowestRate)
 		switch {
-		case max(link, uplink) > fullThreshold || slices.Contains(s.tried, i) || !d.slowStart.allows(n, d.now) ||
-			!may && n.setups > 0:
-		case may:
-			roomy = append(roomy, i)
+		case max(link, uplink) > fullThreshold || slices.Contains(s.triedNodes, i) || !d.slowStart.allows(n, d.now) ||
+			!allowed && n.setups > 0:
+		case allowed:
+			candidates = append(candidates, i)
 		default:
 			aside = append(aside, i)
 		}
 	}
-	if len(roomy) == 0 && (well == 0 || !t.AtMostOnce) {
-		roomy = aside
+	if len(candidates) == 0 && (allowedNodes == 0 || !t.AtMostOnce) {
+		candidates = aside
 	}
-	if len(roomy) == 0 {
+	if len(candidates) == 0 {
 		return -1
 	}
-	k := d.random.below(len(roomy))
-	a := roomy[k]
-	if roomy = slices.Delete(roomy, k, k+1); len(roomy) > 0 {
-		if b := roomy[d.random.below(len(roomy))]; d.placementCost(&d.nodes[b]) < d.placementCost(&d.nodes[a]) {
+	first := d.random.below(len(candidates))
+	a := candidates[first]
+	if candidates = slices.Delete(candidates, first, first+1); len(candidates) > 0 {
+		if b := candidates[d.random.below(len(candidates))]; d.placementCost(&d.nodes[b]) < d.placementCost(&d.nodes[a]) {
 			return b
 		}
 	}
 	return a
 }
 
-// placementCost is a node's link share, and what crossing to its zone costs set against it.
+// placementCost is a node's link use, plus the weighted zone cost if it is not in the director's zone.
 func (d *Director) placementCost(n *node) float64 {
-	share := d.load.link(n)
+	cost := d.load.linkUse(n)
 	if n.zone != d.zone {
-		share += crossingWeight * d.load.fleet.CrossZoneCost
+		cost += crossZoneWeight * d.load.fleet.CrossZoneCost
 	}
-	return share
+	return cost
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,7 +1,15 @@
-// Package policy decides who plays, where and at what rung. Callers start a director with New and
-// hand each thing that happened to Step, which returns what is to be done, in order. The interface
-// (events, actions, start facts) is in types.go; everything that is decided is decided here.
-// Times are spans since the director's start. See docs/design.md for the mechanism's source.
+// Package policy makes every decision about sessions: which requests are served, at which node and at
+// which rung. A caller creates a Director with New and passes each event to Step, which returns the
+// actions to carry out, in order. The interface (events, actions, settings) is in types.go.
+//
+// A request is placed at one of two randomly chosen nodes that hold its title, the one with the lower
+// link use plus zone cost. Its rung is the one with the best payoff: near the node's fair rate, near the highest rung
+// that fits on link and uplink, and near the session's mean rung. Playing sessions are scored again
+// every rescoreEvery. Directors do not talk to each other. Each estimates the load of links and uplinks
+// from its own sessions and the nodes' measurements, and steps only a random part of its sessions,
+// because the other directors act on the same measurements.
+//
+// Times are durations since the director's start. See docs/design.md for the mechanism's source.
 package policy
 
 import (
@@ -10,148 +18,151 @@
 	"time"
 )
 
-// The mechanism's own figures; docs/design.md tells which are the paper's and which ours.
+// The constants of the mechanism. docs/design.md tells which come from the paper and which are our own.
+// Thresholds are parts of the capacity of a link or uplink.
 const (
-	fairnessWeight     = 0.6
-	clientWeight       = 0.4
+	fairnessWeight     = 0.6 // payoff: weight of the distance from the reference rung
+	clientWeight       = 0.4 // payoff: weight of the distances from the fitting rung and the mean rung
 	rescoreEvery       = 2 * time.Second
-	switchEvery        = 10 * time.Second
-	meanWindow         = 70 * time.Second
-	fullThreshold      = 0.9  // of a link or uplink: nothing is set up where more would be asked
-	raiseThreshold     = 0.85 // a rung up to the reference rung is newly taken up to here,
-	headroomThreshold  = 0.75 // a higher one up to here
-	stepDownTarget     = 0.85 // what is over full is stepped down to here
-	keepThreshold      = 1.0  // and a rung in force is kept up to here;
-	ownBias            = 0.2  // a director that holds all that is asked newly takes so much more,
-	creditBias         = 0.1  // the tariffs of most and least credit lie this far apart in all four
-	dropThreshold      = 0.75 // share delivered
-	shortfallThreshold = 0.98 // share delivered
-	smoothingFactor    = 0.8  // part of a figure's surprise that is believed: figures are noisy
+	switchEvery        = 10 * time.Second // shortest time between two rung switches of a session
+	meanWindow         = 70 * time.Second // window of a session's mean rung
+	fullThreshold      = 0.9              // no session is set up where the demand would exceed this
+	raiseThreshold     = 0.85             // a rung up to the reference rung is taken up to this demand
+	headroomThreshold  = 0.75             // a rung above the reference rung is taken up to this demand
+	stepDownTarget     = 0.85             // demand that is too high is stepped down to this
+	keepThreshold      = 1.0              // the current rung is kept up to this demand
+	ownBias            = 0.2              // the two thresholds for taking a rung rise by this at a link where all demand is the director's own
+	creditBias         = 0.1              // raise, headroom, step-down and keep thresholds of the tariffs with most and least credit differ by this
+	dropThreshold      = 0.75             // a session that gets less than this share of its rate drops to its lowest rung
+	shortfallThreshold = 0.98             // a delivered share below this is a shortfall
+	smoothingFactor    = 0.8              // part of a load report's deviation that is adopted, because reports are noisy
 )
 
-// tickInterval is how often the director looks around unasked.
+// tickInterval is the interval of the director's periodic evaluation.
 const tickInterval = rescoreEvery / 20
 
-// Director is one session director.
+// Director is the decision state of one director. A director is one instance of the program; all instances
+// together are the fleet. A Director is not safe for concurrent use.
 type Director struct {
-	now       time.Duration
-	out       []Action
-	random    *pcg
-	rungs     rungs
-	load      loadEstimate
-	zone      string
-	slowStart slowStart
-	retries   retryBudget
-	backoff   time.Duration
-	watch     time.Duration // how often the list is asked for; 0: it is pushed
-	askAt     time.Duration
-	begun     bool
-	ids       indexMap[uint64] // emptied as sessions end
-	sessions  []session        // a place is used again once its session has left the door
-	names     indexMap[string] // emptied as nodes leave the list and their last session ends
-	nodes     []node
-	index     index
-	seats     map[seatKey]int // seats taken; emptied as sessions end
+	now            time.Duration
+	actions        []Action
+	random         *pcg
+	rungs          rungs
+	load           loadEstimate
+	zone           string
+	slowStart      slowStart
+	retries        retryBudget
+	maxBackoff     time.Duration
+	pollInterval   time.Duration // interval between polls of the server list; 0: the list is pushed
+	nextPollAt     time.Duration
+	started        bool
+	sessionIndexes indexMap[uint64] // index of each session in sessions, by id; released when the session ends
+	sessions       []session        // a slot is reused once its session's index is released
+	nodeIndexes    indexMap[string] // index of each node in nodes, by name; released when the node is off the list and has no legs
+	nodes          []node
+	index          index
+	seats          map[seatKey]int // seats taken; an entry is deleted when its last session ends
 }
 
-// New starts a director.
+// New returns a new director.
 func New(seed uint64, peers Peers, tariffs []Tariff, ladder Ladder, fleet Fleet, ramp Ramp,
-	legs RetryPolicy, tidings ReportTiming) *Director {
+	retryPolicy RetryPolicy, reportTiming ReportTiming) *Director {
 	return &Director{
 		random: newPCG(seed),
 		rungs:  rungs{ladder, tariffs},
-		load: loadEstimate{fleet: fleet, late: tidings.Delay, fresh: tidings.Interval + 2*tidings.Delay,
-			directors: float64(max(1, peers.Directors)), middle: ladder.Rates[len(ladder.Rates)/2],
-			racks: make([]rack, max(1, fleet.Racks)), links: baseline{mean: defaultLoad}, uplinks: baseline{mean: defaultLoad}},
-		zone:      peers.Zone,
-		slowStart: slowStart{ramp: ramp, peers: peers},
-		retries:   retryBudget{legs: legs},
-		backoff:   tidings.MaxBackoff,
-		watch:     ramp.PollWithin / 2,
-		index:     newIndex(fleet.Cells),
-		ids:       newIndexMap[uint64](),
-		names:     newIndexMap[string](),
-		seats:     map[seatKey]int{},
+		load: loadEstimate{fleet: fleet, reportDelay: reportTiming.Delay, freshFor: reportTiming.Interval + 2*reportTiming.Delay,
+			directors: float64(max(1, peers.Directors)), middleRate: ladder.Rates[len(ladder.Rates)/2],
+			racks: make([]rack, max(1, fleet.Racks)), linkBaseline: baseline{mean: defaultLoad}, uplinkBaseline: baseline{mean: defaultLoad}},
+		zone:           peers.Zone,
+		slowStart:      slowStart{ramp: ramp, peers: peers},
+		retries:        retryBudget{policy: retryPolicy},
+		maxBackoff:     reportTiming.MaxBackoff,
+		pollInterval:   ramp.PollWithin / 2,
+		index:          newIndex(fleet.Cells),
+		sessionIndexes: newIndexMap[uint64](),
+		nodeIndexes:    newIndexMap[string](),
+		seats:          map[seatKey]int{},
 	}
 }
 
-// Step takes what happened at a time and returns what is to be done.
-func (d *Director) Step(now time.Duration, happened Event) []Action {
-	d.now, d.load.now, d.out = now, now, d.out[:0]
-	if !d.begun {
-		d.begun = true
+// Step handles an event that occurred at the given time and returns the resulting actions. The slice is valid
+// until the next call.
+func (d *Director) Step(now time.Duration, event Event) []Action {
+	d.now, d.load.now, d.actions = now, now, d.actions[:0]
+	if !d.started {
+		d.started = true
 		d.tick()
 	}
-	switch e := happened.(type) {
+	switch e := event.(type) {
 	case Request:
 		d.request(e)
 	case Accepted:
-		d.accepted(e.ID)
+		d.legAccepted(e.ID)
 	case LegResult:
-		d.result(e)
+		d.legResult(e)
 	case Measurement:
 		d.measurement(e)
 	case ClientGone:
-		if i, ok := d.ids.find(e.ID); ok {
+		if i, ok := d.sessionIndexes.find(e.ID); ok {
 			d.sessions[i].ended = true
-			d.settle(i)
+			d.releaseEnded(i)
 		}
 	case ServerList:
 		d.serverList(e)
 	case TimerFired:
 		d.tick()
 	}
-	return d.out
+	return d.actions
 }
 
-func (d *Director) emit(a Action) { d.out = append(d.out, a) }
+func (d *Director) emit(a Action) { d.actions = append(d.actions, a) }
 
-func (d *Director) log(format string, figures ...any) { d.emit(Log{fmt.Sprintf(format, figures...)}) }
-
-// Sessions.
+func (d *Director) log(format string, args ...any) { d.emit(Log{fmt.Sprintf(format, args...)}) }
 
+// request starts a session for a new request, or adopts a session that is already playing.
 func (d *Director) request(e Request) {
-	i, grown := d.ids.assign(e.ID)
+	i, grown := d.sessionIndexes.assign(e.ID)
 	if grown {
 		d.sessions = append(d.sessions, session{})
 	}
 	t := &d.rungs.tariffs[e.Tariff]
-	d.sessions[i] = session{Request: e, used: true, receivedAt: d.now, node: -1, rung: t.Floor}
+	d.sessions[i] = session{Request: e, inUse: true, receivedAt: d.now, node: -1, rung: t.Floor}
 	d.retries.recordRequest(d.now)
 	if e.PlayingOn == "" {
 		d.place(i)
 		return
 	}
 	s := &d.sessions[i]
-	s.sent = d.now
+	s.sentAt = d.now
 	d.takeSeat(s)
 	d.startPlaying(s)
-	s.adopted, s.scored = true, d.now-rescoreEvery
-	if n, ok := d.names.find(e.PlayingOn); ok {
+	s.adopted, s.scoredAt = true, d.now-rescoreEvery
+	if n, ok := d.nodeIndexes.find(e.PlayingOn); ok {
 		s.node = n
 		d.slowStart.adopted = true
 		d.countLeg(&d.nodes[n], 1)
-		d.book(s, s.rung)
+		d.bookRung(s, s.rung)
 	}
 }
 
-// giveUp answers a session that can't be set up: a nack where nothing paid may have run.
+// giveUp answers a request whose session can't be set up. The answer is a Nack unless a leg of an
+// at-most-once tariff may have run.
 func (d *Director) giveUp(i int) {
 	s := &d.sessions[i]
-	if e, ok := d.names.find(s.errorAt); ok {
+	if e, ok := d.nodeIndexes.find(s.firstErrorNode); ok {
 		d.unconfirmedError(&d.nodes[e], s)
 	}
-	if s.ran && d.rungs.tariffs[s.Tariff].AtMostOnce {
+	if s.mayHaveRun && d.rungs.tariffs[s.Tariff].AtMostOnce {
 		d.emit(Fail{s.ID})
 	} else {
-		d.emit(Nack{s.ID, min(d.backoff, d.rungs.tariffs[s.Tariff].GoalTime)})
+		d.emit(Nack{s.ID, min(d.maxBackoff, d.rungs.tariffs[s.Tariff].GoalTime)})
 	}
 	s.ended = true
-	d.settle(i)
+	d.releaseEnded(i)
 }
 
-func (d *Director) accepted(id uint64) {
-	i, ok := d.ids.find(id)
+func (d *Director) legAccepted(id uint64) {
+	i, ok := d.sessionIndexes.find(id)
 	if !ok || d.sessions[i].phase != settingUp {
 		return
 	}
@@ -159,103 +170,104 @@
 	d.startPlaying(s)
 	n := &d.nodes[s.node]
 	n.setups--
-	n.errors = 0
-	if e, ok := d.names.find(s.errorAt); ok { // what one node failed at, another did: it was not the session
+	n.unconfirmedErrors = 0
+	if e, ok := d.nodeIndexes.find(s.firstErrorNode); ok { // another node accepted the session, so the node that failed is to blame
 		d.recordFailure(&d.nodes[e], s, Errored)
 	}
-	if n.suspectedAt >= 0 { // it runs, and is warm a warm-up from now at the latest
-		n.suspectedAt, n.warmAt = -1, d.now+d.slowStart.ramp.Warmup
+	if n.suspectedAt >= 0 { // the node runs; its slow start ends at the latest one warm-up from now
+		n.suspectedAt, n.slowStartEnd = -1, d.now+d.slowStart.ramp.Warmup
 	}
-	if n.health.wentWell() {
-		d.log("node %s is trusted again", n.name)
+	if n.health.legSucceeded() {
+		d.log("node %s is healthy again", n.name)
 	}
 }
 
-// startPlaying starts a session's clocks; its first switch is free of the wait.
+// startPlaying sets a session's times as it starts to play. Its first switch does not wait for switchEvery.
 func (d *Director) startPlaying(s *session) {
-	s.phase, s.started, s.scored, s.switched = playing, d.now, d.now, d.now-switchEvery
-	s.mean = float64(s.rung)
+	s.phase, s.startedAt, s.scoredAt, s.switchedAt = playing, d.now, d.now, d.now-switchEvery
+	s.meanRung = float64(s.rung)
 }
 
-func (d *Director) result(e LegResult) {
-	i, ok := d.ids.find(e.ID)
+func (d *Director) legResult(e LegResult) {
+	i, ok := d.sessionIndexes.find(e.ID)
 	if !ok || d.sessions[i].phase == waiting {
 		return
 	}
 	s := &d.sessions[i]
-	was := s.phase
+	phase := s.phase
 	if s.node >= 0 {
 		n := &d.nodes[s.node]
-		d.book(s, -1)
+		d.bookRung(s, -1)
 		d.countLeg(n, -1)
-		if was == settingUp {
+		if phase == settingUp {
 			n.setups--
 		}
 		e.Load.Streams = min(e.Load.Streams, maxReportMultiple*d.slowStart.capacity(n))
-		d.load.report(n, e.Load)
+		d.load.recordReport(n, e.Load)
 		switch e.Outcome {
 		case Served, Cancelled, NeverStarted:
 		case Errored:
-			d.errored(n, s)
+			d.legErrored(n, s)
 		default:
 			d.recordFailure(n, s, e.Outcome)
 		}
-		s.tried = append(s.tried, s.node)
+		s.triedNodes = append(s.triedNodes, s.node)
 		d.dropNode(s.node)
 		s.node = -1
 	}
 	s.phase = waiting
 	d.releaseSeat(s)
-	s.ran = s.ran || e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != NeverStarted
+	s.mayHaveRun = s.mayHaveRun || e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != NeverStarted
 	switch {
-	case e.Final || s.ended || was == playing:
+	case e.Final || s.ended || phase == playing:
 		s.ended = true
-		d.settle(i)
-	case s.ran && d.rungs.tariffs[s.Tariff].AtMostOnce:
+		d.releaseEnded(i)
+	case s.mayHaveRun && d.rungs.tariffs[s.Tariff].AtMostOnce:
 		d.giveUp(i)
 	default:
 		d.place(i)
 	}
 }
 
-// tick is what is done at each pulse.
+// tick is the periodic evaluation: it polls the list if necessary, places waiting sessions, records overdue
+// set-ups, scores playing sessions again and drops unlisted nodes.
 func (d *Director) tick() {
 	d.emit(SetTimer{d.now + tickInterval})
-	if d.watch > 0 && d.now >= d.askAt {
-		d.askAt = d.now + d.watch
+	if d.pollInterval > 0 && d.now >= d.nextPollAt {
+		d.nextPollAt = d.now + d.pollInterval
 		d.emit(PollServerList{})
 	}
 	for i := range d.sessions {
 		s := &d.sessions[i]
 		switch {
-		case !s.used || s.ended:
+		case !s.inUse || s.ended:
 		case s.phase == waiting:
 			d.place(i)
 		case s.phase == settingUp:
-			if !s.suspected && d.now-s.sent > legTime(d.rungs.tariffs[s.Tariff].GoalTime) {
+			if !s.failureRecorded && d.now-s.sentAt > legTimeout(d.rungs.tariffs[s.Tariff].GoalTime) {
 				d.recordFailure(&d.nodes[s.node], s, TimedOut)
 			}
-		case d.now-s.scored >= rescoreEvery:
+		case d.now-s.scoredAt >= rescoreEvery:
 			d.rescore(s)
 		}
 	}
-	d.index.leaving = slices.DeleteFunc(d.index.leaving, func(i int) bool {
+	d.index.unlistedNodes = slices.DeleteFunc(d.index.unlistedNodes, func(i int) bool {
 		d.dropNode(i)
 		n := &d.nodes[i]
-		n.leaving = n.listed == Removed && n.name != ""
-		return !n.leaving
+		n.queuedUnlisted = n.listed == Removed && n.name != ""
+		return !n.queuedUnlisted
 	})
 }
 
-// countLeg counts legs of this director at a node.
-func (d *Director) countLeg(n *node, more int) {
-	n.legs += more
-	d.load.legs += more
+// countLeg adds to the number of this director's legs at a node.
+func (d *Director) countLeg(n *node, delta int) {
+	n.legs += delta
+	d.load.legs += delta
 }
 
-// measurement takes news of a session or of the node it is on.
+// measurement handles a measurement of a session, of its node's link or of its rack's uplink.
 func (d *Director) measurement(e Measurement) {
-	i, ok := d.ids.find(e.ID)
+	i, ok := d.sessionIndexes.find(e.ID)
 	if !ok || d.sessions[i].node < 0 {
 		return
 	}
@@ -266,40 +278,40 @@
 	}
 	switch e.Kind {
 	case CurrentRung:
-		d.book(s, max(0, min(int(e.Value), len(d.rungs.ladder.Rates)-1))) // off the ladder: its end
-		s.mean = float64(s.rung)
+		d.bookRung(s, max(0, min(int(e.Value), len(d.rungs.ladder.Rates)-1))) // a rung off the ladder counts as the ladder's nearest end
+		s.meanRung = float64(s.rung)
 	case DeliveredShare:
 		if e.Value < shortfallThreshold {
-			n.shortAt = d.now
+			n.shortfallAt = d.now
 			link, uplink := d.load.projected(n, 0, 0)
-			if asked := 1 / max(e.Value, 0.1); d.load.uplinkReported && uplink > link && uplink > raiseThreshold {
-				d.load.recordUplink(n, min(asked, 1/dropThreshold), d.now-d.load.late)
+			if demand := 1 / max(e.Value, 0.1); d.load.uplinkReported && uplink > link && uplink > raiseThreshold {
+				d.load.recordUplink(n, min(demand, 1/dropThreshold), d.now-d.load.reportDelay)
 			} else if d.load.uplinkReported {
-				d.load.recordLink(n, asked, d.now-d.load.late)
+				d.load.recordLink(n, demand, d.now-d.load.reportDelay)
 			}
-		} else { // the note that ends it: there is room again
-			n.shortAt = -rescoreEvery
-			r, of := &d.load.racks[n.rack], d.now-d.load.late
-			n.use.observe(min(d.load.link(n), raiseThreshold), n.size, 1, of)
-			r.use.observe(min(d.load.uplink(n.rack), raiseThreshold), d.load.fleet.Uplink, 1, of)
+		} else { // the shortfall has ended: there is capacity again
+			n.shortfallAt = -rescoreEvery
+			r, until := &d.load.racks[n.rack], d.now-d.load.reportDelay
+			n.linkLoad.observe(min(d.load.linkUse(n), raiseThreshold), n.linkCapacity, 1, until)
+			r.uplinkLoad.observe(min(d.load.uplinkUse(n.rack), raiseThreshold), d.load.fleet.Uplink, 1, until)
 		}
 		floor := d.rungs.tariffs[s.Tariff].Floor
 		if e.Value < dropThreshold && s.phase == playing && s.rung > floor {
-			d.change(s, floor, (1-e.Value)*n.ownLoad/(s.booked-d.rungs.rate(s, floor)))
+			d.stepRung(s, floor, (1-e.Value)*n.ownLoad/(s.bookedRate-d.rungs.rate(s, floor)))
 		}
 	case LinkLoad, UplinkLoad:
-		late := d.load.late
-		if s.phase == settingUp || d.now == s.started { // the note of a set-up tells of now
-			late = 0
+		delay := d.load.reportDelay
+		if s.phase == settingUp || d.now == s.startedAt { // a measurement made at the set-up describes the present
+			delay = 0
 		}
 		if e.Kind == LinkLoad {
-			d.load.recordLink(n, e.Value, d.now-late)
-			if s.started < n.suspectedAt { // with a session from before the doubt, it never died
+			d.load.recordLink(n, e.Value, d.now-delay)
+			if s.startedAt < n.suspectedAt { // the session is older than the suspicion, so the node has not gone down
 				n.suspectedAt = -1
 			}
 		} else {
-			d.load.recordUplink(n, e.Value, d.now-late)
+			d.load.recordUplink(n, e.Value, d.now-delay)
 		}
-		d.fairRates(n.rack)
+		d.updateFairRates(n.rack)
 	}
 }
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -4,12 +4,11 @@
 	"time"
 )
 
-// Rations of further legs.
-
+// allows reports whether another retry fits into the budget.
 func (r *retryBudget) allows(now time.Duration) bool {
-	if r.legs.Window == 0 {
+	if r.policy.Window == 0 {
 		return true
 	}
-	r.taken, r.spent = recent(r.taken, now-r.legs.Window), recent(r.spent, now-r.legs.Window)
-	return float64(len(r.spent)+1) <= r.legs.MinRetries+r.legs.RetryRatio*float64(len(r.taken))
+	r.requests, r.retries = recent(r.requests, now-r.policy.Window), recent(r.retries, now-r.policy.Window)
+	return float64(len(r.retries)+1) <= r.policy.MinRetries+r.policy.RetryRatio*float64(len(r.requests))
 }
--- a/policy/server_list.go
+++ b/policy/server_list.go
@@ -4,56 +4,55 @@
 	"time"
 )
 
-// Nodes and the list.
-
-// sameBirth is how much later a birth may be told again and be the same one.
-const sameBirth = 100 * time.Millisecond
+// startTimeTolerance is how much later a node's start time may be reported and still mean the same start.
+const startTimeTolerance = 100 * time.Millisecond
 
+// serverList applies a message of discovery to the table of nodes.
 func (d *Director) serverList(e ServerList) {
-	if e.Kind == ListReplaced || e.Kind == ListRestored { // the whole list: who is not named is gone
+	if e.Kind == ListReplaced || e.Kind == ListRestored { // this is the whole list: nodes missing from it are removed
 		for i := range d.nodes {
 			d.nodes[i].listed = Removed
-			d.index.unlisted(i, &d.nodes[i])
+			d.index.markUnlisted(i, &d.nodes[i])
 		}
 	}
-	for _, x := range e.Entries {
-		i, known := d.names.find(x.Node)
+	for _, entry := range e.Entries {
+		i, known := d.nodeIndexes.find(entry.Node)
 		if !known {
-			if x.State == Removed {
+			if entry.State == Removed {
 				continue
 			}
 			var grown bool
-			if i, grown = d.names.assign(x.Node); grown {
+			if i, grown = d.nodeIndexes.assign(entry.Node); grown {
 				d.nodes = append(d.nodes, node{})
 			}
-			d.nodes[i] = node{name: x.Node, startedAt: UnknownStart, reported: -1, suspectedAt: -1, shortAt: -rescoreEvery,
-				baselineAt: UnknownStart / 2, use: resourceLoad{observedAt: UnknownStart / 2}}
+			d.nodes[i] = node{name: entry.Node, startedAt: UnknownStart, reportedStreams: -1, suspectedAt: -1, shortfallAt: -rescoreEvery,
+				baselineAt: UnknownStart / 2, linkLoad: resourceLoad{observedAt: UnknownStart / 2}}
 		}
 		n := &d.nodes[i]
-		if x.StartedAt > n.startedAt+sameBirth && known { // what was seen and heard of it before has ended
-			n.health, n.suspectedAt, n.warmAt = health{}, -1, 0
-			n.use, n.reported, n.shortAt = resourceLoad{observedAt: UnknownStart / 2}, -1, -rescoreEvery
+		if entry.StartedAt > n.startedAt+startTimeTolerance && known { // the node has restarted: its earlier health and load are void
+			n.health, n.suspectedAt, n.slowStartEnd = health{}, -1, 0
+			n.linkLoad, n.reportedStreams, n.shortfallAt = resourceLoad{observedAt: UnknownStart / 2}, -1, -rescoreEvery
 		}
 		if known {
 			d.index.remove(i, n)
 		}
-		n.listed, n.zone, n.cell, n.kind, n.startedAt = x.State, x.Zone, x.Cell, x.MachineKind, x.StartedAt
+		n.listed, n.zone, n.cell, n.kind, n.startedAt = entry.State, entry.Zone, entry.Cell, entry.MachineKind, entry.StartedAt
 		d.load.racks[n.rack].ownLoad -= n.ownLoad
-		n.rack = x.Cell % len(d.load.racks)
+		n.rack = entry.Cell % len(d.load.racks)
 		d.load.racks[n.rack].ownLoad += n.ownLoad
 		d.index.add(i, n)
 		if n.listed == Removed {
-			d.index.unlisted(i, n)
+			d.index.markUnlisted(i, n)
 		}
-		n.size = d.load.fleet.LinkUnit * x.Weight
-		if n.size <= 0 {
-			n.size = max(1, d.load.fleet.LinkUnit)
+		n.linkCapacity = d.load.fleet.LinkUnit * entry.Weight
+		if n.linkCapacity <= 0 {
+			n.linkCapacity = max(1, d.load.fleet.LinkUnit)
 		}
 	}
-	for _, i := range d.index.leaving {
+	for _, i := range d.index.unlistedNodes {
 		d.dropNode(i)
 	}
 	for r := range d.load.racks {
-		d.fairRates(r)
+		d.updateFairRates(r)
 	}
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -5,54 +5,58 @@
 	"time"
 )
 
-// Warmth: what a node that may have just started can take.
+// The slow start: how many set-ups a node that may have just started can take.
 
-// allows keeps all directors together under the fall budget of a node that may be cold. A node that the
-// list tells to have started is cold to all of them: each has its whole part of the budget, and where
-// that is under one set-up, one director, told by the node's name, has all of it. A failure that this
-// director has seen was seen by no more directors than the node has places; with one set-up each in the
-// time that the budget takes to fill the places they stay within it on average, not at every moment. One
-// that has just started, and can't know which nodes its predecessor saw fail, sends its part, or one.
-func (w *slowStart) allows(n *node, now time.Duration) bool {
-	told := n.startedAt != UnknownStart && now < n.startedAt+w.ramp.Warmup
-	seen := n.suspectedAt >= 0 || now < n.warmAt
-	blank := now < w.ramp.Warmup && !w.adopted
-	if !told && !seen && !blank {
+// allows reports whether this director may send another set-up to a node. It keeps the set-ups of all directors
+// together within the overload budget of a node that may be in slow start:
+//
+//   - A node that started recently according to the list is in slow start for all directors. Each has an equal
+//     share of the budget. If that share is less than one set-up, a single director, chosen by a hash of the
+//     node's name, has the whole budget.
+//   - A failure that this director observed was observed by at most as many directors as the node has streams.
+//     With one set-up each per fillTime they stay within the budget on average, though not at every moment.
+//   - A director that has just started can't know which nodes its predecessor saw fail. It sends each node its
+//     share of the budget, or one set-up.
+func (s *slowStart) allows(n *node, now time.Duration) bool {
+	listedStart := n.startedAt != UnknownStart && now < n.startedAt+s.ramp.Warmup
+	observedFailure := n.suspectedAt >= 0 || now < n.slowStartEnd
+	newDirector := now < s.ramp.Warmup && !s.adopted
+	if !listedStart && !observedFailure && !newDirector {
 		return true
 	}
-	if now < w.ramp.OverloadWindow && blank && n.startedAt != UnknownStart {
-		return false // a predecessor of this director may just have spent its part
+	if now < s.ramp.OverloadWindow && newDirector && n.startedAt != UnknownStart {
+		return false // a predecessor of this director may just have used its share
 	}
-	places, fill := w.capacity(n), w.fill()
-	n.sends = recent(n.sends, now-fill)
-	lately := len(recent(slices.Clone(n.sends), now-w.ramp.OverloadWindow-1))
-	budget := places * w.ramp.OverloadWindow.Seconds() / max(fill, time.Millisecond).Seconds()
-	directors := max(1, w.peers.Directors)
-	switch mine := int(budget / float64(directors)); {
-	case lately < mine:
+	capacity, fill := s.capacity(n), s.fillTime()
+	n.sentTimes = recent(n.sentTimes, now-fill)
+	recentSetups := len(recent(slices.Clone(n.sentTimes), now-s.ramp.OverloadWindow-1))
+	budget := capacity * s.ramp.OverloadWindow.Seconds() / max(fill, time.Millisecond).Seconds()
+	directors := max(1, s.peers.Directors)
+	switch share := int(budget / float64(directors)); {
+	case recentSetups < share:
 		return true
-	case told:
-		return mine == 0 && owner(n.name, directors) == w.peers.Index && lately < int(budget)
-	case seen:
-		return len(n.sends) == 0
+	case listedStart:
+		return share == 0 && directorByHash(n.name, directors) == s.peers.Index && recentSetups < int(budget)
+	case observedFailure:
+		return len(n.sentTimes) == 0
 	default:
-		return lately == 0
+		return recentSetups == 0
 	}
 }
 
-// capacity is how many streams a node runs at most; where its kind is not known, the least.
-func (w *slowStart) capacity(n *node) float64 {
-	if n.kind < len(w.ramp.MaxStreams) {
-		return w.ramp.MaxStreams[n.kind]
+// capacity is the most streams that a node runs. For a node of unknown kind it is 1, the smallest possible.
+func (s *slowStart) capacity(n *node) float64 {
+	if n.kind < len(s.ramp.MaxStreams) {
+		return s.ramp.MaxStreams[n.kind]
 	}
 	return 1
 }
 
-// fill is the time that the fall budget takes to fill a node's places.
-func (w *slowStart) fill() time.Duration {
-	return max(w.ramp.OverloadWindow, time.Duration(float64(w.ramp.Warmup)/max(w.ramp.OverloadMultiple*w.ramp.InitialShare, 0.01)))
+// fillTime is the time in which the overload budget adds up to all streams of a node, at least OverloadWindow.
+func (s *slowStart) fillTime() time.Duration {
+	return max(s.ramp.OverloadWindow, time.Duration(float64(s.ramp.Warmup)/max(s.ramp.OverloadMultiple*s.ramp.InitialShare, 0.01)))
 }
 
-func (w *slowStart) sent(n *node, now time.Duration) {
-	n.sends = append(recent(n.sends, now-w.fill()), now)
+func (s *slowStart) recordSetup(n *node, now time.Duration) {
+	n.sentTimes = append(recent(n.sentTimes, now-s.fillTime()), now)
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -5,155 +5,162 @@
 	"time"
 )
 
-// What the director keeps between events; what is done with it is in policy.go.
+// The state that a director keeps between events. The decisions that use it are in the other files,
+// starting with policy.go.
 
 type phase int
 
 const (
-	waiting phase = iota // taken, no leg out
+	waiting phase = iota // received; no leg is running
 	settingUp
 	playing
 )
 
+// A session is a request and the state of its legs.
 type session struct {
 	Request
-	used       bool // the place is taken
-	phase      phase
-	ended      bool // the viewer has its answer or has left; only a leg's end is awaited
-	ran        bool // some earlier leg may have run
-	receivedAt time.Duration
-	node       int
-	tried      []int // nodes of earlier legs; at most Legs.Most
-	sent       time.Duration
-	started    time.Duration
-	adopted    bool   // handed over while it played, and not switched since
-	suspected  bool   // this leg has already been held against its node
-	erred      bool   // a leg of it has ended with an error
-	errorAt    string // the node of the first that did, until there is a second word on it
-	rung       int
-	switched   time.Duration
-	scored     time.Duration
-	mean       float64
-	booked     float64 // kB a second booked at the node
+	inUse           bool // the slot in Director.sessions holds a session
+	phase           phase
+	ended           bool // the client has its final answer or is gone; only the end of a leg may be outstanding
+	mayHaveRun      bool // an earlier leg may have run
+	receivedAt      time.Duration
+	node            int
+	triedNodes      []int // nodes of earlier legs; at most RetryPolicy.MaxLegs
+	sentAt          time.Duration
+	startedAt       time.Duration
+	adopted         bool   // it was playing when this director received it, and its rung has not been switched since
+	failureRecorded bool   // a failure of the current leg has been recorded against its node
+	hadError        bool   // a leg has ended with an error
+	firstErrorNode  string // node of the first such leg, until another node confirms or refutes the error
+	rung            int
+	switchedAt      time.Duration
+	scoredAt        time.Duration
+	meanRung        float64
+	bookedRate      float64 // rate booked at the node, kB a second
 }
 
+// A rack holds the load of one rack's uplink.
 type rack struct {
-	use         resourceLoad
-	ownLoad     float64       // kB a second booked by this director
-	baselineAt  time.Duration // when its figure last counted in what is usual
-	fullBy      string        // the node that last told of a full uplink; empty: none has
-	fullUntil   time.Duration // how long its word holds
-	agreedUntil time.Duration // how long the word of two nodes holds
+	uplinkLoad     resourceLoad
+	ownLoad        float64       // rate booked by this director, kB a second
+	baselineAt     time.Duration // when its load last entered the uplink baseline
+	fullReporter   string        // node that last reported a full uplink; empty: none has
+	fullUntil      time.Duration // when that report expires
+	confirmedUntil time.Duration // when the confirmation by a second node expires
 }
 
-// reportUplink takes a node's word on the rack's uplink, which holds for a time.
-func (r *rack) reportUplink(node string, figure float64, now, holds time.Duration) {
-	if figure <= fullThreshold {
+// recordUplinkReport records a node's report of the rack's uplink load if it says that the uplink is
+// full. The record expires after validFor.
+func (r *rack) recordUplinkReport(node string, load float64, now, validFor time.Duration) {
+	if load <= fullThreshold {
 		return
 	}
-	if r.fullBy != node && now < r.fullUntil {
-		r.agreedUntil = now + holds
+	if r.fullReporter != node && now < r.fullUntil {
+		r.confirmedUntil = now + validFor
 	}
-	r.fullBy, r.fullUntil = node, now+holds
+	r.fullReporter, r.fullUntil = node, now+validFor
 }
 
-// singleReport tells whether the uplink is full for a node by the word of one other node alone.
-func (r *rack) singleReport(node string, now time.Duration) bool {
-	return r.fullBy != node && now < r.fullUntil && now >= r.agreedUntil
+// fullByOneReport reports whether the only evidence of a full uplink is the report of a single other node.
+func (r *rack) fullByOneReport(node string, now time.Duration) bool {
+	return r.fullReporter != node && now < r.fullUntil && now >= r.confirmedUntil
 }
 
-// A resourceLoad is a figure heard and what this director has changed since, kB a second. Changes are
-// dropped once a later figure covers them, and folded once any later figure will.
+// A resourceLoad is the last observed load of a link or uplink, as a part of its capacity, and this
+// director's changes since, in kB a second. A change is dropped once a later observation covers it. Changes
+// old enough for any later observation to cover them are merged into one.
 type resourceLoad struct {
 	observed   float64
 	known      bool
-	observedAt time.Duration // what the figure tells of
+	observedAt time.Duration // the time that the observation describes, not its arrival
 	changes    []change
 }
 
 type change struct {
-	at time.Duration
-	kB float64
+	at   time.Duration
+	rate float64
 }
 
-// observe takes a figure that covers what was changed until a time; so much of what the count did not
-// expect is believed.
-func (m *resourceLoad) observe(figure, size, weight float64, until time.Duration) {
-	if m.known {
-		expected := m.observed
-		for _, c := range m.changes {
+// observe records a load that includes all changes up to a time. Of its deviation from the expected load
+// only the part given by weight is adopted.
+func (r *resourceLoad) observe(load, capacity, weight float64, until time.Duration) {
+	if r.known {
+		expected := r.observed
+		for _, c := range r.changes {
 			if c.at <= until {
-				expected += c.kB / size
+				expected += c.rate / capacity
 			}
 		}
-		figure = expected + (figure-expected)*weight
+		load = expected + (load-expected)*weight
 	}
-	m.observed, m.known, m.observedAt = figure, true, until
-	m.changes = cut(m.changes, until)
+	r.observed, r.known, r.observedAt = load, true, until
+	r.changes = dropChangesUntil(r.changes, until)
 }
 
-func cut(changes []change, until time.Duration) []change {
+func dropChangesUntil(changes []change, until time.Duration) []change {
 	return slices.DeleteFunc(changes, func(c change) bool { return c.at <= until })
 }
 
-func (m *resourceLoad) add(at, late time.Duration, kB float64) {
-	m.changes = append(m.changes, change{at, kB})
-	for len(m.changes) > 1 && m.changes[1].at <= at-late {
-		m.changes[1].kB += m.changes[0].kB
-		m.changes = slices.Delete(m.changes, 0, 1)
+func (r *resourceLoad) add(at, reportDelay time.Duration, rate float64) {
+	r.changes = append(r.changes, change{at, rate})
+	for len(r.changes) > 1 && r.changes[1].at <= at-reportDelay {
+		r.changes[1].rate += r.changes[0].rate
+		r.changes = slices.Delete(r.changes, 0, 1)
 	}
 }
 
-func (m *resourceLoad) since() (kB float64) {
-	for _, c := range m.changes {
-		kB += c.kB
+func (r *resourceLoad) changeSum() (rate float64) {
+	for _, c := range r.changes {
+		rate += c.rate
 	}
-	return kB
+	return rate
 }
 
+// A node is a streaming server as this director sees it.
 type node struct {
-	name        string // empty: the place is free
-	listed      NodeState
-	leaving     bool // it is among those that were taken off the list
-	zone        string
-	cell        int
-	rack        int
-	kind        int
-	startedAt   time.Duration
-	size        float64 // link, kB a second
-	legs        int     // of this director, set-ups and sessions
-	setups      int     // of these, set-ups
-	errors      int     // that no other node had a word on, since it last accepted a session
-	ownLoad     float64 // kB a second booked by this director
-	use         resourceLoad
-	baselineAt  time.Duration // when its figure last counted in what is usual
-	reported    float64       // streams last reported; under 0: never
-	legsThen    int
-	reportedAt  time.Duration
-	streams     float64 // as counted for the fair rate
-	fair        float64
-	shortAt     time.Duration // when a share note last told of short delivery
-	health      health
-	sends       []time.Duration // emptied as they grow older than the time that the fall budget takes to fill the places
-	suspectedAt time.Duration   // when its failure was last witnessed; under 0: not
-	warmAt      time.Duration
+	name              string // empty: the slot is free
+	listed            NodeState
+	queuedUnlisted    bool // it is in index.unlistedNodes
+	zone              string
+	cell              int
+	rack              int
+	kind              int
+	startedAt         time.Duration
+	linkCapacity      float64 // kB a second
+	legs              int     // running legs of this director, set-ups and playing sessions
+	setups            int     // those of them that are set-ups
+	unconfirmedErrors int     // errors not confirmed or refuted by another node, since it last accepted a session
+	ownLoad           float64 // rate booked by this director, kB a second
+	linkLoad          resourceLoad
+	baselineAt        time.Duration // when its load last entered the link baseline
+	reportedStreams   float64       // streams in its last report; negative: none reported yet
+	legsAtReport      int
+	reportedAt        time.Duration
+	streams           float64 // stream count for the fair rate
+	fairRate          float64
+	shortfallAt       time.Duration // when a measurement last showed a delivery shortfall
+	health            health
+	sentTimes         []time.Duration // start times of set-ups within slowStart.fillTime; older ones are dropped
+	suspectedAt       time.Duration   // when a failure was last observed; negative: the node is not suspect
+	slowStartEnd      time.Duration   // end of the slow start assumed after a failure
 }
 
+// A retryBudget holds the times of requests and retries; those older than the policy's window are dropped.
 type retryBudget struct {
-	legs  RetryPolicy
-	taken []time.Duration // both are emptied as they grow older than the span
-	spent []time.Duration
+	policy   RetryPolicy
+	requests []time.Duration
+	retries  []time.Duration
 }
 
 func (r *retryBudget) recordRequest(now time.Duration) {
-	if r.legs.Window > 0 {
-		r.taken = append(recent(r.taken, now-r.legs.Window), now)
+	if r.policy.Window > 0 {
+		r.requests = append(recent(r.requests, now-r.policy.Window), now)
 	}
 }
 
 func (r *retryBudget) recordRetry(now time.Duration) {
-	if r.legs.Window > 0 {
-		r.spent = append(r.spent, now)
+	if r.policy.Window > 0 {
+		r.retries = append(r.retries, now)
 	}
 }
 
@@ -161,13 +168,15 @@
 	return slices.DeleteFunc(times, func(at time.Duration) bool { return at <= after })
 }
 
-// A seatKey is what seats are counted by.
+// A seatKey identifies the seats of one title and tariff. A seat is the right of one session to run
+// under a tariff that limits the concurrent sessions of a title.
 type seatKey struct {
 	title  uint64
 	tariff int
 }
 
-// takeSeat takes a seat for a session that leaves the held phase, where its tariff has seats; stand gives it back.
+// takeSeat takes a seat for a session that leaves the waiting phase, if its tariff limits seats.
+// releaseSeat returns it.
 func (d *Director) takeSeat(s *session) {
 	if d.rungs.tariffs[s.Tariff].Seats > 0 {
 		d.seats[seatKey{s.Title, s.Tariff}]++
@@ -175,20 +184,21 @@
 }
 
 func (d *Director) releaseSeat(s *session) {
-	h := seatKey{s.Title, s.Tariff}
-	if d.seats[h]--; d.seats[h] <= 0 {
-		delete(d.seats, h)
+	key := seatKey{s.Title, s.Tariff}
+	if d.seats[key]--; d.seats[key] <= 0 {
+		delete(d.seats, key)
 	}
 }
 
-// seated counts the sessions that hold a seat of this one's title and tariff.
-func (d *Director) seated(s *session) int { return d.seats[seatKey{s.Title, s.Tariff}] }
+// seatsTaken counts the sessions that hold a seat of the given session's title and tariff.
+func (d *Director) seatsTaken(s *session) int { return d.seats[seatKey{s.Title, s.Tariff}] }
 
-// sharesStream tells whether a live title's stream already runs where the session is.
+// sharesStream reports whether another session at the same node already runs the session's title in the
+// same tariff and rung.
 func (d *Director) sharesStream(s *session) bool {
 	for i := range d.sessions {
 		o := &d.sessions[i]
-		if o != s && o.used && o.node == s.node && o.Title == s.Title && o.Tariff == s.Tariff &&
+		if o != s && o.inUse && o.node == s.node && o.Title == s.Title && o.Tariff == s.Tariff &&
 			o.rung == s.rung {
 			return true
 		}
@@ -196,69 +206,73 @@
 	return false
 }
 
-// health is a node's standing: 0 trickle is a node in good health, else it is set aside until a
-// time and then gets so many legs at once, twice as many after each that goes well.
+// health is the health state of a node. A legLimit of 0 means healthy. After a failure the node is set
+// aside until a time; from then on it gets at most legLimit concurrent set-ups, and the limit doubles with
+// each set-up that succeeds.
 type health struct {
-	trickle int
-	pause   time.Duration
-	until   time.Duration
+	legLimit int
+	pause    time.Duration
+	until    time.Duration
 }
 
 type slowStart struct {
 	ramp    Ramp
 	peers   Peers
-	adopted bool // sessions were handed over at the start, so the first list came in order with them
+	adopted bool // playing sessions were adopted at the start, so the first list arrived in order with them
 }
 
-// baseline is a mean of the last so many figures.
+// baseline is a running mean of load reports.
 type baseline struct {
-	mean float64
-	at   time.Duration // when the last one came
+	mean      float64
+	updatedAt time.Duration
 }
 
-// add adds a figure and tells how far off the mean it lies.
-func (u *baseline) add(figure, last float64, now time.Duration) (off float64) {
-	u.mean += (figure - u.mean) / last
-	u.at = now
-	return figure - u.mean
+// add adds a value to the mean over about the given number of values. It returns the value's deviation
+// from the new mean.
+func (b *baseline) add(value, samples float64, now time.Duration) (deviation float64) {
+	b.mean += (value - b.mean) / samples
+	b.updatedAt = now
+	return value - b.mean
 }
 
+// A loadEstimate estimates the demand on links and uplinks; see load_estimate.go.
 type loadEstimate struct {
 	fleet          Fleet
 	now            time.Duration
-	late           time.Duration
-	fresh          time.Duration // how old a figure is at most where nodes tell of themselves
+	reportDelay    time.Duration
+	freshFor       time.Duration // greatest age of the last observation of a node that reports regularly
 	directors      float64
-	middle         float64 // the middle rung's rate
-	usual          float64 // a stream's usual rate
+	middleRate     float64 // rate of the middle rung
+	meanStreamRate float64
 	racks          []rack
-	links          baseline // what others ask of links lately, as a part of them
-	uplinks        baseline
-	spread         float64 // how far figures of links lie from it
-	uplinkReported bool    // uplink figures are told here
-	ownLoad        float64 // kB a second booked by this director, at all nodes
-	legs           int     // of this director, at all nodes
+	linkBaseline   baseline // recent mean demand of other directors on links, as a part of their capacity
+	uplinkBaseline baseline // the same for uplinks
+	linkDeviation  float64  // mean deviation of link reports from linkBaseline
+	uplinkReported bool     // nodes report the load of their uplinks
+	ownLoad        float64  // rate booked by this director at all nodes, kB a second
+	legs           int      // running legs of this director at all nodes
 }
 
-// settle lets an ended session go once no leg of it is out.
-func (d *Director) settle(i int) {
+// releaseEnded frees the slot and index of an ended session once none of its legs is running.
+func (d *Director) releaseEnded(i int) {
 	s := &d.sessions[i]
 	if s.phase == waiting {
-		d.ids.release(s.ID)
+		d.sessionIndexes.release(s.ID)
 		*s = session{}
 	}
 }
 
-// dropNode forgets a node that is off the list once none of its sessions is left, and nothing that would still
-// count if the list named it again: what was sent there lately, its pause after a fault, its doubt.
+// dropNode frees the slot and index of a node that is off the list and has no legs left. A node is kept
+// while its recent set-ups, its pause after a failure, its slow start or its suspicion would still count if
+// the list named it again.
 func (d *Director) dropNode(i int) {
 	n := &d.nodes[i]
-	if n.sends = recent(n.sends, d.now-d.slowStart.fill()); len(n.sends) > 0 || d.now < max(n.health.until, n.warmAt) ||
+	if n.sentTimes = recent(n.sentTimes, d.now-d.slowStart.fillTime()); len(n.sentTimes) > 0 || d.now < max(n.health.until, n.slowStartEnd) ||
 		n.suspectedAt >= 0 && d.now < n.suspectedAt+d.slowStart.ramp.Warmup {
 		return
 	}
 	if n.listed == Removed && n.legs == 0 {
-		d.names.release(n.name)
+		d.nodeIndexes.release(n.name)
 		d.index.remove(i, n)
 		*n = node{}
 	}
--- a/policy/types.go
+++ b/policy/types.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// UnknownStart stands for a start that nobody remembers.
+// UnknownStart is the StartedAt of a node whose start time is not known.
 const UnknownStart = time.Duration(math.MinInt64)
 
-// Event is something that happened: one of the types below that have an event method.
+// Event is an input of Director.Step: one of the types below that have an event method.
 type Event interface{ event() }
 
-// Request is a viewer who wants a session; one final answer is owed before HardStop.
+// Request is a client's request for a session. A session is a title that a client asks for and plays;
+// it gets exactly one final answer before Deadline.
 type Request struct {
 	ID        uint64
 	Tariff    int
-	Title     uint64
-	FirstCell int // first cell that holds the title
-	Copies    int // cells in a row that hold it
-	MaxRung   int // the viewer's best rung
+	Title     uint64 // the video that the client asks for
+	FirstCell int    // first cell that holds the title
+	Copies    int    // number of consecutive cells that hold it
+	MaxRung   int    // highest rung that the client can play
 	Deadline  time.Duration
-	PlayingOn string // the node, for a session handed over while it plays
+	PlayingOn string // node of a session that is adopted while it plays; empty for a new request
 }
 
-// Accepted says that a leg's session plays.
+// Accepted reports that a node has accepted a session's leg and the session plays.
 type Accepted struct{ ID uint64 }
 
-// LegResult ends a leg.
+// LegResult reports the end of a leg.
 type LegResult struct {
 	ID      uint64
 	Node    string
 	Outcome Outcome
-	Final   bool
+	Final   bool // the session ends with this leg
 	Load    Load
 }
 
-// Measurement is news of one session.
+// Measurement is a value measured at one session.
 type Measurement struct {
 	ID    uint64
 	Node  string
@@ -43,13 +44,13 @@
 	Value float64
 }
 
-// ClientGone says that the viewer left.
+// ClientGone reports that the client has cancelled its session or disconnected.
 type ClientGone struct{ ID uint64 }
 
-// TimerFired is a timer come due.
+// TimerFired reports that the timer requested by SetTimer is due.
 type TimerFired struct{}
 
-// ServerList is news of the list of nodes.
+// ServerList is a message of discovery about the list of nodes.
 type ServerList struct {
 	Kind    ServerListKind
 	Entries []NodeEntry
@@ -66,7 +67,7 @@
 // Outcome is how a leg ended.
 type Outcome int
 
-// The outcomes. Full, Unconnected and Moot prove that the leg never ran.
+// The outcomes. Full, ConnectFailed and NeverStarted prove that the leg never ran.
 const (
 	Served Outcome = iota
 	Errored
@@ -78,21 +79,22 @@
 	NeverStarted
 )
 
-// MeasurementKind tells what a note's value means.
+// MeasurementKind is the quantity that a Measurement's value gives.
 type MeasurementKind int
 
-// The kinds of note, numbered as their source numbers them.
+// The kinds of measurement, with the numbers that they have on the wire.
 const (
-	DeliveredShare MeasurementKind = 1 + iota
-	CurrentRung
-	LinkLoad
-	UplinkLoad
+	DeliveredShare MeasurementKind = 1 + iota // delivered part of the session's rate
+	CurrentRung                               // rung that the session plays at
+	LinkLoad                                  // demand on the node's link, as a part of its capacity
+	UplinkLoad                                // demand on the rack's uplink, as a part of its capacity
 )
 
-// ServerListKind tells how a Roster's entries are to be read.
+// ServerListKind is how the entries of a ServerList are to be read.
 type ServerListKind int
 
-// The kinds of roster news.
+// The kinds of server list. ListReplaced and ListRestored carry the whole list; ListUpdate carries the
+// entries that changed.
 const (
 	ListUpdate ServerListKind = iota
 	ListReplaced
@@ -100,7 +102,7 @@
 	ListUnavailable
 )
 
-// NodeState is what the list says of a node.
+// NodeState is the state of a node in the server list.
 type NodeState int
 
 // The states of a node.
@@ -110,31 +112,32 @@
 	Removed
 )
 
-// NodeEntry is a node as the list names it.
+// NodeEntry is the server list's entry for a node. A node is a streaming server.
 type NodeEntry struct {
 	Node        string
 	State       NodeState
-	MachineKind int // place among the machine kinds
-	Zone        string
-	StartedAt   time.Duration // LongAgo where it is not told
-	Weight      float64
-	Cell        int
+	MachineKind int           // index among the machine kinds
+	Zone        string        // a session at a node outside the director's zone costs more, see Fleet.CrossZoneCost
+	StartedAt   time.Duration // UnknownStart if the list does not give it
+	Weight      float64       // link capacity in units of Fleet.LinkUnit
+	Cell        int           // position of the node; titles are assigned to cells
 }
 
-// Load is a node's report; a field that the node does not report is negative.
+// Load is a node's load report; a field that the node does not report is negative. Link and Uplink are
+// parts of the capacity of the node's link and of its rack's uplink.
 type Load struct{ Streams, Link, Uplink float64 }
 
-// NoLoad is the report of a node that sent none.
+// NoLoad is the Load of a node that reported none.
 var NoLoad = Load{-1, -1, -1}
 
-// Action is something to be done: one of the types below that have an action method.
+// Action is an output of Director.Step: one of the types below that have an action method.
 type Action interface{ action() }
 
-// Dispatch sends a session's next leg to a node.
+// Dispatch starts a session's next leg. A leg is one attempt of a session at a node.
 type Dispatch struct {
 	ID      uint64
 	Node    string
-	Timeout time.Duration // 0: until the hard stop
+	Timeout time.Duration // 0: until the session's deadline
 }
 
 // SetRung sets a session's rung.
@@ -143,22 +146,22 @@
 	Rung int
 }
 
-// Nack is the final answer that tells a viewer that coming again does no harm.
+// Nack is the final answer to a request that the client may safely repeat.
 type Nack struct {
 	ID      uint64
 	Backoff time.Duration
 }
 
-// Fail is the final answer that claims nothing.
+// Fail is the final answer to a failed request that does not state whether a repetition is safe.
 type Fail struct{ ID uint64 }
 
-// SetTimer asks for a Ring.
+// SetTimer asks for a TimerFired event.
 type SetTimer struct{ At time.Duration }
 
-// PollServerList asks for the list's changes, where they are not pushed.
+// PollServerList asks discovery for the list's changes, if they are not pushed.
 type PollServerList struct{}
 
-// Log is a line for those on call.
+// Log is a log line for operators.
 type Log struct{ Message string }
 
 func (Dispatch) action()       {}
@@ -169,53 +172,57 @@
 func (PollServerList) action() {}
 func (Log) action()            {}
 
-// Peers places this director among its kind.
+// Peers gives this director's index among all directors, their number, and its own zone.
 type Peers struct {
 	Index, Directors int
 	Zone             string
 }
 
-// Tariff is what one kind of session was promised.
+// Tariff is a class of sessions with the terms that hold for them.
 type Tariff struct {
-	GoalTime   time.Duration
-	HardStop   time.Duration
-	Credit     float64
-	AtMostOnce bool // set up once: guarded and single-shot tariffs both
-	Scale      float64
-	Floor      int
-	Top        int
-	Seats      int // of one title at one director; 0: no limit
-	Live       bool
+	GoalTime   time.Duration // time within which a session should start
+	HardStop   time.Duration // time within which a request must be answered
+	Credit     float64       // what a session earns, relative to those of other tariffs
+	AtMostOnce bool          // at most one leg of a session may run: guarded and single-shot tariffs
+	Scale      float64       // factor on the ladder's rates
+	Floor      int           // lowest rung
+	Top        int           // highest rung
+	Seats      int           // most concurrent sessions of one title at one director; 0: no limit
+	Live       bool          // sessions of a title at the same node and rung share a stream
 }
 
-// Ladder is the rungs: their rates in kB a second, their worth, and what a further viewer of a live
-// title adds.
+// Ladder lists the rungs. A rung is a quality level of a stream, numbered from 0. Rates are in kB a
+// second. JoinCost is the part of a rung's rate that a further session of a live title adds.
 type Ladder struct {
 	Rates    []float64
 	Worth    []float64
 	JoinCost float64
 }
 
-// Fleet is the nodes' links and racks.
+// Fleet describes the nodes' links and racks. A rack is a group of nodes that share one network link, the
+// uplink.
 type Fleet struct {
 	Cells, Racks     int
-	LinkUnit         float64 // link of a node, kB a second, for each unit of weight
-	Uplink           float64 // mean uplink of a rack, kB a second
-	CrossZoneCost    float64 // price of a session that crosses zones, as a part of its worth
-	RefusalThreshold float64 // a node answers full from so much of its link asked; 0: never
+	LinkUnit         float64 // link capacity of a node for each unit of weight, kB a second
+	Uplink           float64 // mean uplink capacity of a rack, kB a second
+	CrossZoneCost    float64 // cost of a session at a node outside the director's zone, as a part of its worth
+	RefusalThreshold float64 // link use from which a node answers full; 0: never
 }
 
-// Ramp is how a node that has just started must be treated.
+// Ramp describes the slow start of nodes. Within OverloadWindow, a node in slow start takes
+// OverloadMultiple*MaxStreams*InitialShare*OverloadWindow/Warmup set-ups from all directors together;
+// this is its overload budget.
 type Ramp struct {
-	MaxStreams       []float64 // streams at most, by machine kind
-	Warmup           time.Duration
-	InitialShare     float64
+	MaxStreams       []float64     // most streams of a node, by machine kind
+	Warmup           time.Duration // duration of the slow start
+	InitialShare     float64       // part of its capacity that a node has when it starts
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
 	PollWithin       time.Duration // 0: the list's changes are pushed
 }
 
-// RetryPolicy is what limits a session's legs; Span is 0 where further legs are not rationed.
+// RetryPolicy limits the legs of sessions. All retries (legs after a session's first) together may make up
+// MinRetries plus RetryRatio of the requests within Window; a Window of 0 lifts that limit.
 type RetryPolicy struct {
 	MaxLegs    int
 	MinRetries float64
@@ -223,6 +230,6 @@
 	Window     time.Duration
 }
 
-// ReportTiming is how late and how often nodes tell of their sessions, and the longest backoff that
-// viewers heed.
+// ReportTiming is how old the nodes' measurements are when they arrive, how often they arrive, and the
+// longest backoff that clients honour.
 type ReportTiming struct{ Delay, Interval, MaxBackoff time.Duration }
