--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// What one request of a tariff with seats costs, from demand to the session's end, with so many sessions
-// held and 250 nodes.
+// BenchmarkRequest measures one request of a tariff with seats, from the request to the session's end, with 250 nodes and
+// the given number of playing sessions.
 func BenchmarkRequest(b *testing.B) {
-	for _, held := range []int{0, 5_000, 20_000} {
-		b.Run(fmt.Sprint("held=", held), func(b *testing.B) {
+	for _, sessions := range []int{0, 5_000, 20_000} {
+		b.Run(fmt.Sprint("playing=", sessions), func(b *testing.B) {
 			tariffs := []Tariff{{GoalTime: time.Second, HardStop: 2 * time.Second, Credit: 1, Scale: 1, Top: 3, Seats: 1 << 20}}
 			d := New(1, Peers{Directors: 1}, tariffs, Ladder{Rates: []float64{100, 200, 400, 800}, JoinCost: 1},
 				Fleet{Cells: 250, Racks: 36, LinkUnit: 1e9, Uplink: 1e10}, Ramp{MaxStreams: []float64{1e6}}, RetryPolicy{MaxLegs: 4}, ReportTiming{Delay: time.Second})
@@ -25,7 +25,7 @@
 				d.Step(0, Request{ID: id, Title: id % 500, FirstCell: int(id) % 250, Copies: 6, MaxRung: 3, Deadline: 2 * time.Second})
 				d.Step(0, Accepted{ID: id})
 			}
-			for range held {
+			for range sessions {
 				request()
 			}
 			for b.Loop() {
@@ -36,7 +36,7 @@
 	}
 }
 
-// What one event costs among so many nodes, each title being held by four of them.
+// BenchmarkEvents measures single events with the given number of nodes, four of which hold each title.
 func BenchmarkEvents(b *testing.B) {
 	for _, nodes := range []int{200, 800, 3200} {
 		start := func() (*Director, ServerList) {
@@ -52,32 +52,32 @@
 			return d, list
 		}
 		now := 20 * time.Second
-		ask := func(d *Director, id uint64) {
+		request := func(d *Director, id uint64) {
 			d.Step(now, Request{ID: id, Title: id % 500, FirstCell: int(id) % nodes, Copies: 4, MaxRung: 3, Deadline: now + 2*time.Second})
 			d.Step(now, Accepted{ID: id})
 		}
 		b.Run(fmt.Sprintf("request/nodes=%d", nodes), func(b *testing.B) {
 			d, _ := start()
 			for id := uint64(1); b.Loop(); id++ {
-				ask(d, id)
+				request(d, id)
 				d.Step(now, LegResult{ID: id, Final: true, Load: NoLoad})
 			}
 		})
-		b.Run(fmt.Sprintf("note/nodes=%d", nodes), func(b *testing.B) {
+		b.Run(fmt.Sprintf("measurement/nodes=%d", nodes), func(b *testing.B) {
 			d, _ := start()
-			ask(d, 1)
+			request(d, 1)
 			s := &d.sessions[0]
 			for b.Loop() {
 				d.Step(now, Measurement{ID: 1, Node: d.nodes[s.node].name, Kind: LinkLoad, Value: 0.5})
 			}
 		})
-		b.Run(fmt.Sprintf("look/nodes=%d", nodes), func(b *testing.B) {
+		b.Run(fmt.Sprintf("tick/nodes=%d", nodes), func(b *testing.B) {
 			d, _ := start()
 			for at := now; b.Loop(); at += tickInterval {
 				d.Step(at, TimerFired{})
 			}
 		})
-		b.Run(fmt.Sprintf("change/nodes=%d", nodes), func(b *testing.B) {
+		b.Run(fmt.Sprintf("listupdate/nodes=%d", nodes), func(b *testing.B) {
 			d, list := start()
 			for b.Loop() {
 				d.Step(now, ServerList{Kind: ListUpdate, Entries: list.Entries[:1]})
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -11,14 +11,14 @@
 	_ "fordusher/internal/testseed"
 )
 
-// The first case is the paper's worked example.
+// The first case is the worked example of the paper.
 func TestFairRate(t *testing.T) {
 	for _, c := range []struct{ links, streams, want []float64 }{
 		{[]float64{10, 20, 35}, []float64{10, 10, 10}, []float64{1, 2, 3}},
 		{[]float64{10}, []float64{0}, []float64{10}},                   // no streams: the cap is the link
-		{[]float64{30, 30}, []float64{10, 10}, []float64{2, 2}},        // nothing pooled
-		{[]float64{10, 30}, []float64{10, 5}, []float64{1, 4}},         // all that is left goes to one
-		{[]float64{5, 5, 9}, []float64{10, 0, 0}, []float64{.5, 5, 9}}, // entitled without streams
+		{[]float64{30, 30}, []float64{10, 10}, []float64{2, 2}},        // nothing to pool
+		{[]float64{10, 30}, []float64{10, 5}, []float64{1, 4}},         // one node gets the whole pool
+		{[]float64{5, 5, 9}, []float64{10, 0, 0}, []float64{.5, 5, 9}}, // nodes above the parent rate without streams
 	} {
 		var nodes, sorted []*node
 		for i := range c.links {
@@ -41,7 +41,7 @@
 		want            int
 	}{
 		{0, 3, 2, 2, 2}, {0, 1, 3, 3, 1}, {1, 1, 0, 0, 1}, {0, 3, 1.2, 1.2, 1}, {0, 3, 1.31, 1.31, 2},
-		{0, 2, 0.5, 1.5, 1}, // the middle of reference, fitting rung and mean
+		{0, 2, 0.5, 1.5, 1}, // the median of reference, fitting rung and mean
 	} {
 		if got := payoff(c.floor, c.fitting, c.reference, c.mean); got != c.want {
 			t.Fatalf("%+v: rung %d", c, got)
@@ -49,10 +49,11 @@
 	}
 }
 
-// newTestDirector is a director of one rack of three nodes, all with a link of 1000 kB a second.
-func newTestDirector(paid bool, directors int) (*Director, []NodeEntry) {
+// newTestDirector returns a director with one rack of three nodes, and the list that it received. Each node has a link
+// of 1000 kB a second.
+func newTestDirector(atMostOnce bool, directors int) (*Director, []NodeEntry) {
 	d := New(1, Peers{Directors: directors}, []Tariff{{GoalTime: time.Second, HardStop: 4 * time.Second,
-		Credit: 1, AtMostOnce: paid, Scale: 1, Top: 2}}, Ladder{Rates: []float64{50, 100, 200}, JoinCost: 1},
+		Credit: 1, AtMostOnce: atMostOnce, Scale: 1, Top: 2}}, Ladder{Rates: []float64{50, 100, 200}, JoinCost: 1},
 		Fleet{Cells: 3, Racks: 1, LinkUnit: 1000, Uplink: 2000},
 		Ramp{MaxStreams: []float64{20}, Warmup: 10 * time.Second, InitialShare: .5, OverloadMultiple: 4, OverloadWindow: time.Second},
 		RetryPolicy{MaxLegs: 4}, ReportTiming{Delay: time.Second})
@@ -73,7 +74,8 @@
 	return found, false
 }
 
-// A director that echoed nothing emptied a link that all directors had heard to be full.
+// Guards against directors that each correct the whole excess of an overloaded link: all of them receive the same load
+// report, and together they would empty the link.
 func TestDirectorsShareStepDown(t *testing.T) {
 	d, _ := newTestDirector(false, 2)
 	for id := uint64(1); id <= 3; id++ {
@@ -81,20 +83,20 @@
 		d.Step(0, Measurement{ID: id, Node: "a", Kind: CurrentRung, Value: 2})
 	}
 	d.Step(5*time.Second, Measurement{ID: 1, Node: "a", Kind: LinkLoad, Value: 1.2})
-	downs := 0
+	stepsDown := 0
 	for at := 5 * time.Second; at < 8*time.Second; at += tickInterval {
 		for _, a := range d.Step(at, TimerFired{}) {
 			if r, ok := a.(SetRung); ok && r.Rung < 2 {
-				downs++
+				stepsDown++
 			}
 		}
 	}
-	if downs != 1 { // half of the excess of 200 kB a second is its own: one session, one rung
-		t.Fatalf("%d sessions stepped down", downs)
+	if stepsDown != 1 { // half of the excess of 200 kB a second is its own: one session by one rung
+		t.Fatalf("%d steps down, want 1", stepsDown)
 	}
 }
 
-// A director that held nearly all of a link left as much room as one among hundreds.
+// Guards against a director with nearly all of a link's demand leaving as much headroom as one of hundreds of directors.
 func TestRaiseLimitGrowsWithOwnShare(t *testing.T) {
 	rung := func(own uint64) int {
 		d, _ := newTestDirector(false, 2)
@@ -106,60 +108,62 @@
 		return d.fittingRung(&session{Request: Request{MaxRung: 2}, node: 0}, &d.nodes[0], 2)
 	}
 	if all, some := rung(4), rung(1); all <= some {
-		t.Fatalf("who holds all raises up to rung %d, who holds a quarter up to %d", all, some)
+		t.Fatalf("a director with all demand of a link raises up to rung %d, one with a quarter up to %d", all, some)
 	}
-	if mine := raiseLimit(1, 2, 1) - raiseLimit(1, 2, 0); mine < 0.05 || raiseLimit(1, 2, 1) > 1.1 {
-		t.Fatalf("holding all raises the bar by %v", mine)
+	if extra := raiseLimit(1, 2, 1) - raiseLimit(1, 2, 0); extra < 0.05 || raiseLimit(1, 2, 1) > 1.1 {
+		t.Fatalf("having all demand raises the limit by %v", extra)
 	}
 }
 
-// Sessions handed over at a rung stayed there while a set-up beside them, by the same figures, got a higher one.
+// Guards against an adopted session keeping its rung while a set-up at the same node, with the same load reports, gets a
+// higher one.
 func TestAdoptedSessionStepsUpLikeASetup(t *testing.T) {
-	for handed, want := range map[bool]int{true: 2, false: 1} {
+	for adopted, want := range map[bool]int{true: 2, false: 1} {
 		d, _ := newTestDirector(false, 1)
 		d.Step(0, Request{ID: 1, Copies: 1, MaxRung: 2, Deadline: time.Hour, PlayingOn: "a"})
 		d.Step(0, Measurement{ID: 1, Node: "a", Kind: CurrentRung, Value: 1})
 		d.Step(0, Measurement{ID: 1, Node: "a", Kind: LinkLoad, Value: 0.3})
 		i, _ := d.sessionIndexes.find(1)
 		s := &d.sessions[i]
-		s.adopted = handed
-		d.nodes[s.node].fairRate = 140 // a reference of 1.4: nearer to 1, the mean
+		s.adopted = adopted
+		d.nodes[s.node].fairRate = 140 // the reference rung is 1.4, nearer to 1, the mean rung
 		d.now, d.load.now = rescoreEvery, rescoreEvery
 		d.rescore(s)
 		if s.rung != want {
-			t.Fatalf("handed over %v: rung %d, wanted %d", handed, s.rung, want)
+			t.Fatalf("adopted %v: rung %d, want %d", adopted, s.rung, want)
 		}
 	}
 }
 
-// Sessions handed over waited for two seconds, and for two more where no figure had come by then.
+// Guards against an adopted session waiting two seconds for its first scoring, and two more if no load report has
+// arrived by then.
 func TestAdoptedSessionIsScoredAtFirstLoadReport(t *testing.T) {
 	d, _ := newTestDirector(false, 1)
 	d.Step(0, Request{ID: 1, Copies: 1, MaxRung: 2, Deadline: time.Hour, PlayingOn: "a"})
 	at := tickInterval
 	for ; at < rescoreEvery+rescoreEvery/2; at += tickInterval {
 		if _, ok := firstAction[SetRung](d.Step(at, TimerFired{})); ok {
-			t.Fatal("stepped without a figure")
+			t.Fatal("stepped without a load report")
 		}
 	}
 	d.Step(at, Measurement{ID: 1, Node: "a", Kind: LinkLoad, Value: 0.1})
 	if _, ok := firstAction[SetRung](d.Step(at+tickInterval, TimerFired{})); !ok {
-		t.Fatal("not scored at the next look")
+		t.Fatal("not scored at the next evaluation")
 	}
 }
 
-// What was short was taken from all tariffs alike, whatever they earned.
+// Guards against taking short capacity from all tariffs alike, regardless of their credit.
 func TestBiasByCredit(t *testing.T) {
 	r := rungs{tariffs: []Tariff{{Credit: 1}, {Credit: 3}, {Credit: 1}}}
 	if low, high := r.bias(0), r.bias(1); low >= 0 || high <= 0 || low != r.bias(2) || low != -high {
-		t.Fatalf("credit 1 leans %v, credit 3 %v", low, high)
+		t.Fatalf("the bias is %v for credit 1, %v for credit 3", low, high)
 	}
 	if r.tariffs = r.tariffs[:1]; r.bias(0) != 0 {
-		t.Fatal("one tariff alone leans")
+		t.Fatal("the bias of a single tariff is not 0")
 	}
 }
 
-// A session that nothing was heard for was stepped down on a guess.
+// Guards against stepping a session down on a guess at a node without load reports.
 func TestNoStepWithoutLoadReport(t *testing.T) {
 	d, _ := newTestDirector(false, 3)
 	for id := uint64(1); id <= 4; id++ {
@@ -167,40 +171,42 @@
 		d.Step(0, Measurement{ID: id, Node: "a", Kind: CurrentRung, Value: 2})
 	}
 	if _, ok := firstAction[SetRung](d.Step(3*time.Second, TimerFired{})); ok {
-		t.Fatal("stepped without a figure")
+		t.Fatal("stepped without a load report")
 	}
 }
 
+// A session of an at-most-once tariff gets another leg only if its last leg provably never ran.
 func TestAtMostOnceLegThatMayHaveRunFails(t *testing.T) {
-	for outcome, freed := range map[Outcome]bool{
+	for outcome, neverRan := range map[Outcome]bool{
 		Errored: false, TimedOut: false, Reset: false, Cancelled: false, Full: true, ConnectFailed: true,
 	} {
 		d, _ := newTestDirector(true, 1)
 		out, _ := firstAction[Dispatch](d.Step(0, Request{ID: 9, Copies: 3, Deadline: 4 * time.Second}))
 		acts := d.Step(time.Millisecond, LegResult{ID: 9, Node: out.Node, Outcome: outcome, Load: NoLoad})
-		_, again := firstAction[Dispatch](acts)
+		_, retried := firstAction[Dispatch](acts)
 		_, failed := firstAction[Fail](acts)
-		if again != freed || failed == freed {
-			t.Fatalf("outcome %d: again %v, failed %v", outcome, again, failed)
+		if retried != neverRan || failed == neverRan {
+			t.Fatalf("outcome %d: retried %v, failed %v", outcome, retried, failed)
 		}
 	}
 }
 
-// A node whose set-ups fail quickly looks idle; it must not attract more.
+// A node whose set-ups fail quickly has a low load, and must not attract more set-ups by that.
 func TestErrorSetsNodeAside(t *testing.T) {
 	d, _ := newTestDirector(false, 1)
 	out, _ := firstAction[Dispatch](d.Step(0, Request{ID: 1, Copies: 3, Deadline: 4 * time.Second}))
 	d.Step(0, LegResult{ID: 1, Node: out.Node, Outcome: Errored, Load: NoLoad})
-	d.Step(0, Accepted{ID: 1}) // elsewhere: it was the node
+	d.Step(0, Accepted{ID: 1}) // at another node, so the first one is to blame
 	for id := uint64(2); id < 8; id++ {
 		next, ok := firstAction[Dispatch](d.Step(0, Request{ID: id, Copies: 3, Deadline: 4 * time.Second}))
 		if ok && next.Node == out.Node {
-			t.Fatal("sent to a node set aside")
+			t.Fatal("a leg was sent to a node set aside")
 		}
 	}
 }
 
-// A client whose requests no node could serve set all nodes aside, one after the other, for paid sessions above all.
+// Guards against a client whose requests no node can serve: its errors would set all nodes aside, one after the other,
+// and the harm is greatest for sessions of at-most-once tariffs.
 func TestErrorOnTwoNodesIsRecordedForNeither(t *testing.T) {
 	d, _ := newTestDirector(false, 1)
 	for id := uint64(1); id <= 3; id++ {
@@ -215,102 +221,105 @@
 	}
 }
 
-// Where no other node has a word on it, one error may be the request's; two in a row are the node's.
+// If no other node holds the title, one error may be the fault of the request; two in a row are the fault of the node.
 func TestTwoUnconfirmedErrorsSetNodeAside(t *testing.T) {
-	for _, paid := range []bool{true, false} {
-		d, _ := newTestDirector(paid, 1)
-		err := func(id uint64) {
+	for _, atMostOnce := range []bool{true, false} {
+		d, _ := newTestDirector(atMostOnce, 1)
+		failOnce := func(id uint64) {
 			out, _ := firstAction[Dispatch](d.Step(0, Request{ID: id, Copies: 1, Deadline: 4 * time.Second}))
 			d.Step(0, LegResult{ID: id, Node: out.Node, Outcome: Errored, Load: NoLoad})
-			for at := time.Duration(0); at < 1200*time.Millisecond; at += tickInterval { // a free one is held until it is given up
+			for at := time.Duration(0); at < 1200*time.Millisecond; at += tickInterval { // a session that may have several legs waits until it is given up
 				d.Step(at, TimerFired{})
 			}
 		}
-		err(1)
+		failOnce(1)
 		if d.nodes[0].health.legLimit > 0 {
-			t.Fatalf("paid %v: set aside for one", paid)
+			t.Fatalf("at most once %v: set aside after one error", atMostOnce)
 		}
 		d.now = 0
-		err(2)
+		failOnce(2)
 		if d.nodes[0].health.legLimit == 0 {
-			t.Fatalf("paid %v: two are not held against it", paid)
+			t.Fatalf("at most once %v: not set aside after two errors", atMostOnce)
 		}
 	}
 }
 
-// adoptWithLinkLoad gives a director a session on node a at the top rung and a link figure of a at a time.
-func adoptWithLinkLoad(d *Director, id uint64, at time.Duration, figure float64) {
+// adoptWithLinkLoad adopts a session at node a at the top rung, and reports a link load of node a at a time.
+func adoptWithLinkLoad(d *Director, id uint64, at time.Duration, load float64) {
 	d.Step(0, Request{ID: id, Copies: 3, MaxRung: 2, Deadline: time.Hour, PlayingOn: "a"})
 	d.Step(0, Measurement{ID: id, Node: "a", Kind: CurrentRung, Value: 2})
-	d.Step(at, Measurement{ID: id, Node: "a", Kind: LinkLoad, Value: figure})
+	d.Step(at, Measurement{ID: id, Node: "a", Kind: LinkLoad, Value: load})
 }
 
-// Among hundreds of directors one session read as a flooded link and none as an empty one.
+// Guards against one of hundreds of directors estimating an overloaded link from one own session and an empty link from
+// none.
 func TestOneOwnSessionIsNotAFullLink(t *testing.T) {
 	d, _ := newTestDirector(false, 300)
 	d.Step(0, Request{ID: 1, Copies: 3, MaxRung: 2, Deadline: time.Hour, PlayingOn: "a"})
 	d.Step(0, Measurement{ID: 1, Node: "a", Kind: CurrentRung, Value: 2})
 	if own, none := d.load.linkUse(&d.nodes[0]), d.load.linkUse(&d.nodes[1]); own <= none || own > 1.5 || none < 0.3 {
-		t.Fatalf("one session reads as %.2f, none as %.2f", own, none)
+		t.Fatalf("estimated link use %.2f with one own session, %.2f with none", own, none)
 	}
 }
 
-// A figure that nothing kept true steered for ever, and so did the mean of all once notes ceased.
+// Guards against a load report that is never renewed counting for ever, and against the same for the baseline once
+// measurements cease.
 func TestLoadReportsExpire(t *testing.T) {
 	d, _ := newTestDirector(false, 300)
 	adoptWithLinkLoad(d, 1, time.Second, 1.4)
 	d.Step(0, Request{ID: 4, Copies: 3, MaxRung: 2, Deadline: time.Hour, PlayingOn: "b"})
-	for range 50 { // two nodes of the rack agree
+	for range 50 { // two nodes of the rack report the same
 		d.Step(time.Second, Measurement{ID: 1, Node: "a", Kind: UplinkLoad, Value: 1.1})
 		d.Step(time.Second, Measurement{ID: 4, Node: "b", Kind: UplinkLoad, Value: 1.1})
 	}
 	if out, ok := firstAction[Dispatch](d.Step(2*time.Second, Request{ID: 2, Copies: 3, Deadline: time.Hour})); ok {
-		t.Fatalf("sent to %s over a full uplink", out.Node)
+		t.Fatalf("a leg was sent to %s over a full uplink", out.Node)
 	}
 	d.Step(3*time.Second, LegResult{ID: 1, Node: "a", Outcome: Served, Final: true, Load: NoLoad})
 	d.Step(3*time.Second, LegResult{ID: 4, Node: "b", Outcome: Served, Final: true, Load: NoLoad})
 	if _, ok := firstAction[Dispatch](d.Step(time.Minute, Request{ID: 3, Copies: 3, Deadline: time.Hour})); !ok {
-		t.Fatal("a minute of silence, and the uplink is still held to be full")
+		t.Fatal("the uplink still counts as full after a minute without measurements")
 	}
 }
 
-// All who heard the same figure stepped at once, or counted on all others and never climbed.
+// Guards against directors that received the same load report all stepping at once, or all relying on the others and
+// never stepping up.
 func TestOnlySomeDirectorsStep(t *testing.T) {
-	for figure, up := range map[float64]bool{1.2: false, 0.6: true} {
+	for load, up := range map[float64]bool{1.2: false, 0.6: true} {
 		steps := 0
-		for me := range uint64(200) {
+		for seed := range uint64(200) {
 			d, _ := newTestDirector(false, 200)
-			d.random = newPCG(me)
-			adoptWithLinkLoad(d, 1, 5*time.Second, figure)
-			if up { // from the lowest rung, with figures to raise it on
+			d.random = newPCG(seed)
+			adoptWithLinkLoad(d, 1, 5*time.Second, load)
+			if up { // start at the lowest rung, with a load report that permits a step up
 				d.bookRung(&d.sessions[0], 0)
 				d.sessions[0].meanRung = 0
-				d.Step(5*time.Second, Measurement{ID: 1, Node: "a", Kind: LinkLoad, Value: figure})
+				d.Step(5*time.Second, Measurement{ID: 1, Node: "a", Kind: LinkLoad, Value: load})
 			}
 			if _, ok := firstAction[SetRung](d.Step(7*time.Second, TimerFired{})); ok {
 				steps++
 			}
 		}
 		if steps < 20 || steps > 180 {
-			t.Fatalf("at %.1f of a link %d of 200 step", figure, steps)
+			t.Fatalf("at link load %.1f, %d of 200 directors step", load, steps)
 		}
 	}
 }
 
-// Sessions were set up on links full with sessions at their floor; each cost the others more than it earned.
+// Guards against set-ups on a link full of sessions at their lowest rung: each costs the others more than it earns.
 func TestNoSetupOnFullLink(t *testing.T) {
 	d, _ := newTestDirector(false, 3)
 	adoptWithLinkLoad(d, 1, time.Second, 1.1)
 	at := slices.IndexFunc(d.nodes, func(n node) bool { return n.name == "a" })
 	if out, ok := firstAction[Dispatch](d.Step(time.Second, Request{ID: 2, FirstCell: at, Copies: 1, Deadline: time.Hour})); ok {
-		t.Fatalf("sent to %s", out.Node)
+		t.Fatalf("a leg was sent to %s over a full link", out.Node)
 	}
 	if _, ok := firstAction[Nack](d.Step(2*time.Second, TimerFired{})); !ok {
-		t.Fatal("not answered at its goal time")
+		t.Fatal("no Nack at the goal time")
 	}
 }
 
-// A node that hung delivered nothing, and its whole rack was held to be short.
+// Guards against taking a rack's uplink for overloaded because one of its nodes hangs and delivers nothing.
 func TestDeliveredShareRaisesLinkLoadOnly(t *testing.T) {
 	d, _ := newTestDirector(false, 3)
 	adoptWithLinkLoad(d, 1, time.Second, 0.6)
@@ -323,12 +332,13 @@
 	}
 	d.Step(3*time.Second, Measurement{ID: 1, Node: "a", Kind: DeliveredShare, Value: 1})
 	if link := d.load.linkUse(&d.nodes[0]); link > raiseThreshold {
-		t.Fatalf("short delivery is over, link still at %.2f", link)
+		t.Fatalf("the shortfall has ended, link use is still %.2f", link)
 	}
 }
 
-// With more directors than a fall budget has set-ups, one that had just started, or had seen a leg
-// fail, was allowed nothing: it nacked its viewers for a warm-up, and a node once doubted stayed out.
+// Guards against a share of nothing where there are more directors than the overload budget has set-ups: a director that
+// has just started, or has seen a leg fail, would nack its clients for a whole warm-up, and a node once suspected would
+// get no more set-ups.
 func TestSuspectNodeStillGetsSetups(t *testing.T) {
 	d, _ := newTestDirector(false, 300)
 	send := func(id uint64, at time.Duration) bool {
@@ -336,16 +346,16 @@
 		return ok
 	}
 	if !send(1, time.Second) || send(2, time.Second) {
-		t.Fatal("a director that has just started sends each node one set-up in the tipping time")
+		t.Fatal("a director that has just started must send each node one set-up per overload window")
 	}
 	d.Step(12*time.Second, LegResult{ID: 1, Node: d.nodes[0].name, Outcome: Reset, Final: true, Load: NoLoad})
 	d.nodes[0].health, d.nodes[0].sentTimes = health{}, nil
 	if !send(3, 20*time.Second) || send(4, 22*time.Second) || !send(5, 26*time.Second) {
-		t.Fatal("one set-up in five seconds (a warm-up over the multiple of the least warmth) was due")
+		t.Fatal("a suspect node must get one set-up in five seconds (Warmup / (OverloadMultiple * InitialShare))")
 	}
 }
 
-// Lost answers set all holders aside, and paid sessions had nowhere to go.
+// Guards against lost answers that set all holders aside and leave no node for sessions of at-most-once tariffs.
 func TestAtMostOnceLegTriedWhenAllHoldersAreSetAside(t *testing.T) {
 	d, _ := newTestDirector(true, 300)
 	d.slowStart.adopted = true
@@ -353,18 +363,18 @@
 		d.nodes[i].health = health{1, time.Hour, time.Hour}
 	}
 	if _, ok := firstAction[Dispatch](d.Step(0, Request{ID: 1, Copies: 3, Deadline: time.Hour})); !ok {
-		t.Fatal("all three are set aside, and none is tried")
+		t.Fatal("all three nodes are set aside and none is tried")
 	}
 	d.nodes[1].health = health{}
 	for id := uint64(2); id < 5; id++ {
 		out, _ := firstAction[Dispatch](d.Step(0, Request{ID: id, Copies: 3, Deadline: time.Hour}))
 		if out.Node != "" && out.Node != d.nodes[1].name {
-			t.Fatalf("one of three is well, and %s is tried", out.Node)
+			t.Fatalf("one of three nodes is healthy, yet %s is tried", out.Node)
 		}
 	}
 }
 
-// A rung off the ladder, and news of a node or session never heard of, did harm.
+// Guards against harm by a rung off the ladder and by events for an unknown node or session.
 func TestInvalidMeasurementsAreHarmless(t *testing.T) {
 	d, _ := newTestDirector(false, 3)
 	adoptWithLinkLoad(d, 1, time.Second, 0.5)
@@ -377,30 +387,31 @@
 	}
 }
 
+// The six rules of the simulation hold for any sequence of events.
 func TestRulesHold(t *testing.T) { rapid.Check(t, func(t *rapid.T) { newSimulation(t).run() }) }
 
 func TestIndexMapReusesIndexes(t *testing.T) {
 	d := newIndexMap[uint64]()
 	rapid.Check(t, func(t *rapid.T) {
-		inside := rapid.SliceOfNDistinct(rapid.Uint64(), 1, 20, rapid.ID).Draw(t, "ids")
+		ids := rapid.SliceOfNDistinct(rapid.Uint64(), 1, 20, rapid.ID).Draw(t, "ids")
 		var seen []int
-		for _, id := range inside {
+		for _, id := range ids {
 			i, _ := d.assign(id)
 			if slices.Contains(seen, i) {
-				t.Fatal("an index given twice")
+				t.Fatal("an index was assigned twice")
 			}
 			seen = append(seen, i)
 		}
-		for _, id := range inside {
+		for _, id := range ids {
 			d.release(id)
 		}
 		if d.size > 20 || len(d.indices) > 0 {
-			t.Fatal("the door keeps what has left")
+			t.Fatal("released ids are still in the map")
 		}
 	})
 }
 
-// The list put a node into another rack under the same name, and what its sessions carry stayed booked at the old one.
+// Guards against the rate of a node's sessions staying booked at its old rack when the list moves the node to another one.
 func TestBookedLoadFollowsMovedNode(t *testing.T) {
 	d, list := newTestDirector(false, 3)
 	d.load.racks = make([]rack, 3)
@@ -418,16 +429,16 @@
 	}
 }
 
-// A title whose first cell the list counted past the last one was set up on nodes that do not hold it.
+// Guards against setting up a title on nodes that do not hold it because its first cell is numbered beyond the last cell.
 func TestFirstCellWrapsAround(t *testing.T) {
 	d, _ := newTestDirector(false, 1) // three cells, a node in each
 	out, ok := firstAction[Dispatch](d.Step(0, Request{ID: 1, FirstCell: 3*7 + 1, Copies: 1, Deadline: time.Hour}))
 	if !ok || out.Node != "b" {
-		t.Fatalf("sent to %q", out.Node)
+		t.Fatalf("sent to %q, want b", out.Node)
 	}
 }
 
-// A successor under the same name was held to be as full as its predecessor was.
+// Guards against taking a restarted node for as full as it was before its restart.
 func TestRestartedNodeHasNoLoadReports(t *testing.T) {
 	d, list := newTestDirector(false, 3)
 	adoptWithLinkLoad(d, 1, time.Second, 1.4)
@@ -439,7 +450,8 @@
 	}
 }
 
-// it fail: it sent its whole part of the fall budget twice.
+// Guards against a list that drops a node and names it again clearing the director's record of its set-ups there: the
+// director would send its share of the overload budget twice.
 func TestFlappingListDoesNotResetSlowStart(t *testing.T) {
 	d, list := newTestDirector(false, 1)
 	d.slowStart.adopted = true
@@ -447,8 +459,8 @@
 	sent := 0
 	for id := uint64(1); id <= 40; id++ {
 		now := 2*time.Second + time.Duration(id)*time.Millisecond
-		for _, word := range [][]NodeEntry{list[1:], list} {
-			d.Step(now, ServerList{Kind: ListReplaced, Entries: word})
+		for _, entries := range [][]NodeEntry{list[1:], list} {
+			d.Step(now, ServerList{Kind: ListReplaced, Entries: entries})
 		}
 		if _, ok := firstAction[Dispatch](d.Step(now, Request{ID: id, Copies: 1, Deadline: now + time.Hour})); ok {
 			sent++
@@ -456,24 +468,25 @@
 			d.nodes[0].linkLoad = resourceLoad{}
 		}
 	}
-	if sent > 4 { // 4 x 20 places x 0.5 over 10 s, for the tipping time of one
+	if sent > 4 { // 4 x 20 streams x 0.5 over a warm-up of 10 s, for an overload window of 1 s
 		t.Fatalf("%d set-ups within 40 ms", sent)
 	}
 }
 
-// A node that was dropped from the list is forgotten once nothing of it can matter any more.
+// A node that left the list is dropped once its set-ups, pause and suspicion have expired.
 func TestUnlistedNodesAreDropped(t *testing.T) {
 	d, list := newTestDirector(false, 1)
 	adoptWithLinkLoad(d, 1, time.Second, 1)
 	d.Step(time.Second, LegResult{ID: 1, Node: "a", Outcome: Reset, Final: true, Load: NoLoad})
 	d.Step(2*time.Second, ServerList{Kind: ListReplaced, Entries: list[1:]})
 	d.Step(30*time.Second, TimerFired{})
-	if _, there := d.nodeIndexes.find("a"); there {
-		t.Fatal("still known 28 s after it left the list")
+	if _, known := d.nodeIndexes.find("a"); known {
+		t.Fatal("the node is still known 28 s after it left the list")
 	}
 }
 
-// be that one full.
+// Guards against a fleet that serves at-most-once tariffs alone leaving a node set aside for good as long as any other
+// node is healthy, even a full one.
 func TestAtMostOnceLegsReturnToNode(t *testing.T) {
 	d, _ := newTestDirector(true, 1)
 	d.slowStart.adopted = true
@@ -491,11 +504,11 @@
 		}
 	}
 	if sent == 0 {
-		t.Fatal("an hour after one error the node is never tried")
+		t.Fatal("the node is never tried again an hour after its error")
 	}
 }
 
-// One node that told impossible figures filled, in the eyes of its directors, every link and every rack there was.
+// Guards against one node that reports impossible loads making its directors take every link and every uplink for full.
 func TestImpossibleReportsAffectOnlyTheirNode(t *testing.T) {
 	d, _ := newTestDirector(false, 100)
 	adoptWithLinkLoad(d, 1, time.Second, 0.5)
@@ -511,22 +524,22 @@
 	}
 }
 
-// A rack's uplink is told by its nodes, and a director often hears one of them alone. One that told of a full uplink
-// falsely kept set-ups off the whole rack for as long as it said so.
+// Guards against a node that falsely reports a full uplink blocking set-ups for its whole rack. The nodes report the load
+// of their rack's uplink, and a director often has reports of a single node only.
 func TestOneNodeCannotBlockItsRack(t *testing.T) {
 	d, _ := newTestDirector(false, 3)
 	adoptWithLinkLoad(d, 1, time.Second, 0.5)
 	for i := range time.Duration(20) {
 		d.Step(time.Second+i, Measurement{ID: 1, Node: "a", Kind: UplinkLoad, Value: 1.5})
 	}
-	for base := 1; base < 3; base++ { // the others of its rack
+	for base := 1; base < 3; base++ { // the other nodes of the rack
 		if _, ok := firstAction[Dispatch](d.Step(2*time.Second, Request{ID: uint64(10 + base), FirstCell: base, Copies: 1, Deadline: time.Hour})); !ok {
-			t.Errorf("node %d takes nothing by the word of node 0", base)
+			t.Errorf("node %d gets no set-up because of node 0's report", base)
 		}
 	}
 }
 
-// Two nodes that tell of a full uplink close the rack for the third.
+// Reports of a full uplink by two nodes block set-ups for the third node of the rack.
 func TestTwoNodesBlockTheirRack(t *testing.T) {
 	d, _ := newTestDirector(false, 3)
 	adoptWithLinkLoad(d, 1, time.Second, 0.5)
@@ -534,12 +547,12 @@
 	d.Step(time.Second, Measurement{ID: 1, Node: "a", Kind: UplinkLoad, Value: 1.5})
 	d.Step(time.Second, Measurement{ID: 2, Node: "b", Kind: UplinkLoad, Value: 1.5})
 	if out, ok := firstAction[Dispatch](d.Step(2*time.Second, Request{ID: 3, Copies: 3, Deadline: time.Hour})); ok {
-		t.Fatalf("sent to %s over an uplink that two nodes call full", out.Node)
+		t.Fatalf("a leg was sent to %s over an uplink that two nodes report as full", out.Node)
 	}
 }
 
-// A list tells ages in milliseconds, so the same birth reads a little later each time: a node that had just failed was
-// taken for its successor and trusted again.
+// Guards against taking a node that has just failed for a restarted, healthy one. A list gives ages in milliseconds, so the
+// same start time is read a little later each time.
 func TestStartTimeJitterIsNoRestart(t *testing.T) {
 	d, list := newTestDirector(false, 1)
 	d.slowStart.adopted = true
@@ -551,7 +564,7 @@
 		list[0].StartedAt = later
 		d.Step(2*time.Second, ServerList{Kind: ListUpdate, Entries: list[:1]})
 		if aside, same := d.nodes[0].health.legLimit > 0, later < startTimeTolerance; aside != same {
-			t.Fatalf("born %v later: set aside %v", later, aside)
+			t.Fatalf("start time %v later: set aside %v", later, aside)
 		}
 	}
 }
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -8,8 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// A simulation drives directors with what rapid draws and checks the six rules by its own books: it
-// looks at events and actions only, never at what a director keeps.
+// A simulation drives directors with events drawn by rapid and checks the six rules against its own records. It
+// uses events and actions only, never a director's state. The rules:
+//
+//  1. Each request gets exactly one answer, by its hard stop.
+//  2. A session has one leg at a time and at most MaxLegs. A session of an at-most-once tariff gets no further
+//     leg and no Nack once a leg may have run.
+//  3. No leg is sent to a node that is draining or removed.
+//  4. All directors together stay within the overload budget of a node that started while they ran.
+//  5. Sessions stay within the seats and rungs of their tariff.
+//  6. Retries stay within the retry budget.
 type simulation struct {
 	*rapid.T
 	now         time.Duration
@@ -18,16 +26,16 @@
 	ramp        Ramp
 	retryPolicy RetryPolicy
 	list        []NodeEntry
-	unavailable map[string]bool // draining or removed by the list
+	unavailable map[string]bool // nodes that the list has as draining or removed
 	directors   []*simDirector
-	setupTimes  map[string][]time.Duration // all directors'
-	slowNode    string                     // a node that answers no leg before it is overdue
+	setupTimes  map[string][]time.Duration // set-ups sent by all directors, by node
+	slowNode    string                     // a node that does not answer legs before they are overdue
 	nextID      uint64
-	startTimes  map[string]time.Duration // by the world's clock, of nodes that started in sight
+	startTimes  map[string]time.Duration // start times, in simulation time, of the nodes that started during the simulation
 	rungs       int
 }
 
-// A simDirector is a director and what it owes.
+// A simDirector is a director with its timers and pending requests.
 type simDirector struct {
 	*Director
 	startedAt    time.Duration
@@ -38,9 +46,10 @@
 	retryTimes   []time.Duration
 }
 
+// A pendingRequest is a request or session whose end is outstanding.
 type pendingRequest struct {
 	Request
-	node       string // of the leg out
+	node       string // node of the running leg; empty: no leg is running
 	playing    bool
 	mayHaveRun bool
 	legs       int
@@ -53,276 +62,276 @@
 }
 
 func newSimulation(t *rapid.T) *simulation {
-	w := &simulation{T: t, unavailable: map[string]bool{}, setupTimes: map[string][]time.Duration{},
+	s := &simulation{T: t, unavailable: map[string]bool{}, setupTimes: map[string][]time.Duration{},
 		startTimes: map[string]time.Duration{}, rungs: rapid.IntRange(2, 5).Draw(t, "rungs")}
 	for i := range rapid.IntRange(1, 3).Draw(t, "tariffs") {
 		goal := time.Duration(rapid.IntRange(400, 1500).Draw(t, "goal")) * time.Millisecond
-		w.tariffs = append(w.tariffs, Tariff{GoalTime: goal, HardStop: goal * 3, Credit: float64(1 + i),
-			AtMostOnce: drawOne(t, "paid", false, true), Scale: drawOne(t, "scale", 0.7, 1, 1.4),
-			Floor: rapid.IntRange(0, w.rungs-1).Draw(t, "floor"), Top: w.rungs - 1,
+		s.tariffs = append(s.tariffs, Tariff{GoalTime: goal, HardStop: goal * 3, Credit: float64(1 + i),
+			AtMostOnce: drawOne(t, "at most once", false, true), Scale: drawOne(t, "scale", 0.7, 1, 1.4),
+			Floor: rapid.IntRange(0, s.rungs-1).Draw(t, "floor"), Top: s.rungs - 1,
 			Seats: drawOne(t, "seats", 0, 0, 1, 3), Live: drawOne(t, "live", false, true)})
 	}
 	cells := rapid.IntRange(3, 9).Draw(t, "cells")
-	w.fleet = Fleet{Cells: cells, Racks: rapid.IntRange(1, 3).Draw(t, "racks"), LinkUnit: 3000, Uplink: 8000,
-		RefusalThreshold: drawOne(t, "refuses", 0., 1)}
-	w.ramp = Ramp{MaxStreams: []float64{20}, Warmup: 8 * time.Second, InitialShare: .4,
-		OverloadMultiple: drawOne(t, "multiple", 2., 2.5, 4), OverloadWindow: drawOne(t, "tip", time.Second, 2*time.Second)}
-	w.retryPolicy = RetryPolicy{MaxLegs: rapid.IntRange(1, 4).Draw(t, "most")}
-	if drawOne(t, "rationed", false, true) {
-		w.retryPolicy.MinRetries, w.retryPolicy.RetryRatio, w.retryPolicy.Window = 1, .1, 3*time.Second
+	s.fleet = Fleet{Cells: cells, Racks: rapid.IntRange(1, 3).Draw(t, "racks"), LinkUnit: 3000, Uplink: 8000,
+		RefusalThreshold: drawOne(t, "refusal threshold", 0., 1)}
+	s.ramp = Ramp{MaxStreams: []float64{20}, Warmup: 8 * time.Second, InitialShare: .4,
+		OverloadMultiple: drawOne(t, "overload multiple", 2., 2.5, 4), OverloadWindow: drawOne(t, "overload window", time.Second, 2*time.Second)}
+	s.retryPolicy = RetryPolicy{MaxLegs: rapid.IntRange(1, 4).Draw(t, "max legs")}
+	if drawOne(t, "retry budget", false, true) {
+		s.retryPolicy.MinRetries, s.retryPolicy.RetryRatio, s.retryPolicy.Window = 1, .1, 3*time.Second
 	}
 	for i := range cells {
-		w.list = append(w.list, NodeEntry{Node: fmt.Sprint("n", i), StartedAt: UnknownStart, Weight: 1, Cell: i})
+		s.list = append(s.list, NodeEntry{Node: fmt.Sprint("n", i), StartedAt: UnknownStart, Weight: 1, Cell: i})
 	}
-	for range drawOne(t, "directors", 1, 2, 3, 3, 40) { // 40: far more than a fall budget has set-ups
-		w.directors = append(w.directors, nil)
+	for range drawOne(t, "directors", 1, 2, 3, 3, 40) { // 40: far more than the overload budget has set-ups
+		s.directors = append(s.directors, nil)
 	}
-	for i := range w.directors {
-		w.start(i)
+	for i := range s.directors {
+		s.start(i)
 	}
-	return w
+	return s
 }
 
-// entries is the list as a director that started at a time is told it.
-func (w *simulation) entries(born time.Duration) []NodeEntry {
-	told := slices.Clone(w.list)
-	for i := range told {
-		if at, ok := w.startTimes[told[i].Node]; ok {
-			told[i].StartedAt = at - born
+// entries returns the list as a director that started at the given time receives it.
+func (s *simulation) entries(directorStart time.Duration) []NodeEntry {
+	list := slices.Clone(s.list)
+	for i := range list {
+		if at, ok := s.startTimes[list[i].Node]; ok {
+			list[i].StartedAt = at - directorStart
 		}
 	}
-	return told
+	return list
 }
 
-func (w *simulation) start(i int) {
-	ladder := Ladder{Rates: []float64{200, 350, 700, 1400, 2000}[:w.rungs], JoinCost: .3}
-	p := &simDirector{startedAt: w.now, requests: map[uint64]*pendingRequest{}, Director: New(uint64(i),
-		Peers{Index: i, Directors: len(w.directors)}, w.tariffs, ladder, w.fleet, w.ramp, w.retryPolicy,
+func (s *simulation) start(i int) {
+	ladder := Ladder{Rates: []float64{200, 350, 700, 1400, 2000}[:s.rungs], JoinCost: .3}
+	dir := &simDirector{startedAt: s.now, requests: map[uint64]*pendingRequest{}, Director: New(uint64(i),
+		Peers{Index: i, Directors: len(s.directors)}, s.tariffs, ladder, s.fleet, s.ramp, s.retryPolicy,
 		ReportTiming{Delay: time.Second})}
-	w.directors[i] = p
-	w.step(p, ServerList{Kind: ListRestored, Entries: w.entries(w.now)})
+	s.directors[i] = dir
+	s.step(dir, ServerList{Kind: ListRestored, Entries: s.entries(s.now)})
 }
 
-func (w *simulation) step(p *simDirector, e Event) {
-	for _, a := range p.Step(w.now-p.startedAt, e) {
-		w.check(p, a)
+func (s *simulation) step(dir *simDirector, e Event) {
+	for _, a := range dir.Step(s.now-dir.startedAt, e) {
+		s.check(dir, a)
 	}
 }
 
-// check holds one action against the rules.
-func (w *simulation) check(p *simDirector, a Action) {
+// check checks one action against the rules.
+func (s *simulation) check(dir *simDirector, a Action) {
 	switch a := a.(type) {
 	case SetTimer:
-		p.timers = append(p.timers, p.startedAt+a.At)
+		dir.timers = append(dir.timers, dir.startedAt+a.At)
 	case Dispatch:
-		o := p.requests[a.ID]
-		t := w.tariffs[o.Tariff]
-		if o.answered || o.node != "" || t.AtMostOnce && o.mayHaveRun || o.legs >= w.retryPolicy.MaxLegs {
-			w.Fatalf("rule 2: leg %d of %+v", o.legs, o)
+		r := dir.requests[a.ID]
+		t := s.tariffs[r.Tariff]
+		if r.answered || r.node != "" || t.AtMostOnce && r.mayHaveRun || r.legs >= s.retryPolicy.MaxLegs {
+			s.Fatalf("rule 2: leg %d of %+v", r.legs, r)
 		}
-		at := slices.IndexFunc(w.list, func(x NodeEntry) bool { return x.Node == a.Node })
-		if at < 0 || w.unavailable[a.Node] {
-			w.Fatalf("rule 3: sent to %s", a.Node)
+		at := slices.IndexFunc(s.list, func(x NodeEntry) bool { return x.Node == a.Node })
+		if at < 0 || s.unavailable[a.Node] {
+			s.Fatalf("rule 3: a leg was sent to %s", a.Node)
 		}
-		if (w.list[at].Cell-o.FirstCell+w.fleet.Cells)%w.fleet.Cells >= o.Copies {
-			w.Fatalf("%s does not hold the title", a.Node)
+		if (s.list[at].Cell-r.FirstCell+s.fleet.Cells)%s.fleet.Cells >= r.Copies {
+			s.Fatalf("%s does not hold the title", a.Node)
 		}
-		w.setupTimes[a.Node] = append(w.setupTimes[a.Node], w.now)
-		w.checkSlowStart(a.Node)
-		if o.legs > 0 && w.retryPolicy.Window > 0 {
-			recent := func(at time.Duration) bool { return at > w.now-w.retryPolicy.Window }
-			p.retryTimes = append(p.retryTimes, w.now)
-			if n := countTimes(p.retryTimes, recent); float64(n) > 1+.1*float64(countTimes(p.requestTimes, recent)) {
-				w.Fatalf("rule 6: %d further legs", n)
+		s.setupTimes[a.Node] = append(s.setupTimes[a.Node], s.now)
+		s.checkSlowStart(a.Node)
+		if r.legs > 0 && s.retryPolicy.Window > 0 {
+			recent := func(at time.Duration) bool { return at > s.now-s.retryPolicy.Window }
+			dir.retryTimes = append(dir.retryTimes, s.now)
+			if n := countTimes(dir.retryTimes, recent); float64(n) > 1+.1*float64(countTimes(dir.requestTimes, recent)) {
+				s.Fatalf("rule 6: %d retries", n)
 			}
 		}
-		o.node, o.legs = a.Node, o.legs+1
-		seated := 0
-		for _, id := range p.order {
-			if x := p.requests[id]; x.node != "" && x.Tariff == o.Tariff && x.Title == o.Title {
-				seated++
+		r.node, r.legs = a.Node, r.legs+1
+		taken := 0
+		for _, id := range dir.order {
+			if x := dir.requests[id]; x.node != "" && x.Tariff == r.Tariff && x.Title == r.Title {
+				taken++
 			}
 		}
-		if t.Seats > 0 && seated > t.Seats {
-			w.Fatalf("rule 5: %d of %d seats", seated, t.Seats)
+		if t.Seats > 0 && taken > t.Seats {
+			s.Fatalf("rule 5: %d of %d seats", taken, t.Seats)
 		}
 	case SetRung:
-		if o := p.requests[a.ID]; a.Rung < w.tariffs[o.Tariff].Floor ||
-			a.Rung > max(o.MaxRung, w.tariffs[o.Tariff].Floor) || a.Rung >= w.rungs {
-			w.Fatalf("rule 5: rung %d for %+v", a.Rung, o)
+		if r := dir.requests[a.ID]; a.Rung < s.tariffs[r.Tariff].Floor ||
+			a.Rung > max(r.MaxRung, s.tariffs[r.Tariff].Floor) || a.Rung >= s.rungs {
+			s.Fatalf("rule 5: rung %d for %+v", a.Rung, r)
 		}
 	case Nack:
-		if o := p.requests[a.ID]; o.node != "" || o.mayHaveRun && w.tariffs[o.Tariff].AtMostOnce {
-			w.Fatalf("rule 2: nacked %+v", o)
+		if r := dir.requests[a.ID]; r.node != "" || r.mayHaveRun && s.tariffs[r.Tariff].AtMostOnce {
+			s.Fatalf("rule 2: nacked %+v", r)
 		}
-		w.answer(p, a.ID)
+		s.answer(dir, a.ID)
 	case Fail:
-		w.answer(p, a.ID)
+		s.answer(dir, a.ID)
 	}
 }
 
-// checkSlowStart counts what all directors sent to a node that started in sight of them all.
-func (w *simulation) checkSlowStart(node string) {
-	born, ok := w.startTimes[node]
-	if !ok || w.now >= born+w.ramp.Warmup {
+// checkSlowStart checks the set-ups that all directors sent to a node that started while they ran.
+func (s *simulation) checkSlowStart(node string) {
+	startedAt, ok := s.startTimes[node]
+	if !ok || s.now >= startedAt+s.ramp.Warmup {
 		return
 	}
-	n := countTimes(w.setupTimes[node], func(at time.Duration) bool { return at > w.now-w.ramp.OverloadWindow && at >= born })
-	budget := w.ramp.OverloadMultiple * 20 * w.ramp.InitialShare * w.ramp.OverloadWindow.Seconds() / w.ramp.Warmup.Seconds()
+	n := countTimes(s.setupTimes[node], func(at time.Duration) bool { return at > s.now-s.ramp.OverloadWindow && at >= startedAt })
+	budget := s.ramp.OverloadMultiple * 20 * s.ramp.InitialShare * s.ramp.OverloadWindow.Seconds() / s.ramp.Warmup.Seconds()
 	if float64(n) > budget {
-		w.Fatalf("rule 4: %d set-ups to %s, %.1f allowed", n, node, budget)
+		s.Fatalf("rule 4: %d set-ups to %s, %.1f allowed", n, node, budget)
 	}
 }
 
-func countTimes(times []time.Duration, which func(time.Duration) bool) (n int) {
+func countTimes(times []time.Duration, match func(time.Duration) bool) (n int) {
 	for _, at := range times {
-		if which(at) {
+		if match(at) {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *simulation) answer(p *simDirector, id uint64) {
-	o := p.requests[id]
-	if o.answered {
-		w.Fatalf("rule 1: answered twice: %+v", o)
+func (s *simulation) answer(dir *simDirector, id uint64) {
+	r := dir.requests[id]
+	if r.answered {
+		s.Fatalf("rule 1: answered twice: %+v", r)
 	}
-	o.answered = true
+	r.answered = true
 }
 
-// run plays some seconds: demands, outcomes in any order, notes, lists, restarts.
-func (w *simulation) run() {
-	for range rapid.IntRange(20, 200).Draw(w.T, "steps") {
-		w.now += time.Duration(rapid.IntRange(1, 400).Draw(w.T, "ms")) * time.Millisecond
-		for _, p := range w.directors {
-			for len(p.timers) > 0 && p.timers[0] <= w.now {
-				p.timers = p.timers[1:]
-				w.step(p, TimerFired{})
+// run simulates some seconds with requests, outcomes in any order, measurements, list changes and restarts.
+func (s *simulation) run() {
+	for range rapid.IntRange(20, 200).Draw(s.T, "steps") {
+		s.now += time.Duration(rapid.IntRange(1, 400).Draw(s.T, "ms")) * time.Millisecond
+		for _, dir := range s.directors {
+			for len(dir.timers) > 0 && dir.timers[0] <= s.now {
+				dir.timers = dir.timers[1:]
+				s.step(dir, TimerFired{})
 			}
-			for _, id := range slices.Clone(p.order) {
-				w.overdue(p, id)
+			for _, id := range slices.Clone(dir.order) {
+				s.overdue(dir, id)
 			}
 		}
-		i := rapid.IntRange(0, len(w.directors)-1).Draw(w.T, "director")
-		p := w.directors[i]
-		switch drawOne(w.T, "event", 0, 0, 0, 1, 1, 1, 2, 2, 3, 4) {
+		i := rapid.IntRange(0, len(s.directors)-1).Draw(s.T, "director")
+		dir := s.directors[i]
+		switch drawOne(s.T, "event", 0, 0, 0, 1, 1, 1, 2, 2, 3, 4) {
 		case 0:
-			for range rapid.IntRange(1, 6).Draw(w.T, "crowd") {
-				w.request(p)
+			for range rapid.IntRange(1, 6).Draw(s.T, "burst") {
+				s.request(dir)
 			}
-			for _, p := range w.directors[:drawOne(w.T, "wave", 0, 0, len(w.directors))] {
-				w.request(p)
+			for _, dir := range s.directors[:drawOne(s.T, "all directors", 0, 0, len(s.directors))] {
+				s.request(dir)
 			}
 		case 1:
-			w.outcome(p)
+			s.outcome(dir)
 		case 2:
-			w.measurement(p)
+			s.measurement(dir)
 		case 3:
-			for range rapid.IntRange(1, 3).Draw(w.T, "nodes") {
-				w.changeList()
+			for range rapid.IntRange(1, 3).Draw(s.T, "nodes") {
+				s.changeList()
 			}
-			w.slowNode = drawOne(w.T, "slow", "", w.list[0].Node)
+			s.slowNode = drawOne(s.T, "slow node", "", s.list[0].Node)
 		case 4:
-			if rapid.IntRange(0, 9).Draw(w.T, "restart") == 0 {
-				w.start(i)
+			if rapid.IntRange(0, 9).Draw(s.T, "restart") == 0 {
+				s.start(i)
 			}
 		}
 	}
 }
 
-// overdue ends what has run out of time: a leg at the hard stop; a demand must be answered by then.
-func (w *simulation) overdue(p *simDirector, id uint64) {
-	o := p.requests[id]
-	if o.answered || o.playing || w.now < o.deadline {
+// overdue ends a leg at its request's hard stop, and requires that the request is answered by then.
+func (s *simulation) overdue(dir *simDirector, id uint64) {
+	r := dir.requests[id]
+	if r.answered || r.playing || s.now < r.deadline {
 		return
 	}
-	if o.node == "" {
-		w.Fatalf("rule 1: no answer by the hard stop: %+v", o)
+	if r.node == "" {
+		s.Fatalf("rule 1: no answer by the hard stop: %+v", r)
 	}
-	w.endLeg(p, o, TimedOut, false)
-	if !o.answered {
-		w.Fatalf("rule 1: no answer to the last time-out: %+v", o)
+	s.endLeg(dir, r, TimedOut, false)
+	if !r.answered {
+		s.Fatalf("rule 1: no answer after the last time-out: %+v", r)
 	}
 }
 
-func (w *simulation) request(p *simDirector) {
-	w.nextID++
-	tariff := rapid.IntRange(0, len(w.tariffs)-1).Draw(w.T, "tariff")
-	// Rings come up to a step late, as they may when a batch is long.
-	stop := w.tariffs[tariff].HardStop + 400*time.Millisecond
-	d := Request{ID: w.nextID, Tariff: tariff, Title: uint64(rapid.IntRange(1, 4).Draw(w.T, "title")),
-		FirstCell: rapid.IntRange(0, w.fleet.Cells-1).Draw(w.T, "base"), Copies: 3,
-		MaxRung: rapid.IntRange(0, w.rungs-1).Draw(w.T, "top"), Deadline: w.now - p.startedAt + stop}
-	p.requests[d.ID] = &pendingRequest{Request: d, deadline: w.now + stop}
-	p.order = append(p.order, d.ID)
-	p.requestTimes = append(p.requestTimes, w.now)
-	w.step(p, d)
+func (s *simulation) request(dir *simDirector) {
+	s.nextID++
+	tariff := rapid.IntRange(0, len(s.tariffs)-1).Draw(s.T, "tariff")
+	// Timers fire up to one step late, as they may if a batch of events is long.
+	hardStop := s.tariffs[tariff].HardStop + 400*time.Millisecond
+	request := Request{ID: s.nextID, Tariff: tariff, Title: uint64(rapid.IntRange(1, 4).Draw(s.T, "title")),
+		FirstCell: rapid.IntRange(0, s.fleet.Cells-1).Draw(s.T, "first cell"), Copies: 3,
+		MaxRung: rapid.IntRange(0, s.rungs-1).Draw(s.T, "max rung"), Deadline: s.now - dir.startedAt + hardStop}
+	dir.requests[request.ID] = &pendingRequest{Request: request, deadline: s.now + hardStop}
+	dir.order = append(dir.order, request.ID)
+	dir.requestTimes = append(dir.requestTimes, s.now)
+	s.step(dir, request)
 }
 
-func (w *simulation) endLeg(p *simDirector, o *pendingRequest, outcome Outcome, final bool) {
-	node := o.node
-	o.node = ""
-	o.mayHaveRun = o.mayHaveRun || outcome != Full && outcome != ConnectFailed && outcome != NeverStarted
-	if o.playing || final {
-		o.answered = true
+func (s *simulation) endLeg(dir *simDirector, r *pendingRequest, outcome Outcome, final bool) {
+	node := r.node
+	r.node = ""
+	r.mayHaveRun = r.mayHaveRun || outcome != Full && outcome != ConnectFailed && outcome != NeverStarted
+	if r.playing || final {
+		r.answered = true
 	}
-	load := Load{rapid.Float64Range(0, 20).Draw(w.T, "streams"), rapid.Float64Range(0, 2).Draw(w.T, "x"), -1}
-	w.step(p, LegResult{ID: o.ID, Node: node, Outcome: outcome, Final: o.playing || final, Load: load})
-	if o.answered && o.node == "" {
-		delete(p.requests, o.ID)
-		p.order = slices.DeleteFunc(p.order, func(id uint64) bool { return id == o.ID })
+	load := Load{rapid.Float64Range(0, 20).Draw(s.T, "streams"), rapid.Float64Range(0, 2).Draw(s.T, "x"), -1}
+	s.step(dir, LegResult{ID: r.ID, Node: node, Outcome: outcome, Final: r.playing || final, Load: load})
+	if r.answered && r.node == "" {
+		delete(dir.requests, r.ID)
+		dir.order = slices.DeleteFunc(dir.order, func(id uint64) bool { return id == r.ID })
 	}
 }
 
-func (w *simulation) outcome(p *simDirector) {
-	for _, id := range slices.Clone(p.order) {
-		o := p.requests[id]
-		if o == nil || o.node == "" || o.node == w.slowNode && !o.playing {
+func (s *simulation) outcome(dir *simDirector) {
+	for _, id := range slices.Clone(dir.order) {
+		r := dir.requests[id]
+		if r == nil || r.node == "" || r.node == s.slowNode && !r.playing {
 			continue
 		}
-		switch kind := rapid.IntRange(0, 11).Draw(w.T, "outcome"); {
-		case o.playing && kind > 2:
-		case o.playing:
-			w.endLeg(p, o, drawOne(w.T, "end", Served, Reset, Cancelled), true)
+		switch kind := rapid.IntRange(0, 11).Draw(s.T, "outcome"); {
+		case r.playing && kind > 2:
+		case r.playing:
+			s.endLeg(dir, r, drawOne(s.T, "end", Served, Reset, Cancelled), true)
 		case kind < 5:
-			o.playing, o.answered = true, true
-			w.step(p, Accepted{ID: id})
+			r.playing, r.answered = true, true
+			s.step(dir, Accepted{ID: id})
 		case kind < 11:
-			w.endLeg(p, o, drawOne(w.T, "how", Errored, Full, TimedOut, ConnectFailed, Reset, NeverStarted), false)
+			s.endLeg(dir, r, drawOne(s.T, "failure", Errored, Full, TimedOut, ConnectFailed, Reset, NeverStarted), false)
 		default:
-			o.answered = true
-			w.step(p, ClientGone{ID: id})
-			w.endLeg(p, o, Cancelled, true)
+			r.answered = true
+			s.step(dir, ClientGone{ID: id})
+			s.endLeg(dir, r, Cancelled, true)
 		}
 	}
 }
 
-func (w *simulation) measurement(p *simDirector) {
-	for _, id := range slices.Clone(p.order) {
-		if o := p.requests[id]; o.playing && o.node != "" {
-			kind := drawOne(w.T, "kind", DeliveredShare, LinkLoad, UplinkLoad)
-			w.step(p, Measurement{ID: id, Node: o.node, Kind: kind, Value: rapid.Float64Range(0, 1.6).Draw(w.T, "x")})
+func (s *simulation) measurement(dir *simDirector) {
+	for _, id := range slices.Clone(dir.order) {
+		if r := dir.requests[id]; r.playing && r.node != "" {
+			kind := drawOne(s.T, "kind", DeliveredShare, LinkLoad, UplinkLoad)
+			s.step(dir, Measurement{ID: id, Node: r.node, Kind: kind, Value: rapid.Float64Range(0, 1.6).Draw(s.T, "x")})
 		}
 	}
 }
 
-// changeList changes one node for all directors: drained, removed, back, or started anew.
-func (w *simulation) changeList() {
-	i := rapid.IntRange(0, len(w.list)-1).Draw(w.T, "node")
-	x := &w.list[i]
-	x.State = drawOne(w.T, "state", Up, Up, Draining, Removed)
-	w.unavailable[x.Node] = x.State != Up
+// changeList changes the list entry of one node for all directors: draining, removed, or up with a new start time.
+func (s *simulation) changeList() {
+	i := rapid.IntRange(0, len(s.list)-1).Draw(s.T, "node")
+	x := &s.list[i]
+	x.State = drawOne(s.T, "state", Up, Up, Draining, Removed)
+	s.unavailable[x.Node] = x.State != Up
 	if x.State == Up {
-		w.startTimes[x.Node], w.setupTimes[x.Node] = w.now, nil // what was sent in this very moment went to its predecessor
+		s.startTimes[x.Node], s.setupTimes[x.Node] = s.now, nil // set-ups sent at this same moment went to the node before its restart
 	}
-	full := drawOne(w.T, "full", false, true)
-	for _, p := range w.directors {
-		told := ServerList{Kind: ListUpdate, Entries: w.entries(p.startedAt)[i : i+1]}
+	full := drawOne(s.T, "full", false, true)
+	for _, dir := range s.directors {
+		message := ServerList{Kind: ListUpdate, Entries: s.entries(dir.startedAt)[i : i+1]}
 		if full {
-			all := w.entries(p.startedAt)
-			told = ServerList{Kind: ListReplaced, Entries: slices.DeleteFunc(all, func(x NodeEntry) bool { return x.State == Removed })}
+			all := s.entries(dir.startedAt)
+			message = ServerList{Kind: ListReplaced, Entries: slices.DeleteFunc(all, func(x NodeEntry) bool { return x.State == Removed })}
 		}
-		w.step(p, told)
+		s.step(dir, message)
 	}
 }
