--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts directors on the simulator's wire: frames in on standard input, replies
-// out on standard output. The instances share nothing but the reading of the wire.
+// Command simhost runs directors for the simulator. It reads frames of events from standard input and writes the
+// directors' replies to standard output. The directors share only the connection and the registered lists.
 package main
 
 import (
@@ -21,14 +21,14 @@
 	}
 }
 
-// An instance is one director between a boot and the kill that ends it.
+// An instance is one director, from its boot event to its kill event.
 type instance struct {
-	start    time.Duration
-	conf     *simwire.Config
+	start    time.Duration // on the wire's clock
+	config   *simwire.Config
 	director *policy.Director
 }
 
-// A host answers frames. Lists are the wire's numbered registers, sixteen at most.
+// A host answers frames. Lists holds the registered server lists by number; the wire has sixteen at most.
 type host struct {
 	lists     map[int][]simwire.NodeEntry
 	instances map[string]*instance
@@ -51,7 +51,7 @@
 		}
 		for i := range frame.Events {
 			m := &frame.Events[i]
-			if err := h.take(frame.Clock, m); err != nil {
+			if err := h.handle(frame.Clock, m); err != nil {
 				return fmt.Errorf("frame %d: %s: %w", frame.Number, m.Kind, err)
 			}
 		}
@@ -61,7 +61,8 @@
 	}
 }
 
-func (h *host) take(clock time.Duration, m *simwire.Message) error {
+// handle applies one event.
+func (h *host) handle(clock time.Duration, m *simwire.Message) error {
 	switch m.Kind {
 	case simwire.Register:
 		h.lists[m.ListID] = m.Entries
@@ -77,7 +78,7 @@
 		delete(h.instances, m.Instance)
 		return nil
 	}
-	event, err := h.event(inst, m)
+	event, err := h.policyEvent(inst, m)
 	if err != nil || event == nil {
 		return err
 	}
@@ -86,7 +87,7 @@
 }
 
 func (h *host) boot(clock time.Duration, m *simwire.Message) error {
-	conf, err := simwire.ParseConfig(m.Config)
+	config, err := simwire.ParseConfig(m.Config)
 	if err != nil {
 		return err
 	}
@@ -94,11 +95,12 @@
 	if err != nil && m.Seed != "" {
 		return fmt.Errorf("seed %q: %w", m.Seed, err)
 	}
-	h.instances[m.Instance] = &instance{start: clock, conf: conf, director: conf.NewDirector(seed)}
+	h.instances[m.Instance] = &instance{start: clock, config: config, director: config.NewDirector(seed)}
 	return nil
 }
 
-// step lets one director decide; what it panics with goes out by the wire's own means.
+// step passes an event to a director and writes its actions. A panic of the director is reported on the wire and does
+// not end the program.
 func (h *host) step(inst *instance, clock time.Duration, name string, event policy.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -110,17 +112,17 @@
 	}
 }
 
-// event turns a message into the module's words; nil is one that the module has no use for.
-func (h *host) event(inst *instance, m *simwire.Message) (policy.Event, error) {
+// policyEvent converts a message to an event of package policy. It returns nil for a message that policy does not use.
+func (h *host) policyEvent(inst *instance, m *simwire.Message) (policy.Event, error) {
 	switch m.Kind {
 	case simwire.ServerListChange:
 		entries, ok := h.lists[m.ListID]
 		if !ok && m.ListKind != "unavailable" {
 			return nil, fmt.Errorf("list %d was never registered", m.ListID)
 		}
-		return inst.conf.ServerList(m.ListKind, entries, inst.start)
+		return inst.config.ServerList(m.ListKind, entries, inst.start)
 	case simwire.RequestEvent, simwire.AdoptedEvent:
-		return inst.conf.Request(m, inst.start)
+		return inst.config.Request(m, inst.start)
 	case simwire.AcceptedEvent:
 		return policy.Accepted{ID: m.ID}, nil
 	case simwire.ResultEvent:
@@ -129,7 +131,7 @@
 			return nil, err
 		}
 		return policy.LegResult{
-			ID: m.ID, Node: m.Node, Outcome: outcome, Final: m.Final, Load: inst.conf.Load(m.Report),
+			ID: m.ID, Node: m.Node, Outcome: outcome, Final: m.Final, Load: inst.config.Load(m.Report),
 		}, nil
 	case simwire.MeasurementEvent:
 		return policy.Measurement{
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -12,6 +12,7 @@
 "kind_slots":[20]},"flavors":["k"],"permissions":{"max_attempts":4},"report":{"fields":["active","x0"]},
 "rules":{"cold_from":0.5,"fall_multiple":4,"ramp_time_s":5,"tip_after_s":1}}}`
 
+// frame returns the input of one frame with the given events.
 func frame(events ...string) string {
 	lines := []string{`{"t":"tick","t_s":100,"frame":1}`}
 	for _, e := range events {
@@ -21,15 +22,17 @@
 }
 
 const (
-	list   = `{"t":"register","list":0,"entries":[{"stage_state":"up","node":"n","generation_hw":"k","scale":1}]}`
-	other  = `{"t":"register","list":0,"entries":[{"stage_state":"up","node":"m","generation_hw":"k","scale":1}]}`
-	told   = `{"t":"roster_change","i":"director-0","list":0,"kind":"restored","serial":1}`
-	demand = `{"t":"demand","i":"director-0","txn":5,"cls":"x","valid_until_s":103,"base":0,"cells_in_row":3,"top_rung":1}`
+	registerList      = `{"t":"register","list":0,"entries":[{"stage_state":"up","node":"n","generation_hw":"k","scale":1}]}`
+	registerOtherList = `{"t":"register","list":0,"entries":[{"stage_state":"up","node":"m","generation_hw":"k","scale":1}]}`
+	listRestored      = `{"t":"roster_change","i":"director-0","list":0,"kind":"restored","serial":1}`
+	request           = `{"t":"demand","i":"director-0","txn":5,"cls":"x","valid_until_s":103,"base":0,"cells_in_row":3,"top_rung":1}`
 )
 
-func TestListsResolveInEventOrder(t *testing.T) {
+// A list change uses the list as it is registered at that point of the frame, although a later event registers another
+// one under the same number.
+func TestListIsReadAsRegisteredAtItsEvent(t *testing.T) {
 	var out bytes.Buffer
-	if err := serve(strings.NewReader(frame(boot, list, told, other, demand)), &out); err != nil {
+	if err := serve(strings.NewReader(frame(boot, registerList, listRestored, registerOtherList, request)), &out); err != nil {
 		t.Fatal(err)
 	}
 	if s := out.String(); !strings.Contains(s, `"node":"n"`) || !strings.HasSuffix(s, `{"t":"ack","frame":1}`+"\n") {
@@ -37,20 +40,21 @@
 	}
 }
 
-func TestBadInputLeavesNoHalfReply(t *testing.T) {
+// Invalid input is an error that names the frame, and no part of a reply is written.
+func TestInvalidInputWritesNoPartialReply(t *testing.T) {
 	for _, c := range []struct{ in, want string }{
-		{frame(demand), "unknown instance"},
-		{frame(boot, told), "never registered"},
-		{frame(boot, list, told, strings.Replace(demand, `"cls":"x"`, `"cls":"y"`, 1)), "unknown class"},
+		{frame(request), "unknown instance"},
+		{frame(boot, listRestored), "never registered"},
+		{frame(boot, registerList, listRestored, strings.Replace(request, `"cls":"x"`, `"cls":"y"`, 1)), "unknown class"},
 		{frame(`{"t":"boot","i":"director-0","conf":[]}`), "settings"},
 	} {
 		var out bytes.Buffer
 		err := serve(strings.NewReader(c.in), &out)
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "frame 1") {
-			t.Errorf("%v, wanted %q", err, c.want)
+			t.Errorf("got error %v, want %q", err, c.want)
 		}
 		if out.Len() > 0 {
-			t.Errorf("half a reply: %s", out.String())
+			t.Errorf("partial reply: %s", out.String())
 		}
 	}
 }
--- a/internal/simwire/config.go
+++ b/internal/simwire/config.go
@@ -12,7 +12,7 @@
 	"fordusher/policy"
 )
 
-// Config is what the wire tells at a start; keys that are not listed here are skipped.
+// Config holds the settings that a director is started with. Keys that are not listed here are ignored.
 type Config struct {
 	Index     int      `json:"me"`
 	Directors int      `json:"balancers"`
@@ -69,33 +69,34 @@
 		RetryWindow      float64 `json:"resend_span_s"`
 	} `json:"rules"`
 
-	tariffs map[string]int
-	kinds   map[string]int
+	tariffIndexes map[string]int
+	kindIndexes   map[string]int
 }
 
-// ParseConfig reads a start's settings.
+// ParseConfig parses the settings of a director. It does not check them; see Check.
 func ParseConfig(raw json.RawMessage) (*Config, error) {
-	c := &Config{tariffs: map[string]int{}, kinds: map[string]int{}}
+	c := &Config{tariffIndexes: map[string]int{}, kindIndexes: map[string]int{}}
 	if err := json.Unmarshal(raw, c); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	for i, class := range c.Classes {
-		c.tariffs[class.Name] = i
+		c.tariffIndexes[class.Name] = i
 	}
 	for i, kind := range c.Kinds {
-		c.kinds[kind] = i
+		c.kindIndexes[kind] = i
 	}
 	return c, nil
 }
 
-func at[T any](list []T, i int, missing T) T {
+// elementOr returns list[i], or missing if the list is shorter.
+func elementOr[T any](list []T, i int, missing T) T {
 	if i < len(list) {
 		return list[i]
 	}
 	return missing
 }
 
-// Ladder is the rungs.
+// Ladder returns the rungs.
 func (c *Config) Ladder() policy.Ladder {
 	f := &c.Family
 	ladder := policy.Ladder{Rates: f.Ladder, Worth: f.Worth, JoinCost: 1}
@@ -105,26 +106,27 @@
 	return ladder
 }
 
-// Check tells what of the settings can't be used, by its key; what is left out has a meaning.
+// Check returns an error that names the key of the first setting that can't be used. Settings that are left out have
+// a default.
 func (c *Config) Check() error {
 	f := &c.Family
 	if len(c.Classes) == 0 {
-		return errors.New("settings: classes: there are none")
+		return errors.New("settings: classes: the list is empty or missing")
 	}
 	for i, class := range c.Classes {
 		if class.Name == "" {
 			return fmt.Errorf("settings: classes: number %d has no name", i)
 		}
-		if c.tariffs[class.Name] != i {
+		if c.tariffIndexes[class.Name] != i {
 			return fmt.Errorf("settings: classes: %q is there twice", class.Name)
 		}
 	}
 	if len(f.Ladder) == 0 {
-		return errors.New("settings: family_info: ladder_kb: a ladder has at least one rung")
+		return errors.New("settings: family_info: ladder_kb: at least one rung is required")
 	}
 	for q, rate := range f.Ladder {
 		if rate <= 0 || q > 0 && rate <= f.Ladder[q-1] {
-			return fmt.Errorf("settings: family_info: ladder_kb: rung %d is %v; rates are over 0 and rise", q, rate)
+			return fmt.Errorf("settings: family_info: ladder_kb: rung %d is %v; rates must be over 0 and ascending", q, rate)
 		}
 	}
 	for _, x := range []struct {
@@ -132,10 +134,10 @@
 		value float64
 	}{{"positions", float64(f.Cells)}, {"shelves", float64(f.Racks)}, {"link_unit_kb", f.LinkUnit}, {"rack_link_kb", f.Uplink}} {
 		if x.value <= 0 {
-			return fmt.Errorf("settings: family_info: %s is %v; it has to be over 0", x.key, x.value)
+			return fmt.Errorf("settings: family_info: %s is %v; it must be over 0", x.key, x.value)
 		}
 	}
-	least := map[string]float64{
+	values := map[string]float64{
 		"family_info: told_late_s": f.ReportDelay, "family_info: told_every_s": f.ReportInterval, "family_info: refuses_from": f.RefusalThreshold,
 		"permissions: max_attempts":      float64(c.Permissions.MaxAttempts),
 		"permissions: max_retry_after_s": c.Permissions.MaxBackoff, "permissions: connect_timeout_s": c.Permissions.Connect,
@@ -145,38 +147,38 @@
 		"rules: spare_attempts": c.Rules.MinRetries, "rules: extra_share": c.Rules.RetryRatio, "rules: resend_span_s": c.Rules.RetryWindow,
 	}
 	for i, class := range c.Classes {
-		least[fmt.Sprintf("classes: %s: target_s", class.Name)] = class.Target
-		least[fmt.Sprintf("classes: %s: give_up_s", class.Name)] = class.GiveUp
-		least[fmt.Sprintf("classes: %s: credit", class.Name)] = class.Credit
-		least[fmt.Sprintf("family_info: scale_by_class: number %d", i)] = at(f.Scale, i, 1)
-		least[fmt.Sprintf("family_info: floor_by_class: number %d", i)] = float64(at(f.Floor, i, 0))
-		least[fmt.Sprintf("family_info: licence_cap: number %d", i)] = float64(at(f.Seats, i, 0))
+		values[fmt.Sprintf("classes: %s: target_s", class.Name)] = class.Target
+		values[fmt.Sprintf("classes: %s: give_up_s", class.Name)] = class.GiveUp
+		values[fmt.Sprintf("classes: %s: credit", class.Name)] = class.Credit
+		values[fmt.Sprintf("family_info: scale_by_class: number %d", i)] = elementOr(f.Scale, i, 1)
+		values[fmt.Sprintf("family_info: floor_by_class: number %d", i)] = float64(elementOr(f.Floor, i, 0))
+		values[fmt.Sprintf("family_info: licence_cap: number %d", i)] = float64(elementOr(f.Seats, i, 0))
 	}
-	for _, key := range slices.Sorted(maps.Keys(least)) {
-		if least[key] < 0 || least[key] > most {
-			return fmt.Errorf("settings: %s is %v; it has to be from 0 to %v", key, least[key], most)
+	for _, key := range slices.Sorted(maps.Keys(values)) {
+		if values[key] < 0 || values[key] > maxValue {
+			return fmt.Errorf("settings: %s is %v; it must be from 0 to %v", key, values[key], maxValue)
 		}
 	}
 	return nil
 }
 
-// most is beyond any figure of a deployment; spans up to it still fit.
-const most = 1e9
+// maxValue is larger than any setting of a deployment; as a number of seconds it still fits into a time.Duration.
+const maxValue = 1e9
 
-// DefaultSetupTimeout is how long a session may take to be set up whose class names no end of it.
+// DefaultSetupTimeout is the hard stop of a class that does not set one.
 const DefaultSetupTimeout = time.Hour
 
-// Tariffs are what sessions were promised, in the order of the classes. A class that names no end has until Unhurried,
-// and one that names no goal has all of its time; a floor beyond the ladder is its last rung, and where no scale is
-// told it is 1.
+// Tariffs returns the tariffs in the order of the classes. A class without give_up_s has DefaultSetupTimeout, and one
+// without target_s has all the time until its hard stop. A floor beyond the ladder is the last rung; the default
+// scale is 1.
 func (c *Config) Tariffs() []policy.Tariff {
 	f := &c.Family
 	tariffs := make([]policy.Tariff, len(c.Classes))
 	for i, class := range c.Classes {
 		t := policy.Tariff{
 			GoalTime: SecondsToDuration(class.Target), HardStop: SecondsToDuration(class.GiveUp), Credit: class.Credit,
-			AtMostOnce: class.Semantics != "free", Scale: at(f.Scale, i, 1), Floor: at(f.Floor, i, 0),
-			Top: at(f.Top, i, len(f.Ladder)-1), Seats: at(f.Seats, i, 0), Live: at(f.Live, i, false),
+			AtMostOnce: class.Semantics != "free", Scale: elementOr(f.Scale, i, 1), Floor: elementOr(f.Floor, i, 0),
+			Top: elementOr(f.Top, i, len(f.Ladder)-1), Seats: elementOr(f.Seats, i, 0), Live: elementOr(f.Live, i, false),
 		}
 		t.HardStop = cmp.Or(t.HardStop, DefaultSetupTimeout)
 		t.GoalTime = min(cmp.Or(t.GoalTime, t.HardStop), t.HardStop)
@@ -186,7 +188,7 @@
 	return tariffs
 }
 
-// NewDirector starts a director with what the wire told.
+// NewDirector returns a director with these settings.
 func (c *Config) NewDirector(seed uint64) *policy.Director {
 	f := &c.Family
 	ramp := policy.Ramp{
@@ -212,16 +214,16 @@
 		policy.ReportTiming{Delay: SecondsToDuration(f.ReportDelay), Interval: SecondsToDuration(f.ReportInterval), MaxBackoff: backoff})
 }
 
-// Load reads a report by the order of its fields.
+// Load converts a report, whose fields are in the order that the settings give.
 func (c *Config) Load(report []float64) policy.Load {
 	load := policy.NoLoad
 	for i, v := range report {
-		SetLoadField(&load, at(c.Report.Fields, i, ""), v)
+		SetLoadField(&load, elementOr(c.Report.Fields, i, ""), v)
 	}
 	return load
 }
 
-// SetLoadField takes one figure of a report under the name that the settings give it; other names are skipped.
+// SetLoadField sets one field of a load report by the field's name in the settings; other names are ignored.
 func SetLoadField(load *policy.Load, name string, v float64) {
 	switch name {
 	case "active":
@@ -237,7 +239,7 @@
 	}
 }
 
-var rosterKinds = map[string]policy.ServerListKind{
+var serverListKinds = map[string]policy.ServerListKind{
 	"update": policy.ListUpdate, "replace": policy.ListReplaced, "restored": policy.ListRestored,
 	"unavailable": policy.ListUnavailable,
 }
@@ -246,9 +248,9 @@
 	"up": policy.Up, "draining": policy.Draining, "removed": policy.Removed,
 }
 
-// ServerList reads a change of the list for an instance that started at the given clock.
+// ServerList converts a change of the list for an instance that started at the given time on the wire's clock.
 func (c *Config) ServerList(kind string, entries []NodeEntry, start time.Duration) (policy.ServerList, error) {
-	k, ok := rosterKinds[kind]
+	k, ok := serverListKinds[kind]
 	if !ok {
 		return policy.ServerList{}, fmt.Errorf("unknown list kind %q", kind)
 	}
@@ -258,21 +260,21 @@
 		if !ok {
 			return r, fmt.Errorf("unknown state %q of node %s", e.State, e.Node)
 		}
-		born := policy.UnknownStart
+		startedAt := policy.UnknownStart
 		if e.StartedAt != 0 {
-			born = SecondsToDuration(e.StartedAt) - start
+			startedAt = SecondsToDuration(e.StartedAt) - start
 		}
 		r.Entries[i] = policy.NodeEntry{
-			Node: e.Node, State: state, MachineKind: c.kinds[e.Kind], Zone: e.Zone, StartedAt: born,
+			Node: e.Node, State: state, MachineKind: c.kindIndexes[e.Kind], Zone: e.Zone, StartedAt: startedAt,
 			Weight: e.Weight, Cell: e.Cell,
 		}
 	}
 	return r, nil
 }
 
-// Request reads a request, or a session handed over while it plays.
+// Request converts a request, or a session that is to be adopted while it plays.
 func (c *Config) Request(m *Message, start time.Duration) (policy.Request, error) {
-	tariff, ok := c.tariffs[m.Tariff]
+	tariff, ok := c.tariffIndexes[m.Tariff]
 	if !ok {
 		return policy.Request{}, fmt.Errorf("unknown class %q", m.Tariff)
 	}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,4 +1,4 @@
-// Package simwire reads and writes the simulator's wire: JSON, one value a line, in batches.
+// Package simwire reads and writes the simulator's protocol: JSON, one value per line, in batches called frames.
 package simwire
 
 import (
@@ -15,14 +15,14 @@
 	"fordusher/policy"
 )
 
-// A Frame is one batch of events.
+// A Frame is a batch of events that occur at one time.
 type Frame struct {
 	Clock  time.Duration // the wire's own clock
 	Number uint64
 	Events []Message
 }
 
-// A Message is one event line; which fields count depends on Kind.
+// A Message is one line of a frame; which fields are used depends on Kind.
 type Message struct {
 	Kind            string          `json:"t"`
 	Instance        string          `json:"i"`
@@ -45,7 +45,7 @@
 	Value           float64         `json:"x"`
 	MeasurementKind int             `json:"sort"`
 
-	// The head and foot of a batch.
+	// These fields belong to the line that begins a frame.
 	Clock  *float64 `json:"t_s"`
 	Number *uint64  `json:"frame"`
 }
@@ -78,20 +78,20 @@
 	MeasurementEvent = "hint_update"
 )
 
-var kinds = map[string]bool{
+var eventKinds = map[string]bool{
 	Boot: true, Register: true, ServerListChange: true, RequestEvent: true, ProbeResult: true,
 	TimerEvent: true, AdoptedEvent: true, ResultEvent: true, AcceptedEvent: true, Killed: true,
 	Whisper: true, ClientGoneEvent: true, MeasurementEvent: true,
 }
 
-var outcomes = map[int]policy.Outcome{
+var outcomesByCode = map[int]policy.Outcome{
 	0: policy.Served, 255: policy.Errored, 254: policy.Full, 253: policy.TimedOut,
 	252: policy.ConnectFailed, 251: policy.Reset, 250: policy.Cancelled, 249: policy.NeverStarted,
 }
 
-// Outcome reads an outcome code.
+// Outcome converts an outcome code.
 func Outcome(code int) (policy.Outcome, error) {
-	o, ok := outcomes[code]
+	o, ok := outcomesByCode[code]
 	if !ok {
 		return 0, fmt.Errorf("unknown outcome code %d", code)
 	}
@@ -100,14 +100,15 @@
 
 // A Reader reads frames.
 type Reader struct {
-	in   *bufio.Reader
-	last uint64 // number of the last frame begun
+	in         *bufio.Reader
+	lastNumber uint64 // number of the last frame whose first line was read
 }
 
-// NewReader reads frames from r.
+// NewReader returns a Reader of r.
 func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, 1<<20)} }
 
-func (r *Reader) line() ([]byte, error) {
+// readLine returns the next line. The slice is valid until the next call.
+func (r *Reader) readLine() ([]byte, error) {
 	var long []byte
 	for {
 		part, err := r.in.ReadSlice('\n')
@@ -116,7 +117,7 @@
 			continue
 		}
 		if err == io.EOF && len(long)+len(part) > 0 {
-			return nil, errors.New("the last line is cut off")
+			return nil, errors.New("the last line has no line end")
 		}
 		if err != nil {
 			return nil, err
@@ -128,20 +129,20 @@
 	}
 }
 
-// Next reads one frame; io.EOF tells that the input ended between frames.
+// Next reads one frame. It returns io.EOF if the input ended between frames.
 func (r *Reader) Next() (Frame, error) {
 	var f Frame
 	begun := false
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
 			if err == io.EOF && !begun {
 				return f, io.EOF
 			}
 			if err == io.EOF {
-				err = errors.New("the input ends inside it")
+				err = errors.New("the input ends inside the frame")
 			}
-			return f, fmt.Errorf("frame %d: %w", r.last, err)
+			return f, fmt.Errorf("frame %d: %w", r.lastNumber, err)
 		}
 		line = bytes.TrimSpace(line)
 		if len(line) == 0 {
@@ -149,28 +150,28 @@
 		}
 		var m Message
 		if err := json.Unmarshal(line, &m); err != nil {
-			return f, fmt.Errorf("frame %d, line %.80q: %w", r.last, line, err)
+			return f, fmt.Errorf("frame %d, line %.80q: %w", r.lastNumber, line, err)
 		}
 		switch {
 		case m.Kind == "tick" && !begun:
 			if m.Clock == nil || m.Number == nil {
-				return f, fmt.Errorf("after frame %d: a tick without clock or number", r.last)
+				return f, fmt.Errorf("after frame %d: a tick without clock or number", r.lastNumber)
 			}
-			begun, r.last = true, *m.Number
+			begun, r.lastNumber = true, *m.Number
 			f.Clock, f.Number = SecondsToDuration(*m.Clock), *m.Number
 		case !begun:
-			return f, fmt.Errorf("after frame %d: %q where a tick was due", r.last, m.Kind)
+			return f, fmt.Errorf("after frame %d: %q instead of a tick", r.lastNumber, m.Kind)
 		case m.Kind == "go":
 			return f, nil
-		case !kinds[m.Kind]:
-			return f, fmt.Errorf("frame %d: unknown event kind %q", r.last, m.Kind)
+		case !eventKinds[m.Kind]:
+			return f, fmt.Errorf("frame %d: unknown event kind %q", r.lastNumber, m.Kind)
 		default:
 			f.Events = append(f.Events, m)
 		}
 	}
 }
 
-// SecondsToDuration turns the wire's seconds into a span, to the microsecond.
+// SecondsToDuration converts the wire's seconds to a duration, rounded to microseconds.
 func SecondsToDuration(seconds float64) time.Duration {
 	return time.Duration(math.Round(seconds*1e6)) * time.Microsecond
 }
@@ -179,13 +180,13 @@
 	return strconv.AppendFloat(b, float64(d.Microseconds())/1e6, 'f', -1, 64)
 }
 
-// A Writer writes replies. Nothing goes out before Ack, so no reply is ever left half written.
+// A Writer writes replies. It buffers a reply until Ack, so that the output never ends with a partial reply.
 type Writer struct {
 	out io.Writer
 	buf []byte
 }
 
-// NewWriter writes replies to w.
+// NewWriter returns a Writer to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: w} }
 
 func (w *Writer) begin(kind, instance string) {
@@ -211,7 +212,7 @@
 	w.buf = strconv.AppendUint(w.buf, id, 10)
 }
 
-// Action adds one action of an instance whose start lay at the given clock.
+// Action adds an action of an instance that started at the given time on the wire's clock.
 func (w *Writer) Action(instance string, start time.Duration, action policy.Action) {
 	switch a := action.(type) {
 	case policy.Dispatch:
@@ -254,15 +255,15 @@
 	w.buf = append(w.buf, "}\n"...)
 }
 
-// Panic adds the declaration that an instance's code has failed.
-func (w *Writer) Panic(instance, words string) {
+// Panic adds the message that an instance's code has panicked.
+func (w *Writer) Panic(instance, message string) {
 	w.begin("panic", instance)
 	w.key("words")
-	w.text(words)
+	w.text(message)
 	w.buf = append(w.buf, "}\n"...)
 }
 
-// Ack ends the reply to a frame and sends it.
+// Ack ends the reply to a frame and writes it out.
 func (w *Writer) Ack(number uint64) error {
 	w.buf = append(w.buf, `{"t":"ack","frame":`...)
 	w.buf = strconv.AppendUint(w.buf, number, 10)
