--- a/policy/policy.go
+++ b/policy/policy.go
@@ -2,12 +2,12 @@
 // which rung. A caller creates a Director with New and passes each event to Step, which returns the
 // actions to carry out, in order. The interface (events, actions, settings) is in types.go.
 //
-// A request is placed at one of two randomly chosen nodes that hold its title, the one with the lower
-// link use plus zone cost. Its rung is the one with the best payoff: near the node's fair rate, near the highest rung
-// that fits on link and uplink, and near the session's mean rung. Playing sessions are scored again
+// A request is placed at one of two randomly chosen nodes that hold its title, the one with the lower link
+// use plus zone cost. Its rung is the one with the best payoff: near the node's fair rate, near the highest
+// rung that fits on link and uplink, and near the session's mean rung. Playing sessions are scored again
 // every rescoreEvery. Directors do not talk to each other. Each estimates the load of links and uplinks
-// from its own sessions and the nodes' measurements, and steps only a random part of its sessions,
-// because the other directors act on the same measurements.
+// from its own sessions and the nodes' measurements, and steps only a random part of its sessions, because
+// the other directors act on the same measurements.
 //
 // Times are durations since the director's start. See docs/design.md for the mechanism's source.
 package policy
@@ -21,9 +21,9 @@
 // The constants of the mechanism. docs/design.md tells which come from the paper and which are our own.
 // Thresholds are parts of the capacity of a link or uplink.
 const (
-	fairnessWeight     = 0.6 // payoff: weight of the distance from the reference rung
-	clientWeight       = 0.4 // payoff: weight of the distances from the fitting rung and the mean rung
-	rescoreEvery       = 2 * time.Second
+	fairnessWeight     = 0.6              // payoff: weight of the distance from the reference rung
+	clientWeight       = 0.4              // payoff: weight of the distances from the fitting rung and the mean rung
+	rescoreEvery       = 2 * time.Second  // interval at which a playing session is scored again
 	switchEvery        = 10 * time.Second // shortest time between two rung switches of a session
 	meanWindow         = 70 * time.Second // window of a session's mean rung
 	fullThreshold      = 0.9              // no session is set up where the demand would exceed this
@@ -31,11 +31,17 @@
 	headroomThreshold  = 0.75             // a rung above the reference rung is taken up to this demand
 	stepDownTarget     = 0.85             // demand that is too high is stepped down to this
 	keepThreshold      = 1.0              // the current rung is kept up to this demand
-	ownBias            = 0.2              // the two thresholds for taking a rung rise by this at a link where all demand is the director's own
-	creditBias         = 0.1              // raise, headroom, step-down and keep thresholds of the tariffs with most and least credit differ by this
 	dropThreshold      = 0.75             // a session that gets less than this share of its rate drops to its lowest rung
 	shortfallThreshold = 0.98             // a delivered share below this is a shortfall
 	smoothingFactor    = 0.8              // part of a load report's deviation that is adopted, because reports are noisy
+
+	// ownBias raises raiseThreshold and headroomThreshold for a director that has all demand on a link; for a
+	// part of the demand, the thresholds rise by that part of it.
+	ownBias = 0.2
+
+	// creditBias is the difference between the tariffs with the most and the least credit in raiseThreshold,
+	// headroomThreshold, stepDownTarget and keepThreshold.
+	creditBias = 0.1
 )
 
 // tickInterval is the interval of the director's periodic evaluation.
@@ -58,7 +64,7 @@
 	started        bool
 	sessionIndexes indexMap[uint64] // index of each session in sessions, by id; released when the session ends
 	sessions       []session        // a slot is reused once its session's index is released
-	nodeIndexes    indexMap[string] // index of each node in nodes, by name; released when the node is off the list and has no legs
+	nodeIndexes    indexMap[string] // index of each node in nodes, by name; released by dropNode
 	nodes          []node
 	index          index
 	seats          map[seatKey]int // seats taken; an entry is deleted when its last session ends
@@ -281,6 +287,8 @@
 		d.bookRung(s, max(0, min(int(e.Value), len(d.rungs.ladder.Rates)-1))) // a rung off the ladder counts as the ladder's nearest end
 		s.meanRung = float64(s.rung)
 	case DeliveredShare:
+		// A shortfall counts as load of the uplink if that is reported, has more load than the link and is near
+		// its capacity, otherwise as load of the link. Without any uplink report it counts as neither.
 		if e.Value < shortfallThreshold {
 			n.shortfallAt = d.now
 			link, uplink := d.load.projected(n, 0, 0)
--- a/policy/rungs.go
+++ b/policy/rungs.go
@@ -136,7 +136,8 @@
 	}
 	reference := d.rungs.referenceRung(s, n.fairRate)
 	fitting := d.fittingRung(s, n, reference)
-	if d.now-n.shortfallAt < rescoreEvery { // a shortfall expires, because the measurement that ends it is lost if its session ends
+	// A shortfall expires by itself, because the measurement that ends it is lost if its session ends first.
+	if d.now-n.shortfallAt < rescoreEvery {
 		fitting = min(fitting, s.rung)
 	}
 	mean := s.meanRung
@@ -149,7 +150,8 @@
 	}
 }
 
-// stepRung switches a session's rung with the given probability. The other directors are expected to do the
+// stepRung switches a session's rung with the given probability, which is at least this director's own share of the
+// demand. The other directors are expected to do the
 // same with their part of the sessions, and that expected change is added to the load estimate.
 func (d *Director) stepRung(s *session, rung int, probability float64) {
 	n, delta := &d.nodes[s.node], d.rungs.rate(s, rung)-s.bookedRate
--- a/policy/server_list.go
+++ b/policy/server_list.go
@@ -9,7 +9,8 @@
 
 // serverList applies a message of discovery to the table of nodes.
 func (d *Director) serverList(e ServerList) {
-	if e.Kind == ListReplaced || e.Kind == ListRestored { // this is the whole list: nodes missing from it are removed
+	// The whole list removes the nodes that are missing from it.
+	if e.Kind == ListReplaced || e.Kind == ListRestored {
 		for i := range d.nodes {
 			d.nodes[i].listed = Removed
 			d.index.markUnlisted(i, &d.nodes[i])
@@ -29,7 +30,8 @@
 				baselineAt: UnknownStart / 2, linkLoad: resourceLoad{observedAt: UnknownStart / 2}}
 		}
 		n := &d.nodes[i]
-		if entry.StartedAt > n.startedAt+startTimeTolerance && known { // the node has restarted: its earlier health and load are void
+		// A restart voids the node's earlier health and load.
+		if entry.StartedAt > n.startedAt+startTimeTolerance && known {
 			n.health, n.suspectedAt, n.slowStartEnd = health{}, -1, 0
 			n.linkLoad, n.reportedStreams, n.shortfallAt = resourceLoad{observedAt: UnknownStart / 2}, -1, -rescoreEvery
 		}
