--- a/policy/state.go
+++ b/policy/state.go
@@ -24,7 +24,7 @@
 	ended           bool // the client has its final answer or is gone; only the end of a leg may be outstanding
 	mayHaveRun      bool // an earlier leg may have run
 	receivedAt      time.Duration
-	node            int
+	node            int   // index in Director.nodes; negative: none
 	triedNodes      []int // nodes of earlier legs; at most RetryPolicy.MaxLegs
 	sentAt          time.Duration
 	startedAt       time.Duration
