--- a/internal/director/answer.go
+++ b/internal/director/answer.go
@@ -6,9 +6,8 @@
 	"fordusher/internal/wire"
 )
 
-// Answers.
-
-// settleAnswer marks a session's answer as given, or as no longer owed where there is none.
+// settleAnswer gives a session its final answer, unless the guard refuses that. Without an answer, it marks the answer
+// as no longer owed.
 func (l *Loop) settleAnswer(s *session, answer *wire.SessionMessage, description ...byte) {
 	if answer != nil && !l.mayAnswer(s, answer.Type) {
 		return
@@ -28,14 +27,14 @@
 	l.emit(SendClient{Conn: s.conn.id, Message: *answer, Description: description})
 }
 
-func (l *Loop) answerNack(s *session, backoff time.Duration, why string) {
+func (l *Loop) answerNack(s *session, backoff time.Duration, reason string) {
 	l.counts.Nacked++
-	l.settleAnswer(s, &wire.SessionMessage{Type: wire.Nack, BackoffMS: backoff.Milliseconds(), Reason: why})
+	l.settleAnswer(s, &wire.SessionMessage{Type: wire.Nack, BackoffMS: backoff.Milliseconds(), Reason: reason})
 }
 
-func (l *Loop) answerError(s *session, why string) {
+func (l *Loop) answerError(s *session, reason string) {
 	l.counts.Errored++
-	l.settleAnswer(s, &wire.SessionMessage{Type: wire.Errored, Reason: why})
+	l.settleAnswer(s, &wire.SessionMessage{Type: wire.Errored, Reason: reason})
 }
 
 func (l *Loop) playsMessage(s *session) wire.SessionMessage {
@@ -45,21 +44,21 @@
 	}
 }
 
-// sendPlays answers a request for a session that already plays.
+// sendPlays answers a request for a session that is already playing.
 func (l *Loop) sendPlays(s *session) {
 	answer := l.playsMessage(s)
 	s.conn.requests[s.request].answer = &answer
 	l.emit(SendClient{Conn: s.conn.id, Message: answer})
 }
 
-// answerDeadlineReached gives a session the answer that its time leaves. The module answers before; this holds
-// where it did not, and where a viewer came again with less time than before.
+// answerDeadlineReached answers a session that has reached its deadline. The decider normally answers earlier; this
+// covers the cases where it did not, and where a client resumed its session with an earlier deadline than before.
 func (l *Loop) answerDeadlineReached(s *session) {
 	if s.answered || s.phase == sessionOver {
 		return
 	}
 	if s.leg != nil {
-		l.legDeadlineReached(s.leg) // the module decides what that means for the viewer
+		l.legDeadlineReached(s.leg) // the decider chooses the answer
 		if s.answered {
 			return
 		}
@@ -69,9 +68,8 @@
 	l.abandonSession(s, "no answer in time")
 }
 
-// Why a session is over: it has come to its end by itself, or its node says that its viewer has ended it or that it was
-// moved.
+// The reasons for the end of a session that lost nothing.
 const (
-	ReasonEnded          = "ended"
-	ReasonEndedElsewhere = "ended elsewhere"
+	ReasonEnded          = "ended"           // it has come to its regular end
+	ReasonEndedElsewhere = "ended elsewhere" // its client ended it through its node or another connection, or it was moved
 )
--- a/internal/director/attempt.go
+++ b/internal/director/attempt.go
@@ -8,6 +8,7 @@
 	"fordusher/policy"
 )
 
+// A legPhase is a state of a leg; legTransitions lists the legal transitions.
 type legPhase int
 
 const (
@@ -24,16 +25,17 @@
 	legOver:    {},
 }
 
+// A leg is one attempt of a session at a node. Log events call it an attempt.
 type leg struct {
 	id            uint64
 	session       *session
 	node          *node
 	phase         legPhase
-	deadline      time.Duration // it is cut off then
+	deadline      time.Duration // the node must have accepted by then
 	deadlineTimer timerqueue.Handle
-	link          uint64 // loose: that its set-up was sent on
+	link          uint64 // the connection that its set-up was sent on
 	startedAt     time.Duration
-	rungPending   bool // loose: its node is still to be told the rung
+	rungPending   bool // detached mode: the rung has to be sent once the node is connected
 }
 
 func (l *Loop) setLegPhase(g *leg, to legPhase) {
@@ -43,13 +45,12 @@
 	g.phase = to
 }
 
-// Legs.
-
+// dispatch starts the next leg of a session at the node that the decider chose.
 func (l *Loop) dispatch(a policy.Dispatch) {
 	s := l.sessions[a.ID]
 	n := l.nodes[a.Node]
 	if s == nil || s.answered || s.leg != nil || n == nil {
-		// What can't be carried out comes back as what is true of it: it was never sent.
+		// The decision can't be carried out, so the decider is notified that the leg never started.
 		l.counts.Unexpected++
 		l.notifyDecider(policy.LegResult{ID: a.ID, Node: a.Node, Outcome: policy.NeverStarted, Final: s == nil || s.answered, Load: policy.NoLoad})
 		return
@@ -69,18 +70,18 @@
 	l.setSessionPhase(s, sessionSettingUp)
 	l.attemptEvent(AttemptStarted, g, "")
 	g.deadlineTimer = l.timers.Add(g.deadline, timer{timerLeg, g.id})
-	coming := l.updateLinkNeed(n)
+	connecting := l.updateLinkNeed(n)
 	switch {
 	case n.connected && n.helloReceived && !n.connecting:
 		l.sendSetup(g)
-	case n.connected, n.connecting: // or its connection is doubted: one that is proven anew is as good
-	case coming:
+	case n.connected, n.connecting: // the leg waits: for hello, or, if the link is suspect, for its probe link, which serves as well
+	case connecting:
 	default:
 		l.endLeg(g, l.connectFailureOutcome(n), nil)
 	}
 }
 
-// sendSetup hands a leg's set-up to its node's connection.
+// sendSetup passes a leg's set-up to its node's connection, unless the guard refuses that.
 func (l *Loop) sendSetup(g *leg) {
 	if !l.maySend(g) {
 		l.endLeg(g, outcomeUnconnected, nil)
@@ -96,10 +97,12 @@
 	}, Description: s.description})
 }
 
+// sessionRate returns the rate of a session at its rung, in kB a second.
 func (l *Loop) sessionRate(s *session) float64 {
 	return l.ladder.Rates[min(s.rung, len(l.ladder.Rates)-1)] * l.tariffs[s.tariff].Scale
 }
 
+// applyRate sets a session's rung and notifies its node and its client.
 func (l *Loop) applyRate(a policy.SetRung) {
 	s := l.sessions[a.ID]
 	if s == nil || s.phase == sessionOver {
@@ -115,14 +118,15 @@
 	}
 }
 
+// sendRung sends a leg's rung to its node, or leaves it pending until the node is connected.
 func (l *Loop) sendRung(g *leg) {
-	if g.rungPending = !g.node.connected; !g.rungPending { // else once there is a connection
+	if g.rungPending = !g.node.connected; !g.rungPending {
 		s := g.session
 		l.emit(SendNode{Link: g.node.link, Message: wire.NodeMessage{Type: wire.Rung, Leg: g.id, Session: s.name, Rung: s.rung, RateKB: l.sessionRate(s)}})
 	}
 }
 
-// cancelLeg takes a leg's set-up back if it can still be had, and tells the node to drop it if not.
+// cancelLeg withdraws a leg's set-up if it has not been written yet, and sends the node an end message in case it has.
 func (l *Loop) cancelLeg(g *leg) {
 	if g.phase == legSent {
 		l.emit(Withdraw{g.link, g.id})
@@ -132,7 +136,7 @@
 	}
 }
 
-// legDeadlineReached ends a leg without an answer in time. One that plays has no time.
+// legDeadlineReached ends a leg that the node has not accepted in time. A playing leg has no deadline.
 func (l *Loop) legDeadlineReached(g *leg) {
 	switch g.phase {
 	case legWaiting:
@@ -145,11 +149,11 @@
 	}
 }
 
-// legAccepted starts a session on its node.
+// legAccepted marks a leg and its session as playing and answers the client.
 func (l *Loop) legAccepted(g *leg, load *wire.NodeLoad, description []byte) {
 	s := g.session
 	if g.phase != legSent || s.answered {
-		l.counts.LateAnswers++ // twice, or for a session that has its answer
+		l.counts.LateAnswers++ // the node accepted twice, or the session already has its answer
 		return
 	}
 	l.setLegPhase(g, legPlaying)
@@ -166,7 +170,7 @@
 	}
 	l.closeReplacedLink(g.node)
 	l.notifyDecider(policy.Accepted{ID: s.id})
-	// A node that reports tells with the answer what is asked of its link and uplink now.
+	// A node that reports its load includes the current load of its link and uplink in the answer.
 	if load != nil && load.Link != nil {
 		l.notifyDecider(policy.Measurement{ID: s.id, Node: g.node.name, Kind: policy.LinkLoad, Value: *load.Link})
 	}
@@ -175,14 +179,14 @@
 	}
 }
 
-// endLeg ends a leg, tells the module what is true of it, and the player if its session ends by it.
-func (l *Loop) endLeg(g *leg, f legOutcome, load *wire.NodeLoad) {
+// endLeg ends a leg, notifies the decider of its outcome, and notifies the client if this ends its session.
+func (l *Loop) endLeg(g *leg, result legOutcome, load *wire.NodeLoad) {
 	if g.phase == legOver {
 		return
 	}
 	s, n := g.session, g.node
-	l.attemptEvent(AttemptEnded, g, f.String())
-	outcome, proof := neverRan(f)
+	l.attemptEvent(AttemptEnded, g, result.String())
+	outcome, proof := neverRan(result)
 	if proof > 0 {
 		l.counts.NeverRan[proof]++
 	} else {
@@ -194,7 +198,7 @@
 	delete(n.legs, g.id)
 	s.leg = nil
 	if s.phase == sessionPlaying {
-		switch f {
+		switch result {
 		case outcomeServed:
 			l.notifySessionEnded(s, ReasonEnded)
 		case outcomeEndedElsewhere:
@@ -216,16 +220,16 @@
 	l.dropNode(n)
 }
 
-// loadOf reads a node's report; what it does not tell is negative.
-func loadOf(r *wire.NodeLoad) policy.Load {
+// loadOf converts a node's load report; figures that are not reported are negative.
+func loadOf(report *wire.NodeLoad) policy.Load {
 	load := policy.NoLoad
-	if r == nil {
+	if report == nil {
 		return load
 	}
 	for _, f := range []struct {
 		to   *float64
 		from *float64
-	}{{&load.Streams, r.Streams}, {&load.Link, r.Link}, {&load.Uplink, r.Uplink}} {
+	}{{&load.Streams, report.Streams}, {&load.Link, report.Link}, {&load.Uplink, report.Uplink}} {
 		if f.from != nil {
 			*f.to = *f.from
 		}
--- a/internal/director/client.go
+++ b/internal/director/client.go
@@ -9,53 +9,51 @@
 	"fordusher/limits"
 )
 
-// A conn is a player's connection. Its requests are those whose session lives, and the last few that ended.
+// A conn is a client connection. It keeps the requests whose sessions have not ended, and the last few that have.
 type conn struct {
 	id               uint64
-	requests         map[string]*request // at most PerConnection live ones and remembered ended ones; nil before the first
-	ended            []string            // ids of requests that ended, oldest first; where requests have ids of their own
-	activeRequests   int32               // requests without their answer, or, where what plays belongs to a connection, sessions
-	detachedSessions int32               // loose: sessions that came on it and play
-	proven           bool                // loose: a session that came on it has played
-	slot             int32               // its small index, for the limits
-	rejected         bool                // loose: there was no room for it; what it asks is refused for a moment, and it is leaving
-	closing          bool                // it was told to go: what it asks from now on is not taken
-	shutdownClose    bool                // it is being closed at the director's end, and nothing that was read on it is known to wait
-	inputEndReason   string              // why nothing more can be read from it; empty: it can
+	requests         map[string]*request // at most SessionsPerConnection active and maxEndedRequests ended ones; nil before the first
+	ended            []string            // ids of ended requests, oldest first; unused in detached mode
+	activeRequests   int32               // sessions on it; in detached mode, those without their answer
+	detachedSessions int32               // detached mode: playing sessions that came on it
+	proven           bool                // detached mode: a session that came on it has played
+	slot             int32               // its index for the limits
+	rejected         bool                // detached mode: over capacity; its requests are refused until it is closed after rejectionWindow
+	closing          bool                // it is being closed: new requests on it are not taken
+	shutdownClose    bool                // its close was requested for shutdown, and no message that was read on it is known to be waiting
+	inputEndReason   string              // why nothing more can be read from it; empty: reading goes on
 }
 
-// maxEndedRequests is how many ended requests of a connection can still be answered as before.
+// maxEndedRequests is how many ended requests a connection keeps, so that a repetition gets the same answer.
 const maxEndedRequests = 16
 
-// A request is a want of a player under its own id.
+// A request is a client's request for a session, by the id that the client gave it.
 type request struct {
-	session *session             // nil once that is over
-	answer  *wire.SessionMessage // the final answer, once given
+	session *session             // nil once that has ended or moved to another connection
+	answer  *wire.SessionMessage // the final answer; nil before
 }
 
-// Players.
-
-// What a connection asks for which there is no room is refused for turnedFor, so that all that came at once has its
-// answer before it is closed. Where there are more than turnedMost of those, the first is closed as soon as nothing of it
-// is on its way here.
+// A connection over capacity stays open for rejectionWindow in detached mode and has its requests refused, so that all
+// requests that arrive together are answered before it is closed. Beyond maxRejectedConns of them, the oldest is closed
+// as soon as no message from it is waiting.
 const (
 	rejectionWindow  = 20 * time.Millisecond
 	maxRejectedConns = 16
 )
 
-// clientConnecting asks the limits whether a player is let in.
+// clientConnecting asks the limits whether to accept a client connection, and accepts or rejects it.
 func (l *Loop) clientConnecting(e ClientConnecting) {
-	seat := int32(len(l.connsBySlot))
+	slot := int32(len(l.connsBySlot))
 	if n := len(l.freeSlots); n > 0 {
-		seat = l.freeSlots[n-1]
+		slot = l.freeSlots[n-1]
 	}
-	plan := l.stepLimits(limits.Event{Kind: limits.ConnectRequest, Conn: int(seat), Address: e.Address, Nodes: l.linkDescriptors()})
+	plan := l.stepLimits(limits.Event{Kind: limits.ConnectRequest, Conn: int(slot), Address: e.Address, Nodes: l.linkDescriptors()})
 	if !plan.Admit {
 		l.counts.ClientsRejected++
-		if l.options.Detached { // it has knocked with a request, which is owed an answer
+		if l.options.Detached { // the client connected to send a request, which is owed an answer
 			l.conns[e.Conn] = &conn{id: e.Conn, rejected: true, closing: true}
 			l.timers.Add(l.now+rejectionWindow, timer{timerRejected, e.Conn})
-			if l.rejectedConns = append(l.rejectedConns, e.Conn); len(l.rejectedConns) > maxRejectedConns { // the first of them has its answer by now
+			if l.rejectedConns = append(l.rejectedConns, e.Conn); len(l.rejectedConns) > maxRejectedConns { // the oldest has its answer by now
 				l.closeClient(CloseClient{Conn: l.rejectedConns[0], Code: 1013, Reason: "no room", Idle: true})
 				l.rejectedConns = l.rejectedConns[1:]
 			}
@@ -66,32 +64,34 @@
 	}
 	if n := len(l.freeSlots); n > 0 {
 		l.freeSlots = l.freeSlots[:n-1]
-		l.connsBySlot[seat] = e.Conn
+		l.connsBySlot[slot] = e.Conn
 	} else {
 		l.connsBySlot = append(l.connsBySlot, e.Conn)
 	}
 	l.event(Event{Kind: ClientConnected, Conn: e.Conn})
-	l.conns[e.Conn] = &conn{id: e.Conn, slot: seat}
+	l.conns[e.Conn] = &conn{id: e.Conn, slot: slot}
 	l.emit(AcceptClient{e.Conn})
 }
 
-// stepLimits tells the limits what happened and carries out their plan.
+// stepLimits passes an event to the limits and carries out their plan.
 func (l *Loop) stepLimits(e limits.Event) *limits.Plan {
 	plan := l.limits.Step(l.now, e)
 	if e.Kind == limits.TimerFired {
 		l.limitsPending = plan.More
 	}
-	for _, seat := range plan.Ping {
-		l.emit(ProbeClient{l.connsBySlot[seat]})
+	for _, slot := range plan.Ping {
+		l.emit(ProbeClient{l.connsBySlot[slot]})
 	}
-	for _, x := range plan.Evict {
+	for _, eviction := range plan.Evict {
 		l.counts.ClientsEvicted++
-		why := x.Reason
-		if x.RetryAfter > 0 {
-			why = fmt.Sprintf("retry-ms=%d %s", x.RetryAfter.Milliseconds(), why)
+		reason := eviction.Reason
+		if eviction.RetryAfter > 0 {
+			reason = fmt.Sprintf("retry-ms=%d %s", eviction.RetryAfter.Milliseconds(), reason)
 		}
-		closed := l.closeClient(CloseClient{Conn: l.connsBySlot[x.Conn], Code: x.Code, Reason: why, Idle: x.Code != 1008})
-		if c := l.conns[l.connsBySlot[x.Conn]]; c != nil && closed {
+		closed := l.closeClient(CloseClient{
+			Conn: l.connsBySlot[eviction.Conn], Code: eviction.Code, Reason: reason, Idle: eviction.Code != 1008,
+		})
+		if c := l.conns[l.connsBySlot[eviction.Conn]]; c != nil && closed {
 			c.closing = true
 		}
 	}
@@ -101,26 +101,27 @@
 	return plan
 }
 
-// countSessions counts the sessions of a connection: with one, it is never let go.
-func (l *Loop) countSessions(c *conn, live, standing int32) {
+// countSessions changes the numbers of active and detached sessions of a connection. With at least one session it is
+// busy for the limits and never evicted.
+func (l *Loop) countSessions(c *conn, active, detached int32) {
 	before := c.activeRequests + c.detachedSessions
-	c.activeRequests, c.detachedSessions = c.activeRequests+live, c.detachedSessions+standing
+	c.activeRequests, c.detachedSessions = c.activeRequests+active, c.detachedSessions+detached
 	switch after := c.activeRequests + c.detachedSessions; {
 	case before == 0 && after > 0:
 		l.stepLimits(limits.Event{Kind: limits.Busy, Conn: int(c.slot)})
 	case before > 0 && after == 0:
 		l.stepLimits(limits.Event{Kind: limits.Idle, Conn: int(c.slot)})
 	}
-	if live < 0 {
+	if active < 0 {
 		l.closeIfSettled(c)
 	}
 }
 
 func (l *Loop) clientReceived(e ClientReceived) {
 	c := l.conns[e.Conn]
-	if c == nil { // it closed a moment ago, or was not let in
+	if c == nil { // it closed a moment ago, or was rejected
 		if s := l.sessionsByKey[e.Message.ID]; l.options.Detached && e.Message.Type == wire.Cancel && s != nil && s.answered {
-			l.endDetached(s, e.Conn) // what plays belongs to no connection, and its ending neither
+			l.endDetached(s, e.Conn) // playing sessions are independent of connections, and so are requests to end them
 		}
 		return
 	}
@@ -128,7 +129,7 @@
 		l.refuseOnRejected(c, e)
 		return
 	}
-	if c.closing { // this crosses the word to go, which says when to come back
+	if c.closing { // this crosses the close message, which says when to reconnect
 		l.event(Event{Kind: RequestRefused, Request: e.Message.ID, Conn: c.id, Reason: "its connection is being closed"})
 		l.counts.Unexpected++
 		return
@@ -142,7 +143,7 @@
 	r := c.requests[m.ID]
 	switch m.Type {
 	case wire.Request:
-		if r != nil { // a repetition: answered as before, never taken twice
+		if r != nil { // a repetition: gets the same answer and is never taken twice
 			l.counts.Repeated++
 			if r.answer != nil {
 				l.emit(SendClient{Conn: c.id, Message: *r.answer})
@@ -164,9 +165,9 @@
 	}
 }
 
-// retainEndedRequest keeps an ended request among the last few.
+// retainEndedRequest keeps an ended request among the last maxEndedRequests of its connection.
 func (l *Loop) retainEndedRequest(c *conn, id string) {
-	if l.options.Detached { // ids are not used again, and an answer is never given twice
+	if l.options.Detached { // ids are not reused, and an answer is never given twice
 		delete(c.requests, id)
 		return
 	}
@@ -178,22 +179,22 @@
 }
 
 func (l *Loop) clientLost(e ClientLost) {
-	number := e.Conn
-	c := l.conns[number]
+	id := e.Conn
+	c := l.conns[id]
 	if c == nil {
 		return
 	}
-	delete(l.conns, number)
-	l.event(Event{Kind: ClientDisconnected, Conn: number, Reason: e.Reason})
+	delete(l.conns, id)
+	l.event(Event{Kind: ClientDisconnected, Conn: id, Reason: e.Reason})
 	if c.rejected {
-		l.rejectedConns = slices.DeleteFunc(l.rejectedConns, func(n uint64) bool { return n == number })
+		l.rejectedConns = slices.DeleteFunc(l.rejectedConns, func(n uint64) bool { return n == id })
 		return
 	}
 	l.stepLimits(limits.Event{Kind: limits.Closed, Conn: int(c.slot)})
 	l.connsBySlot[c.slot] = 0
 	l.freeSlots = append(l.freeSlots, c.slot)
-	for id := range sorted(c.requests) {
-		s := c.requests[id].session
+	for requestID := range sorted(c.requests) {
+		s := c.requests[requestID].session
 		if s == nil {
 			continue
 		}
--- a/internal/director/deadlines.go
+++ b/internal/director/deadlines.go
@@ -10,11 +10,11 @@
 	"fordusher/policy"
 )
 
-// stallThreshold is how late the loop may be before it counts as having stood still.
+// stallThreshold is how late a timer may run before the loop counts as stalled.
 const stallThreshold = 100 * time.Millisecond
 
-// runDueTimers works off the timers whose time has come, in the order of their times. After a stall of the process
-// answers come first, those whose hard stop was first before the others.
+// runDueTimers runs the timers that are due, in the order of their times. After a stall of the process the timers of
+// legs and answers run first, in the order of their sessions' deadlines.
 func (l *Loop) runDueTimers() {
 	isDue := func() bool {
 		at, ok := l.timers.NextDeadline()
@@ -22,12 +22,12 @@
 	}
 	if at, ok := l.timers.NextDeadline(); ok && l.now-at > stallThreshold {
 		l.counts.Stalls++
-		var late []timer
+		var overdue []timer
 		for isDue() {
-			late = append(late, l.timers.Pop())
+			overdue = append(overdue, l.timers.Pop())
 		}
-		slices.SortStableFunc(late, func(a, b timer) int { return cmp.Compare(l.urgency(a), l.urgency(b)) })
-		for _, t := range late {
+		slices.SortStableFunc(overdue, func(a, b timer) int { return cmp.Compare(l.urgency(a), l.urgency(b)) })
+		for _, t := range overdue {
 			if !l.ended {
 				l.fire(t)
 			}
@@ -38,7 +38,7 @@
 	}
 }
 
-// urgency is the hard stop that a timer serves; one that serves none comes last.
+// urgency returns the deadline of the session that a timer belongs to; timers without a session come last.
 func (l *Loop) urgency(t timer) time.Duration {
 	switch t.kind {
 	case timerLeg:
@@ -67,7 +67,7 @@
 		}
 	case timerLinger:
 		if s := l.sessions[t.id]; s != nil {
-			l.abandonSession(s, "the client did not come again")
+			l.abandonSession(s, "the client did not reconnect")
 		}
 	case timerConnector:
 		l.connectorTimer = 0
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -1,18 +1,19 @@
-// Package director is a director's own loop: it takes what happened on its connections and what time it
-// is, keeps the account of every session and leg, asks the module (package policy) what is to be done, and
-// returns what is to be sent. It opens no socket, reads no clock and starts no goroutine, so the same loop
-// runs in the daemon, in virtual time and one step at a time in tests.
+// Package director is the event loop of one director. It takes events from its connections together with the
+// current time, keeps the state of every session and leg, asks its decider (package policy) what to do, and
+// returns what is to be sent. It opens no socket, reads no clock and starts no goroutine, so the same loop runs in
+// the daemon, in virtual time and one step at a time in tests.
 //
-// A session's life, and a leg's, each of which is a small machine whose moves are counted:
+// Sessions and legs are state machines; their transitions are counted:
 //
-//	session   held     taken, no leg out                -> setting, over
-//	          setting  a leg is out                     -> held, playing, over
-//	          playing  the viewer has its answer        -> over
-//	leg       waiting  its node is being connected to   -> sent, over
-//	          sent     set-up handed to the connection  -> playing, over
-//	          playing  the node has accepted            -> over
+//	session   waiting     taken, no leg in progress            -> setting up, over
+//	          setting up  a leg is in progress                 -> waiting, playing, over
+//	          playing     the client has its answer            -> over
+//	leg       waiting     its node's connection is not ready    -> sent, over
+//	          sent        set-up passed to the connection      -> playing, over
+//	          playing     the node has accepted                -> over
 //
-// A move that is not in the table is counted and logged once; the loop goes on with what is true.
+// A transition that the table does not allow is counted, and the first one is logged; the loop carries it out all
+// the same.
 package director
 
 import (
@@ -29,33 +30,33 @@
 	"fordusher/shutdown"
 )
 
-// Tariff is a tariff under the name that players give it.
+// A Tariff is a tariff of package policy with the name that clients use for it.
 type Tariff struct {
 	Name string
 	policy.Tariff
 }
 
-// Options are how a director treats connections.
+// Options are the protocol options of a director.
 type Options struct {
-	AnswerMargin          time.Duration // an answer is sent this long before the viewer's time is up
-	Linger                time.Duration // a session outlives its player's connection so long
-	ConnectTimeout        time.Duration // longest try to connect to a node
-	SessionsPerConnection int           // sessions that one player's connection may have
-	NoHello               bool          // nodes do not say which start they are in: a connection that is made is ready
-	// Detached: what plays belongs to no connection, of a player or of a node. It outlives both, what concerns it may
-	// come and be told on any, and a request's id is its session's own name. See detached.go.
+	AnswerMargin          time.Duration // an answer is sent this long before the client's waiting time ends
+	Linger                time.Duration // how long a session outlives its client's connection
+	ConnectTimeout        time.Duration // time limit of one attempt to connect to a node
+	SessionsPerConnection int           // most sessions of one client connection
+	NoHello               bool          // nodes send no hello with their incarnation: an established connection is ready
+	// Detached: a playing session is independent of client and node connections. It outlives both, messages about it
+	// may arrive and be sent on any connection, and a request's id is also its session's name. See detached.go.
 	Detached bool
 }
 
-// Decider is what the loop asks about sessions: the module, or a baseline to measure it against.
+// A Decider makes the decisions on sessions: package policy, or a baseline that it is measured against.
 type Decider interface {
 	Step(now time.Duration, happened policy.Event) []policy.Action
 }
 
-// Loop is one director.
+// A Loop is a director, that is, one instance of the program, without its I/O. All directors together are the fleet.
 type Loop struct {
 	name             string
-	boot             string // tells this run of the director from others, in the names of sessions
+	boot             string // identifies this run of the director in session names
 	decider          Decider
 	tariffs          []Tariff
 	tariffIndex      map[string]int
@@ -64,7 +65,7 @@
 	options          Options
 	shutdownPolicy   shutdown.Policy
 	connector        *connector.Connector
-	connectorTimer   timerqueue.Handle // the one for connector
+	connectorTimer   timerqueue.Handle // timer of connector
 	connectorTimerAt time.Duration
 	reconnectPolicy  connector.ReconnectPolicy
 	limits           *limits.Limits
@@ -72,47 +73,49 @@
 
 	now           time.Duration
 	outputs       []Output
-	pendingEvents []policy.Event // what the module is still to be told in this step
+	pendingEvents []policy.Event // events that the decider has not received yet in this step
 	notifying     bool
 	timers        timerQueue
 
 	conns           map[uint64]*conn // emptied as connections close
-	connsBySlot     []uint64         // connections by their small index; a place is used again
+	connsBySlot     []uint64         // connection ids by slot; slots are reused
 	freeSlots       []int32
 	sessions        map[uint64]*session // emptied as sessions end and their last leg with them
 	sessionsByKey   map[string]*session // emptied as sessions end
 	legs            map[uint64]*leg     // emptied as legs end
 	nodes           map[string]*node    // emptied as nodes leave the list and their last leg ends
 	links           map[uint64]*node    // emptied as links end
-	nodesByIndex    []*node             // by small index, for connector; a place is used again
+	nodesByIndex    []*node             // nodes by their index for connector; indexes are reused
 	freeNodeIndexes []int
-	titles          map[string]title // as long as the list's catalogue
-	listReceived    bool             // a whole list has come
+	titles          map[string]title // catalogue of the server list
+	listReceived    bool             // a full list has been received
 
-	rejectedConns  []uint64            // connections that were turned away last; emptied as they close
-	undelivered    []undeliveredEnding // endings that no player's connection was there for; emptied as they are told, or grow old
-	lastProvenConn uint64              // the connection on which a session that plays came last; 0: none
+	rejectedConns  []uint64            // most recently rejected connections; emptied as they close
+	undelivered    []undeliveredEnding // endings without a connection to notify; emptied as they are sent or expire
+	lastProvenConn uint64              // connection of the latest session to start playing; 0: none
 
 	lastSession, lastLeg, lastLink uint64
 
 	owed, playing           int
 	shutdown                *shutdown.Sequence
 	ended                   bool
-	closingClients          bool // clients' connections are being closed, and no more are accepted
-	limitsPending           bool // the limits have more to do now
+	closingClients          bool // client connections are being closed, and new ones are not accepted
+	limitsPending           bool // the limits have more work that is due now
 	counts                  Counts
 	illegalTransitionLogged bool
 	observer                func(Event)
-	guardDisabled           bool // for tests that break a rule on purpose: attempts are sent whatever the guard says
+	guardDisabled           bool // for tests that violate a rule on purpose: legs are sent without asking the guard
 }
 
-// New starts a director. Boot is a word that no other run of this director has used.
-func New(name, boot string, seed uint64, module Decider, tariffs []Tariff, kinds []string,
-	ladder policy.Ladder, manners Options, pace connector.ReconnectPolicy, term shutdown.Policy, room limits.Capacity, queue limits.QueuePolicy) *Loop {
+// New returns a director without connections. Boot must differ from that of every other run of this director.
+func New(name, boot string, seed uint64, decider Decider, tariffs []Tariff, kinds []string,
+	ladder policy.Ladder, options Options, reconnectPolicy connector.ReconnectPolicy, shutdownPolicy shutdown.Policy,
+	capacity limits.Capacity, queue limits.QueuePolicy) *Loop {
 	l := &Loop{
-		name: name, boot: boot, decider: module, tariffs: tariffs, ladder: ladder, options: manners, shutdownPolicy: term,
-		tariffIndex: map[string]int{}, kindIndex: map[string]int{}, connector: connector.New(seed, pace), reconnectPolicy: pace,
-		limits: limits.New(seed, room), queue: limits.NewRequestQueue(seed, queue),
+		name: name, boot: boot, decider: decider, tariffs: tariffs, ladder: ladder, options: options, shutdownPolicy: shutdownPolicy,
+		tariffIndex: map[string]int{}, kindIndex: map[string]int{},
+		connector: connector.New(seed, reconnectPolicy), reconnectPolicy: reconnectPolicy,
+		limits: limits.New(seed, capacity), queue: limits.NewRequestQueue(seed, queue),
 		conns: map[uint64]*conn{}, sessions: map[uint64]*session{}, sessionsByKey: map[string]*session{},
 		legs: map[uint64]*leg{}, nodes: map[string]*node{}, links: map[uint64]*node{},
 		titles: map[string]title{},
@@ -126,29 +129,29 @@
 	return l
 }
 
-// Counts are what a director has done since it started.
+// Counts are a director's counters since it started.
 type Counts struct {
-	Taken, Played, Nacked, Errored, Abandoned                             uint64 // requests, and how they ended
-	Repeated, Adopted, RejectedByShutdown                                 uint64 // requests answered as before; sessions found again; turned away by a stop
-	Legs, Retries                                                         uint64 // set-ups sent, and those beyond a session's first
+	Taken, Played, Nacked, Errored, Abandoned                             uint64 // requests by their outcome
+	Repeated, Adopted, RejectedByShutdown                                 uint64 // repeated requests; sessions resumed or adopted; requests refused during shutdown
+	Legs, Retries                                                         uint64 // legs, and those beyond a session's first
 	NeverRan                                                              [len(neverRanReasons)]uint64
 	Overdue, IllegalTransitions, Unexpected, LateAnswers, UnknownMessages uint64
-	SessionsLost                                                          uint64            // sessions that played and lost their node
-	ClientsRejected, ClientsEvicted                                       uint64            // players not let in, and idle ones let go
-	RequestsShed                                                          uint64            // requests that had waited too long for a loop that is behind
-	Stalls                                                                uint64            // times that the loop was late by more than 100 ms
-	RefusedByRule                                                         [ruleCount]uint64 // what the guard has refused, by rule
+	SessionsLost                                                          uint64            // playing sessions that lost their node
+	ClientsRejected, ClientsEvicted                                       uint64            // client connections rejected, and idle ones evicted
+	RequestsShed                                                          uint64            // requests refused because they waited too long for an overloaded loop
+	Stalls                                                                uint64            // times that a timer ran more than 100 ms late
+	RefusedByRule                                                         [ruleCount]uint64 // violations that the guard prevented, by rule
 }
 
-// ConnectionUsage tells how many players' connections there are, how many of them are busy, and the limits' mode.
+// ConnectionUsage returns the number of client connections, how many of them are busy, and the mode of the limits.
 func (l *Loop) ConnectionUsage() (used, busy int, mode limits.Mode) { return l.limits.Usage() }
 
-// Counts returns what was counted, and what there is now.
+// Counts returns the counters, and the current numbers of owed answers, playing sessions, legs and node connections.
 func (l *Loop) Counts() (c Counts, owed, playing, legs, links int) {
 	return l.counts, l.owed, l.playing, len(l.legs), len(l.links)
 }
 
-// Next is when Step wants a Tick at the latest.
+// Next returns the latest time at which Step needs a Tick.
 func (l *Loop) Next() time.Duration {
 	if l.ended {
 		return math.MaxInt64
@@ -166,8 +169,8 @@
 	return next
 }
 
-// Step takes what happened at a time, works off what is due, and returns what is to be done, in order.
-// What happened comes before what is due, so an answer that is there when its time runs out still counts.
+// Step processes an input at a time, runs the timers that are due, and returns the outputs in order.
+// The input comes before the timers, so a node's answer that arrives at its deadline still counts.
 func (l *Loop) Step(now time.Duration, in Input) []Output {
 	l.now, l.outputs = max(now, l.now), l.outputs[:0]
 	if l.ended {
@@ -186,7 +189,7 @@
 	case ClientReceived:
 		l.clientReceived(e)
 		if c := l.conns[e.Conn]; c != nil && l.closingClients {
-			l.closeForShutdown(c, false) // with its answer: there would always be another request
+			l.closeForShutdown(c, false) // along with the answer: the client might always send another request
 		}
 	case ClientLost:
 		l.clientLost(e)
@@ -226,16 +229,16 @@
 	case Stop:
 		if l.shutdown == nil {
 			l.shutdown = shutdown.Start(l.now, l.shutdownPolicy)
-			if !l.options.Detached { // there a connection is no more than the way for a request, which is told to come again
+			if !l.options.Detached { // in detached mode clients may still connect; each new request gets a nack
 				l.stepLimits(limits.Event{Kind: limits.Draining})
 			}
-			l.log("closing: %d answers owed, %d sessions play, ended within %v", l.owed, l.playing, l.shutdownPolicy.Timeout)
+			l.log("closing: %d answers owed, %d sessions playing, time limit %v", l.owed, l.playing, l.shutdownPolicy.Timeout)
 			l.stepShutdown()
 		}
 	case Tick:
 	}
 	l.runDueTimers()
-	// The work on idle connections comes in slices, one a tick: all that is in the inbox goes first.
+	// Idle connections are handled in batches, one for each tick, so that everything in the inbox goes first.
 	if _, tick := in.(Tick); tick && !l.ended {
 		if at, ok := l.limits.NextTimer(); l.limitsPending || ok && at <= l.now {
 			l.stepLimits(limits.Event{Kind: limits.TimerFired})
@@ -246,10 +249,10 @@
 
 func (l *Loop) emit(o Output) { l.outputs = append(l.outputs, o) }
 
-func (l *Loop) log(format string, figures ...any) { l.emit(Log{fmt.Sprintf(format, figures...)}) }
+func (l *Loop) log(format string, args ...any) { l.emit(Log{fmt.Sprintf(format, args...)}) }
 
-// notifyDecider hands the module an event and carries out its answer. What becomes true while that is done is
-// told once it is done, in order: the module is never asked within its own answer.
+// notifyDecider passes an event to the decider and applies its actions. Events that arise meanwhile are queued and
+// passed on in order afterwards, so the decider is never called while its actions are being applied.
 func (l *Loop) notifyDecider(e policy.Event) {
 	l.pendingEvents = append(l.pendingEvents, e)
 	if l.notifying {
@@ -266,7 +269,6 @@
 	l.pendingEvents, l.notifying = l.pendingEvents[:0], false
 }
 
-// applyAction does what the module has decided.
 func (l *Loop) applyAction(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Dispatch:
@@ -292,7 +294,7 @@
 	}
 }
 
-// sessionName is a session's name for players and nodes.
+// sessionName returns the name of a session that clients and nodes see.
 func (l *Loop) sessionName(id uint64) string {
 	return l.name + "." + l.boot + "." + strconv.FormatUint(id, 36)
 }
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -1,42 +1,43 @@
 package director
 
-// EventKind is what an Event tells of.
+// An EventKind says what an Event is about.
 type EventKind int
 
 // The kinds of events.
 const (
 	RequestTaken     EventKind = iota // a final answer is owed from now on
-	RequestAnswered                   // the final answer was handed to the client's connection
-	RequestRefused                    // it was refused without having been taken
+	RequestAnswered                   // the final answer was passed to the client's connection
+	RequestRefused                    // the director refused it without starting a session
 	RequestAbandoned                  // no answer is owed any more, and none was given
-	AttemptStarted                    // a server was chosen
-	AttemptSent                       // the set-up was handed to the server's connection
-	AttemptEnded                      // it is out no longer
+	AttemptStarted                    // a node was chosen
+	AttemptSent                       // the set-up was passed to the node's connection
+	AttemptEnded                      // the leg has ended
 	ClientConnected
-	ClientClosed       // a client's connection is to be closed by the director
-	ClientDisconnected // it has ended, whoever ended it
+	ClientClosed       // the director closes a client connection
+	ClientDisconnected // it has ended, whichever side closed it
 	ServerConnected
-	ServerDisconnected // a server's connection has ended, or is closed by the director
+	ServerDisconnected // a connection to a node has ended, or the director closes it
 )
 
 var eventNames = [...]string{"request taken", "request answered", "request refused", "request abandoned", "attempt started",
-	"attempt sent", "attempt ended", "client connected", "client connection closed here", "client disconnected", "server connected", "server disconnected"}
+	"attempt sent", "attempt ended", "client connected", "client connection closed by the director", "client disconnected", "server connected", "server disconnected"}
 
 func (k EventKind) String() string { return eventNames[k] }
 
-// An Event is one change of state of a request, an attempt or a connection, for logs: what happened, to which, and why.
-// Fields that do not apply are zero.
+// An Event is a change of state of a request, an attempt or a connection, for logs. Logs call a leg an attempt and a
+// node a server. Fields that do not apply are zero.
 type Event struct {
 	Kind    EventKind
-	Request string // the client's id of it
+	Request string // the client's id for it
 	Attempt uint64
 	Server  string
-	Conn    uint64 // the client's connection
-	Link    uint64 // the server's connection
+	Conn    uint64 // the client connection
+	Link    uint64 // the connection to the server
 	Reason  string
 }
 
-// Observe has every event handed to a function, which must not call the loop. It is called before the first Step.
+// Observe sets the function that receives every event. The function must not call the loop. Observe is called before the
+// first Step.
 func (l *Loop) Observe(observer func(Event)) { l.observer = observer }
 
 func (l *Loop) event(e Event) {
@@ -45,7 +46,7 @@
 	}
 }
 
-// requestEvent tells of a session's request, and of its attempt where one is out.
+// requestEvent reports an event of a session's request, with its leg if one is in progress.
 func (l *Loop) requestEvent(kind EventKind, s *session, reason string) {
 	if l.observer == nil {
 		return
@@ -64,24 +65,24 @@
 	}
 }
 
-// closeLink asks for a server's connection to be closed.
+// closeLink closes a connection to a node.
 func (l *Loop) closeLink(n *node, link uint64, reason closeReason) {
 	l.event(Event{Kind: ServerDisconnected, Server: n.name, Link: link, Reason: string(reason)})
 	l.emit(CloseLink{link})
 }
 
-// closeReason is why the director closes a server's connection.
+// A closeReason is why the director closes a connection to a node, for logs.
 type closeReason string
 
 const (
 	closedAsIdle         closeReason = "idle"
-	closedForDescriptors closeReason = "descriptors are needed"
-	closedAsUnknown      closeReason = "it was made for a server that is not waited for"
-	closedAsUnlisted     closeReason = "the server is off the list"
+	closedForDescriptors closeReason = "its descriptor is needed for another server connection"
+	closedAsUnknown      closeReason = "the connection was not expected"
+	closedAsUnlisted     closeReason = "the server is no longer on the list"
 	closedAsMoved        closeReason = "the server has another address"
-	closedAsProbeFailed  closeReason = "the connection made to check it failed"
-	closedAsUnresponsive closeReason = "nothing was heard"
-	closedAsRestarted    closeReason = "the server has started anew"
-	closedAsReplaced     closeReason = "replaced by the connection made to check it"
-	closedAsSuperseded   closeReason = "a second replacement came"
+	closedAsProbeFailed  closeReason = "the connection attempt to probe it failed"
+	closedAsUnresponsive closeReason = "nothing was received"
+	closedAsRestarted    closeReason = "the server has restarted"
+	closedAsReplaced     closeReason = "replaced by the connection made to probe it"
+	closedAsSuperseded   closeReason = "its replacement has been replaced"
 )
--- a/internal/director/guard.go
+++ b/internal/director/guard.go
@@ -4,21 +4,21 @@
 	"fmt"
 )
 
-// The guard is the one place that is asked before an attempt is sent, an answer is given, a client's connection is
-// closed or the director stops. What would break a rule is not done, counted, and logged once for each rule: a count
-// that is not zero is a fault of the program.
+// The guard is a set of checks before a leg is sent, an answer is given, a client connection is closed or the director
+// stops. An action that would violate a rule is not carried out; it is counted, and logged once for each rule. A count
+// above zero is a fault of the program.
 
 // A Rule is an invariant that the guard checks.
 type Rule int
 
-// The ruleCount.
+// The rules. ruleCount is their number.
 const (
-	RuleAnswerBeforeClose Rule = iota // a client's connection is not closed here while an answer is owed on it
+	RuleAnswerBeforeClose Rule = iota // the director closes no client connection while an answer is owed on it
 	RuleAnswerOnce                    // a request gets one final answer
 	RuleNoSendAfterEnd                // nothing is sent for a request that has ended
-	RuleOneAttempt                    // a request has one attempt out at most
+	RuleOneAttempt                    // a request has at most one leg in progress
 	RulePaidOnce                      // a paid request that may have run is not sent again
-	RuleNoSendToDraining              // nothing new is sent to a server that drains or is gone
+	RuleNoSendToDraining              // nothing new is sent to a node that is draining or removed
 	RuleAnswerBeforeStop              // the director does not stop while answers are owed
 	ruleCount
 )
@@ -28,7 +28,8 @@
 
 func (r Rule) String() string { return ruleNames[r] }
 
-// Violations counts what the guard has refused, by rule; all are zero in a program without faults.
+// Violations returns the numbers of violations that the guard has prevented, by rule. All are zero in a program without
+// faults.
 func (c Counts) Violations() map[string]uint64 {
 	by := map[string]uint64{}
 	for rule, n := range c.RefusedByRule {
@@ -37,30 +38,30 @@
 	return by
 }
 
-// violated counts a breach that the guard has prevented.
-func (l *Loop) violated(rule Rule, format string, figures ...any) {
+// violated counts a violation that the guard has prevented, and logs the first one of each rule.
+func (l *Loop) violated(rule Rule, format string, args ...any) {
 	l.counts.RefusedByRule[rule]++
 	if l.counts.RefusedByRule[rule] == 1 {
-		l.log("invariant %v would have been violated; further ones are only counted: %s", rule, fmt.Sprintf(format, figures...))
+		l.log("invariant %v would have been violated; further ones are only counted: %s", rule, fmt.Sprintf(format, args...))
 	}
 }
 
-// mayClose tells whether a client's connection may be closed here.
-func (l *Loop) mayClose(conn uint64, why string) bool {
+// mayClose reports whether the director may close a client connection.
+func (l *Loop) mayClose(conn uint64, reason string) bool {
 	c := l.conns[conn]
-	if c == nil || l.options.Linger > 0 && l.shutdown == nil { // there a request outlives its connection
+	if c == nil || l.options.Linger > 0 && l.shutdown == nil { // with Linger, requests outlive their connection until shutdown
 		return true
 	}
 	for id := range sorted(c.requests) {
 		if s := c.requests[id].session; s != nil && !s.answered {
-			l.violated(RuleAnswerBeforeClose, "connection %d, request %s, closed for %q", conn, id, why)
+			l.violated(RuleAnswerBeforeClose, "connection %d, request %s, closed for %q", conn, id, reason)
 			return false
 		}
 	}
 	return true
 }
 
-// mayAnswer tells whether a session may be given a final answer.
+// mayAnswer reports whether a session may be given a final answer.
 func (l *Loop) mayAnswer(s *session, kind string) bool {
 	if s.answered {
 		l.violated(RuleAnswerOnce, "request %s, answer %s", s.request, kind)
@@ -69,7 +70,7 @@
 	return true
 }
 
-// maySend tells whether an attempt may be sent to its server now.
+// maySend reports whether a leg may be sent to its node now.
 func (l *Loop) maySend(g *leg) bool {
 	if l.guardDisabled {
 		return true
@@ -92,11 +93,11 @@
 	return false
 }
 
-// DisableGuard has attempts sent whatever the guard says. It is for tests that break a rule on purpose, and is called before the
-// first Step.
+// DisableGuard makes the loop send legs without asking the guard. It is for tests that violate a rule on purpose, and is
+// called before the first Step.
 func (l *Loop) DisableGuard() { l.guardDisabled = true }
 
-// mayShutDown tells whether the director may end.
+// mayShutDown reports whether the director may stop.
 func (l *Loop) mayShutDown() bool {
 	if l.owed > 0 {
 		l.violated(RuleAnswerBeforeStop, "%d answers are owed", l.owed)
@@ -105,7 +106,7 @@
 	return true
 }
 
-// closeClient closes a client's connection, unless an answer is owed on it; it tells whether it did.
+// closeClient closes a client connection unless the guard refuses that, and reports whether it did.
 func (l *Loop) closeClient(o CloseClient) bool {
 	if !l.mayClose(o.Conn, o.Reason) {
 		return false
@@ -115,7 +116,7 @@
 	return true
 }
 
-// inputEnded notes that nothing more can be read from a client's connection. It is closed once no answer is owed on it.
+// inputEnded records that nothing more can be read from a client connection. It is closed once no answer is owed on it.
 func (l *Loop) inputEnded(e ClientInputEnded) {
 	c := l.conns[e.Conn]
 	if c == nil || c.rejected || c.inputEndReason != "" {
@@ -125,10 +126,10 @@
 	l.closeIfSettled(c)
 }
 
-// closeCodeInvalidData is RFC 6455's code for what can't be read.
+// closeCodeInvalidData is the close code of RFC 6455 for invalid data.
 const closeCodeInvalidData = 1007
 
-// closeIfSettled closes a client's connection from which nothing more can be read and on which nothing is owed.
+// closeIfSettled closes a client connection from which nothing more can be read and on which no answer is owed.
 func (l *Loop) closeIfSettled(c *conn) {
 	if c.inputEndReason == "" || c.activeRequests > 0 || c.closing {
 		return
--- a/internal/director/outcome.go
+++ b/internal/director/outcome.go
@@ -2,49 +2,49 @@
 
 import "fordusher/policy"
 
-// A legOutcome is how a leg came to its end, as far as this director can know.
+// A legOutcome is how a leg ended, as far as this director can know.
 type legOutcome int
 
 const (
-	outcomeFull                 legOutcome = iota // the node turned it away unseen
+	outcomeFull                 legOutcome = iota // the node rejected it without starting it
 	outcomeUnconnected                            // its node could not be connected to
-	outcomeConnectAttemptFailed                   // one try to connect failed, which says little of the node
-	outcomeWithdrawn                              // taken back before one byte was handed to the kernel
-	outcomeUnsent                                 // the connection ended before one byte was handed to the kernel
-	outcomeNodeRestarted                          // its node turned out to have started anew, and nothing of it was handed over yet
-	outcomeFailed                                 // the node says that the set-up failed
+	outcomeConnectAttemptFailed                   // one connect attempt failed, which says little about the node
+	outcomeWithdrawn                              // withdrawn before one byte was passed to the kernel
+	outcomeUnsent                                 // the connection ended before one byte was passed to the kernel
+	outcomeNodeRestarted                          // its node has restarted, and nothing of the set-up had been passed to the kernel
+	outcomeFailed                                 // the node reports that the set-up failed
 	outcomeTimedOut                               // no answer in time
-	outcomeReset                                  // the connection ended after the set-up was handed over
-	outcomeCancelled                              // the viewer left, or the director closes
-	outcomeEndedElsewhere                         // it played, and its node says that its viewer has ended it, or that it was moved
-	outcomeServed                                 // it played, and ended by itself
+	outcomeReset                                  // the connection ended after the set-up was passed to the kernel
+	outcomeCancelled                              // the client cancelled it, or the director is shutting down
+	outcomeEndedElsewhere                         // it played, and its node reports that its client ended it, or that it was moved
+	outcomeServed                                 // it played to its regular end
 	outcomeBroken                                 // it played, and its node or the connection to it was lost
 )
 
-var legOutcomeNames = [...]string{"turned away", "not connected", "one try to connect failed", "withdrawn unsent", "connection ended unsent",
-	"server started anew, unsent", "server failed", "no answer in time", "server connection ended", "called off", "ended elsewhere", "served", "server lost"}
+var legOutcomeNames = [...]string{"rejected by the server", "not connected", "one connect attempt failed", "withdrawn unsent", "connection ended unsent",
+	"server restarted, unsent", "server failed", "no answer in time", "server connection ended", "cancelled", "ended elsewhere", "served", "server lost"}
 
-func (f legOutcome) String() string { return legOutcomeNames[f] }
+func (o legOutcome) String() string { return legOutcomeNames[o] }
 
-// What proves that a leg never ran, for logs and metrics.
+// neverRanReasons are the proofs that a leg never ran, as metrics and logs name them. Index 0 stands for no proof.
 var neverRanReasons = [...]string{"", "full", "unconnected", "withdrawn", "unsent"}
 
-// NeverRanByReason counts the legs that provably never ran, by what proves it.
+// NeverRanByReason returns the numbers of legs that provably never ran, by proof.
 func (c *Counts) NeverRanByReason() map[string]uint64 {
 	by := map[string]uint64{}
-	for i, word := range neverRanReasons[1:] {
-		by[word] = c.NeverRan[i+1]
+	for i, reason := range neverRanReasons[1:] {
+		by[reason] = c.NeverRan[i+1]
 	}
 	return by
 }
 
-// neverRan is the one place that says what a leg's fate proves: the outcome that the module is told, and
-// which proof there is that it never ran (an index of proofWords; 0: none, it may have run). There are
-// four proofs: the node said "full"; no connection was made; the set-up was withdrawn while not one byte of
-// it had been handed to the kernel; the connection ended while that was so. All else may have run, a
-// connection that broke after the first byte above all.
-func neverRan(f legOutcome) (outcome policy.Outcome, proof int) {
-	switch f {
+// neverRan alone decides what the end of a leg proves. It returns the outcome for the decider and the proof that the leg
+// never ran, as an index of neverRanReasons; 0 means that it may have run. There are four proofs: the node answered
+// "full"; no connection was established; the set-up was withdrawn before one byte of it was passed to the kernel; the
+// connection ended before that. In all other cases the leg may have run, above all when the connection broke after
+// the first byte.
+func neverRan(result legOutcome) (outcome policy.Outcome, proof int) {
+	switch result {
 	case outcomeFull:
 		return policy.Full, 1
 	case outcomeUnconnected:
@@ -55,7 +55,7 @@
 		return policy.ConnectFailed, 3
 	case outcomeUnsent:
 		return policy.ConnectFailed, 4
-	case outcomeNodeRestarted: // nothing against the node: the module decides again, knowing that it is cold
+	case outcomeNodeRestarted: // no fault of the node: the decider chooses again, knowing that the node is in slow start
 		return policy.NeverStarted, 3
 	case outcomeFailed:
 		return policy.Errored, 0
--- a/internal/director/session.go
+++ b/internal/director/session.go
@@ -8,6 +8,7 @@
 	"fordusher/policy"
 )
 
+// A sessionPhase is a state of a session; sessionTransitions lists the legal transitions.
 type sessionPhase int
 
 const (
@@ -24,31 +25,32 @@
 	sessionOver:      {},
 }
 
+// A session is what a client asks for and plays. While its final answer is owed it is a request.
 type session struct {
 	id          uint64
-	name        string
-	key         string
+	name        string // as clients and nodes see it
+	key         string // finds the session again when its client reconnects
 	tariff      int
 	title       string
 	length      time.Duration
 	phase       sessionPhase
-	answered    bool // the final answer was given, or is no longer owed
+	answered    bool // the final answer has been given, or is no longer owed
 	rung        int
-	deadline    time.Duration // the answer is out by then
-	conn        *conn         // nil while the player's connection is gone
-	request     string
+	deadline    time.Duration // the final answer is sent by then
+	conn        *conn         // nil while the client has no connection for it
+	request     string        // the client's id for it
 	leg         *leg
-	legsSent    int
+	legsSent    int // legs so far
 	answerTimer timerqueue.Handle
 	lingerTimer timerqueue.Handle
 
-	mayHaveRun      bool   // an attempt of it may have run
-	description     []byte // for the node; until the session has its answer
-	originConn      uint64 // loose: the connection that it came on
-	countedOnOrigin bool   // loose: that one counts it among what plays
+	mayHaveRun      bool   // one of its legs may have run
+	description     []byte // for the node; nil once the session has its answer
+	originConn      uint64 // connection that the request came on
+	countedOnOrigin bool   // detached mode: that connection counts it as a playing session
 }
 
-// setSessionPhase changes a session's phase; one that the table does not have is counted.
+// setSessionPhase changes the phase of a session and counts a transition that is not legal.
 func (l *Loop) setSessionPhase(s *session, to sessionPhase) {
 	if !sessionTransitions[s.phase][to] {
 		l.illegalTransition("session", int(s.phase), int(to))
@@ -62,16 +64,18 @@
 	s.phase = to
 }
 
-func (l *Loop) illegalTransition(what string, from, to int) {
+func (l *Loop) illegalTransition(machine string, from, to int) {
 	l.counts.IllegalTransitions++
 	if !l.illegalTransitionLogged {
 		l.illegalTransitionLogged = true
-		l.log("a %s moved from %d to %d, which should not be; further ones are only counted", what, from, to)
+		l.log("illegal %s transition from phase %d to %d; further ones are only counted", machine, from, to)
 	}
 }
 
-// takeRequest takes a request that has waited for the loop for so long.
-func (l *Loop) takeRequest(c *conn, m wire.SessionMessage, waited time.Duration, brought *RequestDetails) {
+// takeRequest starts a session for a new request, resumes the session with its key, or refuses it. Waited is how long
+// the request has waited for the loop; it counts against the client's waiting time. Details are nil where a title's
+// cells come from the catalogue.
+func (l *Loop) takeRequest(c *conn, m wire.SessionMessage, waited time.Duration, details *RequestDetails) {
 	l.counts.Taken++
 	r := &request{}
 	if c.requests == nil {
@@ -79,23 +83,23 @@
 	}
 	c.requests[m.ID] = r
 	backoff := time.Duration(0)
-	refuse := func(kind, why string, count *uint64) {
+	refuse := func(kind, reason string, count *uint64) {
 		*count++
-		answer := wire.SessionMessage{Type: kind, ID: m.ID, Reason: why, BackoffMS: backoff.Milliseconds()}
+		answer := wire.SessionMessage{Type: kind, ID: m.ID, Reason: reason, BackoffMS: backoff.Milliseconds()}
 		r.answer = &answer
 		l.refuseRequest(c, answer)
 		l.retainEndedRequest(c, m.ID)
 	}
 	tariff, known := l.tariffIndex[m.Tariff]
 	t, listed := l.titles[m.Title]
-	if brought != nil {
-		t, listed = title{titleID(m.Title), brought.Base, brought.Copies}, true
+	if details != nil {
+		t, listed = title{titleID(m.Title), details.Base, details.Copies}, true
 	}
-	came := l.now - waited
-	stop := came + time.Duration(m.WaitMS)*time.Millisecond
+	receivedAt := l.now - waited
+	deadline := receivedAt + time.Duration(m.WaitMS)*time.Millisecond
 	switch {
-	case brought != nil && brought.InvalidReason != "":
-		refuse(wire.Errored, brought.InvalidReason, &l.counts.Errored)
+	case details != nil && details.InvalidReason != "":
+		refuse(wire.Errored, details.InvalidReason, &l.counts.Errored)
 		return
 	case l.shutdown != nil:
 		l.counts.RejectedByShutdown++
@@ -111,38 +115,38 @@
 		refuse(wire.Nack, "too many sessions on this connection", &l.counts.Nacked)
 		return
 	}
-	stop = min(stop, came+l.tariffs[tariff].HardStop) - l.options.AnswerMargin
+	deadline = min(deadline, receivedAt+l.tariffs[tariff].HardStop) - l.options.AnswerMargin
 	if s := l.sessionsByKey[m.Key]; s != nil {
 		switch {
 		case s.tariff != tariff || s.title != m.Title || s.answered && s.phase != sessionPlaying:
 			refuse(wire.Errored, "key is in use", &l.counts.Errored)
 		default:
-			l.resumeSession(s, c, m.ID, stop)
+			l.resumeSession(s, c, m.ID, deadline)
 		}
 		return
 	}
-	if stop <= l.now {
+	if deadline <= l.now {
 		refuse(wire.Nack, "no time left", &l.counts.Nacked)
 		return
 	}
-	word := l.queue.Step(l.now, waited)
-	if word.Log != "" {
-		l.log("%s", word.Log)
+	decision := l.queue.Step(l.now, waited)
+	if decision.Log != "" {
+		l.log("%s", decision.Log)
 	}
-	if !word.Admit { // nothing was done for it yet, so this claims nothing
+	if !decision.Admit { // nothing has been done for it yet, so a retry does no harm
 		l.counts.RequestsShed++
-		backoff = word.RetryAfter
+		backoff = decision.RetryAfter
 		refuse(wire.Nack, "busy", &l.counts.Nacked)
 		return
 	}
 	l.lastSession++
 	s := &session{
 		id: l.lastSession, name: l.sessionName(l.lastSession), originConn: c.id, key: m.Key, tariff: tariff, title: m.Title,
-		length: time.Duration(m.LengthMS) * time.Millisecond, deadline: stop, conn: c, request: m.ID,
+		length: time.Duration(m.LengthMS) * time.Millisecond, deadline: deadline, conn: c, request: m.ID,
 		rung: l.tariffs[tariff].Floor,
 	}
-	if brought != nil {
-		s.description = brought.Description
+	if details != nil {
+		s.description = details.Description
 	}
 	if l.options.Detached {
 		s.name = m.ID
@@ -152,20 +156,20 @@
 	l.countSessions(c, +1, 0)
 	l.sessions[s.id], l.sessionsByKey[s.key] = s, s
 	l.owed++
-	s.answerTimer = l.timers.Add(stop, timer{timerAnswer, s.id})
+	s.answerTimer = l.timers.Add(deadline, timer{timerAnswer, s.id})
 	top := len(l.ladder.Rates) - 1
 	if m.MaxRung != nil {
 		top = min(top, *m.MaxRung)
 	}
 	l.notifyDecider(policy.Request{
-		ID: s.id, Tariff: tariff, Title: t.id, FirstCell: t.base, Copies: t.copies, MaxRung: top, Deadline: stop,
+		ID: s.id, Tariff: tariff, Title: t.id, FirstCell: t.base, Copies: t.copies, MaxRung: top, Deadline: deadline,
 	})
 }
 
-// resumeSession gives a session to the connection on which its viewer came again. It guards a viewer whose
-// connection broke against a second set-up, the paid one above all: the session is the same one, with
-// the answer due no later than before.
-func (l *Loop) resumeSession(s *session, c *conn, id string, stop time.Duration) {
+// resumeSession moves a session to the connection on which its client asks for it again. It keeps a client whose
+// connection broke from getting a second set-up, above all of a paid session: the session stays the same, and its
+// answer is due no later than before.
+func (l *Loop) resumeSession(s *session, c *conn, id string, deadline time.Duration) {
 	l.counts.Adopted++
 	if s.conn != nil && s.conn != c {
 		l.emit(SendClient{Conn: s.conn.id, Message: wire.SessionMessage{Type: wire.SessionEnded, ID: s.request, Session: s.name, Reason: "taken over"}})
@@ -183,15 +187,15 @@
 		l.sendPlays(s)
 		return
 	}
-	l.counts.Abandoned++ // the first request; the second has taken its place
-	if stop < s.deadline {
-		s.deadline = stop
+	l.counts.Abandoned++ // the earlier request, which the new one replaces
+	if deadline < s.deadline {
+		s.deadline = deadline
 		l.timers.Cancel(s.answerTimer)
-		s.answerTimer = l.timers.Add(stop, timer{timerAnswer, s.id})
+		s.answerTimer = l.timers.Add(deadline, timer{timerAnswer, s.id})
 	}
 }
 
-// detachFromConn takes a session off its connection.
+// detachFromConn removes a session from its connection and ends its request there.
 func (l *Loop) detachFromConn(s *session) {
 	if c := s.conn; c != nil {
 		l.countSessions(c, -1, 0)
@@ -203,7 +207,7 @@
 	}
 }
 
-// abandonSession ends a session whose viewer has left: no answer is owed any more.
+// abandonSession ends a session and its leg. If its final answer is still owed, none is given.
 func (l *Loop) abandonSession(s *session, reason string) {
 	if s.phase == sessionOver {
 		return
@@ -222,18 +226,18 @@
 	}
 }
 
-// notifySessionEnded tells a player that its session has ended.
-func (l *Loop) notifySessionEnded(s *session, why string) {
+// notifySessionEnded notifies a client that its session has ended.
+func (l *Loop) notifySessionEnded(s *session, reason string) {
 	if l.options.Detached {
-		l.notifyDetachedEnd(s, why)
+		l.notifyDetachedEnd(s, reason)
 		return
 	}
 	if s.conn != nil {
-		l.emit(SendClient{Conn: s.conn.id, Message: wire.SessionMessage{Type: wire.SessionEnded, ID: s.request, Session: s.name, Reason: why}})
+		l.emit(SendClient{Conn: s.conn.id, Message: wire.SessionMessage{Type: wire.SessionEnded, ID: s.request, Session: s.name, Reason: reason}})
 	}
 }
 
-// closeSession takes a session off the books once it has no leg any more.
+// closeSession ends a session and removes it, unless a leg is still in progress.
 func (l *Loop) closeSession(s *session) {
 	if s.leg != nil || s.phase == sessionOver {
 		return
--- a/internal/director/shutdown.go
+++ b/internal/director/shutdown.go
@@ -4,16 +4,16 @@
 	"fordusher/shutdown"
 )
 
-// logInvariants says at the end what the guard has refused.
+// logInvariants logs at the end of the run how many violations the guard has prevented.
 func (l *Loop) logInvariants() {
 	total := uint64(0)
 	for _, n := range l.counts.RefusedByRule {
 		total += n
 	}
-	l.log("invariants: %d violations refused by the guard, %d requests taken", total, l.counts.Taken)
+	l.log("invariants: %d violations prevented by the guard, %d requests taken", total, l.counts.Taken)
 }
 
-// stepShutdown works on a stop under way.
+// stepShutdown carries out the next step of the shutdown in progress.
 func (l *Loop) stepShutdown() {
 	plan := l.shutdown.Step(l.now, shutdown.Remaining{Owed: l.owed, Playing: l.playing, Clients: len(l.conns)})
 	if plan.CloseClients {
@@ -40,8 +40,8 @@
 	l.timers.Add(plan.NextStep, timer{timerShutdown, 0})
 }
 
-// closeClients closes the clients' connections on which nothing more is to come. One on which something was read meanwhile stays,
-// unless this is the last look, and is closed once that is answered.
+// closeClients stops accepting and closes the client connections. One on which a message was read meanwhile stays open
+// until that is answered, unless this is the last call.
 func (l *Loop) closeClients(last bool) {
 	if !l.closingClients {
 		l.closingClients = true
--- a/internal/director/timers.go
+++ b/internal/director/timers.go
@@ -17,8 +17,8 @@
 	timerRejected
 )
 
-// A timer is what a timer is for. There are no more than a few for each session, leg and link: each is taken off with
-// its owner.
+// A timer says what a pending timer is for. Each session, leg and link has only a few; they are cancelled when their
+// owner ends.
 type timer struct {
 	kind timerKind
 	id   uint64
