--- a/internal/director/connections.go
+++ b/internal/director/connections.go
@@ -9,18 +9,18 @@
 	"fordusher/limits"
 )
 
-// stepConnector tells package connector what happened and carries out its plan.
+// stepConnector passes an event to the connector and carries out its plan.
 func (l *Loop) stepConnector(e connector.Event) connector.Plan {
 	plan := l.connector.Step(l.now, e)
-	for _, place := range slices.Clone(plan.Dial) { // what follows may ask for another plan
-		n := l.nodesByIndex[place]
+	for _, index := range slices.Clone(plan.Dial) { // the loop body may step the connector again
+		n := l.nodesByIndex[index]
 		if !l.admitLink() {
 			l.connectExhausted(n)
 			continue
 		}
 		l.lastLink++
 		n.connecting, n.dialedAddress = true, n.address
-		if n.connected { // one to check on it by
+		if n.connected { // the attempt probes its suspect connection
 			n.probeLink = l.lastLink
 		} else {
 			n.link = l.lastLink
@@ -28,8 +28,8 @@
 		l.links[l.lastLink] = n
 		l.emit(Connect{n.name, n.address, l.lastLink, l.options.ConnectTimeout})
 	}
-	for _, place := range slices.Clone(plan.Dead) {
-		l.nodeDead(l.nodesByIndex[place])
+	for _, index := range slices.Clone(plan.Dead) {
+		l.nodeDead(l.nodesByIndex[index])
 	}
 	if plan.NextTimer > 0 && (l.connectorTimer == 0 || plan.NextTimer < l.connectorTimerAt) {
 		l.timers.Cancel(l.connectorTimer)
@@ -39,27 +39,28 @@
 	return plan
 }
 
-// linkDescriptors is how many descriptors connections to nodes hold.
+// linkDescriptors returns the number of descriptors that connections to nodes use.
 func (l *Loop) linkDescriptors() int { return len(l.links) + l.connector.Dialing() }
 
-// admitLink asks the limits for one more connection to a node.
+// admitLink asks the limits whether one more connection to a node may be made. If they ask for it, it closes the unneeded
+// connection that was used least recently.
 func (l *Loop) admitLink() bool {
-	var spare *node // the one that has had nothing to do for longest
+	var idlest *node // the node whose unneeded connection was used least recently
 	for _, n := range l.links {
 		if n.connected && !n.linkNeeded && !n.connecting && n.replacedLink == 0 && l.reconnectPolicy.OnDemand &&
-			(spare == nil || n.lastUsed < spare.lastUsed || n.lastUsed == spare.lastUsed && n.name < spare.name) {
-			spare = n
+			(idlest == nil || n.lastUsed < idlest.lastUsed || n.lastUsed == idlest.lastUsed && n.name < idlest.name) {
+			idlest = n
 		}
 	}
-	// The try itself is counted already, once.
-	plan := *l.stepLimits(limits.Event{Kind: limits.DialRequest, Nodes: l.linkDescriptors() - 1, IdleNodeConn: spare != nil})
-	if plan.CloseIdleNode { // by which the limits may be asked again
-		l.disconnect(spare, closedForDescriptors)
+	// linkDescriptors already counts this attempt once, so 1 is subtracted.
+	plan := *l.stepLimits(limits.Event{Kind: limits.DialRequest, Nodes: l.linkDescriptors() - 1, IdleNodeConn: idlest != nil})
+	if plan.CloseIdleNode { // plan is a copy, since disconnect may step the limits again
+		l.disconnect(idlest, closedForDescriptors)
 	}
 	return plan.Admit
 }
 
-// connectExhausted is for a node that can't be connected to for want of descriptors.
+// connectExhausted handles a connect attempt that failed for lack of descriptors or other resources of this machine.
 func (l *Loop) connectExhausted(n *node) {
 	l.stepConnector(connector.Event{Node: n.index, Kind: connector.NoCapacity})
 	for _, g := range sorted(n.legs) {
@@ -69,22 +70,22 @@
 	}
 }
 
-// updateLinkNeed tells package connector whether there is anything to be done at a node, where connections are made on need, and
-// says whether one is being made.
-func (l *Loop) updateLinkNeed(n *node) (coming bool) {
-	needs := len(n.legs) > 0 || len(n.pendingEnds) > 0
-	if !l.reconnectPolicy.OnDemand || !needs && !n.linkNeeded {
+// updateLinkNeed notifies the connector whether legs or end messages need a connection to a node, if connections are made
+// on demand. It reports whether one can be expected without waiting for a back-off to end.
+func (l *Loop) updateLinkNeed(n *node) (connecting bool) {
+	needed := len(n.legs) > 0 || len(n.pendingEnds) > 0
+	if !l.reconnectPolicy.OnDemand || !needed && !n.linkNeeded {
 		return false
 	}
-	n.linkNeeded = needs
-	what := connector.Unneeded
-	if needs {
-		what = connector.Needed
+	n.linkNeeded = needed
+	kind := connector.Unneeded
+	if needed {
+		kind = connector.Needed
 	}
-	return !l.stepConnector(connector.Event{Node: n.index, Kind: what}).BackingOff && n.listed
+	return !l.stepConnector(connector.Event{Node: n.index, Kind: kind}).BackingOff && n.listed
 }
 
-// connectFailureOutcome is the fate of a leg whose node could not be connected to.
+// connectFailureOutcome returns the outcome of a leg whose node could not be connected to.
 func (l *Loop) connectFailureOutcome(n *node) legOutcome {
 	if l.reconnectPolicy.OnDemand && !n.suspect {
 		return outcomeConnectAttemptFailed
@@ -92,8 +93,8 @@
 	return outcomeUnconnected
 }
 
-// checkIdleLink looks at a connection on which nothing has moved for long. It is hung up on before the node does that; where
-// something plays there another one is made first.
+// checkIdleLink closes a connection that has been idle for too long, before the node closes it. If sessions on the node
+// still need it, a probe connection is made first, which replaces it.
 func (l *Loop) checkIdleLink(n *node) {
 	next := n.lastUsed + l.reconnectPolicy.IdleTimeout
 	if next <= l.now && !n.linkNeeded {
@@ -107,7 +108,7 @@
 	n.idleTimer = l.timers.Add(next, timer{timerIdle, n.link})
 }
 
-// disconnect ends the connection to a node.
+// disconnect closes the connection to a node.
 func (l *Loop) disconnect(n *node, reason closeReason) {
 	link := n.link
 	l.closeLink(n, link, reason)
@@ -124,7 +125,7 @@
 	if n.probeLink == e.Link {
 		l.replaceLink(n)
 	}
-	if !n.listed && l.options.Detached { // whoever answers there now is somebody else
+	if !n.listed && l.options.Detached { // another server may use the address by now
 		l.closeLink(n, e.Link, closedAsUnlisted)
 		l.linkFailed(LinkFailed{Node: e.Node, Link: e.Link})
 		l.nodeDead(n)
@@ -142,13 +143,13 @@
 		l.emit(SendNode{Link: e.Link, Message: wire.NodeMessage{Type: wire.Hello, Director: l.name}})
 	}
 	l.stepConnector(connector.Event{Node: n.index, Kind: connector.Connected})
-	if n.dialedAddress != n.address { // the list has moved it meanwhile
+	if n.dialedAddress != n.address { // the list has changed its address meanwhile
 		l.disconnect(n, closedAsMoved)
 		return
 	}
 	for _, g := range sorted(n.legs) {
 		switch {
-		case g.phase == legWaiting && !n.acceptsSessions: // the list has taken it off meanwhile
+		case g.phase == legWaiting && !n.acceptsSessions: // the list has drained or removed it meanwhile
 			l.endLeg(g, outcomeUnconnected, nil)
 		case g.phase == legWaiting && n.helloReceived:
 			l.sendSetup(g)
@@ -179,9 +180,9 @@
 		l.dropNode(n)
 		return
 	}
-	if n.probeLink == e.Link { // the connection that was doubted leads nowhere either
+	if n.probeLink == e.Link { // the probe failed, so the suspect connection is given up
 		n.probeLink = 0
-		l.log("node %s can't be connected to again: its connection is given up, %d legs on it", n.name, len(n.legs))
+		l.log("node %s: probe connection failed; closing the suspect connection with %d legs", n.name, len(n.legs))
 		l.closeLink(n, n.link, closedAsProbeFailed)
 		delete(l.links, n.link)
 		l.endLegsOfLink(n, n.link, nil)
@@ -189,11 +190,11 @@
 		l.timers.Cancel(n.pingTimer)
 		l.timers.Cancel(n.idleTimer)
 	}
-	what := connector.ConnectFailed
+	kind := connector.ConnectFailed
 	if e.Refused {
-		what = connector.Refused
+		kind = connector.Refused
 	}
-	n.suspect = l.stepConnector(connector.Event{Node: n.index, Kind: what}).Suspect
+	n.suspect = l.stepConnector(connector.Event{Node: n.index, Kind: kind}).Suspect
 	for _, g := range sorted(n.legs) {
 		if g.phase == legWaiting {
 			l.endLeg(g, l.connectFailureOutcome(n), nil)
@@ -208,7 +209,7 @@
 		return
 	}
 	delete(l.links, e.Link)
-	if e.Reason != "" { // else it is closed here, which was told of
+	if e.Reason != "" { // without a reason it was closed by the director, which has been logged
 		l.event(Event{Kind: ServerDisconnected, Server: n.name, Link: e.Link, Reason: e.Reason})
 	}
 	if n.link != e.Link {
@@ -222,7 +223,7 @@
 	n.connected, n.helloReceived, n.linkIncarnation = false, false, 0
 	l.timers.Cancel(n.pingTimer)
 	l.timers.Cancel(n.idleTimer)
-	if n.probeLink != 0 { // the try beside it goes on in its place
+	if n.probeLink != 0 { // the probe connection that is being made takes over
 		n.link, n.probeLink = n.probeLink, 0
 		l.endLegsOfLink(n, e.Link, e.Unsent)
 		l.dropNode(n)
@@ -235,14 +236,14 @@
 		l.stepConnector(connector.Event{Node: n.index, Kind: connector.Unlisted})
 	}
 	l.endLegsOfLink(n, e.Link, e.Unsent)
-	if !n.listed && l.options.Detached { // nothing will be heard of it any more
+	if !n.listed && l.options.Detached { // it will send nothing more about its sessions
 		l.nodeDead(n)
 	}
 	l.dropNode(n)
 }
 
-// releaseLinkNeed tells package connector of a connection that has ended with all there was to do on it, before it hears of that:
-// another one is not needed.
+// releaseLinkNeed notifies the connector that a node is no longer needed if everything that needed its connection ends
+// with that connection. It is called before the connector learns that the connection is lost, so that no other is made.
 func (l *Loop) releaseLinkNeed(n *node, link uint64) {
 	if !n.linkNeeded || len(n.pendingEnds) > 0 {
 		return
@@ -256,7 +257,7 @@
 	l.stepConnector(connector.Event{Node: n.index, Kind: connector.Unneeded})
 }
 
-// endLegsOfLink ends what a node's connection takes with it.
+// endLegsOfLink ends the legs that can't outlive a connection to their node.
 func (l *Loop) endLegsOfLink(n *node, link uint64, unsent []uint64) {
 	for _, g := range sorted(n.legs) {
 		switch {
@@ -265,7 +266,7 @@
 			l.endLeg(g, outcomeUnsent, nil)
 		case g.phase == legSent:
 			l.endLeg(g, outcomeReset, nil)
-		case l.options.Detached: // it plays on, and what waits goes by the next connection
+		case l.options.Detached: // a playing leg goes on, and a waiting one uses the next connection
 			if g.phase == legWaiting && !n.connecting && !n.connected {
 				l.endLeg(g, l.connectFailureOutcome(n), nil)
 			}
@@ -277,14 +278,15 @@
 	}
 }
 
-// linkAlive hangs up on a node that has been quiet for too long.
+// linkAlive closes the connection to a node that has sent nothing for too long. In detached mode it probes the connection
+// instead, if a session has been playing there for all that time.
 func (l *Loop) linkAlive(e LinkAlive) {
 	if n := l.links[e.Link]; n != nil && n.connected && l.options.Detached {
 		if l.stepConnector(connector.Event{Node: n.index, Kind: connector.Received, Age: e.IdleFor}).Close && l.playsSince(n, l.now-e.IdleFor) {
 			l.probeSuspectLink(n, e.Link)
 		}
 	} else if n != nil && n.connected && l.stepConnector(connector.Event{Node: n.index, Kind: connector.Received, Age: e.IdleFor}).Close {
-		l.log("node %s has been quiet for %v: its connection is given up, %d legs with it", n.name,
+		l.log("node %s has sent nothing for %v: closing its connection with %d legs", n.name,
 			e.IdleFor.Round(time.Millisecond), len(n.legs))
 		l.closeLink(n, e.Link, closedAsUnresponsive)
 		l.linkLost(LinkLost{Link: e.Link})
--- a/internal/director/detached.go
+++ b/internal/director/detached.go
@@ -9,47 +9,48 @@
 	"fordusher/policy"
 )
 
-// Where Manners.Loose holds, a session that plays belongs to no connection. What differs by that is here; the
-// account of sessions and legs, and what is told to the module, are the same.
+// In detached mode (Options.Detached) a playing session is independent of connections. What differs for that is in this
+// file; the state of sessions and legs and the events for the decider are the same.
 //
-//	a player's connection closes   what it asked for without an answer is given up; what plays goes on
-//	a node's connection closes     set-ups sent on it may have run; what plays goes on, and what the node has to say
-//	                               of it comes by the next one
-//	a node is refused, or can't be connected to several times in a row, or starts anew, or is off the list without a
-//	connection                     what plays there has ended
+//	a client connection closes     its unanswered requests are abandoned; playing sessions go on
+//	a node connection closes       set-ups sent on it may have run; playing sessions go on, and the node's messages
+//	                               about them arrive on the next connection
+//	a node refuses a connection, can't be connected to several times in a row, restarts, or is off the list without a
+//	connection                     the sessions that play on it have ended
 //
-// A connection to a node may also be of no use while it stays open. It is doubted where a set-up on it gets no answer
-// in time and where a node with sessions has been quiet for too long, and is then checked by making another one, which
-// takes its place.
+// A connection to a node may also stay open and yet be useless. It is suspect if a set-up on it gets no answer in time,
+// or if a node with sessions sends nothing for too long. It is then probed by making another connection, which replaces
+// it.
 
-// An undeliveredEnding is an ending that no player's connection was there for, or none that anything has played on.
+// An undeliveredEnding is the notification of a session's end that waits for a client connection, or for a proven one,
+// that is, one on which a session has played.
 type undeliveredEnding struct {
 	message   wire.SessionMessage
 	expiresAt time.Duration
 }
 
-// undeliveredRetention is how long an ending is kept for want of a connection. It bounds how many there are. For want of a
-// connection that anything has played on it is kept for strangersAfter: any player may be told, but one who only
-// holds a connection may not pass it on.
+// undeliveredRetention is how long an ending is kept without a connection to send it on. It bounds their number. If there
+// is no proven connection for anyClientDelay, the ending goes to any client: every client may be notified, but one that
+// only holds a connection might not pass it on.
 const (
 	undeliveredRetention = 8 * time.Second
 	anyClientDelay       = 500 * time.Millisecond
 )
 
-// maxPendingEnds is how many sessions that a node is still to be told to end are kept for it.
+// maxPendingEnds is how many end messages are kept for a node that is not connected.
 const maxPendingEnds = 1024
 
-// detachedReceived takes what a player says where ids are sessions' own names.
+// detachedReceived handles a client message in detached mode, where a request's id is the session's name.
 func (l *Loop) detachedReceived(c *conn, e ClientReceived) {
 	m := e.Message
 	s := l.sessionsByKey[m.ID]
 	switch m.Type {
 	case wire.Request:
 		switch {
-		case s != nil && e.Details.PlayingOn != "": // told again of what is held
-		case s != nil && s.conn == c: // one answer is owed, and will be given
+		case s != nil && e.Details.PlayingOn != "": // a session that is held already is reported again
+		case s != nil && s.conn == c: // a repetition: the first request gets the only answer
 			l.counts.Repeated++
-		case s != nil: // the other request must not notice
+		case s != nil: // the session with that id is not affected
 			l.counts.Errored++
 			l.refuseRequest(c, wire.SessionMessage{Type: wire.Errored, ID: m.ID, Reason: "id is in use"})
 		case e.Details.PlayingOn != "":
@@ -73,16 +74,17 @@
 	}
 }
 
-// endDetached ends a session that stands at the word of a connection. Where that is not the one it came on, whoever
-// is there is told: that its client has said so is not known.
-func (l *Loop) endDetached(s *session, said uint64) {
-	if s.phase == sessionPlaying && said != s.originConn {
+// endDetached ends a session, which has its answer, at the request of a connection. If the session came on another
+// connection, its client is notified: it is not known whether the request came from that client.
+func (l *Loop) endDetached(s *session, conn uint64) {
+	if s.phase == sessionPlaying && conn != s.originConn {
 		l.notifySessionEnded(s, ReasonEndedElsewhere)
 	}
 	l.abandonSession(s, "ended by a client")
 }
 
-// refuseOnRejected answers who was turned away. Endings, and what plays already, need no connection.
+// refuseOnRejected handles a message on a rejected connection. New requests are refused; cancellations and reports of
+// playing sessions are processed, since they need no capacity.
 func (l *Loop) refuseOnRejected(c *conn, e ClientReceived) {
 	switch s := l.sessionsByKey[e.Message.ID]; {
 	case e.Message.Type != wire.Request || e.Details.PlayingOn != "":
@@ -94,26 +96,26 @@
 	}
 }
 
-// refuseRequest answers a request that is not taken.
+// refuseRequest sends the answer to a request that is not taken.
 func (l *Loop) refuseRequest(c *conn, answer wire.SessionMessage) {
 	l.event(Event{Kind: RequestRefused, Request: answer.ID, Conn: c.id, Reason: answer.Reason})
 	l.emit(SendClient{Conn: c.id, Message: answer})
 }
 
-// adoptPlaying takes a session that plays already.
+// adoptPlaying adopts a session that is already playing on a node, as the request reports. No answer is owed.
 func (l *Loop) adoptPlaying(c *conn, e ClientReceived) {
-	m, b := e.Message, e.Details
+	m, details := e.Message, e.Details
 	tariff, known := l.tariffIndex[m.Tariff]
-	n := l.nodes[b.PlayingOn]
+	n := l.nodes[details.PlayingOn]
 	l.counts.Adopted++
 	l.lastSession++
 	s := &session{
 		id: l.lastSession, name: m.ID, key: m.ID, request: m.ID, originConn: c.id, tariff: tariff, title: m.Title,
 		phase: sessionPlaying, answered: true, deadline: l.now,
 	}
-	if !known || b.InvalidReason != "" || n == nil {
+	if !known || details.InvalidReason != "" || n == nil {
 		if l.counts.SessionsLost++; l.counts.SessionsLost == 1 {
-			l.log("a session was handed over that can't be held: node %q, tariff %q, %s; further ones are only counted", b.PlayingOn, m.Tariff, b.InvalidReason)
+			l.log("can't adopt a playing session: node %q, tariff %q, %s; further ones are only counted", details.PlayingOn, m.Tariff, details.InvalidReason)
 		}
 		l.notifyDetachedEnd(s, "its node is not known")
 		return
@@ -131,13 +133,13 @@
 		top = min(top, *m.MaxRung)
 	}
 	l.notifyDecider(policy.Request{
-		ID: s.id, Tariff: tariff, Title: titleID(m.Title), FirstCell: b.Base, Copies: b.Copies, MaxRung: top, Deadline: l.now,
+		ID: s.id, Tariff: tariff, Title: titleID(m.Title), FirstCell: details.Base, Copies: details.Copies, MaxRung: top, Deadline: l.now,
 		PlayingOn: n.name,
 	})
 }
 
-// countPlaying notes that a session that came on a connection plays: it is not let go before that is over, and what there was
-// nobody for can be told there.
+// countPlaying counts a playing session on the connection that it came on. The connection is proven now and not evicted
+// before the session ends, and undelivered endings are sent on it.
 func (l *Loop) countPlaying(s *session, c *conn) {
 	if c.rejected {
 		return
@@ -147,13 +149,13 @@
 	l.deliverUndelivered(c, l.now)
 }
 
-// notifyDetachedEnd tells a player that its session has ended: on the connection that it came on, on the one that something
-// played on last, on any such, or once there is one.
-func (l *Loop) notifyDetachedEnd(s *session, why string) {
-	m := wire.SessionMessage{Type: wire.SessionEnded, ID: s.request, Session: s.name, Reason: why}
-	for _, number := range [...]uint64{s.originConn, l.lastProvenConn} {
-		if c := l.conns[number]; c != nil && !c.closing {
-			l.emit(SendClient{Conn: number, Message: m})
+// notifyDetachedEnd notifies a client that its session has ended: on the connection that the session came on, else on the
+// one last proven, else on any proven one. If there is none, the notification waits for a connection.
+func (l *Loop) notifyDetachedEnd(s *session, reason string) {
+	m := wire.SessionMessage{Type: wire.SessionEnded, ID: s.request, Session: s.name, Reason: reason}
+	for _, id := range [...]uint64{s.originConn, l.lastProvenConn} {
+		if c := l.conns[id]; c != nil && !c.closing {
+			l.emit(SendClient{Conn: id, Message: m})
 			return
 		}
 	}
@@ -166,42 +168,42 @@
 	l.timers.Add(l.now+anyClientDelay, timer{timerUndelivered, 0})
 }
 
-// anyConn finds a connection that is not told to go.
+// anyConn returns a connection that fits and is not being closed, or nil.
 func (l *Loop) anyConn(fits func(c *conn) bool) *conn {
-	for _, number := range l.connsBySlot {
-		if c := l.conns[number]; c != nil && !c.closing && fits(c) {
+	for _, id := range l.connsBySlot {
+		if c := l.conns[id]; c != nil && !c.closing && fits(c) {
 			return c
 		}
 	}
 	return nil
 }
 
-// deliverToAnyClient tells any player there is what has waited for long enough for one that something has played on.
+// deliverToAnyClient sends the endings that have waited for anyClientDelay on any client connection.
 func (l *Loop) deliverToAnyClient() {
 	if c := l.anyConn(func(*conn) bool { return true }); c != nil {
 		l.deliverUndelivered(c, l.now-anyClientDelay)
 	}
 }
 
-// deliverUndelivered tells a player what there was nobody for at a time, or earlier.
+// deliverUndelivered sends on a connection the endings that have been waiting since a time or longer.
 func (l *Loop) deliverUndelivered(c *conn, since time.Duration) {
 	l.dropExpiredUndelivered()
-	told := 0
-	for ; told < len(l.undelivered) && l.undelivered[told].expiresAt-undeliveredRetention <= since; told++ {
-		l.emit(SendClient{Conn: c.id, Message: l.undelivered[told].message})
+	sent := 0
+	for ; sent < len(l.undelivered) && l.undelivered[sent].expiresAt-undeliveredRetention <= since; sent++ {
+		l.emit(SendClient{Conn: c.id, Message: l.undelivered[sent].message})
 	}
-	l.undelivered = l.undelivered[told:]
+	l.undelivered = l.undelivered[sent:]
 }
 
-// dropExpiredUndelivered drops what is too old to be told; the oldest comes first.
+// dropExpiredUndelivered drops the endings that have expired; the oldest comes first.
 func (l *Loop) dropExpiredUndelivered() {
 	for len(l.undelivered) > 0 && l.undelivered[0].expiresAt <= l.now {
 		l.undelivered = l.undelivered[1:]
 	}
 }
 
-// findDetachedLeg finds the leg that a node speaks of: by its session, and, until that plays, only on the connection of its
-// set-up. It guards against an answer to an earlier leg, and one to a connection before.
+// findDetachedLeg finds the leg that a node's message refers to, by its session. Until the leg plays, only messages on the
+// connection of its set-up count. This excludes an answer to an earlier leg or on an earlier connection.
 func (l *Loop) findDetachedLeg(n *node, e LinkReceived) *leg {
 	s := l.sessionsByKey[e.Message.Session]
 	if s == nil || s.leg == nil || s.leg.node != n || s.leg.phase == legWaiting || s.leg.phase == legSent && s.leg.link != e.Link {
@@ -210,8 +212,8 @@
 	return s.leg
 }
 
-// sendEnd tells a node to call a leg off, or to end what plays; what plays is told by the next connection where there
-// is none. A set-up ended with its connection.
+// sendEnd sends a node the message to cancel a set-up or to end a playing session. For a playing session without a
+// connection, the message waits for the next connection. A set-up ends with its connection, so no message has to wait for it.
 func (l *Loop) sendEnd(g *leg) {
 	m, n := wire.NodeMessage{Type: wire.End, Leg: g.id, Session: g.session.name}, g.node
 	if g.phase == legPlaying {
@@ -228,24 +230,24 @@
 	}
 }
 
-// playsSince tells whether anything plays at a node since a time, or earlier.
-func (l *Loop) playsSince(n *node, at time.Duration) bool {
+// playsSince reports whether a session has been playing on a node since a time or longer.
+func (l *Loop) playsSince(n *node, since time.Duration) bool {
 	for _, g := range n.legs {
-		if g.phase == legPlaying && g.startedAt <= at {
+		if g.phase == legPlaying && g.startedAt <= since {
 			return true
 		}
 	}
 	return false
 }
 
-// probeSuspectLink checks a node's connection by making another.
+// probeSuspectLink probes a suspect connection to a node by making another one, in detached mode.
 func (l *Loop) probeSuspectLink(n *node, link uint64) {
 	if l.options.Detached && n.connected && n.link == link && !n.connecting && l.nodes[n.name] == n {
 		l.stepConnector(connector.Event{Node: n.index, Kind: connector.Suspected})
 	}
 }
 
-// replaceLink puts the connection that was made to check on another in its place. The other is kept until the set-ups
+// replaceLink replaces the suspect connection to a node by the probe connection. The old one stays open until the set-ups
 // sent on it have ended.
 func (l *Loop) replaceLink(n *node) {
 	l.timers.Cancel(n.pingTimer)
@@ -259,7 +261,7 @@
 	l.closeReplacedLink(n)
 }
 
-// closeReplacedLink hangs up on a connection that was replaced once no set-up waits on it.
+// closeReplacedLink closes a replaced connection once no set-up on it waits for an answer.
 func (l *Loop) closeReplacedLink(n *node) {
 	if n.replacedLink == 0 {
 		return
@@ -269,13 +271,13 @@
 			return
 		}
 	}
-	old := n.replacedLink
+	link := n.replacedLink
 	n.replacedLink = 0
-	l.closeLink(n, old, closedAsReplaced)
-	delete(l.links, old)
+	l.closeLink(n, link, closedAsReplaced)
+	delete(l.links, link)
 }
 
-// nodeDead ends what plays at a node of which nothing more will be heard.
+// nodeDead ends the playing sessions of a node that will send nothing more about them, in detached mode.
 func (l *Loop) nodeDead(n *node) {
 	if !l.options.Detached {
 		return
@@ -289,7 +291,7 @@
 	l.updateLinkNeed(n)
 }
 
-// nodeRestarted ends what plays at a node since before it started anew, and a connection from before with it.
+// nodeRestarted closes a connection from before a node's restart and ends the sessions that played there before it.
 func (l *Loop) nodeRestarted(n *node) {
 	if n.connected && n.connectedAt < n.startedAt {
 		l.disconnect(n, closedAsRestarted)
--- a/internal/director/discovery.go
+++ b/internal/director/discovery.go
@@ -8,28 +8,30 @@
 	"fordusher/policy"
 )
 
+// A title is something that clients can ask to play, with the cells of nodes that hold it.
 type title struct {
 	id           uint64
-	base, copies int
+	base, copies int // its first cell, and how many cells in a row hold it
 }
 
-// The list.
-
+// nodeStates maps the states of the wire format to those of the decider.
 var nodeStates = map[string]policy.NodeState{
 	wire.Up: policy.Up, wire.Draining: policy.Draining, wire.Removed: policy.Removed,
 }
 
+// discoveryReceived applies a full list or an update of it to nodes and titles, passes the entries to the decider and
+// acknowledges them.
 func (l *Loop) discoveryReceived(m wire.DiscoveryMessage) {
 	kind := policy.ListUpdate
 	switch m.Type {
 	case wire.Snapshot:
 		kind = policy.ListReplaced
-		named := map[string]bool{}
+		present := map[string]bool{}
 		for _, e := range m.Nodes {
-			named[e.Node] = true
+			present[e.Node] = true
 		}
 		for name, n := range sorted(l.nodes) {
-			if !named[name] {
+			if !present[name] {
 				l.unlist(n)
 			}
 		}
@@ -47,11 +49,11 @@
 		}
 		l.titles[t.Title] = title{titleID(t.Title), t.FirstCell, t.Copies}
 	}
-	roster := policy.ServerList{Kind: kind}
+	list := policy.ServerList{Kind: kind}
 	for _, e := range m.Nodes {
-		roster.Entries = append(roster.Entries, l.updateNode(e))
+		list.Entries = append(list.Entries, l.updateNode(e))
 	}
-	l.notifyDecider(roster)
+	l.notifyDecider(list)
 	for _, n := range sorted(l.affectedNodes(m)) {
 		if !n.acceptsSessions {
 			l.withdrawSetups(n)
@@ -61,7 +63,7 @@
 	l.emit(SendDiscovery{wire.DiscoveryMessage{Type: wire.Acknowledge, Director: l.name, Serial: m.Serial}})
 }
 
-// affectedNodes are the nodes that a list may have changed.
+// affectedNodes returns the nodes that a message from discovery may have changed.
 func (l *Loop) affectedNodes(m wire.DiscoveryMessage) map[string]*node {
 	if m.Type == wire.Snapshot {
 		return l.nodes
@@ -75,21 +77,22 @@
 	return nodes
 }
 
-// titleID is a title's number for the module: the same for as long as anyone may hold a seat of it.
+// titleID returns the id of a title for the decider. It stays the same for as long as a session may hold a seat of the
+// title.
 func titleID(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
-// updateNode takes a node's line of the list into the books and puts it into the module's words.
+// updateNode applies an entry of the server list to its node and returns the entry for the decider.
 func (l *Loop) updateNode(e wire.NodeEntry) policy.NodeEntry {
 	n := l.nodes[e.Node]
-	born := l.startTimeFromAge(e.UptimeMS)
+	startedAt := l.startTimeFromAge(e.UptimeMS)
 	if n == nil && e.State != wire.Removed {
 		n = &node{name: e.Node, startedAt: policy.UnknownStart, legs: map[uint64]*leg{}}
-		if born == policy.UnknownStart && l.listReceived { // it was not on the list before: who knows better says so
-			born = l.now
+		if startedAt == policy.UnknownStart && l.listReceived { // a node that is new on the list counts as just started if no age is given
+			startedAt = l.now
 		}
 		if k := len(l.freeNodeIndexes); k > 0 {
 			n.index, l.freeNodeIndexes = l.freeNodeIndexes[k-1], l.freeNodeIndexes[:k-1]
@@ -102,67 +105,68 @@
 	}
 	kind, known := l.kindIndex[e.MachineKind]
 	if !known {
-		kind = len(l.kindIndex) // no such machine is known: the module takes the least for granted
+		kind = len(l.kindIndex) // an unknown kind: the decider assumes the lowest capacity
 	}
-	out := policy.NodeEntry{
+	entry := policy.NodeEntry{
 		Node: e.Node, State: nodeStates[e.State], MachineKind: kind, Zone: e.Zone, StartedAt: policy.UnknownStart, Weight: e.Weight, Cell: e.Cell,
 	}
 	if n == nil {
-		return out
+		return entry
 	}
 	moved := e.Address != n.address && e.Address != ""
-	if n.connected && n.linkIncarnation != 0 && e.Incarnation != n.linkIncarnation && e.State != wire.Removed && l.listIsStale(n, e, born, moved) {
-		// The list is behind: it tells of a start before the one that the node itself has told of. To hang up
-		// for that would break what plays there.
-		out.StartedAt = n.startedAt
-		n.acceptsSessions, n.entry = e.State == wire.Up, out
-		return out
+	if n.connected && n.linkIncarnation != 0 && e.Incarnation != n.linkIncarnation && e.State != wire.Removed && l.listIsStale(n, e, startedAt, moved) {
+		// The list is stale: it describes an incarnation before the one in the node's hello. Closing the connection
+		// because of it would break the sessions that play there.
+		entry.StartedAt = n.startedAt
+		n.acceptsSessions, n.entry = e.State == wire.Up, entry
+		return entry
 	}
 	changed := e.Incarnation != n.incarnation
-	if changed && born == policy.UnknownStart && n.incarnation != 0 && e.Incarnation != 0 {
-		born = l.now // another start of it was known: this one can't be from long ago
+	if changed && startedAt == policy.UnknownStart && n.incarnation != 0 && e.Incarnation != 0 {
+		startedAt = l.now // an earlier incarnation was known, so this one is recent
 	}
-	anew := !n.listed || changed || moved
-	if born != policy.UnknownStart && (anew || born > n.startedAt+startTimeTolerance) {
-		n.startedAt = born
+	renewed := !n.listed || changed || moved // newly listed, restarted or moved
+	if startedAt != policy.UnknownStart && (renewed || startedAt > n.startedAt+startTimeTolerance) {
+		n.startedAt = startedAt
 	}
 	if l.options.Detached && changed && n.listed && n.incarnation != 0 {
 		l.nodeRestarted(n)
 	}
-	out.StartedAt = n.startedAt
+	entry.StartedAt = n.startedAt
 	n.setIncarnation(e.Incarnation)
-	n.acceptsSessions, n.entry = e.State == wire.Up, out
+	n.acceptsSessions, n.entry = e.State == wire.Up, entry
 	switch {
 	case e.State == wire.Removed:
 		l.unlist(n)
-	case anew:
+	case renewed:
 		if moved {
 			n.address = e.Address
 		}
 		if n.connected && (moved || n.linkIncarnation != 0 && n.linkIncarnation != e.Incarnation) {
-			l.disconnect(n, closedAsMoved) // it leads to what no longer runs
+			l.disconnect(n, closedAsMoved) // it leads to an old address or incarnation
 		}
 		n.listed = true
 		if !n.connected {
 			l.stepConnector(connector.Event{Node: n.index, Kind: connector.Listed})
 		}
 	}
-	return out
+	return entry
 }
 
+// unlist marks a node as off the list.
 func (l *Loop) unlist(n *node) {
 	n.acceptsSessions = false
 	if n.listed {
 		n.listed = false
-		if !n.connected { // else once the connection ends
+		if !n.connected { // otherwise when the connection ends
 			l.stepConnector(connector.Event{Node: n.index, Kind: connector.Unlisted})
 			l.nodeDead(n)
 		}
 	}
 }
 
-// withdrawSetups takes back what is on its way to a node that no longer takes sessions: what is not handed over
-// yet is never sent, and counts as never run.
+// withdrawSetups withdraws the set-ups for a node that no longer accepts sessions. Those of which nothing has been passed
+// to the kernel are not sent, and count as never run.
 func (l *Loop) withdrawSetups(n *node) {
 	for _, g := range sorted(n.legs) {
 		switch g.phase {
--- a/internal/director/messages.go
+++ b/internal/director/messages.go
@@ -7,89 +7,90 @@
 	"fordusher/internal/wire"
 )
 
-// Input is something that happened: one of the types below that have an input method.
+// An Input is an event for Step: one of the types below that have an input method.
 type Input interface{ input() }
 
-// The inputs. Conn numbers a player's connection, Link one connection to a node; the caller picks both
-// numbers and never uses one twice.
+// The inputs. Conn is the id of a client connection and Link that of a connection to a node. The caller chooses the ids
+// of client connections, the loop those of links, and neither uses one twice.
 type (
-	// ClientConnecting says that a player wants to connect; AcceptClient or RejectClient answers it.
+	// ClientConnecting reports that a client wants to connect; AcceptClient or RejectClient answers it.
 	ClientConnecting struct {
 		Conn    uint64
 		Address netip.Addr
 	}
-	// ClientAccepted says that a player who was welcome has connected.
+	// ClientAccepted reports that an accepted client has completed its handshake.
 	ClientAccepted struct{ Conn uint64 }
-	// MemoryUsage is what the program uses now, in bytes.
+	// MemoryUsage is the memory that the program uses now, in bytes.
 	MemoryUsage struct{ Bytes int64 }
-	// ClientReceived is a message from a player that has waited for the loop for so long. A request may bring
-	// more than the message holds.
+	// ClientReceived is a message from a client. Waited is how long it has waited for the loop. Details holds what a
+	// request contains beyond the message.
 	ClientReceived struct {
 		Conn    uint64
 		Message wire.SessionMessage
 		Waited  time.Duration
 		Details *RequestDetails
 	}
-	// ClientStillActive says that a player whom an idle CloseClient was meant for has said something meanwhile.
+	// ClientStillActive reports that a client sent a message before an idle CloseClient could close its connection.
 	ClientStillActive struct{ Conn uint64 }
-	// ClientLost says that a player's connection has ended, and why, for logs.
+	// ClientLost reports that a client connection has ended, with the reason for logs.
 	ClientLost struct {
 		Conn   uint64
 		Reason string
 	}
-	// ClientInputEnded says that nothing more can be read from a player's connection, and why: what came before it
-	// can still be answered.
+	// ClientInputEnded reports that nothing more can be read from a client connection, and why. Earlier messages can
+	// still be answered.
 	ClientInputEnded struct {
 		Conn   uint64
 		Reason string
 	}
-	// LinkConnected says that a Connect succeeded.
+	// LinkConnected reports that a Connect succeeded.
 	LinkConnected struct {
 		Node string
 		Link uint64
 	}
-	// LinkFailed says that a Connect failed; nothing was sent on it. Refused: the machine answers, and
-	// nothing runs there. Crowded: it could not be tried for trouble of this machine (descriptors, memory, ports, its own network).
+	// LinkFailed reports that a Connect failed; nothing was sent on it. Refused: the machine answers, but no node runs
+	// there. ResourceExhausted: the attempt failed on this machine, for lack of descriptors, memory or ports, or because
+	// of its own network.
 	LinkFailed struct {
 		Node              string
 		Link              uint64
 		Refused           bool
 		ResourceExhausted bool
 	}
-	// LinkReceived is a message from a node, with what describes the session where it is accepted.
+	// LinkReceived is a message from a node. Description describes the session if the node accepts it.
 	LinkReceived struct {
 		Link        uint64
 		Message     wire.NodeMessage
 		Description []byte
 	}
-	// LinkAlive says how long ago anything last came from a node.
+	// LinkAlive reports how long ago anything was last received from a node.
 	LinkAlive struct {
 		Link    uint64
 		IdleFor time.Duration
 	}
-	// ClientAlive says how long ago anything last came from a player.
+	// ClientAlive reports how long ago anything was last received from a client.
 	ClientAlive struct {
 		Conn    uint64
 		IdleFor time.Duration
 	}
-	// LinkLost says that a connection to a node has ended. Unsent are the legs whose set-up was never
-	// handed to the kernel, not one byte of it.
+	// LinkLost reports that a connection to a node has ended. Unsent are the legs of whose set-up not one byte was
+	// passed to the kernel.
 	LinkLost struct {
 		Link   uint64
 		Unsent []uint64
 		Reason string // for logs
 	}
-	// Withdrawn says that a leg's set-up was taken back before one byte of it was handed to the kernel.
+	// Withdrawn reports that a leg's set-up was withdrawn before one byte of it was passed to the kernel.
 	Withdrawn struct{ Leg uint64 }
-	// DiscoveryConnected says that the list's source is connected.
+	// DiscoveryConnected reports that the connection to discovery, the source of the server list, is established.
 	DiscoveryConnected struct{}
-	// DiscoveryReceived is a message from the list.
+	// DiscoveryReceived is a message from discovery.
 	DiscoveryReceived struct{ Message wire.DiscoveryMessage }
-	// DiscoveryLost says that the list's source is gone; the last list stays in force.
+	// DiscoveryLost reports that the connection to discovery has ended; the last server list stays valid.
 	DiscoveryLost struct{}
-	// Tick says that the time asked for by Next has come.
+	// Tick reports that the time returned by Next has come.
 	Tick struct{}
-	// Stop orders the director to end as package shutdown decides.
+	// Stop tells the director to shut down as package shutdown decides.
 	Stop struct{}
 )
 
@@ -113,72 +114,72 @@
 func (Tick) input()               {}
 func (Stop) input()               {}
 
-// RequestDetails is what a request brings along where no catalogue says it.
+// RequestDetails is what a request itself specifies where there is no catalogue.
 type RequestDetails struct {
-	Base, Copies  int    // where its title lies
-	Description   []byte // of the session, for the node: passed on as it is
-	PlayingOn     string // the node, where the session plays already; no answer is owed then
-	InvalidReason string // why the request can't be used; empty: it can
+	Base, Copies  int    // first cell of its title, and number of cells in a row that hold it
+	Description   []byte // of the session, passed on to the node unchanged
+	PlayingOn     string // the node that the session already plays on; no answer is owed then
+	InvalidReason string // why the request is invalid; empty: it is valid
 }
 
-// Output is something to be done: one of the types below that have an output method.
+// An Output is an instruction for the caller of Step: one of the types below that have an output method.
 type Output interface{ output() }
 
 // The outputs.
 type (
-	// SendClient sends a message to a player. A rung that was told may be dropped, or replaced by a later
-	// one of the same Merge that finds it still waiting; an answer never.
+	// SendClient sends a message to a client. A rung message may be dropped, or replaced by a later one with the same
+	// CoalesceKey while it is queued; an answer never.
 	SendClient struct {
 		Conn        uint64
 		Message     wire.SessionMessage
 		CoalesceKey uint64
-		Description []byte // of an answer that it plays, as the node gave it
+		Description []byte // of a session that plays, as received from the node
 	}
-	// AcceptClient lets a player in who has knocked.
+	// AcceptClient accepts a connecting client.
 	AcceptClient struct{ Conn uint64 }
-	// RejectClient does not, and says when to come back.
+	// RejectClient rejects a connecting client; RetryAfter is when it may try again.
 	RejectClient struct {
 		Conn       uint64
 		RetryAfter time.Duration
 		Reason     string
 	}
-	// CloseClient ends a player's connection, with the code of RFC 6455 and a reason; code 0 cuts it. Idle: only
-	// because nothing is to be done for it; ClientStays answers where something it said is still on its way here.
+	// CloseClient closes a client connection with a close code of RFC 6455 and a reason; code 0 aborts it. Idle: it is
+	// closed only if no message from it waits for the loop; otherwise ClientStillActive answers.
 	CloseClient struct {
 		Conn   uint64
 		Code   int
 		Reason string
 		Idle   bool
 	}
-	// Connect asks for a connection to a node; LinkConnected or LinkFailed answers it within the time.
+	// Connect asks for a connection to a node; LinkConnected or LinkFailed answers it within Timeout.
 	Connect struct {
 		Node, Address string
 		Link          uint64
 		Timeout       time.Duration
 	}
-	// SendNode sends a message to a node. Setup is the leg where the message sets one up, else 0.
+	// SendNode sends a message to a node. Setup is the leg of a set-up message, else 0.
 	SendNode struct {
 		Link        uint64
 		Setup       uint64
 		Message     wire.NodeMessage
-		Description []byte // of a set-up, as the player gave it
+		Description []byte // of a set-up, as received from the client
 	}
-	// Withdraw asks for a leg's set-up back, if not one byte of it was handed to the kernel yet;
-	// Withdrawn answers if it worked, nothing if not.
+	// Withdraw withdraws a leg's set-up if not one byte of it has been passed to the kernel. Withdrawn answers if this
+	// succeeds; there is no answer if it fails.
 	Withdraw struct{ Link, Leg uint64 }
-	// ProbeLink pings a node; LinkAlive answers at once with how long it has been quiet.
+	// ProbeLink pings a node; LinkAlive answers at once with its idle time.
 	ProbeLink struct{ Link uint64 }
-	// ProbeClient pings a player; ClientAlive answers at once with how long it has been quiet.
+	// ProbeClient pings a client; ClientAlive answers at once with its idle time.
 	ProbeClient struct{ Conn uint64 }
-	// CloseLink ends the connection to a node.
+	// CloseLink closes a connection to a node.
 	CloseLink struct{ Link uint64 }
-	// SendDiscovery sends a message to the list's source.
+	// SendDiscovery sends a message to discovery.
 	SendDiscovery struct{ Message wire.DiscoveryMessage }
-	// Log is a line for those on call.
+	// Log is a line for the log.
 	Log struct{ Text string }
-	// StopAccepting ends the listener: who connects from now on is refused by the system.
+	// StopAccepting closes the listener: the operating system refuses new connections from then on.
 	StopAccepting struct{}
-	// ShutdownComplete says that a director ordered to stop has nothing left to do.
+	// ShutdownComplete reports that a director that was told to stop has finished.
 	ShutdownComplete struct{}
 )
 
--- a/internal/director/nodes.go
+++ b/internal/director/nodes.go
@@ -11,37 +11,37 @@
 	"fordusher/policy"
 )
 
-// A node is one that the list names, or has named and that still has legs.
+// A node is a streaming server that is on the server list, or was on it and still has legs.
 type node struct {
 	name                string
 	address             string
-	dialedAddress       string // the address that is being connected to
-	index               int
+	dialedAddress       string // the address of the latest connect attempt
+	index               int    // its index for connector
 	listed              bool
-	acceptsSessions     bool   // it may take sessions
-	incarnation         uint64 // which start of it this is
-	previousIncarnation uint64 // which it was in before; 0: none known
-	startedAt           time.Duration
-	connecting          bool // being connected to
-	connected           bool // connected
-	helloReceived       bool // and the node has said since which start it is in
-	link                uint64
-	linkIncarnation     uint64             // the start that the connection was made to; 0: not told yet
-	reportedStartedAt   time.Duration      // when that was, by the node's own word
-	entry               policy.NodeEntry   // as the module last heard it
-	connectedAt         time.Duration      // when the connection was
-	probeLink           uint64             // loose: the connection that is being made beside a doubted one
-	replacedLink        uint64             // loose: the connection before, until the set-ups sent on it have ended
-	pendingEnds         []wire.NodeMessage // loose: what is still to be called off there; emptied by the next connection
+	acceptsSessions     bool          // new sessions may be sent to it
+	incarnation         uint64        // identifies its current start; 0: unknown
+	previousIncarnation uint64        // the one before; 0: unknown
+	startedAt           time.Duration // policy.UnknownStart if unknown
+	connecting          bool          // a connect attempt is in progress
+	connected           bool
+	helloReceived       bool               // the node has sent hello on this connection, or sends none
+	link                uint64             // its connection, or the attempt to make one
+	linkIncarnation     uint64             // the incarnation in its hello on this connection; 0: unknown
+	reportedStartedAt   time.Duration      // when that incarnation started, according to the hello
+	entry               policy.NodeEntry   // its latest entry for the decider
+	connectedAt         time.Duration      // when the connection was established
+	probeLink           uint64             // detached mode: the connection being made to probe a suspect one; 0: none
+	replacedLink        uint64             // detached mode: the previous connection, until the set-ups sent on it have ended; 0: none
+	pendingEnds         []wire.NodeMessage // detached mode: end messages for the node; sent on the next connection
 	pingTimer           timerqueue.Handle
-	idleTimer           timerqueue.Handle // looks whether the connection has been idle for too long
-	lastUsed            time.Duration     // when anything last went either way
-	linkNeeded          bool              // where connections are made on need: there is something to be done there
-	suspect             bool              // the last tries to connect speak against it
+	idleTimer           timerqueue.Handle // calls checkIdleLink
+	lastUsed            time.Duration     // when a set-up was last sent or a message last received
+	linkNeeded          bool              // with connections on demand: legs or end messages need a connection
+	suspect             bool              // the latest connect failures indicate a fault of the node
 	legs                map[uint64]*leg   // emptied as legs end
 }
 
-// sorted goes through a map by its keys' order, so that the same inputs give the same outputs.
+// sorted iterates over a map in the order of its keys, so that the same inputs give the same outputs.
 func sorted[K interface {
 	~string | ~uint64
 }, V any](m map[K]V) iter.Seq2[K, V] {
@@ -70,7 +70,7 @@
 	}
 	if g == nil || g.node != n {
 		l.counts.Unexpected++
-		if m.Type == wire.Accepted && !l.options.Detached { // it plays for nobody
+		if m.Type == wire.Accepted && !l.options.Detached { // no session uses this leg any more
 			l.emit(SendNode{Link: e.Link, Message: wire.NodeMessage{Type: wire.End, Leg: m.Leg}})
 		}
 		return
@@ -79,7 +79,7 @@
 	case wire.Accepted:
 		l.legAccepted(g, m.Load, e.Description)
 	case wire.Full:
-		if g.phase == legPlaying { // it has said that it plays: no proof of the opposite
+		if g.phase == legPlaying { // the node accepted it earlier, so this is no proof that it never ran
 			l.counts.LateAnswers++
 			l.endLeg(g, outcomeBroken, m.Load)
 			return
@@ -103,7 +103,7 @@
 		l.endLeg(g, outcomeFailed, m.Load)
 	case wire.Ended:
 		switch {
-		case g.phase != legPlaying && l.options.Detached: // it broke on its way
+		case g.phase != legPlaying && l.options.Detached: // the session broke during its set-up
 			l.endLeg(g, outcomeReset, m.Load)
 		case g.phase != legPlaying:
 			l.endLeg(g, outcomeFailed, m.Load)
@@ -121,25 +121,25 @@
 	}
 }
 
-// startTimeTolerance is how far two words on when a node started may lie apart and mean the same.
+// startTimeTolerance is how far two reported start times of a node may differ and still mean the same start.
 const startTimeTolerance = 100 * time.Millisecond
 
-// helloReceived takes a node's own word on its start, which may come before the list's: a node that has just
-// started is cold.
+// helloReceived processes a node's hello, which states its incarnation and age. It may arrive before the server list
+// reports a restart, and a node that has just restarted is in slow start.
 //
-// Set-ups wait for it: what was meant for a node before it started anew must not reach it unawares, cold as it
-// is then, from all directors at once.
+// Set-ups wait for the hello. Otherwise those chosen before a node's restart would reach it during its slow start, from
+// all directors at once.
 func (l *Loop) helloReceived(n *node, m wire.NodeMessage) {
 	n.linkIncarnation, n.reportedStartedAt = m.Incarnation, l.startTimeFromAge(m.UptimeMS)
 	n.helloReceived = true
-	anew := false
+	restarted := false
 	if m.Incarnation != 0 && n.listed {
 		if n.reportedStartedAt == policy.UnknownStart && n.incarnation != 0 && m.Incarnation != n.incarnation {
-			n.reportedStartedAt = l.now // another start of it was known: this one can't be from long ago
+			n.reportedStartedAt = l.now // an earlier incarnation was known, so this one is recent
 		}
-		anew = n.reportedStartedAt != policy.UnknownStart && (m.Incarnation != n.incarnation || n.reportedStartedAt > n.startedAt+startTimeTolerance)
+		restarted = n.reportedStartedAt != policy.UnknownStart && (m.Incarnation != n.incarnation || n.reportedStartedAt > n.startedAt+startTimeTolerance)
 		n.setIncarnation(m.Incarnation)
-		if anew {
+		if restarted {
 			n.startedAt = n.reportedStartedAt
 			n.entry.StartedAt = n.startedAt
 			l.notifyDecider(policy.ServerList{Kind: policy.ListUpdate, Entries: []policy.NodeEntry{n.entry}})
@@ -148,7 +148,7 @@
 	for _, g := range sorted(n.legs) {
 		switch {
 		case g.phase != legWaiting:
-		case anew:
+		case restarted:
 			l.endLeg(g, outcomeNodeRestarted, nil)
 		case n.acceptsSessions:
 			l.sendSetup(g)
@@ -156,18 +156,18 @@
 	}
 }
 
-// setIncarnation notes which start a node is in.
-func (n *node) setIncarnation(start uint64) {
-	if start != n.incarnation {
-		n.previousIncarnation, n.incarnation = n.incarnation, start
+// setIncarnation records the incarnation of a node, and keeps the previous one.
+func (n *node) setIncarnation(incarnation uint64) {
+	if incarnation != n.incarnation {
+		n.previousIncarnation, n.incarnation = n.incarnation, incarnation
 	}
 }
 
-// maxReportedAge is how long ago a start may lie and still be told as a time.
+// maxReportedAge is the largest reported age that is converted to a start time.
 const maxReportedAge = 365 * 24 * time.Hour
 
-// startTimeFromAge is when something started that tells its age in milliseconds: LongAgo where it tells none, or one so large
-// that it is no time any more.
+// startTimeFromAge converts a node's reported age in milliseconds to its start time. Without an age, or with one over
+// maxReportedAge, it returns policy.UnknownStart.
 func (l *Loop) startTimeFromAge(age int64) time.Duration {
 	if age <= 0 || age > maxReportedAge.Milliseconds() {
 		return policy.UnknownStart
@@ -175,17 +175,17 @@
 	return l.now - time.Duration(age)*time.Millisecond
 }
 
-// listIsStale tells whether the list speaks of a start before the one that a connected node has told of itself. Where the
-// list tells no age, that is a start known before; of one that was never heard of, the connection knows best as long
-// as the node is still where it leads to.
-func (l *Loop) listIsStale(n *node, e wire.NodeEntry, born time.Duration, moved bool) bool {
-	if born != policy.UnknownStart {
-		return born < n.reportedStartedAt
+// listIsStale reports whether a list entry describes an earlier incarnation than the hello of a connected node. If the
+// entry has no age, it is stale if it names the previous incarnation. An unknown incarnation is stale as well unless the
+// address has changed: the connection still leads to the node and is the better source.
+func (l *Loop) listIsStale(n *node, e wire.NodeEntry, startedAt time.Duration, moved bool) bool {
+	if startedAt != policy.UnknownStart {
+		return startedAt < n.reportedStartedAt
 	}
 	return e.Incarnation == n.previousIncarnation || !moved
 }
 
-// dropNode forgets a node that is off the list once its last leg has ended.
+// dropNode removes a node that is off the list once its last leg has ended and no connect attempt is in progress.
 func (l *Loop) dropNode(n *node) {
 	if n.listed || len(n.legs) > 0 || n.connecting || l.nodes[n.name] != n {
 		return
