--- a/internal/director/answer.go
+++ b/internal/director/answer.go
@@ -37,6 +37,7 @@
 	l.settleAnswer(s, &wire.SessionMessage{Type: wire.Errored, Reason: reason})
 }
 
+// playsMessage returns the final answer for a session that plays.
 func (l *Loop) playsMessage(s *session) wire.SessionMessage {
 	return wire.SessionMessage{
 		Type: wire.Playing, ID: s.request, Session: s.name, Node: s.leg.node.name, Address: s.leg.node.address,
@@ -68,7 +69,7 @@
 	l.abandonSession(s, "no answer in time")
 }
 
-// The reasons for the end of a session that lost nothing.
+// The reasons for the end of a session that did not fail.
 const (
 	ReasonEnded          = "ended"           // it has come to its regular end
 	ReasonEndedElsewhere = "ended elsewhere" // its client ended it through its node or another connection, or it was moved
--- a/internal/director/attempt.go
+++ b/internal/director/attempt.go
@@ -74,7 +74,8 @@
 	switch {
 	case n.connected && n.helloReceived && !n.connecting:
 		l.sendSetup(g)
-	case n.connected, n.connecting: // the leg waits: for hello, or, if the link is suspect, for its probe link, which serves as well
+	case n.connected, n.connecting:
+		// The leg waits for hello, or, if the connection is suspect, for the probe connection, which serves as well.
 	case connecting:
 	default:
 		l.endLeg(g, l.connectFailureOutcome(n), nil)
--- a/internal/director/client.go
+++ b/internal/director/client.go
@@ -9,18 +9,19 @@
 	"fordusher/limits"
 )
 
-// A conn is a client connection. It keeps the requests whose sessions have not ended, and the last few that have.
+// A conn is a client connection. It keeps the requests whose sessions have not ended, at most SessionsPerConnection, and
+// the last few that have, at most maxEndedRequests.
 type conn struct {
 	id               uint64
-	requests         map[string]*request // at most SessionsPerConnection active and maxEndedRequests ended ones; nil before the first
+	requests         map[string]*request // by the client's id; nil before the first
 	ended            []string            // ids of ended requests, oldest first; unused in detached mode
 	activeRequests   int32               // sessions on it; in detached mode, those without their answer
 	detachedSessions int32               // detached mode: playing sessions that came on it
 	proven           bool                // detached mode: a session that came on it has played
 	slot             int32               // its index for the limits
-	rejected         bool                // detached mode: over capacity; its requests are refused until it is closed after rejectionWindow
+	rejected         bool                // detached mode: over capacity; its requests are refused until it closes
 	closing          bool                // it is being closed: new requests on it are not taken
-	shutdownClose    bool                // its close was requested for shutdown, and no message that was read on it is known to be waiting
+	shutdownClose    bool                // its close was requested for shutdown, and no message from it is known to wait
 	inputEndReason   string              // why nothing more can be read from it; empty: reading goes on
 }
 
--- a/internal/director/deadlines.go
+++ b/internal/director/deadlines.go
@@ -13,8 +13,8 @@
 // stallThreshold is how late a timer may run before the loop counts as stalled.
 const stallThreshold = 100 * time.Millisecond
 
-// runDueTimers runs the timers that are due, in the order of their times. After a stall of the process the timers of
-// legs and answers run first, in the order of their sessions' deadlines.
+// runDueTimers runs the timers that are due, in the order of their times. After a stall of the process the overdue
+// timers of legs and answers run first, in the order of their sessions' deadlines.
 func (l *Loop) runDueTimers() {
 	isDue := func() bool {
 		at, ok := l.timers.NextDeadline()
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -50,7 +50,7 @@
 
 // A Decider makes the decisions on sessions: package policy, or a baseline that it is measured against.
 type Decider interface {
-	Step(now time.Duration, happened policy.Event) []policy.Action
+	Step(now time.Duration, event policy.Event) []policy.Action
 }
 
 // A Loop is a director, that is, one instance of the program, without its I/O. All directors together are the fleet.
@@ -74,7 +74,7 @@
 	now           time.Duration
 	outputs       []Output
 	pendingEvents []policy.Event // events that the decider has not received yet in this step
-	notifying     bool
+	notifying     bool           // notifyDecider is running
 	timers        timerQueue
 
 	conns           map[uint64]*conn // emptied as connections close
@@ -94,9 +94,9 @@
 	undelivered    []undeliveredEnding // endings without a connection to notify; emptied as they are sent or expire
 	lastProvenConn uint64              // connection of the latest session to start playing; 0: none
 
-	lastSession, lastLeg, lastLink uint64
+	lastSession, lastLeg, lastLink uint64 // the latest ids
 
-	owed, playing           int
+	owed, playing           int // answers owed, sessions playing
 	shutdown                *shutdown.Sequence
 	ended                   bool
 	closingClients          bool // client connections are being closed, and new ones are not accepted
@@ -132,7 +132,7 @@
 // Counts are a director's counters since it started.
 type Counts struct {
 	Taken, Played, Nacked, Errored, Abandoned                             uint64 // requests by their outcome
-	Repeated, Adopted, RejectedByShutdown                                 uint64 // repeated requests; sessions resumed or adopted; requests refused during shutdown
+	Repeated, Adopted, RejectedByShutdown                                 uint64 // repetitions; sessions resumed or adopted; requests refused by shutdown
 	Legs, Retries                                                         uint64 // legs, and those beyond a session's first
 	NeverRan                                                              [len(neverRanReasons)]uint64
 	Overdue, IllegalTransitions, Unexpected, LateAnswers, UnknownMessages uint64
--- a/internal/director/discovery.go
+++ b/internal/director/discovery.go
@@ -91,7 +91,7 @@
 	startedAt := l.startTimeFromAge(e.UptimeMS)
 	if n == nil && e.State != wire.Removed {
 		n = &node{name: e.Node, startedAt: policy.UnknownStart, legs: map[uint64]*leg{}}
-		if startedAt == policy.UnknownStart && l.listReceived { // a node that is new on the list counts as just started if no age is given
+		if startedAt == policy.UnknownStart && l.listReceived { // new on the list: it has just started unless its age is given
 			startedAt = l.now
 		}
 		if k := len(l.freeNodeIndexes); k > 0 {
--- a/internal/director/nodes.go
+++ b/internal/director/nodes.go
@@ -18,12 +18,12 @@
 	dialedAddress       string // the address of the latest connect attempt
 	index               int    // its index for connector
 	listed              bool
-	acceptsSessions     bool          // new sessions may be sent to it
-	incarnation         uint64        // identifies its current start; 0: unknown
-	previousIncarnation uint64        // the one before; 0: unknown
-	startedAt           time.Duration // policy.UnknownStart if unknown
-	connecting          bool          // a connect attempt is in progress
-	connected           bool
+	acceptsSessions     bool               // new sessions may be sent to it
+	incarnation         uint64             // identifies its current start; 0: unknown
+	previousIncarnation uint64             // the one before; 0: unknown
+	startedAt           time.Duration      // policy.UnknownStart if unknown
+	connecting          bool               // a connect attempt is in progress
+	connected           bool               // its connection is established
 	helloReceived       bool               // the node has sent hello on this connection, or sends none
 	link                uint64             // its connection, or the attempt to make one
 	linkIncarnation     uint64             // the incarnation in its hello on this connection; 0: unknown
@@ -31,11 +31,11 @@
 	entry               policy.NodeEntry   // its latest entry for the decider
 	connectedAt         time.Duration      // when the connection was established
 	probeLink           uint64             // detached mode: the connection being made to probe a suspect one; 0: none
-	replacedLink        uint64             // detached mode: the previous connection, until the set-ups sent on it have ended; 0: none
+	replacedLink        uint64             // detached mode: the previous connection, until its set-ups have ended; 0: none
 	pendingEnds         []wire.NodeMessage // detached mode: end messages for the node; sent on the next connection
 	pingTimer           timerqueue.Handle
 	idleTimer           timerqueue.Handle // calls checkIdleLink
-	lastUsed            time.Duration     // when a set-up was last sent or a message last received
+	lastUsed            time.Duration     // when it was connected, a set-up was sent or a message received
 	linkNeeded          bool              // with connections on demand: legs or end messages need a connection
 	suspect             bool              // the latest connect failures indicate a fault of the node
 	legs                map[uint64]*leg   // emptied as legs end
--- a/internal/director/timers.go
+++ b/internal/director/timers.go
@@ -17,8 +17,8 @@
 	timerRejected
 )
 
-// A timer says what a pending timer is for. Each session, leg and link has only a few; they are cancelled when their
-// owner ends.
+// A timer is the purpose of an entry in timerQueue: its kind, and the id of the session, leg or connection concerned.
+// Each session, leg and link has only a few; they are cancelled when their owner ends.
 type timer struct {
 	kind timerKind
 	id   uint64
