--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -5,12 +5,12 @@
 //
 // Sessions and legs are state machines; their transitions are counted:
 //
-//	session   waiting     taken, no leg in progress            -> setting up, over
-//	          setting up  a leg is in progress                 -> waiting, playing, over
-//	          playing     the client has its answer            -> over
-//	leg       waiting     its node's connection is not ready    -> sent, over
-//	          sent        set-up passed to the connection      -> playing, over
-//	          playing     the node has accepted                -> over
+//	session   waiting     taken, no leg in progress           -> setting up, over
+//	          setting up  a leg is in progress                -> waiting, playing, over
+//	          playing     the client has its answer           -> over
+//	leg       waiting     its node's connection is not ready  -> sent, over
+//	          sent        set-up passed to the connection     -> playing, over
+//	          playing     the node has accepted               -> over
 //
 // A transition that the table does not allow is counted, and the first one is logged; the loop carries it out all
 // the same.
