--- a/connector/connector.go
+++ b/connector/connector.go
@@ -1,7 +1,8 @@
-// Package connector decides when a director connects to nodes: at once where one is needed, again after a pause that
-// doubles while it fails and is needed, and never to more than so many at a time. A node is needed from when the list
-// names it, or, where connections are made on need, while the caller says so. It does no I/O and has no clock: Step
-// takes what happened and when, and returns what is to be done.
+// Package connector decides when a director connects to nodes. The first dial follows at once when a node is needed;
+// after a failure the next dial waits for a backoff that doubles with each further failure. The number of dials in
+// progress is bounded. A node is needed from the time the server list names it or, with connections on demand, as long
+// as the caller reports that it is. The package does no I/O and has no clock: Step takes an event and its time, and
+// returns the actions.
 package connector
 
 import (
@@ -11,203 +12,203 @@
 	"fordusher/internal/timerqueue"
 )
 
-// ReconnectPolicy is how connections to nodes are tried.
+// ReconnectPolicy sets how connections to nodes are dialed and kept.
 type ReconnectPolicy struct {
-	InitialBackoff    time.Duration // pause after the first failure; each further one doubles it
-	MaxBackoff        time.Duration // up to this
-	MaxConcurrent     int           // tries under way at one time
-	HeartbeatInterval time.Duration // a connected node is asked for a sign of life so often
-	// OnDemand: a node is connected to only while it is needed, and one without anything to do for Keep is hung up on,
-	// or checked by making another connection if something plays there. Keep is shorter than the node's own patience,
-	// so that nothing is sent on a connection that it closes at the same time. 0: it has none that is known.
+	InitialBackoff    time.Duration // backoff after the first failure; each further failure doubles it
+	MaxBackoff        time.Duration // upper bound of the backoff
+	MaxConcurrent     int           // dials in progress at one time
+	HeartbeatInterval time.Duration // time between heartbeats on a connection to a node
+	// OnDemand: a node is connected only while it is needed. A connection that is unused for IdleTimeout is closed, or
+	// checked by another dial if sessions play on the node. IdleTimeout is shorter than the node's own idle timeout,
+	// so that nothing is sent on a connection that the node closes at the same time. 0: the node's idle timeout is
+	// unknown or absent.
 	OnDemand    bool
 	IdleTimeout time.Duration
 }
 
-// suspectAfter is how many tries in a row must fail until they speak against a node that refuses none.
+// suspectAfter is the number of consecutive failed dials after which a node that does not refuse connections is
+// suspect.
 const suspectAfter = 2
 
-// deadAfter is how many tries in a row must fail until a node that refuses none is taken for dead. It guards what
-// plays there against one that is lost on the way.
+// deadAfter is the number of consecutive failed dials after which a node that does not refuse connections is taken for
+// dead. Several are required so that the sessions on a node survive a dial that is lost in the network.
 const deadAfter = 3
 
-// maxMissedHeartbeats is how many signs of life a node may owe before its connection is given up.
+// maxMissedHeartbeats is how many heartbeats may stay unanswered before the connection to a node is closed.
 const maxMissedHeartbeats = 3
 
-// Event is something that happened to a node, which the caller names by a small index.
+// Event is something that happened to a node. The caller identifies the node by a small index.
 type Event struct {
 	Node int
 	Kind EventKind
-	Age  time.Duration // Heard: how long ago
+	Age  time.Duration // Received: time since the data arrived
 }
 
-// EventKind happened.
+// EventKind is the kind of an Event.
 type EventKind int
 
-// The events. Ring needs no node.
+// The events. TimerFired applies to no particular node.
 const (
-	Listed         EventKind = iota // the node is to be connected to: newly listed, or started anew
-	Unlisted                        // it is no longer to be
-	Connected                       // a try succeeded
-	ConnectFailed                   // a try failed
-	ConnectionLost                  // a connection that was made has ended
-	Received                        // something came from the node, so long ago
-	Refused                         // a try failed, and the machine itself has said that nothing runs there
-	Suspected                       // the connection that was made may lead nowhere: it is checked by making another
-	NoCapacity                      // a try could not be made for want of room here, which says nothing of the node
-	Needed                          // there is something to be done at the node, where connections are made on need
-	Unneeded                        // there no longer is
-	TimerFired                      // the time that was asked for has come
+	Listed         EventKind = iota // the server list names the node for the first time, or with a new start
+	Unlisted                        // the server list no longer names the node
+	Connected                       // a dial succeeded
+	ConnectFailed                   // a dial failed
+	ConnectionLost                  // an established connection ended
+	Received                        // data arrived from the node, Age ago
+	Refused                         // a dial failed because the machine reported that nothing listens there
+	Suspected                       // the established connection may be dead: another dial checks it
+	NoCapacity                      // a dial was not possible for lack of local capacity, which says nothing about the node
+	Needed                          // with OnDemand: there is work for the node
+	Unneeded                        // with OnDemand: there is no more work for the node
+	TimerFired                      // the time in Plan.NextTimer has come
 )
 
-// Plan is what is to be done: connect to these nodes now, take these for dead, give the connection up to the one
-// that was told of, and ring at a time (0: no need). Of the node that was told of it says whether it is in a pause
-// after a failure, and whether what failed speaks against it: one try that runs out of time may be lost on the way.
+// Plan is what the caller has to do after an event. Close, BackingOff and Suspect concern the node of the event.
 type Plan struct {
-	Dial       []int
-	Dead       []int
-	Close      bool
-	BackingOff bool
-	Suspect    bool
-	NextTimer  time.Duration
+	Dial       []int         // nodes to connect to now
+	Dead       []int         // nodes to take for dead
+	Close      bool          // close the connection to the node
+	BackingOff bool          // the node's next dial waits for its backoff
+	Suspect    bool          // the failure counts against the node; a single dial that times out does not, as it may be lost in the network
+	NextTimer  time.Duration // time of the next TimerFired; 0: none is needed
 }
 
 type state int
 
 const (
-	idle state = iota // wanted, waiting for its time
-	trying
-	made
+	idle state = iota // not connected; the next dial waits for its time
+	dialing
+	connected
 )
 
 type node struct {
-	state  state
-	fails  int
-	due    time.Duration     // no try before
-	turn   timerqueue.Handle // while it is idle and needed
-	needed bool
-	drop   bool // unlisted while a try was under way
+	state     state
+	failures  int               // consecutive failed dials
+	notBefore time.Duration     // earliest time of the next dial
+	timer     timerqueue.Handle // set while the node is idle and needed
+	needed    bool
+	unlisted  bool // unlisted while a dial was in progress
 }
 
-// Connector is the state of one director's tries.
+// Connector is the state of one director's connections to its nodes.
 type Connector struct {
-	pace   ReconnectPolicy
-	chance *rand.Rand
-	nodes  map[int]*node         // emptied as nodes are unlisted
-	turns  timerqueue.Queue[int] // of idle nodes
-	outs   int                   // tries under way
-	plan   Plan
+	policy   ReconnectPolicy
+	random   *rand.Rand
+	nodes    map[int]*node         // the listed nodes, and unlisted ones until their dial ends
+	timers   timerqueue.Queue[int] // next dials of idle nodes
+	inFlight int                   // dials in progress
+	plan     Plan
 }
 
-// Dialing is how many are under way.
-func (r *Connector) Dialing() int { return r.outs }
+// Dialing returns the number of dials in progress.
+func (c *Connector) Dialing() int { return c.inFlight }
 
-// New starts with no nodes.
-func New(seed uint64, pace ReconnectPolicy) *Connector {
-	return &Connector{pace: pace, chance: rand.New(rand.NewPCG(seed, 0)), nodes: map[int]*node{}}
+// New returns a Connector without nodes.
+func New(seed uint64, policy ReconnectPolicy) *Connector {
+	return &Connector{policy: policy, random: rand.New(rand.NewPCG(seed, 0)), nodes: map[int]*node{}}
 }
 
-// Step takes what happened at a time and returns what is to be done. The plan is valid until the next call.
-func (r *Connector) Step(now time.Duration, e Event) Plan {
-	r.plan = Plan{Dial: r.plan.Dial[:0], Dead: r.plan.Dead[:0]}
-	n := r.nodes[e.Node]
-	if e.Kind == Received { // a connection may die without a word; nothing else follows from it
-		r.plan.Close = n != nil && n.state == made && e.Age > maxMissedHeartbeats*r.pace.HeartbeatInterval
-		return r.plan
+// Step processes an event that happened at now and returns what to do. The plan is valid until the next call.
+func (c *Connector) Step(now time.Duration, e Event) Plan {
+	c.plan = Plan{Dial: c.plan.Dial[:0], Dead: c.plan.Dead[:0]}
+	n := c.nodes[e.Node]
+	if e.Kind == Received { // a connection may die without notice, so the age of the last data is checked; nothing else depends on it
+		c.plan.Close = n != nil && n.state == connected && e.Age > maxMissedHeartbeats*c.policy.HeartbeatInterval
+		return c.plan
 	}
 	switch {
 	case e.Kind == TimerFired:
 	case e.Kind == Listed && n == nil:
-		n = &node{needed: !r.pace.OnDemand, due: now}
-		r.nodes[e.Node] = n
-		r.wait(e.Node, n)
+		n = &node{needed: !c.policy.OnDemand, notBefore: now}
+		c.nodes[e.Node] = n
+		c.schedule(e.Node, n)
 	case n == nil: // unlisted meanwhile
-	case e.Kind == Listed: // a new start: what failed before tells nothing of it
-		n.drop, n.fails, n.due = false, 0, now
-		r.wait(e.Node, n)
+	case e.Kind == Listed: // a new start of the node: earlier failures say nothing about it
+		n.unlisted, n.failures, n.notBefore = false, 0, now
+		c.schedule(e.Node, n)
 	case e.Kind == Needed:
 		n.needed = true
-		r.wait(e.Node, n)
-		r.plan.BackingOff = n.state == idle && n.due > now
+		c.schedule(e.Node, n)
+		c.plan.BackingOff = n.state == idle && n.notBefore > now
 	case e.Kind == Unneeded:
-		n.needed = !r.pace.OnDemand
-		r.wait(e.Node, n)
-	case e.Kind == Unlisted && n.state == trying:
-		n.drop = true
+		n.needed = !c.policy.OnDemand
+		c.schedule(e.Node, n)
+	case e.Kind == Unlisted && n.state == dialing:
+		n.unlisted = true
 	case e.Kind == Unlisted:
-		r.turns.Cancel(n.turn)
-		delete(r.nodes, e.Node)
-	case e.Kind == Connected && n.state == trying:
-		r.outs--
-		n.state, n.fails = made, 0
-		if n.drop {
-			delete(r.nodes, e.Node)
+		c.timers.Cancel(n.timer)
+		delete(c.nodes, e.Node)
+	case e.Kind == Connected && n.state == dialing:
+		c.inFlight--
+		n.state, n.failures = connected, 0
+		if n.unlisted {
+			delete(c.nodes, e.Node)
 		}
-	case e.Kind == Suspected && n.state == made:
-		n.state = trying
-		r.outs++
-		r.plan.Dial = append(r.plan.Dial, e.Node)
-	case (e.Kind == ConnectFailed || e.Kind == Refused) && n.state == trying:
-		r.outs--
+	case e.Kind == Suspected && n.state == connected:
+		n.state = dialing
+		c.inFlight++
+		c.plan.Dial = append(c.plan.Dial, e.Node)
+	case (e.Kind == ConnectFailed || e.Kind == Refused) && n.state == dialing:
+		c.inFlight--
 		n.state = idle
-		if e.Kind == Refused || n.fails+1 >= deadAfter {
-			r.plan.Dead = append(r.plan.Dead, e.Node)
+		if e.Kind == Refused || n.failures+1 >= deadAfter {
+			c.plan.Dead = append(c.plan.Dead, e.Node)
 		}
-		r.plan.Suspect = e.Kind == Refused || n.fails+1 >= suspectAfter
-		n.fails++
-		r.pause(now, e.Node, n)
-	case e.Kind == NoCapacity && n.state == trying:
-		r.outs--
+		c.plan.Suspect = e.Kind == Refused || n.failures+1 >= suspectAfter
+		n.failures++
+		c.backOff(now, e.Node, n)
+	case e.Kind == NoCapacity && n.state == dialing:
+		c.inFlight--
 		n.state = idle
-		r.pause(now, e.Node, n)
-	case e.Kind == ConnectionLost && n.state == made:
-		n.state, n.due = idle, now
-		r.wait(e.Node, n) // it may be back already; if not, the pauses begin
+		c.backOff(now, e.Node, n)
+	case e.Kind == ConnectionLost && n.state == connected:
+		n.state, n.notBefore = idle, now
+		c.schedule(e.Node, n) // the node may be reachable again already; if the dial fails, the backoff begins
 	}
-	r.fill(now)
-	return r.plan
+	c.startDials(now)
+	return c.plan
 }
 
-// pause puts the next try off: between half and all of a span that doubles, so that directors that
-// lost a node in the same moment do not come back to it in the same moment.
-func (r *Connector) pause(now time.Duration, i int, n *node) {
-	if n.drop {
-		delete(r.nodes, i)
+// backOff delays the next dial by a random time between half of the backoff and all of it, so that directors that lost
+// a node at the same time do not dial it at the same time.
+func (c *Connector) backOff(now time.Duration, i int, n *node) {
+	if n.unlisted {
+		delete(c.nodes, i)
 		return
 	}
-	span := r.pace.MaxBackoff
-	if again := max(0, n.fails-1); again < 16 {
-		span = min(span, r.pace.InitialBackoff<<again)
+	backoff := c.policy.MaxBackoff
+	if doublings := max(0, n.failures-1); doublings < 16 {
+		backoff = min(backoff, c.policy.InitialBackoff<<doublings)
 	}
-	n.due = now + span/2 + time.Duration(r.chance.Int64N(int64(span/2)+1))
-	r.wait(i, n)
+	n.notBefore = now + backoff/2 + time.Duration(c.random.Int64N(int64(backoff/2)+1))
+	c.schedule(i, n)
 }
 
-// wait puts an idle node's next try at its time, if it is needed.
-func (r *Connector) wait(i int, n *node) {
+// schedule sets the timer for the next dial of an idle node, if the node is needed.
+func (c *Connector) schedule(i int, n *node) {
 	if n.state != idle {
 		return
 	}
-	r.turns.Cancel(n.turn)
-	n.turn = 0
+	c.timers.Cancel(n.timer)
+	n.timer = 0
 	if n.needed {
-		n.turn = r.turns.Add(n.due, i)
+		n.timer = c.timers.Add(n.notBefore, i)
 	}
 }
 
-// fill starts the tries that are due, the longest due first, as far as there is room.
-func (r *Connector) fill(now time.Duration) {
-	for due, ok := r.turns.NextDeadline(); ok; due, ok = r.turns.NextDeadline() {
+// startDials starts the dials that are due, the longest overdue first, up to the bound on concurrent dials.
+func (c *Connector) startDials(now time.Duration) {
+	for due, ok := c.timers.NextDeadline(); ok; due, ok = c.timers.NextDeadline() {
 		if due > now {
-			r.plan.NextTimer = due
+			c.plan.NextTimer = due
 			return
 		}
-		if r.outs >= r.pace.MaxConcurrent {
-			return // a try that ends calls again
+		if c.inFlight >= c.policy.MaxConcurrent {
+			return // the event that ends a dial calls startDials again
 		}
-		i := r.turns.Pop()
-		r.nodes[i].state, r.nodes[i].turn = trying, 0
-		r.outs++
-		r.plan.Dial = append(r.plan.Dial, i)
+		i := c.timers.Pop()
+		c.nodes[i].state, c.nodes[i].timer = dialing, 0
+		c.inFlight++
+		c.plan.Dial = append(c.plan.Dial, i)
 	}
 }
--- a/connector/connector_test.go
+++ b/connector/connector_test.go
@@ -9,72 +9,73 @@
 	_ "fordusher/internal/testseed"
 )
 
-var pace = ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 3, HeartbeatInterval: time.Second}
+var testPolicy = ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 3, HeartbeatInterval: time.Second}
 
-// Whatever happens: never two tries at one node, never more than AtOnce, no try at an unlisted node, and
-// a node that is wanted and not connected is tried again within the longest pause once there is room.
-func TestTriesStayWithinBounds(t *testing.T) {
+// For any sequence of events, a node is never dialed twice at a time, no more than MaxConcurrent dials are in progress,
+// an unlisted node is not dialed, and a listed node that is not connected is dialed again within MaxBackoff plus a
+// second of slack, as soon as the bound on concurrent dials allows it.
+func TestDialsStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := New(rapid.Uint64().Draw(t, "seed"), pace)
-		listed, trying, up := map[int]bool{}, map[int]bool{}, map[int]bool{}
+		c := New(rapid.Uint64().Draw(t, "seed"), testPolicy)
+		listed, dialing, connected := map[int]bool{}, map[int]bool{}, map[int]bool{}
 		idleSince := map[int]time.Duration{}
-		var now, ring time.Duration
+		var now, nextTimer time.Duration
 		step := func(e Event) {
-			p := r.Step(now, e)
+			p := c.Step(now, e)
 			for _, i := range p.Dial {
-				if trying[i] || up[i] {
-					t.Fatalf("node %d tried while it is connected or tried", i)
+				if dialing[i] || connected[i] {
+					t.Fatalf("node %d is dialed while it is connected or being dialed", i)
 				}
 				if !listed[i] {
-					t.Fatalf("node %d tried though it is not listed", i)
+					t.Fatalf("node %d is dialed though it is not listed", i)
 				}
-				trying[i] = true
+				dialing[i] = true
 				delete(idleSince, i)
 			}
-			if len(trying) > pace.MaxConcurrent {
-				t.Fatalf("%d tries at once", len(trying))
+			if len(dialing) > testPolicy.MaxConcurrent {
+				t.Fatalf("%d dials in progress at one time", len(dialing))
 			}
-			ring = p.NextTimer
+			nextTimer = p.NextTimer
 			for i, since := range idleSince {
-				if len(trying) < pace.MaxConcurrent && now > since+pace.MaxBackoff+time.Second {
-					t.Fatalf("node %d forgotten since %v", i, since)
+				if len(dialing) < testPolicy.MaxConcurrent && now > since+testPolicy.MaxBackoff+time.Second {
+					t.Fatalf("node %d has been listed and idle since %v and is not dialed", i, since)
 				}
 			}
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
-			for ring > 0 && ring <= now {
+			for nextTimer > 0 && nextTimer <= now {
 				step(Event{Kind: TimerFired})
 			}
 			i := rapid.IntRange(0, 7).Draw(t, "node")
-			switch what := EventKind(rapid.IntRange(0, 4).Draw(t, "what")); {
-			case what == Listed:
-				if !listed[i] && !trying[i] && !up[i] {
+			switch kind := EventKind(rapid.IntRange(0, 4).Draw(t, "kind")); {
+			case kind == Listed:
+				if !listed[i] && !dialing[i] && !connected[i] {
 					idleSince[i] = now
 				}
 				listed[i] = true
 				step(Event{Node: i, Kind: Listed})
-			case what == Unlisted && listed[i]:
+			case kind == Unlisted && listed[i]:
 				delete(listed, i)
 				delete(idleSince, i)
-				if up[i] {
-					delete(up, i) // the caller hangs up
+				if connected[i] {
+					delete(connected, i) // the caller closes the connection
 				}
 				step(Event{Node: i, Kind: Unlisted})
-			case what == Connected && trying[i]:
-				delete(trying, i)
+			case kind == Connected && dialing[i]:
+				delete(dialing, i)
 				if listed[i] {
-					up[i] = true
+					connected[i] = true
 				}
 				step(Event{Node: i, Kind: Connected})
-			case what == ConnectFailed && trying[i]:
-				delete(trying, i)
+			case kind == ConnectFailed && dialing[i]:
+				delete(dialing, i)
 				if listed[i] {
 					idleSince[i] = now
 				}
 				step(Event{Node: i, Kind: ConnectFailed})
-			case what == ConnectionLost && up[i]:
-				delete(up, i)
+			case kind == ConnectionLost && connected[i]:
+				delete(connected, i)
 				idleSince[i] = now
 				step(Event{Node: i, Kind: ConnectionLost})
 			}
@@ -82,86 +83,88 @@
 	})
 }
 
-// A node that stays away is tried ever less often, and at once when the list tells of a new start.
-func TestPausesDoubleUntilANewStart(t *testing.T) {
-	r := New(1, pace)
+// A node that cannot be reached is dialed with a backoff that doubles, and at once when the server list reports a new
+// start of the node.
+func TestBackoffDoublesUntilListedAgain(t *testing.T) {
+	c := New(1, testPolicy)
 	now := time.Duration(0)
-	p := r.Step(now, Event{Node: 0, Kind: Listed})
+	p := c.Step(now, Event{Node: 0, Kind: Listed})
 	last := time.Duration(0)
 	for i := range 6 {
 		if len(p.Dial) != 1 {
 			t.Fatal(i, p)
 		}
-		p = r.Step(now, Event{Node: 0, Kind: ConnectFailed})
-		span := min(pace.MaxBackoff, pace.InitialBackoff<<i)
+		p = c.Step(now, Event{Node: 0, Kind: ConnectFailed})
+		span := min(testPolicy.MaxBackoff, testPolicy.InitialBackoff<<i)
 		if wait := p.NextTimer - now; wait < span/2 || wait > span || i > 0 && wait < last/4 {
 			t.Fatal(i, wait)
 		}
 		last = p.NextTimer - now
 		now = p.NextTimer
-		p = r.Step(now, Event{Kind: TimerFired})
+		p = c.Step(now, Event{Kind: TimerFired})
 	}
-	r.Step(now, Event{Node: 0, Kind: ConnectFailed})
-	if p = r.Step(now, Event{Node: 0, Kind: Listed}); len(p.Dial) != 1 {
-		t.Fatal("a new start waits for an old pause", p)
+	c.Step(now, Event{Node: 0, Kind: ConnectFailed})
+	if p = c.Step(now, Event{Node: 0, Kind: Listed}); len(p.Dial) != 1 {
+		t.Fatal("a newly started node waits for the backoff of its earlier start", p)
 	}
 }
 
-// A node that has been quiet for three signs of life is given up; one that is not connected has nothing to give up.
-func TestQuietNodeIsGivenUp(t *testing.T) {
-	r := New(1, pace)
-	r.Step(0, Event{Node: 0, Kind: Listed})
-	if r.Step(0, Event{Node: 0, Kind: Received, Age: time.Hour}).Close {
-		t.Fatal("given up before it was connected")
+// The connection to a node that has been silent for more than three heartbeat intervals is closed; for a node that is
+// not connected there is nothing to close.
+func TestSilentNodeIsClosed(t *testing.T) {
+	c := New(1, testPolicy)
+	c.Step(0, Event{Node: 0, Kind: Listed})
+	if c.Step(0, Event{Node: 0, Kind: Received, Age: time.Hour}).Close {
+		t.Fatal("close requested before the node was connected")
 	}
-	r.Step(0, Event{Node: 0, Kind: Connected})
+	c.Step(0, Event{Node: 0, Kind: Connected})
 	for _, x := range []struct {
-		ago  time.Duration
+		age  time.Duration
 		want bool
-	}{{0, false}, {3 * pace.HeartbeatInterval, false}, {3*pace.HeartbeatInterval + 1, true}} {
-		if got := r.Step(0, Event{Node: 0, Kind: Received, Age: x.ago}).Close; got != x.want {
-			t.Errorf("quiet for %v: given up %v", x.ago, got)
+	}{{0, false}, {3 * testPolicy.HeartbeatInterval, false}, {3*testPolicy.HeartbeatInterval + 1, true}} {
+		if got := c.Step(0, Event{Node: 0, Kind: Received, Age: x.age}).Close; got != x.want {
+			t.Errorf("silent for %v: close is %v", x.age, got)
 		}
 	}
 }
 
-// Made on need: whatever happens, no node is tried that nobody needs, and one that is needed and not connected is tried
-// again within the longest pause once there is room.
-func TestTriesOnNeed(t *testing.T) {
+// With OnDemand, for any sequence of events, a node that is not needed is not dialed, and a node that is needed and not
+// connected is dialed again within MaxBackoff plus a second of slack, as soon as the bound on concurrent dials allows it.
+func TestDialsOnDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		onNeed := pace
-		onNeed.OnDemand = true
-		r := New(1, onNeed)
-		listed, needed, trying, up := map[int]bool{}, map[int]bool{}, map[int]bool{}, map[int]bool{}
-		since := map[int]time.Duration{} // needed, and neither tried nor connected
-		var now, ring time.Duration
+		onDemand := testPolicy
+		onDemand.OnDemand = true
+		c := New(1, onDemand)
+		listed, needed, dialing, connected := map[int]bool{}, map[int]bool{}, map[int]bool{}, map[int]bool{}
+		since := map[int]time.Duration{} // needed, and neither dialed nor connected
+		var now, nextTimer time.Duration
 		step := func(e Event) Plan {
-			p := r.Step(now, e)
+			p := c.Step(now, e)
 			for _, i := range p.Dial {
-				if trying[i] || !listed[i] || !needed[i] && e.Kind != Suspected {
-					t.Fatalf("node %d is tried: trying %v, listed %v, needed %v", i, trying[i], listed[i], needed[i])
+				if dialing[i] || !listed[i] || !needed[i] && e.Kind != Suspected {
+					t.Fatalf("node %d is dialed: dialing %v, listed %v, needed %v", i, dialing[i], listed[i], needed[i])
 				}
-				trying[i] = true
+				dialing[i] = true
 				delete(since, i)
 			}
-			if len(trying) != r.Dialing() || len(trying) > onNeed.MaxConcurrent+1 {
-				t.Fatalf("%d tries, %d are counted", len(trying), r.Dialing())
+			if len(dialing) != c.Dialing() || len(dialing) > onDemand.MaxConcurrent+1 {
+				t.Fatalf("%d dials in progress, the Connector counts %d", len(dialing), c.Dialing())
 			}
-			ring = p.NextTimer
-			for i, at := range since {
-				if len(trying) < onNeed.MaxConcurrent && now > at+onNeed.MaxBackoff+time.Second {
-					t.Fatalf("node %d is needed since %v", i, at)
+			nextTimer = p.NextTimer
+			for i, neededAt := range since {
+				if len(dialing) < onDemand.MaxConcurrent && now > neededAt+onDemand.MaxBackoff+time.Second {
+					t.Fatalf("node %d has been needed since %v and is not dialed", i, neededAt)
 				}
 			}
 			return p
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
-			for ring > 0 && ring <= now {
+			for nextTimer > 0 && nextTimer <= now {
 				step(Event{Kind: TimerFired})
 			}
 			i := rapid.IntRange(0, 7).Draw(t, "node")
-			switch what := rapid.SampledFrom([]EventKind{Listed, Needed, Unneeded, Connected, ConnectFailed, Refused, ConnectionLost, NoCapacity}).Draw(t, "what"); what {
+			switch kind := rapid.SampledFrom([]EventKind{Listed, Needed, Unneeded, Connected, ConnectFailed, Refused, ConnectionLost, NoCapacity}).Draw(t, "kind"); kind {
 			case Listed:
 				listed[i] = true
 				step(Event{Node: i, Kind: Listed})
@@ -169,30 +172,30 @@
 				if !listed[i] {
 					continue
 				}
-				needed[i] = what == Needed
+				needed[i] = kind == Needed
 				delete(since, i)
-				if needed[i] && !trying[i] && !up[i] {
+				if needed[i] && !dialing[i] && !connected[i] {
 					since[i] = now
 				}
-				step(Event{Node: i, Kind: what})
+				step(Event{Node: i, Kind: kind})
 			case Connected, ConnectFailed, Refused, NoCapacity:
-				if !trying[i] {
+				if !dialing[i] {
 					continue
 				}
-				delete(trying, i)
-				up[i] = what == Connected
-				if needed[i] && !up[i] {
+				delete(dialing, i)
+				connected[i] = kind == Connected
+				if needed[i] && !connected[i] {
 					since[i] = now
 				}
-				p := step(Event{Node: i, Kind: what})
-				if p.Suspect && (what == Connected || what == NoCapacity) || len(p.Dead) > 0 && what == NoCapacity {
+				p := step(Event{Node: i, Kind: kind})
+				if p.Suspect && (kind == Connected || kind == NoCapacity) || len(p.Dead) > 0 && kind == NoCapacity {
 					t.Fatalf("%+v", p)
 				}
 			case ConnectionLost:
-				if !up[i] {
+				if !connected[i] {
 					continue
 				}
-				delete(up, i)
+				delete(connected, i)
 				if needed[i] {
 					since[i] = now
 				}
--- a/connector/suspect_test.go
+++ b/connector/suspect_test.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// A connection in doubt is checked by one more; a refusal is proof at once, silence only several times in a row.
-func TestDoubtAndDeath(t *testing.T) {
+// A suspected connection is checked by exactly one further dial. A refused dial proves at once that the node is dead;
+// dials that fail otherwise prove it only after deadAfter failures in a row.
+func TestSuspectedConnectionAndDeadNode(t *testing.T) {
 	for _, refused := range []bool{true, false} {
-		r := New(1, ReconnectPolicy{InitialBackoff: time.Second, MaxBackoff: time.Second, MaxConcurrent: 4})
-		r.Step(0, Event{Kind: Listed})
-		r.Step(0, Event{Kind: Connected})
-		if plan := r.Step(0, Event{Kind: Suspected}); len(plan.Dial) != 1 {
-			t.Fatal("not checked")
+		c := New(1, ReconnectPolicy{InitialBackoff: time.Second, MaxBackoff: time.Second, MaxConcurrent: 4})
+		c.Step(0, Event{Kind: Listed})
+		c.Step(0, Event{Kind: Connected})
+		if plan := c.Step(0, Event{Kind: Suspected}); len(plan.Dial) != 1 {
+			t.Fatal("the suspected connection is not checked by a dial")
 		}
-		if plan := r.Step(0, Event{Kind: Suspected}); len(plan.Dial) != 0 {
-			t.Fatal("checked twice at a time")
+		if plan := c.Step(0, Event{Kind: Suspected}); len(plan.Dial) != 0 {
+			t.Fatal("the suspected connection is checked by two dials at a time")
 		}
-		what, want := ConnectFailed, deadAfter
+		kind, want := ConnectFailed, deadAfter
 		if refused {
-			what, want = Refused, 1
+			kind, want = Refused, 1
 		}
-		tries, now := 0, time.Duration(0)
+		dials, now := 0, time.Duration(0)
 		for dead := false; !dead; {
-			tries++
-			plan := r.Step(now, Event{Kind: what})
+			dials++
+			plan := c.Step(now, Event{Kind: kind})
 			if dead = len(plan.Dead) > 0; !dead {
 				now += 2 * time.Second
-				r.Step(now, Event{Kind: TimerFired})
+				c.Step(now, Event{Kind: TimerFired})
 			}
-			if tries > deadAfter {
-				t.Fatal("never dead")
+			if dials > deadAfter {
+				t.Fatal("the node is not taken for dead")
 			}
 		}
-		if tries != want {
-			t.Fatalf("refused %v: dead after %d tries, wanted %d", refused, tries, want)
+		if dials != want {
+			t.Fatalf("refused %v: dead after %d dials, want %d", refused, dials, want)
 		}
 	}
 }
