--- a/shutdown/shutdown.go
+++ b/shutdown/shutdown.go
@@ -1,84 +1,83 @@
-// Package shutdown decides how a director that is told to stop lets its sessions go: nothing new is
-// taken, every answer owed goes out first, and the sessions that play are ended in slices that double,
-// so that their viewers do not all come to the other directors in one moment. It does no I/O and has no clock.
+// Package shutdown decides how a director that is asked to stop ends its sessions. New requests are no longer
+// accepted, every owed answer is sent first, and the playing sessions are ended in batches that double, so that their
+// clients do not all connect to the other directors at the same time. The package does no I/O and has no clock.
 package shutdown
 
 import "time"
 
-// Policy is how long a director has from the order to stop until it must have ended.
+// Policy sets how long a shutdown may take and how it proceeds.
 type Policy struct {
-	Timeout       time.Duration // sessions and answers alike are done by then
-	BatchInterval time.Duration // time between slices
-	MinDuration   time.Duration // who still comes is answered for so long
-	CloseTimeout  time.Duration // longest that clients' connections may take to close after that
+	Timeout       time.Duration // from the start until the last session has ended and no answer is owed
+	BatchInterval time.Duration // time between two batches of ended sessions
+	MinDuration   time.Duration // for this long, clients that still connect get an answer
+	CloseTimeout  time.Duration // longest time that closing the client connections may take after that
 }
 
-// Remaining is what a director still has: answers owed, sessions that play, and connections from clients.
+// Remaining is what a director still has: owed answers, playing sessions and client connections.
 type Remaining struct{ Owed, Playing, Clients int }
 
-// Plan is what is to be done now: end so many sessions that play, give up what is still owed, close the connections from
-// clients on which nothing is owed, stop, or look again at a time.
+// Plan is what the director has to do now.
 type Plan struct {
-	EndSessions     int
-	AbandonRequests bool
-	CloseClients    bool
-	Done            bool
-	NextStep        time.Duration
+	EndSessions     int           // number of playing sessions to end
+	AbandonRequests bool          // give up the owed answers
+	CloseClients    bool          // close the client connections on which no answer is owed
+	Done            bool          // the shutdown is complete
+	NextStep        time.Duration // when to call Step again
 }
 
-// partEvery is how often connections that did not close are looked at again.
-const partEvery = 10 * time.Millisecond
+// closePollInterval is the time between two checks of client connections that are still open.
+const closePollInterval = 10 * time.Millisecond
 
-// Sequence is one stop under way.
+// Sequence is the state of one shutdown.
 type Sequence struct {
-	term  Policy
-	began time.Duration
-	slice int
-	due   time.Duration
-	parts time.Duration // when clients' connections began to be closed; 0: they have not
+	policy         Policy
+	startedAt      time.Duration
+	batch          int           // size of the next batch
+	nextBatch      time.Duration // time of the next batch
+	closeStartedAt time.Duration // when closing of the client connections started; 0: not yet
 }
 
-// Start starts a stop.
-func Start(now time.Duration, term Policy) *Sequence {
-	return &Sequence{term: term, began: now, slice: 1, due: now}
+// Start begins a shutdown at now.
+func Start(now time.Duration, policy Policy) *Sequence {
+	return &Sequence{policy: policy, startedAt: now, batch: 1, nextBatch: now}
 }
 
-// Step takes what is left at a time and returns what is to be done. The slices double; where doubling
-// would not end in time, the rest is spread evenly over the slices there are.
-func (c *Sequence) Step(now time.Duration, left Remaining) Plan {
-	if left.Owed == 0 && left.Playing == 0 {
-		if least := c.began + c.term.MinDuration; now < least {
-			return Plan{NextStep: least}
+// Step takes what remains at now and returns what to do. The batches double; where doubling would not end all sessions
+// within the timeout, the rest is spread evenly over the batches that remain.
+func (s *Sequence) Step(now time.Duration, remaining Remaining) Plan {
+	if remaining.Owed == 0 && remaining.Playing == 0 {
+		if earliest := s.startedAt + s.policy.MinDuration; now < earliest {
+			return Plan{NextStep: earliest}
 		}
-		return c.part(now, left)
+		return s.closeClients(now, remaining)
 	}
-	end := c.began + c.term.Timeout
-	if now >= end {
-		return Plan{EndSessions: left.Playing, AbandonRequests: true, NextStep: now + c.term.BatchInterval}
+	deadline := s.startedAt + s.policy.Timeout
+	if now >= deadline {
+		return Plan{EndSessions: remaining.Playing, AbandonRequests: true, NextStep: now + s.policy.BatchInterval}
 	}
-	plan := Plan{NextStep: max(now+1, min(c.due, end))}
-	if now < c.due {
+	plan := Plan{NextStep: max(now+1, min(s.nextBatch, deadline))}
+	if now < s.nextBatch {
 		return plan
 	}
-	slices := max(1, int((end-now)/c.term.BatchInterval))
-	need := (left.Playing + slices - 1) / slices
-	if doubled := c.slice * (1<<min(slices, 30) - 1); doubled >= left.Playing {
-		need = 0
+	batches := max(1, int((deadline-now)/s.policy.BatchInterval))
+	even := (remaining.Playing + batches - 1) / batches
+	if doubled := s.batch * (1<<min(batches, 30) - 1); doubled >= remaining.Playing {
+		even = 0
 	}
-	plan.EndSessions = min(left.Playing, max(c.slice, need))
-	c.slice = max(c.slice, plan.EndSessions) * 2
-	c.due = now + c.term.BatchInterval
-	plan.NextStep = min(c.due, end)
+	plan.EndSessions = min(remaining.Playing, max(s.batch, even))
+	s.batch = max(s.batch, plan.EndSessions) * 2
+	s.nextBatch = now + s.policy.BatchInterval
+	plan.NextStep = min(s.nextBatch, deadline)
 	return plan
 }
 
-// part ends the stop once no client is connected, or the time for that is over.
-func (c *Sequence) part(now time.Duration, left Remaining) Plan {
-	if c.parts == 0 {
-		c.parts = max(1, now)
+// closeClients closes the client connections. The shutdown is done once none is left or CloseTimeout has passed.
+func (s *Sequence) closeClients(now time.Duration, remaining Remaining) Plan {
+	if s.closeStartedAt == 0 {
+		s.closeStartedAt = max(1, now)
 	}
-	if left.Clients == 0 || now >= c.parts+c.term.CloseTimeout {
+	if remaining.Clients == 0 || now >= s.closeStartedAt+s.policy.CloseTimeout {
 		return Plan{CloseClients: true, Done: true}
 	}
-	return Plan{CloseClients: true, NextStep: min(now+partEvery, c.parts+c.term.CloseTimeout)}
+	return Plan{CloseClients: true, NextStep: min(now+closePollInterval, s.closeStartedAt+s.policy.CloseTimeout)}
 }
