--- a/limits/descriptors.go
+++ b/limits/descriptors.go
@@ -2,23 +2,24 @@
 
 import "fmt"
 
-// What is left of the descriptors for what is not told here (files, the metrics page, connections that are
-// being closed), and the part of them that handshakes under way may take.
+// uncountedDescriptors is the number of descriptors left for what Capacity does not count: files, the metrics page and
+// connections that are being closed. Handshakes in progress may take one in handshakeShareDivisor of all descriptors.
 const (
-	reserve        = 100
-	handshakeShare = 8
+	uncountedDescriptors  = 100
+	handshakeShareDivisor = 8
 )
 
-// FitDescriptors makes a room as small as the process's descriptors ask for, beside the connections to so many nodes,
-// one standing and one being made for each. Running out in accept is survived, but nobody can be told then
-// when to come back. It returns a line for those on call where it had to.
-func (r Capacity) FitDescriptors(descriptors, nodes int) (Capacity, string) {
-	asked := r
-	r.MaxHandshakes = min(r.MaxHandshakes, max(1, descriptors/handshakeShare))
-	r.MaxConnections = max(1, min(r.MaxConnections, descriptors-r.MaxHandshakes-2*nodes-reserve))
-	if r == asked {
-		return r, ""
+// FitDescriptors lowers the capacity to what the process's descriptors allow besides the connections to so many nodes:
+// for each node one established connection and one being established. The listener survives running out of descriptors in
+// accept, but then no client can be given a retry delay. If FitDescriptors lowers the capacity, it also returns a log
+// line for the operator.
+func (c Capacity) FitDescriptors(descriptors, nodes int) (Capacity, string) {
+	requested := c
+	c.MaxHandshakes = min(c.MaxHandshakes, max(1, descriptors/handshakeShareDivisor))
+	c.MaxConnections = max(1, min(c.MaxConnections, descriptors-c.MaxHandshakes-2*nodes-uncountedDescriptors))
+	if c == requested {
+		return c, ""
 	}
-	return r, fmt.Sprintf("connections: %d descriptors and %d nodes leave room for %d players (%d asked for) and %d handshakes (%d)",
-		descriptors, nodes, r.MaxConnections, asked.MaxConnections, r.MaxHandshakes, asked.MaxHandshakes)
+	return c, fmt.Sprintf("connections: %d descriptors and %d nodes leave capacity for %d clients (%d configured) and %d handshakes (%d configured)",
+		descriptors, nodes, c.MaxConnections, requested.MaxConnections, c.MaxHandshakes, requested.MaxHandshakes)
 }
--- a/limits/queue.go
+++ b/limits/queue.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// QueuePolicy is how long new requests may stand in line for a loop that is behind.
+// QueuePolicy sets how long new requests may wait in the queue of an event loop that is behind.
 type QueuePolicy struct {
-	MaxWait       time.Duration // longer than this for a whole interval: the line presses, and who waited so long is turned away
-	MaxRetryAfter time.Duration // longest time that they are told to stay away
+	MaxWait       time.Duration // if every request of an interval waits longer, the queue is overloaded
+	MaxRetryAfter time.Duration // longest retry delay of rejected requests
 }
 
-// MaxQueueWait is a wait for the loop that leaves three quarters of the shortest goal time to the set-up.
+// MaxQueueWait returns a wait for the loop that leaves three quarters of the shortest goal time for the setup of a
+// session: a quarter of that goal time, and 250 ms at most.
 func MaxQueueWait(goals []time.Duration) time.Duration {
 	wait := 250 * time.Millisecond
 	for _, g := range goals {
@@ -23,100 +24,102 @@
 	return wait
 }
 
-// RequestQueue decides which of the requests that wait for the loop are still taken. It looks at how long they
-// have waited and not at how many there are: a burst that is worked off within an interval is no reason to
-// turn anybody away, a line that stands is.
+// RequestQueue decides which requests that waited for the event loop are still admitted. It considers how long they
+// waited and not how many there are: a burst that is processed within an interval is no reason to reject requests, a
+// standing queue is.
 //
-//	calm      all are taken; where even the shortest wait of an interval was over Wait, the line presses
-//	pressing  who has waited for half of Wait is turned away at once, while there is still time to come
-//	          again; where the shortest wait of an interval was under that, the line no longer stands: calm
+//	calm        every request is admitted; if even the shortest wait of an interval exceeds MaxWait, the queue becomes
+//	            overloaded
+//	overloaded  a request that waited longer than half of MaxWait is rejected at once, while its client still has time
+//	            to retry; if the shortest wait of an interval is at most half of MaxWait, the queue becomes calm
 //
-// Only requests that nothing was done for yet come here. Answers, endings and what nodes say never wait
-// behind them: the caller keeps those in a lane of their own.
+// Only requests that have not been worked on yet pass through this queue. Answers, session ends and messages of nodes
+// never wait behind them: the caller keeps those in a separate queue.
 type RequestQueue struct {
-	queue    QueuePolicy
-	chance   *rand.Rand
-	pressing bool
-	ends     time.Duration // of the interval
-	shortest time.Duration // wait in it
-	seen     int
-	taken    int           // in the interval
-	pace     int           // taken in the last one
-	turned   int           // since began
-	told     bool          // that it presses: it may calm down and press again many times a second
-	began    time.Duration // when that was told
-	pressed  time.Duration // when it pressed last
+	policy         QueuePolicy
+	random         *rand.Rand
+	overloaded     bool
+	intervalEnd    time.Duration
+	shortestWait   time.Duration // in the interval
+	requests       int           // in the interval
+	admitted       int           // in the interval
+	lastAdmitted   int           // in the previous interval, one at least
+	rejected       int           // since loggedAt
+	overloadLogged bool          // the overload is logged and its end is not: the state may change many times a second
+	loggedAt       time.Duration // when the overload was logged
+	lastOverloaded time.Duration // end of the last overloaded interval
 }
 
-// Decision is what becomes of one request.
+// Decision is the answer to one request.
 type Decision struct {
 	Admit      bool
-	RetryAfter time.Duration // where it is not taken: when to come back
-	Log        string        // one line for a change of mode
+	RetryAfter time.Duration // if not admitted: delay before the client retries
+	Log        string        // log line for the start or end of an overload; "": none
 }
 
-// queueInterval is an interval; the line is told to be calm once it has been for calmFor.
+// queueInterval is the length of an interval. The end of an overload is logged once the queue has been calm for
+// calmLogDelay.
 const (
 	queueInterval = 100 * time.Millisecond
-	calmFor       = time.Second
+	calmLogDelay  = time.Second
 )
 
-// NewRequestQueue starts calm.
-func NewRequestQueue(seed uint64, queue QueuePolicy) *RequestQueue {
-	return &RequestQueue{queue: queue, chance: rand.New(rand.NewPCG(seed, 11))}
+// NewRequestQueue returns a queue that is calm.
+func NewRequestQueue(seed uint64, policy QueuePolicy) *RequestQueue {
+	return &RequestQueue{policy: policy, random: rand.New(rand.NewPCG(seed, 11))}
 }
 
-// Overloaded tells whether requests are being turned away.
-func (l *RequestQueue) Overloaded() bool { return l.pressing }
+// Overloaded reports whether long-waiting requests are rejected.
+func (q *RequestQueue) Overloaded() bool { return q.overloaded }
 
-// Step takes a request that comes to its turn at a time, after it has waited for so long.
-func (l *RequestQueue) Step(now, waited time.Duration) (w Decision) {
-	if now >= l.ends {
-		w.Log = l.turnInterval(now)
+// Step decides on a request that reaches the head of the queue at now, after it has waited.
+func (q *RequestQueue) Step(now, waited time.Duration) (d Decision) {
+	if now >= q.intervalEnd {
+		d.Log = q.endInterval(now)
 	}
-	if l.seen == 0 || waited < l.shortest {
-		l.shortest = waited
+	if q.requests == 0 || waited < q.shortestWait {
+		q.shortestWait = waited
 	}
-	l.seen++
-	w.Admit = !l.pressing || waited <= l.queue.MaxWait/2
-	if w.Admit {
-		l.taken++
-		return w
+	q.requests++
+	d.Admit = !q.overloaded || waited <= q.policy.MaxWait/2
+	if d.Admit {
+		q.admitted++
+		return d
 	}
-	l.turned++
-	w.RetryAfter = l.retry()
-	return w
+	q.rejected++
+	d.RetryAfter = q.retryDelay()
+	return d
 }
 
-// turnInterval judges the interval that has ended and begins the next.
-func (l *RequestQueue) turnInterval(now time.Duration) (log string) {
-	quiet := now >= l.ends+queueInterval // a whole interval without a request: the line is empty
+// endInterval evaluates the interval that has ended and begins the next. It returns a log line, or "".
+func (q *RequestQueue) endInterval(now time.Duration) (log string) {
+	empty := now >= q.intervalEnd+queueInterval // a whole interval passed without a request, so the queue is empty
 	switch {
-	case !l.pressing && !quiet && l.seen > 1 && l.shortest > l.queue.MaxWait:
-		l.pressing = true
-		if !l.told {
-			l.told, l.turned, l.began = true, 0, now
-			log = fmt.Sprintf("requests: pressing: none of %d waited under %v for the loop in %v; who waited over %v is turned away", l.seen,
-				l.shortest.Round(time.Millisecond), queueInterval, l.queue.MaxWait/2)
+	case !q.overloaded && !empty && q.requests > 1 && q.shortestWait > q.policy.MaxWait:
+		q.overloaded = true
+		if !q.overloadLogged {
+			q.overloadLogged, q.rejected, q.loggedAt = true, 0, now
+			log = fmt.Sprintf("requests: overloaded: each of %d waited %v or longer for the loop in %v; requests that waited over %v are rejected", q.requests,
+				q.shortestWait.Round(time.Millisecond), queueInterval, q.policy.MaxWait/2)
 		}
-	case l.pressing && (quiet || l.shortest <= l.queue.MaxWait/2):
-		l.pressing = false
+	case q.overloaded && (empty || q.shortestWait <= q.policy.MaxWait/2):
+		q.overloaded = false
 	}
-	if l.pressing {
-		l.pressed = now
-	} else if l.told && now >= l.pressed+calmFor {
-		l.told = false
-		log = fmt.Sprintf("requests: calm after %v, %d turned away", (now - l.began).Round(time.Millisecond), l.turned)
+	if q.overloaded {
+		q.lastOverloaded = now
+	} else if q.overloadLogged && now >= q.lastOverloaded+calmLogDelay {
+		q.overloadLogged = false
+		log = fmt.Sprintf("requests: overload ended after %v, %d rejected", (now - q.loggedAt).Round(time.Millisecond), q.rejected)
 	}
-	l.pace = max(1, l.taken)
-	l.ends, l.seen, l.taken = now+queueInterval, 0, 0
+	q.lastAdmitted = max(1, q.admitted)
+	q.intervalEnd, q.requests, q.admitted = now+queueInterval, 0, 0
 	return log
 }
 
-// retry spreads those who are turned away over the time that taking them would need at the pace at which
-// requests are taken now; drawn, so that they do not come back together.
-func (l *RequestQueue) retry() time.Duration {
-	wait := max(time.Second, time.Duration(l.turned/l.pace)*queueInterval)
-	wait = min(wait, l.queue.MaxRetryAfter/2)
-	return wait + time.Duration(l.chance.Int64N(int64(wait)+1))
+// retryDelay spreads the retries of rejected requests over the time that admitting them would take at the current rate.
+// The delay is random, so that the clients do not retry together.
+func (q *RequestQueue) retryDelay() time.Duration {
+	wait := max(time.Second, time.Duration(q.rejected/q.lastAdmitted)*queueInterval)
+	wait = min(wait, q.policy.MaxRetryAfter/2)
+	return wait + time.Duration(q.random.Int64N(int64(wait)+1))
 }
