--- a/limits/budget_test.go
+++ b/limits/budget_test.go
@@ -7,24 +7,24 @@
 	"pgregory.net/rapid"
 )
 
-// tightCapacity is the smallest budget that a platform gives: 256 descriptors.
+// tightCapacity has the smallest budget of descriptors that a platform gives: 256.
 var tightCapacity = Capacity{MaxConnections: 256, MaxHandshakes: 256, HeartbeatInterval: 24 * time.Hour, IdleTimeout: time.Second, HandshakeTimeout: time.Second,
 	MaxRetryAfter: time.Second, DisplaceIdleAfter: time.Second, MaxDescriptors: 256, ReservedDescriptors: 40, PreHandshakeDescriptors: 32}
 
-// Whatever players and nodes ask for, what they hold together stays within the budget, who is busy is never let go, and
-// a node is refused only where all who are there are busy.
-func TestOneBudgetForPlayersAndNodes(t *testing.T) {
+// For any sequence of requests by clients and nodes, their connections together stay within the budget of descriptors, a
+// busy client is never evicted, and a dial to a node is refused only if every connected client is busy.
+func TestClientsAndNodesShareDescriptors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(1, tightCapacity)
 		var now time.Duration
-		players, nodes, idleNodes := map[int]bool{}, 0, 0 // true: busy
+		clients, nodes, idleNodes := map[int]bool{}, 0, 0 // true: busy
 		step := func(e Event) *Plan {
 			plan := l.Step(now, e)
 			for _, x := range plan.Evict {
-				if busy, there := players[x.Conn]; !there || busy {
-					t.Fatalf("%d is let go: there %v, busy %v", x.Conn, there, busy)
+				if busy, open := clients[x.Conn]; !open || busy {
+					t.Fatalf("connection %d is evicted: open %v, busy %v", x.Conn, open, busy)
 				}
-				delete(players, x.Conn)
+				delete(clients, x.Conn)
 			}
 			got := *plan
 			for _, x := range append([]Eviction(nil), plan.Evict...) {
@@ -35,22 +35,22 @@
 		for range rapid.IntRange(1, 600).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			conn := rapid.IntRange(0, 255).Draw(t, "conn")
-			busy, there := players[conn]
-			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
-			case what < 4 && !there:
+			busy, open := clients[conn]
+			switch action := rapid.IntRange(0, 9).Draw(t, "action"); {
+			case action < 4 && !open:
 				if step(Event{Kind: ConnectRequest, Conn: conn, Nodes: nodes}).Admit {
-					players[conn] = false
-					if rapid.Bool().Draw(t, "asks at once") {
-						players[conn] = true
+					clients[conn] = false
+					if rapid.Bool().Draw(t, "requests before HandshakeDone") {
+						clients[conn] = true
 						step(Event{Kind: Busy, Conn: conn})
 					}
 					step(Event{Kind: HandshakeDone, Conn: conn})
 				}
-			case what < 6:
+			case action < 6:
 				plan := step(Event{Kind: DialRequest, Nodes: nodes, IdleNodeConn: idleNodes > 0})
-				free := tightCapacity.MaxDescriptors - tightCapacity.ReservedDescriptors - tightCapacity.PreHandshakeDescriptors - nodes - len(players)
+				free := tightCapacity.MaxDescriptors - tightCapacity.ReservedDescriptors - tightCapacity.PreHandshakeDescriptors - nodes - len(clients)
 				allBusy := true
-				for _, b := range players {
+				for _, b := range clients {
 					allBusy = allBusy && b
 				}
 				switch {
@@ -60,41 +60,41 @@
 				case plan.Admit:
 					nodes++
 				case free >= dialCost || idleNodes > 0 || !allBusy:
-					t.Fatalf("a node is refused: %d free, %d nodes with nothing to do, all busy %v", free, idleNodes, allBusy)
+					t.Fatalf("a dial to a node is refused: %d descriptors free, %d idle nodes, all clients busy %v", free, idleNodes, allBusy)
 				}
-			case what == 6 && nodes > idleNodes:
+			case action == 6 && nodes > idleNodes:
 				idleNodes++
-			case what == 7 && there:
-				players[conn] = !busy
+			case action == 7 && open:
+				clients[conn] = !busy
 				if busy {
 					step(Event{Kind: Idle, Conn: conn})
 				} else {
 					step(Event{Kind: Busy, Conn: conn})
 				}
-			case what == 8 && there:
-				delete(players, conn)
+			case action == 8 && open:
+				delete(clients, conn)
 				step(Event{Kind: Closed, Conn: conn})
 			default:
 				step(Event{Kind: TimerFired})
 			}
-			if held := nodes + len(players) + tightCapacity.ReservedDescriptors + tightCapacity.PreHandshakeDescriptors; held > tightCapacity.MaxDescriptors {
-				t.Fatalf("%d of %d descriptors: %d nodes, %d players", held, tightCapacity.MaxDescriptors, nodes, len(players))
+			if held := nodes + len(clients) + tightCapacity.ReservedDescriptors + tightCapacity.PreHandshakeDescriptors; held > tightCapacity.MaxDescriptors {
+				t.Fatalf("%d of %d descriptors in use: %d nodes, %d clients", held, tightCapacity.MaxDescriptors, nodes, len(clients))
 			}
-			busies := 0
-			for _, b := range players {
+			busyClients := 0
+			for _, b := range clients {
 				if b {
-					busies++
+					busyClients++
 				}
 			}
-			if used, busy, _ := l.Usage(); used != len(players) || busy != busies {
-				t.Fatalf("%d used and %d busy are counted, %d and %d are", used, busy, len(players), busies)
+			if used, busy, _ := l.Usage(); used != len(clients) || busy != busyClients {
+				t.Fatalf("Usage is %d used and %d busy, want %d and %d", used, busy, len(clients), busyClients)
 			}
 		}
 	})
 }
 
-// A newcomer takes the place of the one that has been idle for longest, not of one that asked a moment ago.
-func TestNewcomersDisplaceTheIdle(t *testing.T) {
+// A new client displaces the connection that has been idle for longest, but none that became idle a moment ago.
+func TestNewcomerDisplacesLongestIdle(t *testing.T) {
 	l := New(1, tightCapacity)
 	now := time.Duration(0)
 	full := 0
@@ -102,15 +102,15 @@
 		l.Step(now, Event{Kind: HandshakeDone, Conn: full})
 	}
 	if full < 170 || full > tightCapacity.MaxDescriptors-tightCapacity.ReservedDescriptors-tightCapacity.PreHandshakeDescriptors {
-		t.Fatalf("room for %d", full)
+		t.Fatalf("%d connections are admitted", full)
 	}
-	for i := range full { // all but the last two have something to do
+	for i := range full { // all but the last two become busy
 		if i < full-2 {
 			l.Step(now, Event{Kind: Busy, Conn: i})
 		}
 	}
 	if plan := l.Step(now, Event{Kind: ConnectRequest, Conn: full}); plan.Admit || len(plan.Evict) > 0 {
-		t.Fatalf("one that came just now made place: %+v", plan)
+		t.Fatalf("a connection that became idle just now is displaced: %+v", plan)
 	}
 	now += tightCapacity.DisplaceIdleAfter
 	plan := l.Step(now, Event{Kind: ConnectRequest, Conn: full})
@@ -119,8 +119,9 @@
 	}
 }
 
-// One that is to be let go and has said something stays, as the one that spoke last.
-func TestWhoSaysSomethingMeanwhileStays(t *testing.T) {
+// A connection whose eviction is cancelled, since data arrived on it meanwhile, stays open. Once it is busy, the next
+// eviction takes another connection, and it is not evicted even if it is the last one.
+func TestCancelledEvictionKeepsConnection(t *testing.T) {
 	l := New(1, tightCapacity)
 	for i := range 2 {
 		l.Step(0, Event{Kind: ConnectRequest, Conn: i})
@@ -137,17 +138,17 @@
 		t.Fatalf("%+v", plan)
 	}
 	if plan = l.Step(time.Second, Event{Kind: DialRequest, Nodes: nodes}); plan.Admit || len(plan.Evict) != 0 {
-		t.Fatalf("the busy one was let go: %+v", plan)
+		t.Fatalf("a busy connection is evicted: %+v", plan)
 	}
 }
 
-func TestWhetherEveryNodeFits(t *testing.T) {
+func TestFitsNodes(t *testing.T) {
 	for nodes, fits := range map[int]bool{0: true, 99: true, 100: false, 200: false} {
 		if tightCapacity.FitsNodes(nodes) != fits {
-			t.Errorf("%d nodes: %v", nodes, !fits)
+			t.Errorf("%d nodes: FitsNodes is %v", nodes, !fits)
 		}
 	}
 	if !(Capacity{}).FitsNodes(1000) {
-		t.Error("without a bound on descriptors all fit")
+		t.Error("without MaxDescriptors every number of nodes has to fit")
 	}
 }
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -1,23 +1,24 @@
-// Package limits decides who may connect to a director, who is asked for a sign of life and when, who is
-// closed and in what order when room gets short, and when newcomers are let in again. It does no I/O and
-// has no clock: Step takes what happened and when, and returns what is to be done.
+// Package limits decides which clients may connect to a director, when connections are probed by heartbeats, which
+// connections are evicted and in which order when capacity runs short, and when new clients are admitted again. It does
+// no I/O and has no clock: Step takes an event and its time, and returns the actions.
 //
-// Room is used up in steps, with hysteresis between them:
+// The mode follows the share of the capacity in use, with hysteresis:
 //
-//	normal   all are let in
-//	saving   all are let in; who has been idle for longer than Patience is let go, in slices that double
-//	full     newcomers are turned away with a time to come back; the longest idle are let go, in slices
-//	         that double; once there is room, newcomers are let in by a trickle that doubles
+//	normal   every client is admitted
+//	saving   (Shedding in the code) every client is admitted; connections idle for longer than IdleTimeout are
+//	         evicted, in batches that double
+//	full     new clients are rejected with a retry delay; the longest idle connections are evicted, in batches that
+//	         double; once capacity is free again, new clients are admitted up to a quota that doubles
 //
-// Never closed: a connection whose player has a session, a leg out or an answer owed (busy). Where all are
-// busy nobody is closed and newcomers wait outside. Where Displace is given, a newcomer takes the place of the
-// longest idle instead, and nobody has to come in by a trickle.
+// A connection whose client has a session, a leg in progress or an owed answer is busy and is not evicted, unless it
+// leaves its heartbeats unanswered. If all are busy, no connection is evicted and new clients are rejected. With
+// DisplaceIdleAfter, a new client displaces the longest idle connection instead of being rejected, and no quota applies.
 //
-// Where Descriptors is given, they are one budget for players and nodes together. First come what is Kept (the
-// program's own, the listener, the list's source) and those who have said nothing yet (Silent, which others bound);
-// then connections to nodes, each of which is asked for by Dial; players have what is left. Where there is nothing left
-// for a node, a connection to one that has nothing to do is hung up on, else the longest idle player is cut off; where
-// there is neither, the node has to wait.
+// With MaxDescriptors, clients and nodes share one budget of descriptors. ReservedDescriptors (the program's own files,
+// the listener, the connection to discovery) and PreHandshakeDescriptors (connections that have sent no handshake yet,
+// whose number is bounded elsewhere) are set aside first. Connections to nodes come next; each is requested by a
+// DialRequest. Clients have the rest. If no descriptor is left for a node, an idle connection to another node is
+// closed, else the longest idle client is evicted; if there is neither, the dial is refused and the node has to wait.
 package limits
 
 import (
@@ -29,50 +30,51 @@
 	"fordusher/internal/timerqueue"
 )
 
-// Capacity is what a director may use for its players' connections, and how it treats the idle ones.
+// Capacity sets what a director may use for its clients' connections, and how it treats idle ones.
 type Capacity struct {
-	MaxConnections          int           // at most, handshakes included
-	MaxPerAddress           int           // of one address; 0: as many as there are
-	MaxHandshakes           int           // under way at one time
-	MaxMemory               int64         // bytes that the program may use; 0: not looked at
-	HeartbeatInterval       time.Duration // a connection is asked for a sign of life so often
-	IdleTimeout             time.Duration // idle for longer than this, it is let go first when room gets short
-	HandshakeTimeout        time.Duration // longest handshake
-	MaxRetryAfter           time.Duration // longest time that a newcomer is told to stay away
-	DisplaceIdleAfter       time.Duration // who has been idle for longer makes place for a newcomer; 0: never
-	MaxDescriptors          int           // that the process may hold; 0: Connections is all there is to keep to
-	ReservedDescriptors     int           // of these for what is not counted here
-	PreHandshakeDescriptors int           // of these for players who have not knocked yet
+	MaxConnections          int           // client connections, handshakes in progress included
+	MaxPerAddress           int           // connections from one address; 0: unlimited
+	MaxHandshakes           int           // handshakes in progress at one time
+	MaxMemory               int64         // bytes that the program may use; 0: not checked
+	HeartbeatInterval       time.Duration // time between heartbeats on a connection
+	IdleTimeout             time.Duration // connections idle for longer are evicted first when capacity runs short
+	HandshakeTimeout        time.Duration // longest time for a handshake
+	MaxRetryAfter           time.Duration // longest retry delay that a client is given
+	DisplaceIdleAfter       time.Duration // a connection idle for longer may be displaced by a new client; 0: never
+	MaxDescriptors          int           // descriptors that the process may hold; 0: only MaxConnections applies
+	ReservedDescriptors     int           // of MaxDescriptors, set aside for what is not counted here
+	PreHandshakeDescriptors int           // of MaxDescriptors, set aside for connections that have sent no handshake yet
 }
 
-// playersPart is the part of the descriptors that players have to find however many nodes there are.
-const playersPart = 3
+// clientShareDivisor sets the part of the descriptors that stays for clients, however many nodes there are: one third.
+const clientShareDivisor = 3
 
-// FitsNodes tells whether a connection to each of so many nodes fits beside the players' part of the descriptors.
-func (r Capacity) FitsNodes(nodes int) bool {
-	return r.MaxDescriptors == 0 || r.MaxDescriptors >= r.ReservedDescriptors+r.PreHandshakeDescriptors+r.MaxDescriptors/playersPart+nodes
+// FitsNodes reports whether the descriptors suffice for one connection to each of so many nodes, besides the clients'
+// part.
+func (c Capacity) FitsNodes(nodes int) bool {
+	return c.MaxDescriptors == 0 || c.MaxDescriptors >= c.ReservedDescriptors+c.PreHandshakeDescriptors+c.MaxDescriptors/clientShareDivisor+nodes
 }
 
-// dialCost is how many descriptors a connection takes while it is made.
+// dialCost is the number of descriptors that a connection to a node takes while it is being established.
 const dialCost = 2
 
-// The shares of the room at which its steps begin, and, lower, end.
+// The shares of the capacity in use at which the modes begin and, lower for hysteresis, end.
 const (
-	savingFrom, savingTo = 0.80, 0.70
-	fullFrom, fullTo     = 0.95, 0.90
+	sheddingStart, sheddingEnd = 0.80, 0.70
+	fullStart, fullEnd         = 0.95, 0.90
 )
 
-// sliceEvery is the time between slices of connections let go; firstSlice is the first one, and the
-// trickle's.
+// batchInterval is the time between batches of evictions. initialBatch is the size of the first batch, and the first
+// quota of new clients after full mode.
 const (
-	sliceEvery = 100 * time.Millisecond
-	firstSlice = 4
+	batchInterval = 100 * time.Millisecond
+	initialBatch  = 4
 )
 
-// maxMissedHeartbeats is how many signs of life a connection may owe before it is given up.
+// maxMissedHeartbeats is how many heartbeats may stay unanswered before a connection is evicted.
 const maxMissedHeartbeats = 3
 
-// Mode is a step of the room's use.
+// Mode is the level of capacity use; the package comment describes the modes.
 type Mode int
 
 // The modes.
@@ -84,75 +86,76 @@
 
 func (m Mode) String() string { return [...]string{"normal", "saving", "full"}[m] }
 
-// EventKind happened to a connection, which the caller names by a small index that is free again after Left.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The events.
 const (
-	ConnectRequest    EventKind = iota // somebody wants to connect; answered by Plan.Admit
-	HandshakeDone                      // the handshake is done
-	Received                           // something came from the peer, which is still to be worked on: it is not let go for it
-	Busy                               // the player has a session, or an answer owed
-	Idle                               // it has none any more
+	ConnectRequest    EventKind = iota // a client wants to connect; answered by Plan.Admit
+	HandshakeDone                      // the client's handshake is complete
+	Received                           // data arrived from the client; it is still to be processed, so this step does not evict the connection
+	Busy                               // the client has a session or an owed answer
+	Idle                               // the client has neither any more
 	Closed                             // the connection has ended
 	MemorySample                       // Memory is what the program uses now
-	Draining                           // the director closes: nobody is let in any more
-	DialRequest                        // a node is to be connected to; answered by Plan.Admit and Plan.HangUp
-	EvictionCancelled                  // who was to be let go has said something meanwhile
-	TimerFired                         // the time that was asked for has come
+	Draining                           // the director shuts down: no client is admitted any more
+	DialRequest                        // the director wants to connect to a node; answered by Plan.Admit and Plan.CloseIdleNode
+	EvictionCancelled                  // data arrived on a connection before its eviction, so it stays open
+	TimerFired                         // the time returned by NextTimer has come
 )
 
-// Event is what happened.
+// Event is something that happened. The caller identifies a connection by a small index, which may be used again after
+// Closed.
 type Event struct {
 	Kind         EventKind
 	Conn         int
 	Address      netip.Addr
-	Age          time.Duration // Heard: how long ago
+	Age          time.Duration // Received: time since the data arrived
 	Memory       int64
-	Nodes        int  // Knock, Dial, Measure: descriptors that connections to nodes hold
-	IdleNodeConn bool // Dial: there is a connection to a node that has nothing to do
+	Nodes        int  // ConnectRequest, DialRequest, MemorySample: descriptors held by connections to nodes
+	IdleNodeConn bool // DialRequest: there is an idle connection to another node
 }
 
-// Eviction is a connection to let go.
+// Eviction is a connection to close.
 type Eviction struct {
 	Conn       int
-	Code       int           // of RFC 6455; 0: cut off
-	Reason     string        // for the peer
-	RetryAfter time.Duration // when to come back; 0: at will
+	Code       int           // close code of RFC 6455; 0: abort without a close frame
+	Reason     string        // sent to the client
+	RetryAfter time.Duration // delay before the client reconnects; 0: none
 }
 
-// Plan is what is to be done. It is valid until the next Step.
+// Plan is what the caller has to do after an event. It is valid until the next Step.
 type Plan struct {
-	Admit bool // answer to Knock and Dial
-	// CloseIdleNode asks for a connection to a node that has nothing to do: there is room once it is hung up on.
+	Admit bool // answer to ConnectRequest and DialRequest
+	// CloseIdleNode asks to close an idle connection to a node: that frees the capacity for the dial.
 	CloseIdleNode bool
-	RetryAfter    time.Duration // where it is not admitted: when to come back
-	Reason        string        // where it is not admitted
-	Ping          []int
+	RetryAfter    time.Duration // if a client is not admitted: delay before it retries
+	Reason        string        // if a client is not admitted: why
+	Ping          []int         // connections to send a heartbeat to
 	Evict         []Eviction
-	Log           string // one line for a change of mode
-	More          bool   // more is due now; call again with Ring once other work is done
+	Log           string // log line for a change of mode; "": none
+	More          bool   // more timers are due now; call Step with TimerFired again after other work
 }
 
-// stage is where a connection stands.
-type stage uint8
+// connState is the state of a client connection.
+type connState uint8
 
 const (
-	closed stage = iota
+	closed connState = iota
 	handshaking
 	idle
 	busy
-	evicting // told to go; it counts until it has left
+	evicting // the eviction is planned; the connection counts as used until Closed
 )
 
 type conn struct {
-	timer      timerqueue.Handle
-	next, prev int32 // among the idle, the longest idle first
-	address    int32
-	stage      stage
-	asked      uint8 // signs of life asked for since anything was heard
-	heard      time.Duration
-	since      time.Duration // idle since
+	timer           timerqueue.Handle
+	next, prev      int32 // in the list of idle connections, the longest idle first
+	address         int32
+	state           connState
+	unansweredPings uint8 // heartbeats sent since data was last received
+	lastReceived    time.Duration
+	idleSince       time.Duration
 }
 
 type address struct {
@@ -160,115 +163,116 @@
 	conns int32
 }
 
-// Limits is the state of one director's connections.
+// Limits is the state of one director's client connections.
 type Limits struct {
-	room      Capacity
-	chance    *rand.Rand
-	conns     []conn // by the caller's index
-	first     int32  // the longest idle
-	last      int32
-	used      int // all but gone
-	shaking   int
-	busy      int
-	leaving   int
-	addresses []address // a place is used again once nobody of it is connected
-	byAddr    map[netip.Addr]int32
-	freeAddr  []int32
-	timers    timerqueue.Queue[int32]
-	now       time.Duration
-	memory    int64
-	nodes     int // descriptors that connections to nodes hold
-	mode      Mode
-	draining  bool
-	slice     int           // connections to let go in the next slice
-	trickle   int           // newcomers to let in until the next slice; under 0: all
-	admitted  int           // of these
-	turned    int           // newcomers turned away since the mode began
-	due       time.Duration // of the next slice; 0: none
-	plan      Plan
-	hold      int32 // is not let go in this step
+	capacity        Capacity
+	random          *rand.Rand
+	conns           []conn    // by the caller's index
+	idleHead        int32     // the longest idle connection
+	idleTail        int32     // the connection that became idle last
+	used            int       // connections in any state but closed
+	handshakes      int       // of used, those in the handshake
+	busy            int       // of used, those that are busy
+	evictions       int       // of used, those with a planned eviction
+	addresses       []address // an entry is reused once its address has no connection
+	byAddr          map[netip.Addr]int32
+	freeAddr        []int32
+	timers          timerqueue.Queue[int32]
+	now             time.Duration
+	memory          int64
+	nodeDescriptors int // descriptors held by connections to nodes
+	mode            Mode
+	draining        bool
+	batch           int           // connections to evict in the next batch
+	admitQuota      int           // new clients to admit until the next batch; negative: unlimited
+	admitted        int           // new clients admitted since the last batch
+	rejected        int           // new clients rejected since the mode began
+	nextBatch       time.Duration // time of the next batch; 0: none
+	plan            Plan
+	protected       int32 // connection that this step does not evict
 }
 
 const (
 	none = int32(-1)
-	// expireSteps bounds one call's work on timers: each may be a message to a peer, some 5 to 10 us.
-	expireSteps = 250
+	// maxTimersPerStep bounds the timers handled by one call: each may send a message to a client, which takes 5 to 10 us.
+	maxTimersPerStep = 250
 )
 
-// New starts with nobody connected.
-func New(seed uint64, room Capacity) *Limits {
-	return &Limits{room: room, chance: rand.New(rand.NewPCG(seed, 6)), first: none, last: none,
-		byAddr: map[netip.Addr]int32{}, slice: firstSlice, trickle: -1}
+// New returns Limits without connections.
+func New(seed uint64, capacity Capacity) *Limits {
+	return &Limits{capacity: capacity, random: rand.New(rand.NewPCG(seed, 6)), idleHead: none, idleTail: none,
+		byAddr: map[netip.Addr]int32{}, batch: initialBatch, admitQuota: -1}
 }
 
-// Usage tells how many connections there are, how many of them are busy, and the mode.
+// Usage returns the number of connections, how many of them are busy, and the mode.
 func (l *Limits) Usage() (used, busy int, mode Mode) { return l.used, l.busy, l.mode }
 
-// NextTimer is when Step wants a Ring at the latest; ok is false where nothing is due.
+// NextTimer returns the latest time for the next TimerFired; ok is false if none is needed.
 func (l *Limits) NextTimer() (at time.Duration, ok bool) {
 	at, ok = l.timers.NextDeadline()
-	if l.due > 0 && (!ok || l.due < at) {
-		return l.due, true
+	if l.nextBatch > 0 && (!ok || l.nextBatch < at) {
+		return l.nextBatch, true
 	}
 	return at, ok
 }
 
-// Step takes what happened at a time and returns what is to be done.
+// Step processes an event that happened at now and returns what to do.
 func (l *Limits) Step(now time.Duration, e Event) *Plan {
-	stalled := l.used > 0 && now-l.now > l.room.HeartbeatInterval && e.Kind == TimerFired
+	stalled := l.used > 0 && now-l.now > l.capacity.HeartbeatInterval && e.Kind == TimerFired
 	l.now = max(l.now, now)
 	l.plan = Plan{Ping: l.plan.Ping[:0], Evict: l.plan.Evict[:0]}
-	l.hold = none
+	l.protected = none
 	if e.Kind == Received {
-		l.hold = int32(e.Conn)
+		l.protected = int32(e.Conn)
 	}
 	switch e.Kind {
 	case ConnectRequest:
-		l.nodes = e.Nodes
-		l.knock(e)
+		l.nodeDescriptors = e.Nodes
+		l.connectRequest(e)
 	case DialRequest:
-		l.nodes = e.Nodes
-		l.dial(e.IdleNodeConn)
+		l.nodeDescriptors = e.Nodes
+		l.dialRequest(e.IdleNodeConn)
 	case MemorySample:
-		l.memory, l.nodes = e.Memory, e.Nodes
+		l.memory, l.nodeDescriptors = e.Memory, e.Nodes
 	case Draining:
 		l.draining = true
 	case TimerFired:
 		if stalled {
-			l.forgive()
+			l.resetHeartbeats()
 		}
-		l.expire()
+		l.expireTimers()
 	default:
-		if e.Conn < len(l.conns) && l.conns[e.Conn].stage != closed {
-			l.change(e)
+		if e.Conn < len(l.conns) && l.conns[e.Conn].state != closed {
+			l.connEvent(e)
 		}
 	}
-	l.setMode()
-	if l.due > 0 && l.now >= l.due {
-		l.letGo()
+	l.updateMode()
+	if l.nextBatch > 0 && l.now >= l.nextBatch {
+		l.runBatch()
 	}
 	return &l.plan
 }
 
-func (l *Limits) knock(e Event) {
-	why := ""
-	from := subscriber(e.Address)
-	a, known := l.byAddr[from]
+// connectRequest admits a new client, or rejects it with a reason and a retry delay.
+func (l *Limits) connectRequest(e Event) {
+	reason := ""
+	key := addressKey(e.Address)
+	a, known := l.byAddr[key]
 	switch {
 	case l.draining:
-		why = "director closes"
-	case (l.used >= l.most() || l.mode == Full) && !l.displace():
-		why = "no room"
-	case l.shaking >= l.room.MaxHandshakes:
-		why = "too many handshakes"
-	case l.room.MaxPerAddress > 0 && known && int(l.addresses[a].conns) >= l.room.MaxPerAddress:
-		why = "too many connections from this address"
-	case l.trickle >= 0 && l.admitted >= l.trickle:
-		why = "no room yet"
+		reason = "director closes"
+	case (l.used >= l.maxClients() || l.mode == Full) && !l.evictForNewcomer():
+		reason = "no room"
+	case l.handshakes >= l.capacity.MaxHandshakes:
+		reason = "too many handshakes"
+	case l.capacity.MaxPerAddress > 0 && known && int(l.addresses[a].conns) >= l.capacity.MaxPerAddress:
+		reason = "too many connections from this address"
+	case l.admitQuota >= 0 && l.admitted >= l.admitQuota:
+		reason = "no room yet"
 	}
-	if why != "" {
-		l.turned++
-		l.plan.Reason, l.plan.RetryAfter = why, l.retry()
+	if reason != "" {
+		l.rejected++
+		l.plan.Reason, l.plan.RetryAfter = reason, l.retryDelay()
 		return
 	}
 	l.plan.Admit = true
@@ -280,115 +284,118 @@
 			a = int32(len(l.addresses))
 			l.addresses = append(l.addresses, address{})
 		}
-		l.addresses[a] = address{addr: from}
-		l.byAddr[from] = a
+		l.addresses[a] = address{addr: key}
+		l.byAddr[key] = a
 	}
 	l.addresses[a].conns++
 	for e.Conn >= len(l.conns) {
 		l.conns = append(l.conns, conn{})
 	}
-	l.conns[e.Conn] = conn{stage: handshaking, address: a, heard: l.now, next: none, prev: none,
-		timer: l.timers.Add(l.now+l.room.HandshakeTimeout, int32(e.Conn))}
+	l.conns[e.Conn] = conn{state: handshaking, address: a, lastReceived: l.now, next: none, prev: none,
+		timer: l.timers.Add(l.now+l.capacity.HandshakeTimeout, int32(e.Conn))}
 	l.used++
-	l.shaking++
+	l.handshakes++
 }
 
-// most is how many players there is room for beside the nodes.
-func (l *Limits) most() int {
-	if l.room.MaxDescriptors == 0 {
-		return max(1, l.room.MaxConnections)
+// maxClients returns how many client connections fit besides those to nodes.
+func (l *Limits) maxClients() int {
+	if l.capacity.MaxDescriptors == 0 {
+		return max(1, l.capacity.MaxConnections)
 	}
-	return max(1, min(l.room.MaxConnections, l.room.MaxDescriptors-l.room.ReservedDescriptors-l.room.PreHandshakeDescriptors-l.nodes-dialCost))
+	return max(1, min(l.capacity.MaxConnections, l.capacity.MaxDescriptors-l.capacity.ReservedDescriptors-l.capacity.PreHandshakeDescriptors-l.nodeDescriptors-dialCost))
 }
 
-// displace lets the longest idle go for a newcomer.
-func (l *Limits) displace() bool {
-	if l.room.DisplaceIdleAfter == 0 || l.first == none || l.now-l.conns[l.first].since < l.room.DisplaceIdleAfter {
+// evictForNewcomer evicts the longest idle connection in favour of a new client, if it has been idle for long enough.
+func (l *Limits) evictForNewcomer() bool {
+	if l.capacity.DisplaceIdleAfter == 0 || l.idleHead == none || l.now-l.conns[l.idleHead].idleSince < l.capacity.DisplaceIdleAfter {
 		return false
 	}
-	l.let(l.first, 0, "idle for longest", 0)
+	l.evict(l.idleHead, 0, "idle for longest", 0)
 	return true
 }
 
-// dial finds room for one more connection to a node.
-func (l *Limits) dial(spare bool) {
-	free := l.room.MaxDescriptors - l.room.ReservedDescriptors - l.room.PreHandshakeDescriptors - l.nodes - l.used
+// dialRequest finds descriptors for one more connection to a node.
+func (l *Limits) dialRequest(idleNodeConn bool) {
+	free := l.capacity.MaxDescriptors - l.capacity.ReservedDescriptors - l.capacity.PreHandshakeDescriptors - l.nodeDescriptors - l.used
 	switch l.plan.Admit = true; {
-	case l.room.MaxDescriptors == 0 || free >= dialCost:
-	case spare:
+	case l.capacity.MaxDescriptors == 0 || free >= dialCost:
+	case idleNodeConn:
 		l.plan.CloseIdleNode = true
-	case l.first != none:
-		l.let(l.first, 0, "its place is needed", 0)
+	case l.idleHead != none:
+		l.evict(l.idleHead, 0, "its place is needed", 0)
 	default:
 		l.plan.Admit = false
 	}
 }
 
-// subscriber is what one peer is counted by: its address, or, since one has 2^64 of them, its network of IPv6.
-func subscriber(a netip.Addr) netip.Addr {
+// addressKey returns the key by which connections are counted per address: an IPv4 address itself, and the /64 network
+// of an IPv6 address, since one subscriber has 2^64 of these.
+func addressKey(a netip.Addr) netip.Addr {
 	if a = a.Unmap(); !a.Is6() {
 		return a
 	}
 	network, err := a.Prefix(64)
-	if err != nil { // no address of IPv6 has fewer bits than that
+	if err != nil { // impossible: every IPv6 address has more than 64 bits
 		return a
 	}
 	return network.Addr()
 }
 
-// retry spreads those who are turned away over the time that letting them in would take: a second at
-// least, more the more there are, drawn between one and two times that.
-func (l *Limits) retry() time.Duration {
-	pace := max(firstSlice, l.slice)
-	wait := max(time.Second, time.Duration(l.turned/pace)*sliceEvery)
-	wait = min(wait, l.room.MaxRetryAfter/2)
-	return wait + time.Duration(l.chance.Int64N(int64(wait)+1))
+// retryDelay spreads the retries of rejected and evicted clients over the time that admitting all of them would take.
+// The delay is drawn between one and two times that time, which is a second at least and grows with the number of
+// rejected clients.
+func (l *Limits) retryDelay() time.Duration {
+	perBatch := max(initialBatch, l.batch)
+	wait := max(time.Second, time.Duration(l.rejected/perBatch)*batchInterval)
+	wait = min(wait, l.capacity.MaxRetryAfter/2)
+	return wait + time.Duration(l.random.Int64N(int64(wait)+1))
 }
 
-func (l *Limits) change(e Event) {
+// connEvent processes an event of one open connection.
+func (l *Limits) connEvent(e Event) {
 	i := int32(e.Conn)
 	c := &l.conns[i]
 	switch e.Kind {
 	case HandshakeDone:
-		if c.stage == handshaking {
-			l.shook(i)
-			l.rest(i)
+		if c.state == handshaking {
+			l.finishHandshake(i)
+			l.markIdle(i)
 		}
 	case Received:
-		if at := l.now - e.Age; at > c.heard {
-			c.heard, c.asked = at, 0
+		if at := l.now - e.Age; at > c.lastReceived {
+			c.lastReceived, c.unansweredPings = at, 0
 		}
 	case Busy:
-		switch c.stage { // who is let in may have asked for something before it is told here that it shook hands
+		switch c.state { // an admitted client may send a request before HandshakeDone is reported here
 		case idle:
-			l.unlink(i)
+			l.unlinkIdle(i)
 		case handshaking:
-			l.shook(i)
+			l.finishHandshake(i)
 		default:
 			return
 		}
-		c.stage = busy
+		c.state = busy
 		l.busy++
 	case Idle:
-		if c.stage == busy {
+		if c.state == busy {
 			l.busy--
-			l.rest(i)
+			l.markIdle(i)
 		}
 	case EvictionCancelled:
-		if c.stage == evicting {
-			l.leaving--
-			l.rest(i)
+		if c.state == evicting {
+			l.evictions--
+			l.markIdle(i)
 		}
 	case Closed:
-		switch c.stage {
+		switch c.state {
 		case handshaking:
-			l.shaking--
+			l.handshakes--
 		case idle:
-			l.unlink(i)
+			l.unlinkIdle(i)
 		case busy:
 			l.busy--
 		case evicting:
-			l.leaving--
+			l.evictions--
 		}
 		l.timers.Cancel(c.timer)
 		a := &l.addresses[c.address]
@@ -401,185 +408,191 @@
 	}
 }
 
-// shook ends a handshake. The first sign of life is asked for at some moment of the span, so that those who came
-// together are not asked together.
-func (l *Limits) shook(i int32) {
-	l.shaking--
-	l.conns[i].heard = l.now
-	l.timers.Reschedule(l.conns[i].timer, together(l.now+time.Duration(l.chance.Int64N(int64(l.room.HeartbeatInterval)))+1))
+// finishHandshake ends a handshake. The first heartbeat is due at a random time within the interval, so that clients that
+// connect together are not probed together.
+func (l *Limits) finishHandshake(i int32) {
+	l.handshakes--
+	l.conns[i].lastReceived = l.now
+	l.timers.Reschedule(l.conns[i].timer, nextPingBatch(l.now+time.Duration(l.random.Int64N(int64(l.capacity.HeartbeatInterval)))+1))
 }
 
-// rest puts a connection at the end of the idle.
-func (l *Limits) rest(i int32) {
+// markIdle appends a connection to the list of idle connections.
+func (l *Limits) markIdle(i int32) {
 	c := &l.conns[i]
-	c.stage, c.since = idle, l.now
-	c.prev, c.next = l.last, none
-	if l.last != none {
-		l.conns[l.last].next = i
+	c.state, c.idleSince = idle, l.now
+	c.prev, c.next = l.idleTail, none
+	if l.idleTail != none {
+		l.conns[l.idleTail].next = i
 	} else {
-		l.first = i
+		l.idleHead = i
 	}
-	l.last = i
+	l.idleTail = i
 }
 
-func (l *Limits) unlink(i int32) {
+// unlinkIdle removes a connection from the list of idle connections.
+func (l *Limits) unlinkIdle(i int32) {
 	c := &l.conns[i]
 	if c.prev != none {
 		l.conns[c.prev].next = c.next
 	} else {
-		l.first = c.next
+		l.idleHead = c.next
 	}
 	if c.next != none {
 		l.conns[c.next].prev = c.prev
 	} else {
-		l.last = c.prev
+		l.idleTail = c.prev
 	}
 	c.next, c.prev = none, none
 }
 
-// let tells a connection that is not busy to go.
-func (l *Limits) let(i int32, code int, why string, retry time.Duration) {
+// evict plans the eviction of a connection. A busy one is evicted only if its heartbeats stay unanswered.
+func (l *Limits) evict(i int32, code int, reason string, retryAfter time.Duration) {
 	c := &l.conns[i]
-	switch c.stage {
+	switch c.state {
 	case idle:
-		l.unlink(i)
+		l.unlinkIdle(i)
 	case handshaking:
-		l.shaking--
-	case busy: // its peer is dead: the only reason for which one is given up
+		l.handshakes--
+	case busy: // the client is dead; a busy connection is evicted for no other reason
 		l.busy--
 	}
-	c.stage = evicting
-	l.leaving++
-	l.plan.Evict = append(l.plan.Evict, Eviction{int(i), code, why, retry})
+	c.state = evicting
+	l.evictions++
+	l.plan.Evict = append(l.plan.Evict, Eviction{int(i), code, reason, retryAfter})
 }
 
-// expire works off a slice of the timers that are due.
-func (l *Limits) expire() {
-	for range expireSteps {
+// expireTimers handles timers that are due, up to maxTimersPerStep.
+func (l *Limits) expireTimers() {
+	for range maxTimersPerStep {
 		if at, ok := l.timers.NextDeadline(); !ok || at > l.now {
 			return
 		}
-		l.expired(l.timers.Pop())
+		l.timerExpired(l.timers.Pop())
 	}
 	at, ok := l.timers.NextDeadline()
 	l.plan.More = ok && at <= l.now
 }
 
-// expired is a connection's timer: its handshake took too long, or it is time for a sign of life.
-func (l *Limits) expired(i int32) {
+// timerExpired handles a connection's timer: the handshake took too long, or a heartbeat is due.
+func (l *Limits) timerExpired(i int32) {
 	c := &l.conns[i]
 	c.timer = 0
 	switch {
-	case c.stage == handshaking:
-		l.let(i, 0, "handshake took too long", 0)
-	case c.stage == evicting || c.stage == closed:
-	case c.asked >= maxMissedHeartbeats:
-		// Counted by what was asked, not by time: a director that is late itself must not hold it against
-		// its players.
-		l.let(i, 1008, "no sign of life", 0)
-	case l.now-c.heard < l.room.HeartbeatInterval/2:
-		// Who spoke just now need not be asked; the next time is drawn, so that those who were heard
-		// together, or forgiven together, are not asked together.
-		c.timer = l.timers.Add(together(l.now+l.room.HeartbeatInterval/2+time.Duration(l.chance.Int64N(int64(l.room.HeartbeatInterval/2)+1))), i)
+	case c.state == handshaking:
+		l.evict(i, 0, "handshake took too long", 0)
+	case c.state == evicting || c.state == closed:
+	case c.unansweredPings >= maxMissedHeartbeats:
+		// Heartbeats sent are counted rather than time, so that a delay of the director itself does not count
+		// against its clients.
+		l.evict(i, 1008, "no sign of life", 0)
+	case l.now-c.lastReceived < l.capacity.HeartbeatInterval/2:
+		// A client that sent data just now needs no heartbeat. The next time is random, so that connections that
+		// received data together, or were reset together after a stall, are not probed together.
+		c.timer = l.timers.Add(nextPingBatch(l.now+l.capacity.HeartbeatInterval/2+time.Duration(l.random.Int64N(int64(l.capacity.HeartbeatInterval/2)+1))), i)
 	default:
 		l.plan.Ping = append(l.plan.Ping, int(i))
-		c.asked++
-		c.timer = l.timers.Add(together(l.now+l.room.HeartbeatInterval), i)
+		c.unansweredPings++
+		c.timer = l.timers.Add(nextPingBatch(l.now+l.capacity.HeartbeatInterval), i)
 	}
 }
 
-// pingEvery is the time between batches of signs of life: asked for one by one, each would wake the
-// process, and its answer again, which costs far more than the asking.
-const pingEvery = 100 * time.Millisecond
+// pingBatchInterval is the time between batches of heartbeats. Sent one by one, each heartbeat and each answer would wake
+// the process, which costs far more than the heartbeat itself.
+const pingBatchInterval = 100 * time.Millisecond
 
-// together puts a time off until the next batch.
-func together(at time.Duration) time.Duration { return (at + pingEvery - 1) / pingEvery * pingEvery }
+// nextPingBatch rounds a time up to the next batch of heartbeats.
+func nextPingBatch(at time.Duration) time.Duration {
+	return (at + pingBatchInterval - 1) / pingBatchInterval * pingBatchInterval
+}
 
-// forgive is for a stall of the process: what nobody could have heard is held against nobody.
-func (l *Limits) forgive() {
+// resetHeartbeats counts every connection as heard from just now. After a stall of the process, answers may be unread, so
+// no connection may be evicted for missing ones.
+func (l *Limits) resetHeartbeats() {
 	for i := range l.conns {
-		if c := &l.conns[i]; c.stage != closed {
-			c.heard, c.asked = l.now, 0
+		if c := &l.conns[i]; c.state != closed {
+			c.lastReceived, c.unansweredPings = l.now, 0
 		}
 	}
 }
 
-// share is the part of the room that is used.
-func (l *Limits) share() float64 {
-	share := float64(l.used-l.leaving) / float64(l.most())
-	if l.room.MaxMemory > 0 {
-		share = max(share, float64(l.memory)/float64(l.room.MaxMemory))
+// usageShare returns the share of the capacity in use: of the connections or of the memory, whichever is larger.
+func (l *Limits) usageShare() float64 {
+	share := float64(l.used-l.evictions) / float64(l.maxClients())
+	if l.capacity.MaxMemory > 0 {
+		share = max(share, float64(l.memory)/float64(l.capacity.MaxMemory))
 	}
 	return share
 }
 
-func (l *Limits) setMode() {
-	share, to := l.share(), l.mode
+// updateMode sets the mode by the share of the capacity in use.
+func (l *Limits) updateMode() {
+	share, mode := l.usageShare(), l.mode
 	switch {
-	case share >= fullFrom:
-		to = Full
-	case l.mode == Full && share > fullTo:
-	case share >= savingFrom:
-		to = Shedding
-	case l.mode != Normal && share > savingTo:
-		to = Shedding
+	case share >= fullStart:
+		mode = Full
+	case l.mode == Full && share > fullEnd:
+	case share >= sheddingStart:
+		mode = Shedding
+	case l.mode != Normal && share > sheddingEnd:
+		mode = Shedding
 	default:
-		to = Normal
+		mode = Normal
 	}
-	if to == l.mode {
+	if mode == l.mode {
 		return
 	}
-	l.plan.Log = fmt.Sprintf("connections: %v, was %v: %d of %d used, %d busy, %d handshakes, %d MiB, %d turned away", to, l.mode, l.used,
-		l.most(), l.busy, l.shaking, l.memory>>20, l.turned)
+	l.plan.Log = fmt.Sprintf("connections: mode %v, was %v: %d of %d used, %d busy, %d handshakes, %d MiB, %d rejected", mode, l.mode, l.used,
+		l.maxClients(), l.busy, l.handshakes, l.memory>>20, l.rejected)
 	switch {
-	case to == Full:
-		l.trickle = -1
-	case l.mode == Full && l.room.DisplaceIdleAfter == 0:
-		l.trickle, l.admitted = firstSlice, 0
+	case mode == Full:
+		l.admitQuota = -1
+	case l.mode == Full && l.capacity.DisplaceIdleAfter == 0:
+		l.admitQuota, l.admitted = initialBatch, 0
 	}
-	l.mode, l.slice, l.turned = to, firstSlice, 0
-	if l.due == 0 && (to != Normal || l.trickle >= 0) {
-		l.due = l.now + sliceEvery
+	l.mode, l.batch, l.rejected = mode, initialBatch, 0
+	if l.nextBatch == 0 && (mode != Normal || l.admitQuota >= 0) {
+		l.nextBatch = l.now + batchInterval
 	}
 }
 
-// longestIdle is who has been idle for longest and may be let go in this step; none where there is nobody.
-func (l *Limits) longestIdle() int32 {
-	if l.first != none && l.first == l.hold {
-		return l.conns[l.first].next
+// longestIdleEvictable returns the longest idle connection that this step may evict, or none.
+func (l *Limits) longestIdleEvictable() int32 {
+	if l.idleHead != none && l.idleHead == l.protected {
+		return l.conns[l.idleHead].next
 	}
-	return l.first
+	return l.idleHead
 }
 
-// letGo lets a slice of the idle go, the longest idle first: in saving those over their patience, in full
-// as many as it takes to leave it. The next slice is twice as large while there are more.
-func (l *Limits) letGo() {
-	l.due = 0
-	if l.trickle >= 0 { // it went well so far: twice as many newcomers
-		l.trickle, l.admitted = l.trickle*2, 0
-		if l.trickle > l.room.MaxConnections {
-			l.trickle = -1
+// runBatch evicts a batch of idle connections, the longest idle first: in saving mode those idle for longer than
+// IdleTimeout, in full mode as many as it takes to leave that mode. After a full batch the next one is twice as large. It
+// also doubles the quota of new clients.
+func (l *Limits) runBatch() {
+	l.nextBatch = 0
+	if l.admitQuota >= 0 { // full mode has not returned since, so the quota doubles
+		l.admitQuota, l.admitted = l.admitQuota*2, 0
+		if l.admitQuota > l.capacity.MaxConnections {
+			l.admitQuota = -1
 		}
 	}
-	let := 0
-	for l.mode != Normal && let < l.slice {
-		longest := l.longestIdle()
+	evicted := 0
+	for l.mode != Normal && evicted < l.batch {
+		longest := l.longestIdleEvictable()
 		if longest == none {
 			break
 		}
 		c := &l.conns[longest]
-		if l.mode == Shedding && l.now-c.since < l.room.IdleTimeout || l.mode == Full && l.share() <= fullTo {
+		if l.mode == Shedding && l.now-c.idleSince < l.capacity.IdleTimeout || l.mode == Full && l.usageShare() <= fullEnd {
 			break
 		}
-		l.let(longest, 1013, "no room for the idle", l.retry())
-		let++
+		l.evict(longest, 1013, "no room for the idle", l.retryDelay())
+		evicted++
 	}
-	if let == l.slice {
-		l.slice *= 2
+	if evicted == l.batch {
+		l.batch *= 2
 	} else {
-		l.slice = firstSlice
+		l.batch = initialBatch
 	}
-	if l.mode != Normal || l.trickle >= 0 {
-		l.due = l.now + sliceEvery
+	if l.mode != Normal || l.admitQuota >= 0 {
+		l.nextBatch = l.now + batchInterval
 	}
 }
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -17,81 +17,86 @@
 
 func addr(i int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)}) }
 
-// A door is the caller's side, with plain books of its own.
-type door struct {
+// limitsHarness plays the caller of Limits. It keeps its own record of the connections and checks every plan against
+// it.
+type limitsHarness struct {
 	*rapid.T
-	l     *Limits
-	now   time.Duration
-	conns map[int]*seen
-	free  []int
+	l        *Limits
+	now      time.Duration
+	expected map[int]*connRecord
+	free     []int
 }
 
-type seen struct {
-	addr    int
-	stage   stage
-	idle    time.Duration
-	heard   time.Duration
-	leaving bool
+// connRecord is what the harness expects of one connection.
+type connRecord struct {
+	addr         int
+	state        connState
+	idleSince    time.Duration
+	lastReceived time.Duration
+	evicted      bool
 }
 
-func (d *door) step(e Event) *Plan {
-	p := d.l.Step(d.now, e)
+// step passes an event to Limits and checks the plan: bounds on connections, and which connections are evicted.
+func (h *limitsHarness) step(e Event) *Plan {
+	p := h.l.Step(h.now, e)
 	counts := map[int]int{}
-	used, shaking := 0, 0
-	for _, c := range d.conns {
+	used, handshakes := 0, 0
+	for _, c := range h.expected {
 		counts[c.addr]++
 		used++
-		if c.stage == 1 && !c.leaving {
-			shaking++
+		if c.state == 1 && !c.evicted {
+			handshakes++
 		}
 	}
 	for _, x := range p.Evict {
-		c := d.conns[x.Conn]
-		if c == nil || c.leaving {
-			d.Fatalf("%d is let go and is not there", x.Conn)
+		c := h.expected[x.Conn]
+		if c == nil || c.evicted {
+			h.Fatalf("connection %d is evicted though it is closed or evicted already", x.Conn)
 		}
-		if c.stage == busy && d.now-c.heard <= maxMissedHeartbeats*testCapacity.HeartbeatInterval {
-			d.Fatalf("%d is busy and let go", x.Conn)
+		if c.state == busy && h.now-c.lastReceived <= maxMissedHeartbeats*testCapacity.HeartbeatInterval {
+			h.Fatalf("connection %d is evicted while it is busy", x.Conn)
 		}
-		if x.Code == 1008 && d.now-c.heard < 2*testCapacity.HeartbeatInterval {
-			d.Fatalf("%d is given up %v after it was heard", x.Conn, d.now-c.heard)
+		if x.Code == 1008 && h.now-c.lastReceived < 2*testCapacity.HeartbeatInterval {
+			h.Fatalf("connection %d is evicted as dead %v after data was received", x.Conn, h.now-c.lastReceived)
 		}
 		if x.Code == 1013 {
 			if x.RetryAfter <= 0 || x.RetryAfter > testCapacity.MaxRetryAfter {
-				d.Fatal("no time to come back", x)
+				h.Fatal("retry delay is out of bounds", x)
 			}
-			for i, o := range d.conns {
-				if i != x.Conn && o.stage == idle && !o.leaving && o.idle < c.idle {
-					d.Fatalf("%d is let go, idle since %v; %d has been since %v", x.Conn, c.idle, i, o.idle)
+			for i, o := range h.expected {
+				if i != x.Conn && o.state == idle && !o.evicted && o.idleSince < c.idleSince {
+					h.Fatalf("connection %d, idle since %v, is evicted before connection %d, idle since %v", x.Conn, c.idleSince, i, o.idleSince)
 				}
 			}
 		}
-		c.leaving = true
+		c.evicted = true
 	}
 	for a, n := range counts {
 		if n > testCapacity.MaxPerAddress {
-			d.Fatal(n, "connections from", a)
+			h.Fatal(n, "connections from address", a)
 		}
 	}
-	if used > testCapacity.MaxConnections || shaking > testCapacity.MaxHandshakes {
-		d.Fatal(used, shaking)
+	if used > testCapacity.MaxConnections || handshakes > testCapacity.MaxHandshakes {
+		h.Fatal(used, handshakes)
 	}
 	return p
 }
 
-func (d *door) pass(to time.Duration) {
-	for at, ok := d.l.NextTimer(); ok && at <= to; at, ok = d.l.NextTimer() {
-		d.now = max(d.now, at)
-		for d.step(Event{Kind: TimerFired}).More {
+// advance lets time pass and fires the timers that are due.
+func (h *limitsHarness) advance(to time.Duration) {
+	for at, ok := h.l.NextTimer(); ok && at <= to; at, ok = h.l.NextTimer() {
+		h.now = max(h.now, at)
+		for h.step(Event{Kind: TimerFired}).More {
 		}
 	}
-	d.now = to
+	h.now = to
 }
 
-func (d *door) pick() (int, *seen) {
+// pickConn draws a connection that is not being evicted, nil if there is none.
+func (h *limitsHarness) pickConn() (int, *connRecord) {
 	var all []int
-	for i, c := range d.conns {
-		if !c.leaving {
+	for i, c := range h.expected {
+		if !c.evicted {
 			all = append(all, i)
 		}
 	}
@@ -99,12 +104,12 @@
 		return 0, nil
 	}
 	least := all[0]
-	for _, i := range all { // a map's order is not drawn from the seed
+	for _, i := range all { // the least index is the same for the same seed; the iteration order of a map is not
 		least = min(least, i)
 	}
-	n := rapid.IntRange(0, 200).Draw(d.T, "pick")
+	n := rapid.IntRange(0, 200).Draw(h.T, "pick")
 	for i := least; ; i++ {
-		if c := d.conns[i%200]; c != nil && !c.leaving {
+		if c := h.expected[i%200]; c != nil && !c.evicted {
 			if n--; n < 0 {
 				return i % 200, c
 			}
@@ -112,87 +117,88 @@
 	}
 }
 
-// Whatever comes: no bound is exceeded, nobody who is owed something is closed, the longest idle go first,
-// and once the pressure is off everybody is let in again.
-func TestLimitsHold(t *testing.T) {
+// For any sequence of events, no bound is exceeded, no busy connection is evicted unless it is dead, the longest idle are
+// evicted first, and once all connections are closed, a new client is admitted again.
+func TestLimitsStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &door{T: t, l: New(rapid.Uint64().Draw(t, "seed"), testCapacity), conns: map[int]*seen{}}
+		h := &limitsHarness{T: t, l: New(rapid.Uint64().Draw(t, "seed"), testCapacity), expected: map[int]*connRecord{}}
 		for i := range 200 {
-			d.free = append(d.free, i)
+			h.free = append(h.free, i)
 		}
 		addresses := rapid.IntRange(1, 20).Draw(t, "addresses")
 		for range rapid.IntRange(10, 400).Draw(t, "steps") {
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0, 1, 2, 3:
-				if len(d.free) == 0 {
+				if len(h.free) == 0 {
 					continue
 				}
-				i, a := d.free[0], rapid.IntRange(1, addresses).Draw(t, "address")
-				p := d.step(Event{Kind: ConnectRequest, Conn: i, Address: addr(a)})
+				i, a := h.free[0], rapid.IntRange(1, addresses).Draw(t, "address")
+				p := h.step(Event{Kind: ConnectRequest, Conn: i, Address: addr(a)})
 				if !p.Admit {
 					if p.Reason == "" || p.RetryAfter < time.Second || p.RetryAfter > testCapacity.MaxRetryAfter {
-						t.Fatal("turned away without a word", p)
+						t.Fatal("rejected without a reason or with a retry delay out of bounds", p)
 					}
 					continue
 				}
-				d.free = d.free[1:]
-				d.conns[i] = &seen{addr: a, stage: handshaking, heard: d.now}
+				h.free = h.free[1:]
+				h.expected[i] = &connRecord{addr: a, state: handshaking, lastReceived: h.now}
 				if rapid.IntRange(0, 9).Draw(t, "slow") > 0 {
-					d.conns[i].stage, d.conns[i].idle = idle, d.now
-					d.step(Event{Kind: HandshakeDone, Conn: i})
+					h.expected[i].state, h.expected[i].idleSince = idle, h.now
+					h.step(Event{Kind: HandshakeDone, Conn: i})
 				}
 			case 4:
-				if i, c := d.pick(); c != nil && c.stage == idle {
-					c.stage = busy
-					d.step(Event{Kind: Busy, Conn: i})
+				if i, c := h.pickConn(); c != nil && c.state == idle {
+					c.state = busy
+					h.step(Event{Kind: Busy, Conn: i})
 				}
 			case 5:
-				if i, c := d.pick(); c != nil && c.stage == busy {
-					c.stage, c.idle = idle, d.now
-					d.step(Event{Kind: Idle, Conn: i})
+				if i, c := h.pickConn(); c != nil && c.state == busy {
+					c.state, c.idleSince = idle, h.now
+					h.step(Event{Kind: Idle, Conn: i})
 				}
 			case 6:
-				if i, c := d.pick(); c != nil {
-					c.heard = d.now
-					d.step(Event{Kind: Received, Conn: i})
+				if i, c := h.pickConn(); c != nil {
+					c.lastReceived = h.now
+					h.step(Event{Kind: Received, Conn: i})
 				}
 			case 7:
-				if i, c := d.pick(); c != nil {
-					delete(d.conns, i)
-					d.free = append(d.free, i)
-					d.step(Event{Kind: Closed, Conn: i})
+				if i, c := h.pickConn(); c != nil {
+					delete(h.expected, i)
+					h.free = append(h.free, i)
+					h.step(Event{Kind: Closed, Conn: i})
 				}
 			default:
-				d.pass(d.now + time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms"))*ms)
+				h.advance(h.now + time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms"))*ms)
 			}
-			if rapid.Bool().Draw(t, "leave") { // who was told to go goes, sooner or later
+			if rapid.Bool().Draw(t, "close evicted") { // an evicted connection is closed sooner or later
 				for i := range 200 {
-					if c := d.conns[i]; c != nil && c.leaving {
-						delete(d.conns, i)
-						d.free = append(d.free, i)
-						d.step(Event{Kind: Closed, Conn: i})
+					if c := h.expected[i]; c != nil && c.evicted {
+						delete(h.expected, i)
+						h.free = append(h.free, i)
+						h.step(Event{Kind: Closed, Conn: i})
 						break
 					}
 				}
 			}
 		}
 		for i := range 200 {
-			if d.conns[i] != nil {
-				delete(d.conns, i)
-				d.step(Event{Kind: Closed, Conn: i})
+			if h.expected[i] != nil {
+				delete(h.expected, i)
+				h.step(Event{Kind: Closed, Conn: i})
 			}
 		}
-		d.pass(d.now + 10*time.Second)
-		if used, busy, mode := d.l.Usage(); used != 0 || busy != 0 || mode != Normal || d.l.timers.Len() != 0 || len(d.l.byAddr) != 0 {
-			t.Fatal(used, busy, mode, d.l.timers.Len())
+		h.advance(h.now + 10*time.Second)
+		if used, busy, mode := h.l.Usage(); used != 0 || busy != 0 || mode != Normal || h.l.timers.Len() != 0 || len(h.l.byAddr) != 0 {
+			t.Fatal(used, busy, mode, h.l.timers.Len())
 		}
-		if p := d.step(Event{Kind: ConnectRequest, Conn: 0, Address: addr(1)}); !p.Admit {
-			t.Fatal("nobody there, and still turned away: ", p.Reason)
+		if p := h.step(Event{Kind: ConnectRequest, Conn: 0, Address: addr(1)}); !p.Admit {
+			t.Fatal("no connection is open, and a client is rejected: ", p.Reason)
 		}
 	})
 }
 
-func fill(l *Limits, now time.Duration, from, to int) (admitted int) {
+// connectClients connects clients of different addresses, and returns how many are admitted.
+func connectClients(l *Limits, now time.Duration, from, to int) (admitted int) {
 	for i := from; i < to; i++ {
 		if l.Step(now, Event{Kind: ConnectRequest, Conn: i, Address: addr(i)}).Admit {
 			admitted++
@@ -202,9 +208,9 @@
 	return admitted
 }
 
-// Full of players with sessions: nobody is closed, newcomers wait; once a part has gone they are let in by
-// a trickle that doubles, and one line is logged for each change of mode.
-func TestFullAndBackByATrickle(t *testing.T) {
+// In full mode with busy clients only, no connection is evicted and new clients are rejected. Once some clients have
+// disconnected, new ones are admitted up to a quota that doubles, and one line is logged for each change of mode.
+func TestFullModeRecoversGradually(t *testing.T) {
 	l := New(1, testCapacity)
 	now := time.Duration(0)
 	var logs []string
@@ -228,7 +234,7 @@
 	for range 20 {
 		now += 100 * ms
 		if p := step(Event{Kind: TimerFired}); len(p.Evict) > 0 {
-			t.Fatal("a busy player is let go", p.Evict)
+			t.Fatal("a busy connection is evicted", p.Evict)
 		}
 	}
 	for i := range 60 {
@@ -238,7 +244,7 @@
 	for _, want := range []int{4, 8, 16, 32} {
 		got := 0
 		for i := range 60 {
-			if l.conns[i].stage == closed && got < want && step(Event{Kind: ConnectRequest, Conn: i, Address: addr(i)}).Admit {
+			if l.conns[i].state == closed && got < want && step(Event{Kind: ConnectRequest, Conn: i, Address: addr(i)}).Admit {
 				got++
 				step(Event{Kind: HandshakeDone, Conn: i})
 			}
@@ -254,57 +260,60 @@
 	}
 }
 
-// A stall of the process: nobody could be heard, so nobody is given up for it.
-func TestStallGivesNobodyUp(t *testing.T) {
+// Guards against evictions after a stall of the process: no answer could be read meanwhile, so no connection counts as
+// dead.
+func TestProcessStallEvictsNoConnection(t *testing.T) {
 	l := New(1, testCapacity)
-	fill(l, 0, 0, 50)
+	connectClients(l, 0, 0, 50)
 	now := time.Hour
 	for more := true; more; {
 		p := l.Step(now, Event{Kind: TimerFired})
 		if len(p.Evict) > 0 {
-			t.Fatal(len(p.Evict), "given up after a stall")
+			t.Fatal(len(p.Evict), "connections are evicted after a stall")
 		}
 		more = p.More
 	}
-	// From then on silence counts again.
-	let := 0
+	// From then on unanswered heartbeats count again.
+	evicted := 0
 	for end := now + 5*testCapacity.HeartbeatInterval; ; {
 		at, ok := l.NextTimer()
 		if !ok || at > end {
 			break
 		}
 		now = at
-		let += len(l.Step(now, Event{Kind: TimerFired}).Evict)
+		evicted += len(l.Step(now, Event{Kind: TimerFired}).Evict)
 	}
-	if let != 50 {
-		t.Fatal(let)
+	if evicted != 50 {
+		t.Fatal(evicted)
 	}
 }
 
-func TestSigns(t *testing.T) {
+// Idle connections are probed by heartbeats, spread over the seconds of an interval, and those that answer are not
+// evicted; one that does not complete its handshake is evicted after HandshakeTimeout.
+func TestHeartbeatsAndHandshakeTimeout(t *testing.T) {
 	l := New(1, testCapacity)
-	fill(l, 0, 0, 50)
-	l.Step(0, Event{Kind: ConnectRequest, Conn: 90, Address: addr(90)}) // never shakes hands
-	pings, first, let := 0, map[time.Duration]int{}, 0
+	connectClients(l, 0, 0, 50)
+	l.Step(0, Event{Kind: ConnectRequest, Conn: 90, Address: addr(90)}) // never completes its handshake
+	pings, pingsBySecond, evicted := 0, map[time.Duration]int{}, 0
 	for at, ok := l.NextTimer(); ok && at < 19*time.Second; at, ok = l.NextTimer() {
 		p := l.Step(at, Event{Kind: TimerFired})
 		for _, i := range p.Ping {
 			pings++
-			first[at/time.Second]++
+			pingsBySecond[at/time.Second]++
 			l.Step(at, Event{Kind: Received, Conn: i})
 		}
 		for _, x := range p.Evict {
-			if let++; x.Conn != 90 || at < time.Second {
+			if evicted++; x.Conn != 90 || at < time.Second {
 				t.Fatal(x, at)
 			}
 		}
 	}
-	if let != 1 || pings < 50 || len(first) < 8 {
-		t.Fatal(let, pings, first)
+	if evicted != 1 || pings < 50 || len(pingsBySecond) < 8 {
+		t.Fatal(evicted, pings, pingsBySecond)
 	}
 }
 
-func TestDrainingLetsNobodyIn(t *testing.T) {
+func TestDrainingRejectsNewConnections(t *testing.T) {
 	l := New(1, testCapacity)
 	l.Step(0, Event{Kind: Draining})
 	if p := l.Step(0, Event{Kind: ConnectRequest, Address: addr(1)}); p.Admit || p.Reason != "director closes" {
@@ -312,25 +321,25 @@
 	}
 }
 
-func TestMemoryCountsAsRoom(t *testing.T) {
-	r := testCapacity
-	r.MaxMemory = 1000
-	l := New(1, r)
-	fill(l, 0, 0, 10)
-	if l.Step(0, Event{Kind: MemorySample, Memory: 960}); fill(l, 0, 10, 11) != 0 {
-		t.Fatal("let in without memory")
+func TestMemoryCountsTowardUsage(t *testing.T) {
+	capacity := testCapacity
+	capacity.MaxMemory = 1000
+	l := New(1, capacity)
+	connectClients(l, 0, 0, 10)
+	if l.Step(0, Event{Kind: MemorySample, Memory: 960}); connectClients(l, 0, 10, 11) != 0 {
+		t.Fatal("a client is admitted though the memory is used up")
 	}
-	let := 0
+	evicted := 0
 	for now := 100 * ms; now < 2*time.Second; now += 100 * ms {
-		let += len(l.Step(now, Event{Kind: TimerFired}).Evict)
+		evicted += len(l.Step(now, Event{Kind: TimerFired}).Evict)
 	}
-	if let != 10 {
-		t.Fatal(let, "let go")
+	if evicted != 10 {
+		t.Fatal(evicted, "connections are evicted, want 10")
 	}
 }
 
-// An address of IPv6 is one of 2^64 that one subscriber has: a bound by address has to count them together.
-func TestSubscribersAreCountedByTheirNetwork(t *testing.T) {
+// One subscriber has 2^64 IPv6 addresses, so the bound per address has to count their connections together.
+func TestIPv6AddressesAreCountedByNetwork(t *testing.T) {
 	for _, x := range []struct {
 		one, two string
 		admit    bool
