--- a/rollout/check.go
+++ b/rollout/check.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// Check goes through a plan with books of its own and returns the first thing that it breaks, nil where it
-// keeps the terms and ends where it is to.
-func Check(have, want []Node, titles []Title, terms Constraints, steps []Step) error {
+// Check simulates a plan with its own record of the nodes, independently of Plan. It returns the first violation, or nil if
+// the plan keeps the constraints and ends with the target fleet.
+func Check(current, target []Node, titles []Title, constraints Constraints, steps []Step) error {
 	type state struct {
 		Node
-		coldTo  time.Duration // up, and cold until then
-		drained time.Duration // draining since; under 0: since long
-		busyTo  time.Duration // on its way until then; 0: it is not
+		warmAt        time.Duration // warming up until then, if it is up
+		drainedAt     time.Duration // when its drain started; negative: not drained by this plan
+		transitionEnd time.Duration // in transition until then; 0: not in transition
 	}
 	nodes := map[string]*state{}
-	for _, n := range have {
-		nodes[n.Name] = &state{Node: n, drained: -1}
+	for _, n := range current {
+		nodes[n.Name] = &state{Node: n, drainedAt: -1}
 	}
-	leaving := map[string]time.Duration{} // removed, told to all at
-	lies := func(t Title, cell int) bool { return (cell-t.FirstCell%terms.Cells+terms.Cells)%terms.Cells < t.Copies }
-	held := func(t Title, at time.Duration) (n int) {
+	removalKnownAt := map[string]time.Duration{} // removed nodes, and when every director has received the removal
+	holds := func(t Title, cell int) bool {
+		return (cell-t.FirstCell%constraints.Cells+constraints.Cells)%constraints.Cells < t.Copies
+	}
+	holdersUp := func(t Title, at time.Duration) (n int) {
 		for _, s := range nodes {
-			if s.Up && s.coldTo <= at && lies(t, s.Cell) {
+			if s.Up && s.warmAt <= at && holds(t, s.Cell) {
 				n++
 			}
 		}
 		return n
 	}
-	had := make([]bool, len(titles))
+	hadHolder := make([]bool, len(titles))
 	for i, t := range titles {
-		had[i] = held(t, 0) > 0
+		hadHolder[i] = holdersUp(t, 0) > 0
 	}
-	drains := false
+	drainsStarted := false
 	last := time.Duration(-1)
 	for k, s := range steps {
-		if s.At < last || k > 0 && s.At < last+terms.PropagationDelay {
-			return fmt.Errorf("step %d at %v comes before the one at %v is known", k, s.At, last)
+		if s.At < last || k > 0 && s.At < last+constraints.PropagationDelay {
+			return fmt.Errorf("step %d at %v comes before every director has received the step at %v", k, s.At, last)
 		}
 		last = s.At
 		up := 0
@@ -50,91 +52,91 @@
 			switch c.Kind {
 			case Add:
 				if n != nil {
-					return fmt.Errorf("%s is added and is there", c.Node.Name)
+					return fmt.Errorf("%s is added and exists already", c.Node.Name)
 				}
 				for _, other := range nodes {
 					if other.Identity == c.Node.Identity && c.Node.Identity != "" {
-						return fmt.Errorf("%s is added where %s is", c.Node.Name, other.Name)
+						return fmt.Errorf("%s is added with the identity of %s", c.Node.Name, other.Name)
 					}
 				}
-				if to, was := leaving[c.Node.Name]; was && s.At < to {
-					return fmt.Errorf("%s is back before all have heard that it left", c.Node.Name)
+				if knownAt, removed := removalKnownAt[c.Node.Name]; removed && s.At < knownAt {
+					return fmt.Errorf("%s is added again before every director has received its removal", c.Node.Name)
 				}
-				if _, was := leaving[c.Node.Name]; drains && !was {
-					return fmt.Errorf("%s is added after drains have begun", c.Node.Name)
+				if _, removed := removalKnownAt[c.Node.Name]; drainsStarted && !removed {
+					return fmt.Errorf("%s is added after drains have started", c.Node.Name)
 				}
-				x := &state{Node: c.Node, drained: -1, busyTo: s.At + terms.Warmup}
+				x := &state{Node: c.Node, drainedAt: -1, transitionEnd: s.At + constraints.Warmup}
 				if c.Node.Up {
-					x.coldTo = s.At + terms.Warmup
+					x.warmAt = s.At + constraints.Warmup
 				}
 				nodes[c.Node.Name] = x
 			case Reopen, Reweight:
 				if n == nil || c.Node.Cell != n.Cell || c.Node.Identity != n.Identity || c.Kind == Reweight && c.Node.Up != n.Up {
-					return fmt.Errorf("%s %s: is not what is there", c.Kind, c.Node.Name)
+					return fmt.Errorf("%s %s: the node does not exist, or another property of it changes", c.Kind, c.Node.Name)
 				}
 				n.Node = c.Node
 			case Drain:
-				if n == nil || !n.Up && n.drained >= 0 {
-					return fmt.Errorf("%s is drained and is not there, or drains", c.Node.Name)
+				if n == nil || !n.Up && n.drainedAt >= 0 {
+					return fmt.Errorf("%s is drained and does not exist, or is draining", c.Node.Name)
 				}
-				drains = true
-				n.Up, n.drained, n.busyTo = false, s.At, s.At+terms.DrainTime
+				drainsStarted = true
+				n.Up, n.drainedAt, n.transitionEnd = false, s.At, s.At+constraints.DrainTime
 			case Remove:
 				if n == nil || n.Up {
-					return fmt.Errorf("%s is removed and is up, or not there", c.Node.Name)
+					return fmt.Errorf("%s is removed and is up, or does not exist", c.Node.Name)
 				}
-				if n.drained >= 0 && s.At < n.drained+terms.DrainTime {
-					return fmt.Errorf("%s is removed %v after its drain", c.Node.Name, s.At-n.drained)
+				if n.drainedAt >= 0 && s.At < n.drainedAt+constraints.DrainTime {
+					return fmt.Errorf("%s is removed %v after its drain", c.Node.Name, s.At-n.drainedAt)
 				}
 				delete(nodes, c.Node.Name)
-				leaving[c.Node.Name] = s.At + terms.PropagationDelay
+				removalKnownAt[c.Node.Name] = s.At + constraints.PropagationDelay
 			}
 		}
-		cold := 0
+		warming := 0
 		racks := map[int]int{}
-		busy := make([]int, len(titles))
+		inTransition := make([]int, len(titles))
 		for _, n := range nodes {
-			if n.Up && n.coldTo > s.At {
-				cold++
+			if n.Up && n.warmAt > s.At {
+				warming++
 			}
-			if n.busyTo > s.At {
-				racks[n.Cell%terms.Racks]++
+			if n.transitionEnd > s.At {
+				racks[n.Cell%constraints.Racks]++
 				for i, t := range titles {
-					if lies(t, n.Cell) {
-						busy[i]++
+					if holds(t, n.Cell) {
+						inTransition[i]++
 					}
 				}
 			}
 		}
-		most := terms.MaxWarming
-		if most == 0 {
-			most = max(1, up/20)
+		maxWarming := constraints.MaxWarming
+		if maxWarming == 0 {
+			maxWarming = max(1, up/20)
 		}
-		if cold > most {
-			return fmt.Errorf("step %d: %d nodes are cold, %d may be", k, cold, most)
+		if warming > maxWarming {
+			return fmt.Errorf("step %d: %d nodes are warming up, %d may be", k, warming, maxWarming)
 		}
 		for r, n := range racks {
-			if n > terms.MaxPerRack {
-				return fmt.Errorf("step %d: %d nodes of rack %d are on their way", k, n, r)
+			if n > constraints.MaxPerRack {
+				return fmt.Errorf("step %d: %d nodes of rack %d are in transition", k, n, r)
 			}
 		}
 		for i, t := range titles {
-			if busy[i] > terms.MaxPerTitle {
-				return fmt.Errorf("step %d: %d holders of title %s are on their way", k, busy[i], t.Name)
+			if inTransition[i] > constraints.MaxPerTitle {
+				return fmt.Errorf("step %d: %d holders of title %s are in transition", k, inTransition[i], t.Name)
 			}
-			now := held(t, s.At) > 0
-			if had[i] && !now {
+			hasHolder := holdersUp(t, s.At) > 0
+			if hadHolder[i] && !hasHolder {
 				return fmt.Errorf("step %d: title %s has no holder that is up", k, t.Name)
 			}
-			had[i] = had[i] || now
+			hadHolder[i] = hadHolder[i] || hasHolder
 		}
 	}
-	if len(nodes) != len(want) {
-		return fmt.Errorf("%d nodes at the end, %d are wanted", len(nodes), len(want))
+	if len(nodes) != len(target) {
+		return fmt.Errorf("%d nodes at the end, the target has %d", len(nodes), len(target))
 	}
-	for _, n := range want {
+	for _, n := range target {
 		if s := nodes[n.Name]; s == nil || s.Cell != n.Cell || s.Identity != n.Identity || s.Up != n.Up || s.Up && s.Weight != n.Weight {
-			return fmt.Errorf("%s is not as wanted at the end", n.Name)
+			return fmt.Errorf("%s differs from the target at the end", n.Name)
 		}
 	}
 	return nil
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,11 +1,11 @@
-// Package rollout plans how a fleet gets from the nodes that it has to those that it is to have, in steps
-// that are safe to tell to directors while viewers watch. It does no I/O and has no clock: Plan takes both
-// fleets and returns the steps, or what stands in the way; Check goes through a plan by itself and finds
-// what it breaks.
+// Package rollout plans how a fleet of nodes changes to another one, in steps that are safe to publish to directors while
+// clients are playing. It does no I/O and has no clock: Plan takes both fleets and returns the steps, or what prevents
+// them; Check simulates a plan independently and reports the constraint that it violates.
 //
-// The order is: nodes that are added or opened again, in waves as large as may be cold at one time; changes
-// of weight; nodes that change their place (drained, removed, and added there), since what is to be drained for
-// good still helps then; nodes that are drained, each removed once its sessions have had their time.
+// The steps are in this order: nodes that are added, in waves as large as the number of nodes that may be warming up at
+// one time; changes of weight and nodes that are reopened; nodes that move to another cell or get another identity
+// (drained, removed, and added again), while the nodes that are to be drained for good can still take sessions; nodes that
+// are drained, each removed after its sessions have had their time to end.
 package rollout
 
 import (
@@ -14,33 +14,34 @@
 	"time"
 )
 
-// Node is a node as the list has it.
+// Node is a streaming server as the server list names it.
 type Node struct {
 	Name     string
 	Cell     int
 	Up       bool    // false: draining
 	Weight   float64 // may change in place
-	Identity string  // whatever else it is (address, kind, zone): a node in which this changes is another one
+	Identity string  // all other properties (address, kind, zone): a change of these needs a drain and a new start
 }
 
-// Title lies on the nodes of so many cells in a row.
+// Title is a title held by the nodes of Copies consecutive cells, from FirstCell on.
 type Title struct {
 	Name              string
 	FirstCell, Copies int
 }
 
-// Constraints are what a plan has to keep.
+// Constraints are what a plan has to keep. A node is in transition while it is added and not warm, or draining and not
+// removed.
 type Constraints struct {
-	Cells, Racks     int           // a cell's rack is cell modulo racks
-	MaxPerRack       int           // nodes of one rack on their way at one time: added and not warm, or drained and not removed
-	MaxPerTitle      int           // the same of one title's holders
-	MaxWarming       int           // nodes that may be cold at one time; 0: a twentieth of those that are up, one at least
-	Warmup           time.Duration // after which a node that was added is warm
-	DrainTime        time.Duration // sessions have so long to end once their node drains
-	PropagationDelay time.Duration // after which every director has heard of a change
+	Cells, Racks     int           // a cell's rack is cell modulo Racks
+	MaxPerRack       int           // nodes of one rack in transition at one time
+	MaxPerTitle      int           // nodes that hold one title and are in transition at one time
+	MaxWarming       int           // nodes that may be warming up at one time; 0: a twentieth of those that are up, at least one
+	Warmup           time.Duration // time after which an added node is warm
+	DrainTime        time.Duration // time that sessions on a draining node have to end
+	PropagationDelay time.Duration // time after which every director has received a change
 }
 
-// ChangeKind a change does.
+// ChangeKind is the kind of a Change.
 type ChangeKind string
 
 // The changes.
@@ -52,24 +53,24 @@
 	Remove   ChangeKind = "remove"
 )
 
-// Change is one line of the list.
+// Change is the change of one node in the server list.
 type Change struct {
 	Kind ChangeKind
-	Node Node // as it is afterwards; for Remove as it was
+	Node Node // the node after the change; for Remove, before it
 }
 
-// Step is what is told at one time, counted from the start.
+// Step is a set of changes that are published at one time, counted from the start of the rollout.
 type Step struct {
 	At      time.Duration
 	Changes []Change
 }
 
-// A BlockedError plan does not exist, or none was found.
+// A BlockedError says why no plan exists, or why none was found.
 type BlockedError struct {
-	Node       string // that can't be changed
-	Title      string // that would have no holder
-	Constraint string
-	Exhaustive bool // every order was tried: none exists
+	Node       string // node that cannot be changed
+	Title      string // title that would have no holder
+	Constraint string // text of the constraint
+	Exhaustive bool   // every order was tried, so no plan exists
 }
 
 func (b *BlockedError) Error() string {
@@ -86,21 +87,21 @@
 	return s
 }
 
-// fleet is the nodes as they are at some point of a plan.
+// fleet is the state of the nodes at some point of a plan.
 type fleet struct {
-	terms  Constraints
-	nodes  map[string]Node
-	cells  map[int][]string // nodes of each cell
-	titles []Title
-	byCell map[int][]int // titles that lie on a cell
-	up     []int         // holders that are up, by title
+	constraints Constraints
+	nodes       map[string]Node
+	cells       map[int][]string // always empty: nothing reads or fills it
+	titles      []Title
+	byCell      map[int][]int // indices of the titles that a cell holds
+	up          []int         // number of holders that are up, by title
 }
 
-func newFleet(nodes []Node, titles []Title, terms Constraints) *fleet {
-	f := &fleet{terms: terms, nodes: map[string]Node{}, cells: map[int][]string{}, titles: titles, byCell: map[int][]int{}, up: make([]int, len(titles))}
+func newFleet(nodes []Node, titles []Title, constraints Constraints) *fleet {
+	f := &fleet{constraints: constraints, nodes: map[string]Node{}, cells: map[int][]string{}, titles: titles, byCell: map[int][]int{}, up: make([]int, len(titles))}
 	for i, t := range titles {
-		for k := range min(t.Copies, terms.Cells) {
-			c := (t.FirstCell + k) % terms.Cells
+		for k := range min(t.Copies, constraints.Cells) {
+			c := (t.FirstCell + k) % constraints.Cells
 			f.byCell[c] = append(f.byCell[c], i)
 		}
 	}
@@ -110,7 +111,7 @@
 	return f
 }
 
-// put adds a node, or changes it.
+// put adds a node or replaces its previous state.
 func (f *fleet) put(n Node) {
 	f.drop(n.Name)
 	f.nodes[n.Name] = n
@@ -121,6 +122,7 @@
 	}
 }
 
+// drop removes a node.
 func (f *fleet) drop(name string) {
 	if n, ok := f.nodes[name]; ok && n.Up {
 		for _, t := range f.byCell[n.Cell] {
@@ -130,8 +132,8 @@
 	delete(f.nodes, name)
 }
 
-// lonely is a title that would lose its last holder with a node, "" where there is none.
-func (f *fleet) lonely(n Node) string {
+// titleLosingLastHolder returns a title whose only holder that is up is the node, "" if there is none.
+func (f *fleet) titleLosingLastHolder(n Node) string {
 	if !n.Up {
 		return ""
 	}
@@ -143,44 +145,45 @@
 	return ""
 }
 
-// A wave is what changes together.
+// A wave is a set of nodes that change at the same time. It counts how many of them each rack and each title has.
 type wave struct {
-	f       *fleet
-	racks   map[int]int
-	touched map[int]int // titles
-	most    int         // nodes in all
-	n       int
+	f        *fleet
+	racks    map[int]int // by rack
+	titles   map[int]int // by index of the title
+	maxNodes int
+	size     int // nodes in the wave
 }
 
-func (f *fleet) wave(most int) *wave {
-	return &wave{f: f, racks: map[int]int{}, touched: map[int]int{}, most: most}
+// newWave returns an empty wave of at most maxNodes nodes.
+func (f *fleet) newWave(maxNodes int) *wave {
+	return &wave{f: f, racks: map[int]int{}, titles: map[int]int{}, maxNodes: maxNodes}
 }
 
-// fits tells whether a wave may have a further node in these cells, and what is against it.
-func (w *wave) fits(cells ...int) string {
-	if w.n >= w.most {
-		return "as many nodes as may be cold are so already"
+// conflict returns the constraint that a further node in these cells would violate, "" if there is none.
+func (w *wave) conflict(cells ...int) string {
+	if w.size >= w.maxNodes {
+		return "no more nodes may be warming up at this time"
 	}
 	for _, c := range cells {
-		if w.racks[c%w.f.terms.Racks] >= w.f.terms.MaxPerRack {
-			return fmt.Sprintf("rack %d has as many nodes on their way as it may", c%w.f.terms.Racks)
+		if w.racks[c%w.f.constraints.Racks] >= w.f.constraints.MaxPerRack {
+			return fmt.Sprintf("rack %d has as many nodes in transition as it may", c%w.f.constraints.Racks)
 		}
 		for _, t := range w.f.byCell[c] {
-			if w.touched[t] >= w.f.terms.MaxPerTitle {
-				return "title " + w.f.titles[t].Name + " has as many holders on their way as it may"
+			if w.titles[t] >= w.f.constraints.MaxPerTitle {
+				return "title " + w.f.titles[t].Name + " has as many holders in transition as it may"
 			}
 		}
 	}
 	return ""
 }
 
-// take counts a node into a wave; a cell that is named twice counts once.
-func (w *wave) take(cells ...int) {
-	w.n++
+// add counts a node in the wave. A rack or title that several of its cells share counts once.
+func (w *wave) add(cells ...int) {
+	w.size++
 	slices.Sort(cells)
 	racks, titles := map[int]bool{}, map[int]bool{}
 	for _, c := range slices.Compact(cells) {
-		racks[c%w.f.terms.Racks] = true
+		racks[c%w.f.constraints.Racks] = true
 		for _, t := range w.f.byCell[c] {
 			titles[t] = true
 		}
@@ -189,100 +192,100 @@
 		w.racks[r]++
 	}
 	for t := range titles {
-		w.touched[t]++
+		w.titles[t]++
 	}
 }
 
-// A plan is being made.
+// plan is a plan under construction.
 type plan struct {
-	f     *fleet
-	terms Constraints
-	now   time.Duration
-	steps []Step
+	f           *fleet
+	constraints Constraints
+	now         time.Duration // time of the next step
+	steps       []Step
 }
 
-// Plan finds the steps from one fleet to another.
-func Plan(have, want []Node, titles []Title, terms Constraints) ([]Step, *BlockedError) {
-	if b := possible(have, want, titles, terms); b != nil {
+// Plan finds the steps from the current fleet to the target fleet.
+func Plan(current, target []Node, titles []Title, constraints Constraints) ([]Step, *BlockedError) {
+	if b := checkFeasible(current, target, titles, constraints); b != nil {
 		return nil, b
 	}
-	p := &plan{f: newFleet(have, titles, terms), terms: terms}
+	p := &plan{f: newFleet(current, titles, constraints), constraints: constraints}
 	before, after := map[string]Node{}, map[string]Node{}
-	for _, n := range have {
+	for _, n := range current {
 		before[n.Name] = n
 	}
-	for _, n := range want {
+	for _, n := range target {
 		after[n.Name] = n
 	}
-	var add, weigh, move, drain []Node
-	for _, n := range want {
-		old, there := before[n.Name]
+	var add, reweight, move, drain []Node
+	for _, n := range target {
+		old, exists := before[n.Name]
 		switch {
-		case !there:
+		case !exists:
 			add = append(add, n)
 		case old.Identity != n.Identity || old.Cell != n.Cell:
 			move = append(move, n)
 		case old.Up && !n.Up:
 			drain = append(drain, n)
 		case old.Weight != n.Weight || old.Up != n.Up:
-			weigh = append(weigh, n)
+			reweight = append(reweight, n)
 		}
 	}
-	var gone []Node
-	for _, n := range have {
-		if _, stays := after[n.Name]; !stays {
-			gone = append(gone, n)
+	var removed []Node
+	for _, n := range current {
+		if _, kept := after[n.Name]; !kept {
+			removed = append(removed, n)
 		}
 	}
-	p.add(add)
-	p.weigh(weigh)
-	if b := p.move(move); b != nil {
+	p.addNodes(add)
+	p.reweightNodes(reweight)
+	if b := p.moveNodes(move); b != nil {
 		return nil, b
 	}
-	if b := p.drain(drain, gone); b != nil {
+	if b := p.drainNodes(drain, removed); b != nil {
 		return nil, b
 	}
 	return p.steps, nil
 }
 
-// possible looks at what no order could mend.
-func possible(have, want []Node, titles []Title, terms Constraints) *BlockedError {
-	if terms.Cells <= 0 || terms.Racks <= 0 || terms.MaxPerRack <= 0 || terms.MaxPerTitle <= 0 {
-		return &BlockedError{Constraint: "cells, racks, nodes of a rack and holders of a title at one time have to be one at least"}
+// checkFeasible reports what makes every plan impossible, whatever its order.
+func checkFeasible(current, target []Node, titles []Title, constraints Constraints) *BlockedError {
+	if constraints.Cells <= 0 || constraints.Racks <= 0 || constraints.MaxPerRack <= 0 || constraints.MaxPerTitle <= 0 {
+		return &BlockedError{Constraint: "cells, racks, nodes of a rack and holders of a title at one time must be at least one"}
 	}
-	sites := map[string]string{}
-	for _, n := range want {
-		if other, twice := sites[n.Identity]; twice && n.Identity != "" {
-			return &BlockedError{Node: n.Name, Constraint: "it is to be where node " + other + " is to be"}
+	targetByIdentity := map[string]string{}
+	for _, n := range target {
+		if other, duplicate := targetByIdentity[n.Identity]; duplicate && n.Identity != "" {
+			return &BlockedError{Node: n.Name, Constraint: "its address, kind and zone are those of node " + other + " in the target"}
 		}
-		sites[n.Identity] = n.Name
+		targetByIdentity[n.Identity] = n.Name
 	}
-	now := map[string]string{}
-	for _, n := range have {
-		now[n.Identity] = n.Name
+	currentByIdentity := map[string]string{}
+	for _, n := range current {
+		currentByIdentity[n.Identity] = n.Name
 	}
-	names := map[string]bool{}
-	for _, n := range have {
-		names[n.Name] = true
+	currentNames := map[string]bool{}
+	for _, n := range current {
+		currentNames[n.Name] = true
 	}
-	for _, n := range want {
-		if other, held := now[n.Identity]; held && n.Identity != "" && !names[n.Name] {
-			return &BlockedError{Node: n.Name, Constraint: "node " + other + " is there under another name: keep its name, or drain it first"}
+	for _, n := range target {
+		if other, inUse := currentByIdentity[n.Identity]; inUse && n.Identity != "" && !currentNames[n.Name] {
+			return &BlockedError{Node: n.Name, Constraint: "node " + other + " has the same address, kind and zone under another name: keep its name, or drain it first"}
 		}
 	}
-	was, is := newFleet(have, titles, terms), newFleet(want, titles, terms)
+	before, after := newFleet(current, titles, constraints), newFleet(target, titles, constraints)
 	for i, t := range titles {
-		if is.up[i] == 0 && was.up[i] > 0 {
-			return &BlockedError{Title: t.Name, Constraint: "no holder of it is up in what is wanted"}
+		if after.up[i] == 0 && before.up[i] > 0 {
+			return &BlockedError{Title: t.Name, Constraint: "no holder of it is up in the target"}
 		}
 	}
 	return nil
 }
 
-// cold is how many nodes may be cold at one time.
-func (p *plan) cold() int {
-	if p.terms.MaxWarming > 0 {
-		return p.terms.MaxWarming
+// maxWarming returns how many nodes may be warming up at one time.
+func (p *plan) maxWarming() int {
+	if p.constraints.MaxWarming > 0 {
+		return p.constraints.MaxWarming
 	}
 	up := 0
 	for _, n := range p.f.nodes {
@@ -293,8 +296,8 @@
 	return max(1, up/20)
 }
 
-// step tells changes now and lets time pass.
-func (p *plan) step(changes []Change, then time.Duration) {
+// addStep adds a step with the changes at the current time, and advances the time.
+func (p *plan) addStep(changes []Change, duration time.Duration) {
 	for _, c := range changes {
 		if c.Kind == Remove {
 			p.f.drop(c.Node.Name)
@@ -303,118 +306,119 @@
 		}
 	}
 	p.steps = append(p.steps, Step{p.now, changes})
-	p.now += then
+	p.now += duration
 }
 
-// add brings nodes in, each wave once the one before is warm.
-func (p *plan) add(nodes []Node) {
+// addNodes adds nodes in waves; each wave starts once the previous one is warm.
+func (p *plan) addNodes(nodes []Node) {
 	for len(nodes) > 0 {
-		w := p.f.wave(p.cold())
+		w := p.f.newWave(p.maxWarming())
 		var changes []Change
 		var later []Node
 		for _, n := range nodes {
-			if w.fits(n.Cell) != "" {
+			if w.conflict(n.Cell) != "" {
 				later = append(later, n)
 				continue
 			}
-			w.take(n.Cell)
+			w.add(n.Cell)
 			changes = append(changes, Change{Add, n})
 		}
-		p.step(changes, p.terms.Warmup+p.terms.PropagationDelay)
+		p.addStep(changes, p.constraints.Warmup+p.constraints.PropagationDelay)
 		nodes = later
 	}
 }
 
-// weigh changes weights and opens nodes again, where they stand: a wave for each notice.
-func (p *plan) weigh(nodes []Node) {
+// reweightNodes changes weights and reopens nodes in place, one wave for each PropagationDelay.
+func (p *plan) reweightNodes(nodes []Node) {
 	for len(nodes) > 0 {
-		w := p.f.wave(len(nodes))
+		w := p.f.newWave(len(nodes))
 		var changes []Change
 		var later []Node
 		for _, n := range nodes {
-			if w.fits(n.Cell) != "" {
+			if w.conflict(n.Cell) != "" {
 				later = append(later, n)
 				continue
 			}
-			w.take(n.Cell)
-			what := Reweight
+			w.add(n.Cell)
+			kind := Reweight
 			if n.Up && !p.f.nodes[n.Name].Up {
-				what = Reopen
+				kind = Reopen
 			}
-			changes = append(changes, Change{what, n})
+			changes = append(changes, Change{kind, n})
 		}
-		p.step(changes, p.terms.PropagationDelay)
+		p.addStep(changes, p.constraints.PropagationDelay)
 		nodes = later
 	}
 }
 
-// move takes nodes away and brings them back where they are to be. Each wave is of nodes that no title needs
-// meanwhile; which go first can matter, so where the first that fit lead nowhere, all orders are tried.
-func (p *plan) move(nodes []Node) *BlockedError {
+// moveNodes drains and removes nodes, and adds them again in their new place. Each wave consists of nodes that no title
+// needs in the meantime. The order can matter, so if taking the first nodes that fit leads to a dead end, every order is
+// tried.
+func (p *plan) moveNodes(nodes []Node) *BlockedError {
 	order := nodes
-	stuck := p.moves(order, true)
-	if stuck == nil {
-		p.moves(order, false)
+	blocked := p.moveInWaves(order, true)
+	if blocked == nil {
+		p.moveInWaves(order, false)
 		return nil
 	}
-	order, ok, complete := p.order(nodes)
+	order, ok, complete := p.findOrder(nodes)
 	if !ok {
-		stuck.Exhaustive = complete
-		return stuck
+		blocked.Exhaustive = complete
+		return blocked
 	}
-	// One at a time, in the order that was found: a wave of several might not exist.
+	// The nodes move one at a time, in the order that was found: waves of several nodes may not be possible.
 	for _, n := range order {
 		p.moveWave([]Node{n})
 	}
 	return nil
 }
 
-// moves goes through waves; trying it leaves the fleet as it was.
-func (p *plan) moves(nodes []Node, try bool) *BlockedError {
-	if try {
-		kept := *p
-		kept.f = newFleet(nil, p.f.titles, p.terms)
+// moveInWaves moves nodes in waves. With dryRun it does so on a copy and leaves the plan unchanged.
+func (p *plan) moveInWaves(nodes []Node, dryRun bool) *BlockedError {
+	if dryRun {
+		copied := *p
+		copied.f = newFleet(nil, p.f.titles, p.constraints)
 		for _, n := range p.f.nodes {
-			kept.f.put(n)
+			copied.f.put(n)
 		}
-		kept.steps = nil
-		return kept.moves(nodes, false)
+		copied.steps = nil
+		return copied.moveInWaves(nodes, false)
 	}
 	for len(nodes) > 0 {
-		var together, later []Node
-		var stuck *BlockedError
-		w := p.f.wave(p.cold())
-		trial := []Node{}
+		var moving, later []Node
+		var blocked *BlockedError
+		w := p.f.newWave(p.maxWarming())
+		dropped := []Node{}
 		for _, n := range nodes {
 			old := p.f.nodes[n.Name]
-			title := p.f.lonely(old)
-			why := w.fits(old.Cell, n.Cell)
-			if title != "" || why != "" || p.taken(n) {
-				if stuck == nil {
-					stuck = p.against(n, title, why)
+			title := p.f.titleLosingLastHolder(old)
+			conflict := w.conflict(old.Cell, n.Cell)
+			if title != "" || conflict != "" || p.identityInUse(n) {
+				if blocked == nil {
+					blocked = p.blockedError(n, title, conflict)
 				}
 				later = append(later, n)
 				continue
 			}
-			w.take(old.Cell, n.Cell)
-			p.f.drop(n.Name) // so that the next one sees what is left
-			trial = append(trial, old)
-			together = append(together, n)
+			w.add(old.Cell, n.Cell)
+			p.f.drop(n.Name) // so that the next node is checked against the nodes that remain
+			dropped = append(dropped, old)
+			moving = append(moving, n)
 		}
-		for _, old := range trial {
+		for _, old := range dropped {
 			p.f.put(old)
 		}
-		if len(together) == 0 {
-			return stuck
+		if len(moving) == 0 {
+			return blocked
 		}
-		p.moveWave(together)
+		p.moveWave(moving)
 		nodes = later
 	}
 	return nil
 }
 
-// taken tells whether another node is still where one is to be.
-func (p *plan) taken(n Node) bool {
+// identityInUse reports whether another node still has the identity that a node is to have.
+func (p *plan) identityInUse(n Node) bool {
 	for _, other := range p.f.nodes {
 		if other.Name != n.Name && other.Identity == n.Identity && n.Identity != "" {
 			return true
@@ -423,60 +427,62 @@
 	return false
 }
 
-func (p *plan) against(n Node, title, why string) *BlockedError {
+// blockedError describes why a node cannot change: a title without a holder, a conflict, or else an identity in use.
+func (p *plan) blockedError(n Node, title, conflict string) *BlockedError {
 	switch {
 	case title != "":
-		return &BlockedError{Node: n.Name, Title: title, Constraint: "it would have no holder that is up while the node is away"}
-	case why != "":
-		return &BlockedError{Node: n.Name, Constraint: why}
+		return &BlockedError{Node: n.Name, Title: title, Constraint: "no holder of it would be up while the node is away"}
+	case conflict != "":
+		return &BlockedError{Node: n.Name, Constraint: conflict}
 	}
-	return &BlockedError{Node: n.Name, Constraint: "another node is still where it is to be"}
+	return &BlockedError{Node: n.Name, Constraint: "another node still has its target address, kind and zone"}
 }
 
-// moveWave drains nodes, removes them and adds them where they are to be.
+// moveWave drains nodes, removes them and adds them in their new place.
 func (p *plan) moveWave(nodes []Node) {
-	var down, out, in []Change
+	var drains, removals, adds []Change
 	for _, n := range nodes {
 		old := p.f.nodes[n.Name]
 		old.Up = false
-		down, out, in = append(down, Change{Drain, old}), append(out, Change{Remove, old}), append(in, Change{Add, n})
+		drains, removals, adds = append(drains, Change{Drain, old}), append(removals, Change{Remove, old}), append(adds, Change{Add, n})
 	}
-	p.step(down, p.terms.DrainTime+p.terms.PropagationDelay)
-	p.step(out, p.terms.PropagationDelay)
-	p.step(in, p.terms.Warmup+p.terms.PropagationDelay)
+	p.addStep(drains, p.constraints.DrainTime+p.constraints.PropagationDelay)
+	p.addStep(removals, p.constraints.PropagationDelay)
+	p.addStep(adds, p.constraints.Warmup+p.constraints.PropagationDelay)
 }
 
-// searchMost bounds the search for an order: what has been moved is one of 2 to the power of so many sets.
-const searchMost = 18
+// maxOrderSearch is the largest number of nodes for which an order is searched: the search visits up to 2 to the power of
+// this number of sets of moved nodes.
+const maxOrderSearch = 18
 
-// order tries every order of moves, one at a time. Which moves are still possible depends on which were
-// done and not on their order, so each set is looked at once.
-func (p *plan) order(nodes []Node) (found []Node, ok, complete bool) {
-	if len(nodes) > searchMost {
+// findOrder tries every order of moving the nodes one at a time. Which moves are possible depends on the set of nodes that
+// have moved and not on their order, so each set is visited once. complete is false if there are too many nodes to search.
+func (p *plan) findOrder(nodes []Node) (found []Node, ok, complete bool) {
+	if len(nodes) > maxOrderSearch {
 		return nil, false, false
 	}
-	seen := make([]bool, 1<<len(nodes))
-	var try func(done int) bool
-	try = func(done int) bool {
-		if done == 1<<len(nodes)-1 {
+	visited := make([]bool, 1<<len(nodes))
+	var search func(moved int) bool
+	search = func(moved int) bool {
+		if moved == 1<<len(nodes)-1 {
 			return true
 		}
-		if seen[done] {
+		if visited[moved] {
 			return false
 		}
-		seen[done] = true
+		visited[moved] = true
 		for i, n := range nodes {
-			if done&(1<<i) != 0 {
+			if moved&(1<<i) != 0 {
 				continue
 			}
 			old := p.f.nodes[n.Name]
-			if p.f.lonely(old) != "" || p.taken(n) {
+			if p.f.titleLosingLastHolder(old) != "" || p.identityInUse(n) {
 				continue
 			}
 			p.f.put(n)
 			found = append(found, n)
-			if try(done | 1<<i) {
-				p.f.put(old) // the steps will do it
+			if search(moved | 1<<i) {
+				p.f.put(old) // only the search is undone: the steps of the plan apply the moves later
 				return true
 			}
 			found = found[:len(found)-1]
@@ -484,50 +490,51 @@
 		}
 		return false
 	}
-	ok = try(0)
+	ok = search(0)
 	return found, ok, true
 }
 
-// drain drains nodes, some to stay so, some to be removed once their sessions have had their time.
-func (p *plan) drain(stay, gone []Node) *BlockedError {
-	removed := map[string]bool{}
-	for _, n := range gone {
-		removed[n.Name] = true
+// drainNodes drains nodes. Those in stay remain in the list as draining; those in removed are removed once their sessions
+// have had their time to end.
+func (p *plan) drainNodes(stay, removed []Node) *BlockedError {
+	remove := map[string]bool{}
+	for _, n := range removed {
+		remove[n.Name] = true
 	}
-	nodes := slices.Concat(stay, gone)
+	nodes := slices.Concat(stay, removed)
 	for len(nodes) > 0 {
-		w := p.f.wave(len(nodes))
-		var down, out []Change
+		w := p.f.newWave(len(nodes))
+		var drains, removals []Change
 		var later []Node
-		var stuck *BlockedError
+		var blocked *BlockedError
 		for _, n := range nodes {
 			old := p.f.nodes[n.Name]
-			title, why := p.f.lonely(old), w.fits(old.Cell)
-			if title != "" || why != "" {
-				if stuck == nil {
-					stuck = p.against(n, title, why)
+			title, conflict := p.f.titleLosingLastHolder(old), w.conflict(old.Cell)
+			if title != "" || conflict != "" {
+				if blocked == nil {
+					blocked = p.blockedError(n, title, conflict)
 				}
 				later = append(later, n)
 				continue
 			}
-			w.take(old.Cell)
+			w.add(old.Cell)
 			n.Up, n.Weight = false, old.Weight
 			if old.Up {
-				down = append(down, Change{Drain, n})
+				drains = append(drains, Change{Drain, n})
 				p.f.put(n)
 			}
-			if removed[n.Name] {
-				out = append(out, Change{Remove, n})
+			if remove[n.Name] {
+				removals = append(removals, Change{Remove, n})
 			}
 		}
 		if len(later) == len(nodes) {
-			return stuck
+			return blocked
 		}
-		if len(down) > 0 {
-			p.step(down, p.terms.DrainTime+p.terms.PropagationDelay)
+		if len(drains) > 0 {
+			p.addStep(drains, p.constraints.DrainTime+p.constraints.PropagationDelay)
 		}
-		if len(out) > 0 {
-			p.step(out, p.terms.PropagationDelay)
+		if len(removals) > 0 {
+			p.addStep(removals, p.constraints.PropagationDelay)
 		}
 		nodes = later
 	}
