--- a/connector/connector.go
+++ b/connector/connector.go
@@ -65,12 +65,14 @@
 
 // Plan is what the caller has to do after an event. Close, BackingOff and Suspect concern the node of the event.
 type Plan struct {
-	Dial       []int         // nodes to connect to now
-	Dead       []int         // nodes to take for dead
-	Close      bool          // close the connection to the node
-	BackingOff bool          // the node's next dial waits for its backoff
-	Suspect    bool          // the failure counts against the node; a single dial that times out does not, as it may be lost in the network
-	NextTimer  time.Duration // time of the next TimerFired; 0: none is needed
+	Dial       []int // nodes to connect to now
+	Dead       []int // nodes to take for dead
+	Close      bool  // close the connection to the node
+	BackingOff bool  // the node's next dial waits for its backoff
+	// Suspect: the failure counts against the node. A single dial that times out does not, as it may be lost in the
+	// network.
+	Suspect   bool
+	NextTimer time.Duration // time of the next TimerFired; 0: none is needed
 }
 
 type state int
@@ -112,7 +114,7 @@
 func (c *Connector) Step(now time.Duration, e Event) Plan {
 	c.plan = Plan{Dial: c.plan.Dial[:0], Dead: c.plan.Dead[:0]}
 	n := c.nodes[e.Node]
-	if e.Kind == Received { // a connection may die without notice, so the age of the last data is checked; nothing else depends on it
+	if e.Kind == Received { // a connection may die without notice; nothing else depends on the age of the last data
 		c.plan.Close = n != nil && n.state == connected && e.Age > maxMissedHeartbeats*c.policy.HeartbeatInterval
 		return c.plan
 	}
--- a/limits/budget_test.go
+++ b/limits/budget_test.go
@@ -94,7 +94,7 @@
 }
 
 // A new client displaces the connection that has been idle for longest, but none that became idle a moment ago.
-func TestNewcomerDisplacesLongestIdle(t *testing.T) {
+func TestNewClientDisplacesLongestIdle(t *testing.T) {
 	l := New(1, tightCapacity)
 	now := time.Duration(0)
 	full := 0
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -93,7 +93,7 @@
 const (
 	ConnectRequest    EventKind = iota // a client wants to connect; answered by Plan.Admit
 	HandshakeDone                      // the client's handshake is complete
-	Received                           // data arrived from the client; it is still to be processed, so this step does not evict the connection
+	Received                           // data arrived from the client and is not processed yet, so this step does not evict it
 	Busy                               // the client has a session or an owed answer
 	Idle                               // the client has neither any more
 	Closed                             // the connection has ended
@@ -261,7 +261,7 @@
 	switch {
 	case l.draining:
 		reason = "director closes"
-	case (l.used >= l.maxClients() || l.mode == Full) && !l.evictForNewcomer():
+	case (l.used >= l.maxClients() || l.mode == Full) && !l.evictForNewClient():
 		reason = "no room"
 	case l.handshakes >= l.capacity.MaxHandshakes:
 		reason = "too many handshakes"
@@ -305,8 +305,8 @@
 	return max(1, min(l.capacity.MaxConnections, l.capacity.MaxDescriptors-l.capacity.ReservedDescriptors-l.capacity.PreHandshakeDescriptors-l.nodeDescriptors-dialCost))
 }
 
-// evictForNewcomer evicts the longest idle connection in favour of a new client, if it has been idle for long enough.
-func (l *Limits) evictForNewcomer() bool {
+// evictForNewClient evicts the longest idle connection in favour of a new client, if it has been idle for long enough.
+func (l *Limits) evictForNewClient() bool {
 	if l.capacity.DisplaceIdleAfter == 0 || l.idleHead == none || l.now-l.conns[l.idleHead].idleSince < l.capacity.DisplaceIdleAfter {
 		return false
 	}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -23,7 +23,7 @@
 	Identity string  // all other properties (address, kind, zone): a change of these needs a drain and a new start
 }
 
-// Title is a title held by the nodes of Copies consecutive cells, from FirstCell on.
+// Title is one title of the settings and its placement: the nodes of Copies consecutive cells, from FirstCell on, hold it.
 type Title struct {
 	Name              string
 	FirstCell, Copies int
@@ -35,7 +35,7 @@
 	Cells, Racks     int           // a cell's rack is cell modulo Racks
 	MaxPerRack       int           // nodes of one rack in transition at one time
 	MaxPerTitle      int           // nodes that hold one title and are in transition at one time
-	MaxWarming       int           // nodes that may be warming up at one time; 0: a twentieth of those that are up, at least one
+	MaxWarming       int           // nodes warming up at one time; 0: a twentieth of those that are up, at least one
 	Warmup           time.Duration // time after which an added node is warm
 	DrainTime        time.Duration // time that sessions on a draining node have to end
 	PropagationDelay time.Duration // time after which every director has received a change
@@ -65,7 +65,7 @@
 	Changes []Change
 }
 
-// A BlockedError says why no plan exists, or why none was found.
+// BlockedError reports why no plan exists, or why none was found.
 type BlockedError struct {
 	Node       string // node that cannot be changed
 	Title      string // title that would have no holder
@@ -145,7 +145,7 @@
 	return ""
 }
 
-// A wave is a set of nodes that change at the same time. It counts how many of them each rack and each title has.
+// wave is a set of nodes that change at the same time. It counts how many of them each rack and each title has.
 type wave struct {
 	f        *fleet
 	racks    map[int]int // by rack
@@ -328,7 +328,7 @@
 	}
 }
 
-// reweightNodes changes weights and reopens nodes in place, one wave for each PropagationDelay.
+// reweightNodes changes weights and reopens nodes in place, in waves that are PropagationDelay apart.
 func (p *plan) reweightNodes(nodes []Node) {
 	for len(nodes) > 0 {
 		w := p.f.newWave(len(nodes))
@@ -351,9 +351,9 @@
 	}
 }
 
-// moveNodes drains and removes nodes, and adds them again in their new place. Each wave consists of nodes that no title
-// needs in the meantime. The order can matter, so if taking the first nodes that fit leads to a dead end, every order is
-// tried.
+// moveNodes drains and removes nodes, and adds them again in their new place. Each wave consists of nodes without which
+// every title still has a holder that is up. The order can matter, so if moving the first nodes that fit leads to a dead
+// end, every order is tried.
 func (p *plan) moveNodes(nodes []Node) *BlockedError {
 	order := nodes
 	blocked := p.moveInWaves(order, true)
@@ -497,9 +497,9 @@
 // drainNodes drains nodes. Those in stay remain in the list as draining; those in removed are removed once their sessions
 // have had their time to end.
 func (p *plan) drainNodes(stay, removed []Node) *BlockedError {
-	remove := map[string]bool{}
+	isRemoved := map[string]bool{}
 	for _, n := range removed {
-		remove[n.Name] = true
+		isRemoved[n.Name] = true
 	}
 	nodes := slices.Concat(stay, removed)
 	for len(nodes) > 0 {
@@ -523,7 +523,7 @@
 				drains = append(drains, Change{Drain, n})
 				p.f.put(n)
 			}
-			if remove[n.Name] {
+			if isRemoved[n.Name] {
 				removals = append(removals, Change{Remove, n})
 			}
 		}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -54,7 +54,7 @@
 			return
 		}
 		if len(steps) > 0 {
-			t.Fatal("Plan returns steps together with an error")
+			t.Fatal("Plan returns steps and a BlockedError")
 		}
 		if blocked.Title == "" {
 			return
@@ -102,7 +102,7 @@
 }
 
 func TestMoveOrder(t *testing.T) {
-	// Two nodes swap their cells and each is the only holder of its title: no order exists, and the error says that every
+	// Two nodes swap their cells and each is the only holder of its title: no order exists, and the error reports that every
 	// order was tried.
 	a, b := node("a", 0, true), node("b", 1, true)
 	a2, b2 := a, b
