--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -8,26 +8,28 @@
 	"fordusher/internal/wire"
 )
 
-// rejectRequest answers a request for which there is no room in the inbox. The loop never hears of it, so it has never run.
+// rejectRequest answers a request that exceeds its peer's inbox bound with a nack. The loop never receives the request, so it
+// has never run.
 func (d *Daemon) rejectRequest(c *transport.Conn, in director.ClientReceived) {
 	d.inboxFullRejects.Add(1)
 	c.Send(d.protocol.EncodeClient(director.SendClient{Message: wire.SessionMessage{
 		Type: wire.Nack, ID: in.Message.ID, BackoffMS: d.config.Queue.MaxRetryAfter.Milliseconds(), Reason: "too many requests at once"}}), 0)
 }
 
+// A clientHandler receives the events of client connections and puts them into the inbox.
 type clientHandler struct{ d *Daemon }
 
 func (h clientHandler) Connecting(c *transport.Conn) {
 	p := &peer{id: h.d.lastConnID.Add(1)}
 	c.SetUserData(p)
-	var from netip.Addr
+	var address netip.Addr
 	if a, ok := c.RemoteAddr().(interface{ AddrPort() netip.AddrPort }); ok {
-		from = a.AddrPort().Addr().Unmap()
+		address = a.AddrPort().Addr().Unmap()
 	} else if a, err := netip.ParseAddrPort(c.RemoteAddr().String()); err == nil {
-		from = a.Addr().Unmap()
+		address = a.Addr().Unmap()
 	}
 	p.pending.Add(1)
-	h.d.inbox.enqueueClient(item{input: director.ClientConnecting{Conn: p.id, Address: from}, conn: c, peer: p})
+	h.d.inbox.enqueueClient(item{input: director.ClientConnecting{Conn: p.id, Address: address}, conn: c, peer: p})
 }
 
 func (h clientHandler) Opened(c *transport.Conn) {
@@ -62,21 +64,22 @@
 	}
 }
 
-// InputEnded says that nothing more is read from a player's connection. The loop closes it once it owes nothing on it.
-func (h clientHandler) InputEnded(c *transport.Conn, why error) {
+// InputEnded tells the loop that nothing more is read from a client's connection. The loop closes the connection once
+// all its requests are answered.
+func (h clientHandler) InputEnded(c *transport.Conn, reason error) {
 	p, ok := c.UserData().(*peer)
-	if !ok { // it has not knocked
-		c.Close(closeInvalidData, why.Error())
+	if !ok { // Connecting was not called, so the loop does not know the connection.
+		c.Close(closeInvalidData, reason.Error())
 		return
 	}
 	h.d.inputEndedCount.Add(1)
 	p.pending.Add(1)
-	h.d.inbox.enqueueClient(item{input: director.ClientInputEnded{Conn: p.id, Reason: truncate(why.Error())}, peer: p})
+	h.d.inbox.enqueueClient(item{input: director.ClientInputEnded{Conn: p.id, Reason: truncate(reason.Error())}, peer: p})
 }
 
-func (h clientHandler) Closed(c *transport.Conn, why error, _ []uint64) {
+func (h clientHandler) Closed(c *transport.Conn, reason error, _ []uint64) {
 	if p, ok := c.UserData().(*peer); ok {
 		p.disconnected.Store(true)
-		h.d.inbox.disconnect(item{input: director.ClientLost{Conn: p.id, Reason: truncate(why.Error())}, peer: p}, h.d.config.ProtocolOptions.Linger > 0)
+		h.d.inbox.disconnect(item{input: director.ClientLost{Conn: p.id, Reason: truncate(reason.Error())}, peer: p}, h.d.config.ProtocolOptions.Linger > 0)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,7 @@
-// Package daemon runs a director's loop on sockets: it listens for players, connects to nodes and to the
-// list, and hands what happens to the loop, one goroutine of its own that nobody else reaches but by its
-// inbox. It decides nothing.
+// Package daemon runs a director's loop on sockets. It listens for clients, connects to the nodes and to the
+// discovery service, passes their messages and connection events to the loop, and carries out the loop's outputs.
+// The loop has a goroutine of its own; all other goroutines reach it through its inbox only. The package makes no
+// placement decisions.
 package daemon
 
 import (
@@ -20,7 +21,7 @@
 	"fordusher/internal/wire"
 )
 
-// Daemon is a running director.
+// Daemon is a running director: one instance of the program.
 type Daemon struct {
 	config    *conf.Config
 	protocol  Protocol
@@ -32,38 +33,38 @@
 
 	inbox    inbox
 	quit     chan struct{} // closed by Kill
-	done     chan struct{} // closed when the loop has ended
+	done     chan struct{} // closed once the loop has ended
 	killOnce sync.Once
 
-	// Only the loop's goroutine touches these.
-	clients   map[uint64]*transport.Conn // emptied as connections close
-	links     map[uint64]*transport.Conn // emptied as connections end
+	// Only the loop's goroutine uses these.
+	clients   map[uint64]*transport.Conn // open client connections, by connection id
+	links     map[uint64]*transport.Conn // open node connections, by link id
 	discovery *transport.Conn
 
-	discoveryAddress atomic.Pointer[string] // where the list's source is
-	discoveryMoved   chan struct{}          // it is elsewhere now
+	discoveryAddress atomic.Pointer[string] // the discovery service's current address
+	discoveryMoved   chan struct{}          // signals a new discovery address
 
 	lastConnID         atomic.Uint64
 	lastSnapshot       atomic.Pointer[snapshot]
-	malformedCounts    [3]atomic.Int64 // malformed messages of players, nodes, the list
+	malformedCounts    [3]atomic.Int64 // malformed messages from clients, nodes and discovery
 	malformedLogLimits [3]rate.Sometimes
 	floodCloses        atomic.Int64
-	inboxFullRejects   atomic.Int64 // requests refused for want of room in the inbox
+	inboxFullRejects   atomic.Int64 // requests rejected because their peer's share of the inbox was full
 	inputEndedCount    atomic.Int64
-	clockOffset        atomic.Int64  // by Jump
-	loopLateness       lateness      // of the loop's goroutine
-	pauses             pauseDetector // of the process; the loop's goroutine
+	clockOffset        atomic.Int64  // added by AdvanceClock
+	loopLateness       lateness      // used by the loop's goroutine only
+	pauses             pauseDetector // pauses of the whole process; used by the loop's goroutine only
 }
 
-// Start runs a director around a module. Boot is a word that no other run of this director has used.
-func Start(house *conf.Config, boot string, seed uint64, module director.Decider, log zerolog.Logger) (*Daemon, error) {
-	return StartWithProtocol(webSocketProtocol{house}, house, boot, seed, module, log)
+// Start runs a director with a decider. Boot identifies this run; no other run of the same director may use it.
+func Start(config *conf.Config, boot string, seed uint64, decider director.Decider, log zerolog.Logger) (*Daemon, error) {
+	return StartWithProtocol(webSocketProtocol{config}, config, boot, seed, decider, log)
 }
 
-// StartWithProtocol is Start for a front other than the project's own protocols.
-func StartWithProtocol(front Protocol, house *conf.Config, boot string, seed uint64, module director.Decider, log zerolog.Logger) (*Daemon, error) {
+// StartWithProtocol is Start with a protocol other than the project's own WebSocket protocols.
+func StartWithProtocol(protocol Protocol, config *conf.Config, boot string, seed uint64, decider director.Decider, log zerolog.Logger) (*Daemon, error) {
 	d := &Daemon{
-		config: house, protocol: front, discoveryMoved: make(chan struct{}, 1), loop: house.NewLoop(boot, seed, module), log: log, startedAt: time.Now(), seed: seed,
+		config: config, protocol: protocol, discoveryMoved: make(chan struct{}, 1), loop: config.NewLoop(boot, seed, decider), log: log, startedAt: time.Now(), seed: seed,
 		inbox: inbox{wake: make(chan struct{}, 1)},
 		quit:  make(chan struct{}), done: make(chan struct{}),
 		clients: map[uint64]*transport.Conn{}, links: map[uint64]*transport.Conn{},
@@ -73,38 +74,39 @@
 	}
 	d.lastSnapshot.Store(&snapshot{})
 	var err error
-	d.discoveryAddress.Store(&house.DiscoveryAddress)
-	d.server, err = front.Listen(clientHandler{d})
+	d.discoveryAddress.Store(&config.DiscoveryAddress)
+	d.server, err = protocol.Listen(clientHandler{d})
 	if err != nil {
 		return nil, err
 	}
-	if len(house.Nodes) > 0 || len(house.Titles) > 0 { // until the list's source is heard, if there is one
-		d.inbox.put(item{input: director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Snapshot, Nodes: house.Nodes, Titles: house.Titles}}})
+	if len(config.Nodes) > 0 || len(config.Titles) > 0 { // The configured list applies until discovery sends one, if there is discovery.
+		d.inbox.put(item{input: director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Snapshot, Nodes: config.Nodes, Titles: config.Titles}}})
 	}
 	d.loop.Observe(d.logEvent)
 	go d.run()
-	if house.DiscoveryAddress != "" {
+	if config.DiscoveryAddress != "" {
 		go d.followDiscovery()
 	}
-	log.Info().Str("listen", d.server.Address()).Msg(house.Summary())
+	log.Info().Str("listen", d.server.Address()).Msg(config.Summary())
 	return d, nil
 }
 
-// Address is where players connect.
+// Address is the address on which clients connect.
 func (d *Daemon) Address() string { return d.server.Address() }
 
-// Attach adds a player's connection in memory; see transport.Server.Attach.
+// Attach adds a client's in-memory connection; see transport.Server.AttachInMemory.
 func (d *Daemon) Attach(n *transport.MemoryNetwork, peer netip.AddrPort, out func(p []byte)) *transport.Conn {
 	return d.server.AttachInMemory(n, peer, out)
 }
 
-// ConnectionUsage tells how many players' connections there were at the last look, and how many of them were busy.
+// ConnectionUsage returns the number of client connections in the last snapshot, and how many of them were busy (had
+// a session or an unanswered request).
 func (d *Daemon) ConnectionUsage() (used, busy int) {
 	s := d.lastSnapshot.Load()
 	return s.usedConnections, s.busyConnections
 }
 
-// AdvanceClock lets the director's clock jump ahead, as if the process had stood still for so long: for
+// AdvanceClock moves the director's clock forward, as if the process had been paused for that long. It serves
 // measurements.
 func (d *Daemon) AdvanceClock(by time.Duration) { d.clockOffset.Add(int64(by)) }
 
@@ -117,7 +119,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var batch []item
-	var snapped time.Duration
+	var lastSnapshotAt time.Duration
 	ended := false
 	for !ended {
 		batch = d.inbox.takeBatch(batch)
@@ -128,11 +130,11 @@
 		now := d.now()
 		if next := d.loop.Next(); next <= now {
 			d.loopLateness.observe(now, now-next)
-			runtime.Gosched() // what is due may come in many slices; whoever reads from peers gets a turn between them
+			runtime.Gosched() // Due work may come in many batches; the goroutines that read from peers run between them.
 			ended = d.execute(d.loop.Step(now, director.Tick{})) || ended
 		}
-		if now >= snapped+snapshotInterval || ended {
-			snapped = now
+		if now >= lastSnapshotAt+snapshotInterval || ended {
+			lastSnapshotAt = now
 			if d.config.Capacity.MaxMemory > 0 {
 				ended = d.execute(d.loop.Step(now, director.MemoryUsage{Bytes: memoryInUse()})) || ended
 			}
@@ -150,8 +152,8 @@
 			}
 			continue
 		}
-		waits, from := min(max(0, d.loop.Next()-d.now()), maxLoopWait), time.Now()
-		timer.Reset(waits)
+		maxWait, waitStart := min(max(0, d.loop.Next()-d.now()), maxLoopWait), time.Now()
+		timer.Reset(maxWait)
 		select {
 		case <-d.inbox.wake:
 		case <-timer.C:
@@ -159,12 +161,13 @@
 			d.closeAll()
 			return
 		}
-		d.pauses.observe(from, time.Now(), waits)
+		d.pauses.observe(waitStart, time.Now(), maxWait)
 	}
 	d.drainConnections()
 }
 
-// handle hands one thing that happened to the loop.
+// handle passes one inbox item to the loop and reports whether the loop has ended. It records the connections that
+// items bring along or end.
 func (d *Daemon) handle(i item) (ended bool) {
 	if i.peer != nil {
 		i.peer.pending.Add(-1)
@@ -172,7 +175,7 @@
 	switch e := i.input.(type) {
 	case director.ClientReceived:
 		if d.config.ProtocolOptions.Linger == 0 && isNewRequest(e) && (i.peer.disconnected.Load() || d.inbox.wasCancelled(i.peer, e.Message.ID)) {
-			return false // who left while the request waited here is owed nothing, and nothing is begun for it
+			return false // The client cancelled or disconnected while the request waited: it needs no answer and starts no leg.
 		}
 		e.Waited = time.Since(d.pauses.earliestSent(i.receivedAt))
 		i.input = e
@@ -192,15 +195,15 @@
 	return d.execute(d.loop.Step(d.now(), i.input))
 }
 
-// execute does what the loop wants done.
+// execute carries out the loop's outputs and reports whether the loop has ended.
 func (d *Daemon) execute(outs []director.Output) (ended bool) {
-	var stay []uint64
+	var stillActive []uint64
 	for _, o := range outs {
 		switch o := o.(type) {
 		case director.SendClient:
 			c, raw := d.clients[o.Conn], d.protocol.EncodeClient(o)
 			if c == nil || raw == nil {
-			} else if o.Message.Type == wire.Rung { // advice: the next one makes it worthless
+			} else if o.Message.Type == wire.Rung { // advice, which the next one supersedes
 				c.SendReplaceable(raw, o.CoalesceKey)
 			} else {
 				c.Send(raw, 0)
@@ -216,7 +219,7 @@
 		case director.CloseClient:
 			if c := d.clients[o.Conn]; c == nil {
 			} else if p, ok := c.UserData().(*peer); ok && o.Idle && p.pending.Load() > 0 {
-				stay = append(stay, o.Conn)
+				stillActive = append(stillActive, o.Conn)
 			} else if o.Code == 0 && !c.Queued() {
 				c.Abort()
 			} else {
@@ -228,7 +231,7 @@
 			case o.Setup == 0 && c != nil:
 				c.Send(d.protocol.EncodeNode(o), 0)
 			case o.Setup != 0 && (c == nil || !c.SendWithin(d.protocol.EncodeNode(o), o.Setup, maxSetupWriteDelay)):
-				d.inbox.put(item{input: director.Withdrawn{Leg: o.Setup}}) // never queued, so never sent
+				d.inbox.put(item{input: director.Withdrawn{Leg: o.Setup}}) // never queued, so it was never sent
 			}
 		case director.Withdraw:
 			if c := d.links[o.Link]; c != nil && c.CancelSend(o.Leg) {
@@ -264,7 +267,7 @@
 			ended = true
 		}
 	}
-	for _, conn := range stay { // before what it said is taken
+	for _, conn := range stillActive { // reported before its waiting messages are handled
 		ended = d.execute(d.loop.Step(d.now(), director.ClientStillActive{Conn: conn})) || ended
 	}
 	return ended
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -24,7 +24,7 @@
 
 const ms = time.Millisecond
 
-// A fixture is one director with stand-ins around it.
+// A fixture is one director with emulated nodes and an emulated discovery service.
 type fixture struct {
 	t         testing.TB
 	d         *Daemon
@@ -60,9 +60,9 @@
 	return p
 }
 
-func startDaemon(t testing.TB, listAddress string, change ...string) *Daemon {
+func startDaemon(t testing.TB, discoveryAddress string, change ...string) *Daemon {
 	t.Helper()
-	text := `{"director": {"name": "d", "me": 0, "directors": 1}, "listen": "127.0.0.1:0", "list": {"address": "` + listAddress + `"},
+	text := `{"director": {"name": "d", "me": 0, "directors": 1}, "listen": "127.0.0.1:0", "list": {"address": "` + discoveryAddress + `"},
 		"tariffs": {"clip": {"goal_time": "1s", "hard_stop": "2s"}, "exam": {"goal_time": "1s", "hard_stop": "2s", "paid": true}},
 		"ladder": {"rates": ["100kB/s", "200kB/s"]},
 		"fleet": {"cells": 8, "racks": 1, "link_unit": "100000kB/s", "uplink": "1000000kB/s", "machines": {"box": 50}},
@@ -71,11 +71,11 @@
 	for i := 0; i+1 < len(change); i += 2 {
 		text = strings.Replace(text, change[i], change[i+1], 1)
 	}
-	house, err := conf.Decode("d.jsonc", []byte(text))
+	config, err := conf.Decode("d.jsonc", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := Start(house, "b", 1, house.NewDecider(1), zerolog.Nop())
+	d, err := Start(config, "b", 1, config.NewDecider(1), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,19 +87,19 @@
 func (p *fixture) waitForLinks(links int) {
 	p.t.Helper()
 	eventually(p.t, "connections to all nodes", func() bool { return p.d.lastSnapshot.Load().links == links })
-	time.Sleep(120 * ms) // past the caution of a director that has just started
+	time.Sleep(120 * ms) // a director is cautious for the ramp's warmup (100 ms here) after its start
 }
 
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(ms) {
-		if time.Now().After(end) {
-			t.Fatal("not within 10 s: ", what)
+	for deadline := time.Now().Add(10 * time.Second); !ok(); time.Sleep(ms) {
+		if time.Now().After(deadline) {
+			t.Fatal("did not happen within 10 s: ", what)
 		}
 	}
 }
 
-// A client is a bare player's connection.
+// A client is a client's connection that passes on the messages it receives.
 type client struct {
 	received chan string
 	closed   chan error
@@ -172,10 +172,11 @@
 	}
 }
 
-// Malformed, oversized and flooding players are closed with a reason that says why, and nobody else notices.
-func TestBadPlayersAreClosedAndCounted(t *testing.T) {
+// The connection of a client that sends malformed, unexpected or oversized messages is closed with a reason that names the
+// fault, and another client is still served.
+func TestMisbehavingClientsAreClosedAndCounted(t *testing.T) {
 	p := newFixture(t, 2)
-	other, heard := dial(t, p.d.Address())
+	other, otherIn := dial(t, p.d.Address())
 	for text, want := range map[string]string{
 		"{":                      "1007",
 		`{"t":"want","id":"1"}`:  "1007 want needs",
@@ -185,34 +186,34 @@
 		c, in := dial(t, p.d.Address())
 		c.Send([]byte(text), 0)
 		if why := in.end(t); !strings.Contains(why.Error(), want) {
-			t.Errorf("%.30q: %v, wanted %s", text, why, want)
+			t.Errorf("%.30q: closed with %v, want %s", text, why, want)
 		}
 	}
 	if n := p.d.malformedCounts[0].Load(); n != 2 {
-		t.Error(n, "malformed messages counted")
+		t.Error(n, "malformed messages counted, want 2")
 	}
 	other.Send(requestMessage("1", "clip"), 0)
-	if m := heard.answer(t); m.Type != wire.Playing {
+	if m := otherIn.answer(t); m.Type != wire.Playing {
 		t.Fatal(m)
 	}
 }
 
-// Only the first malformed message ever was told of; a peer that came later was cut off and nobody knew which. What is
-// told of is bounded, in number and in length.
-func TestMalformedMessagesAreToldOfAgain(t *testing.T) {
+// If only the first malformed message were logged, the log would not show which peers are disconnected later. Log lines on
+// malformed messages go on, bounded in number and in length.
+func TestMalformedMessageLogIsRateLimited(t *testing.T) {
 	lines := make(chan string, 1000)
 	p := newFixture(t, 1)
-	p.d.log = zerolog.New(writer(func(b []byte) { lines <- string(b) })).Level(zerolog.InfoLevel) // as the program writes it
+	p.d.log = zerolog.New(writer(func(b []byte) { lines <- string(b) })).Level(zerolog.InfoLevel) // the program's log level
 	long := `{"t":"` + strings.Repeat("\u00e9\xff", 500) + `"}`
 	for range 50 {
 		c, in := dial(t, p.d.Address())
 		c.Send([]byte(long), 0)
 		if why := in.end(t).Error(); !utf8.ValidString(why) {
-			t.Fatalf("closed with %q, which is no UTF-8", why)
+			t.Fatalf("closed with %q, which is not valid UTF-8", why)
 		}
 	}
 	if n := len(lines); n < 2 || n > 10 {
-		t.Fatal(n, "lines for 50 malformed messages")
+		t.Fatal(n, "log lines for 50 malformed messages, want 2 to 10")
 	}
 	for range len(lines) {
 		if l := <-lines; len(l) > 500 || !strings.Contains(l, "127.0.0.1:") || !strings.Contains(l, "so_far") {
@@ -225,16 +226,16 @@
 
 func (w writer) Write(b []byte) (int, error) { w(b); return len(b), nil }
 
-// A node and a list that send what nobody understands lose their connection; the director goes on with
-// the others, and comes back to them.
-func TestBadNodeAndListAreLeft(t *testing.T) {
+// A malformed discovery message ends that connection only: the director connects to discovery again and still answers
+// clients.
+func TestMalformedDiscoveryMessageCausesReconnect(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	visits := make(chan bool, 100)
-	go func() { // a list that greets and then says nonsense
+	connected := make(chan bool, 100)
+	go func() { // a discovery service that accepts connections and then sends a malformed message
 		for {
 			c, err := ln.Accept()
 			if err != nil {
@@ -244,19 +245,19 @@
 			if _, err := up.Upgrade(c); err == nil {
 				c.Write(ws.MustCompileFrame(ws.NewTextFrame([]byte(`{"t":"whole","nodes":[{"state":"up"}]}`))))
 			}
-			visits <- true
+			connected <- true
 			time.AfterFunc(time.Second, func() { c.Close() })
 		}
 	}()
 	d := startDaemon(t, ln.Addr().String())
-	for range 2 { // it comes back
+	for range 2 { // the director reconnects
 		select {
-		case <-visits:
+		case <-connected:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the list is not asked again")
+			t.Fatal("the director does not reconnect to discovery")
 		}
 	}
-	eventually(t, "the malformed list is counted", func() bool { return d.malformedCounts[2].Load() > 0 })
+	eventually(t, "the malformed discovery message is counted", func() bool { return d.malformedCounts[2].Load() > 0 })
 	c, in := dial(t, d.Address())
 	c.Send(requestMessage("1", "clip"), 0)
 	if m := in.answer(t); m.Type != wire.Nack || m.Reason != "unknown title" {
@@ -264,8 +265,9 @@
 	}
 }
 
-// A node whose connection died without a word: the session on it is over within three signs of life.
-func TestHalfOpenNodeIsNoticed(t *testing.T) {
+// A node stops sending without closing its connection. After three missed heartbeats the director ends the session that
+// plays there.
+func TestHalfOpenNodeIsDetected(t *testing.T) {
 	p := newFixture(t, 1)
 	c, in := dial(t, p.d.Address())
 	c.Send(requestMessage("1", "clip"), 0)
@@ -282,9 +284,9 @@
 	p.waitForLinks(1)
 }
 
-// An order to stop: the set-up under way is answered, the session that plays is ended, and the director
-// is gone within its term.
-func TestStopAnswersAndEnds(t *testing.T) {
+// On Stop the set-up in progress is answered, the playing session is ended, and the director ends within its shutdown
+// time-out.
+func TestStopAnswersRequestsAndEndsSessions(t *testing.T) {
 	p := newFixture(t, 2)
 	c, in := dial(t, p.d.Address())
 	c.Send(requestMessage("1", "clip"), 0)
@@ -293,8 +295,8 @@
 	}
 	p.host.Inject(node.Fault{SlowFactor: new(100.0)}) // set-ups take a fifth of a second
 	c.Send(requestMessage("2", "exam"), 0)
-	eventually(t, "the set-up is out", func() bool { return p.d.lastSnapshot.Load().owed == 1 })
-	began := time.Now()
+	eventually(t, "the set-up is in progress", func() bool { return p.d.lastSnapshot.Load().pendingAnswers == 1 })
+	stoppedAt := time.Now()
 	p.d.Stop()
 	got := map[string]string{}
 	for len(got) < 2 {
@@ -303,7 +305,7 @@
 		}
 	}
 	if _, played := got["2"+wire.Playing]; !played {
-		t.Fatal("the set-up that was owed an answer has none that plays: ", got)
+		t.Fatal("the request with a set-up in progress was not answered with playing: ", got)
 	}
 	if why := got["1"+wire.SessionEnded]; why != "director closes" {
 		t.Fatal(got)
@@ -314,38 +316,39 @@
 	select {
 	case <-p.d.Done():
 	case <-time.After(10 * time.Second):
-		t.Fatal("not ended")
+		t.Fatal("the director did not end")
 	}
-	if took := time.Since(began); took > 5*time.Second { // the term is 1 s
+	if took := time.Since(stoppedAt); took > 5*time.Second { // the shutdown time-out is 1 s
 		t.Fatal(took)
 	}
 	if _, err := transport.Dial(p.d.Address(), wire.SessionProtocol, 200*ms, transport.Limits{MaxMessageBytes: 100, MaxQueuedBytes: 100}, in, nil); err == nil {
-		t.Fatal("still taking connections")
+		t.Fatal("the director still accepts connections")
 	}
 }
 
-// A peer that floods the inbox holds no more of it than its bound, and others are answered meanwhile.
-func TestFloodOfOnePeerIsCutOff(t *testing.T) {
+// A client that floods the inbox occupies no more of it than the bound for one peer, and other clients are answered
+// meanwhile.
+func TestFloodingClientIsBounded(t *testing.T) {
 	p := newFixture(t, 2)
 	c, _ := dial(t, p.d.Address())
-	leave := wire.Encode(wire.SessionMessage{Type: wire.Cancel, ID: "none"})
+	cancel := wire.Encode(wire.SessionMessage{Type: wire.Cancel, ID: "none"})
 	for range 200_000 {
-		if !c.Send(leave, 0) {
+		if !c.Send(cancel, 0) {
 			break
 		}
 	}
-	other, heard := dial(t, p.d.Address())
+	other, otherIn := dial(t, p.d.Address())
 	other.Send(requestMessage("1", "clip"), 0)
-	if m := heard.answer(t); m.Type != wire.Playing {
+	if m := otherIn.answer(t); m.Type != wire.Playing {
 		t.Fatal(m)
 	}
 	if n := p.d.inbox.queueLength(); n > 64+10 {
-		t.Fatal(n, "items wait")
+		t.Fatal(n, "items wait in the inbox")
 	}
 }
 
-// What nodes say, and endings, never stand behind requests; of one player everything keeps its order, and
-// the line gives its place back.
+// Priority items, such as results and messages of nodes, come before queued requests. Queued items keep their order, and
+// the queue reuses its memory.
 func TestInboxOrder(t *testing.T) {
 	b := inbox{wake: make(chan struct{}, 1)}
 	for i := range 5000 {
@@ -357,58 +360,59 @@
 		b.put(item{input: director.Withdrawn{Leg: uint64(round)}})
 		batch = b.takeBatch(batch)
 		if w, ok := batch[0].input.(director.Withdrawn); !ok || w.Leg != uint64(round) || len(batch) > batchSize+1 {
-			t.Fatalf("round %d begins with %+v of %d", round, batch[0], len(batch))
+			t.Fatalf("batch %d begins with %+v and has %d items", round, batch[0], len(batch))
 		}
 		for _, i := range batch[1:] {
 			if got := i.input.(director.ClientReceived).Conn; got != next {
-				t.Fatalf("%d comes before %d", got, next)
+				t.Fatalf("item %d comes before item %d", got, next)
 			}
 			next++
 		}
 	}
 	if next != 5000 || cap(b.queue) > 16_384 || len(b.queue) != 0 {
-		t.Fatal(next, "taken,", len(b.queue), "left of", cap(b.queue))
+		t.Fatal(next, "items taken; queue length ", len(b.queue), ", capacity ", cap(b.queue))
 	}
 }
 
-// Who had asked for much stood before everybody who came later, with all of it.
-func TestGreedyPlayersWaitBehindThemselves(t *testing.T) {
+// If the queue served clients in order of arrival, all requests of a client that sends many would delay the clients that
+// come later.
+func TestInboxServesClientsRoundRobin(t *testing.T) {
 	b := inbox{wake: make(chan struct{}, 1)}
-	greedy, modest := []*peer{{id: 1}, {id: 2}}, &peer{id: 3}
+	busy, other := []*peer{{id: 1}, {id: 2}}, &peer{id: 3}
 	for i := range 500 {
-		for _, p := range greedy {
+		for _, p := range busy {
 			b.enqueueClient(item{input: director.ClientLost{Conn: uint64(i)}, peer: p})
 		}
 	}
-	b.enqueueClient(item{input: director.ClientLost{}, peer: modest})
+	b.enqueueClient(item{input: director.ClientLost{}, peer: other})
 	taken := b.takeBatch(nil)
-	if at := slices.IndexFunc(taken, func(i item) bool { return i.peer == modest }); at < 0 || at > len(greedy) {
-		t.Fatal("the modest one's turn is", at, "of", len(taken))
+	if at := slices.IndexFunc(taken, func(i item) bool { return i.peer == other }); at < 0 || at > len(busy) {
+		t.Fatal("the other client's item is number", at, "of", len(taken))
 	}
 	next := map[*peer]uint64{}
 	for ; len(taken) > 0; taken = b.takeBatch(nil) {
 		for _, i := range taken {
 			if c := i.input.(director.ClientLost).Conn; c != next[i.peer] {
-				t.Fatalf("player %d: %d comes before %d", i.peer.id, c, next[i.peer])
+				t.Fatalf("client %d: item %d comes before item %d", i.peer.id, c, next[i.peer])
 			}
 			next[i.peer]++
 		}
 	}
-	if next[greedy[0]] != 500 || next[greedy[1]] != 500 || len(b.queue) != 0 {
+	if next[busy[0]] != 500 || next[busy[1]] != 500 || len(b.queue) != 0 {
 		t.Fatal(next, len(b.queue))
 	}
 }
 
-// Each look at the metrics set the loop's lateness back, so that of two who looked one saw nothing.
-func TestLatenessIsThereForEverybodyWhoLooks(t *testing.T) {
+// If each read of the metrics reset the loop's lateness, one of two readers would not see it.
+func TestLatenessIsNotResetByReading(t *testing.T) {
 	var l lateness
-	for _, x := range []struct{ now, late, want time.Duration }{
+	for _, x := range []struct{ now, delay, want time.Duration }{
 		{time.Second, 80 * ms, 80 * ms}, {2 * time.Second, 5 * ms, 80 * ms}, {14 * time.Second, 0, 80 * ms},
 		{17 * time.Second, 20 * ms, 80 * ms}, {33 * time.Second, 0, 20 * ms}, {49 * time.Second, 0, 0},
 	} {
-		l.observe(x.now, x.late)
+		l.observe(x.now, x.delay)
 		if got := max(l.current, l.previous); got != x.want {
-			t.Fatalf("at %v: %v, wanted %v", x.now, got, x.want)
+			t.Fatalf("at %v: lateness %v, want %v", x.now, got, x.want)
 		}
 	}
 }
--- a/internal/daemon/discovery.go
+++ b/internal/daemon/discovery.go
@@ -8,7 +8,7 @@
 	"fordusher/internal/transport"
 )
 
-// SetDiscoveryAddress says that the list's source is at another address from now on.
+// SetDiscoveryAddress changes the discovery service's address; the daemon then connects there.
 func (d *Daemon) SetDiscoveryAddress(address string) {
 	d.discoveryAddress.Store(&address)
 	select {
@@ -17,12 +17,13 @@
 	}
 }
 
-// followDiscovery keeps the connection to the list's source.
+// followDiscovery keeps a connection to the discovery service open until the daemon is killed. It reconnects after each
+// loss, and when the address changes.
 func (d *Daemon) followDiscovery() {
-	pace := d.config.ReconnectPolicy
-	pace.OnDemand = false // the list's source is needed all the time
-	r := connector.New(d.seed, pace)
-	plan := r.Step(d.now(), connector.Event{Kind: connector.Listed})
+	policy := d.config.ReconnectPolicy
+	policy.OnDemand = false // the connection to discovery is needed all the time
+	dialer := connector.New(d.seed, policy)
+	plan := dialer.Step(d.now(), connector.Event{Kind: connector.Listed})
 	for {
 		select {
 		case <-d.quit:
@@ -33,22 +34,22 @@
 			select {
 			case <-d.quit:
 				return
-			case <-d.discoveryMoved: // it was tried where it is no more
-				plan = r.Step(d.now(), connector.Event{Kind: connector.Listed})
+			case <-d.discoveryMoved: // the failed attempts were made at the old address
+				plan = dialer.Step(d.now(), connector.Event{Kind: connector.Listed})
 				continue
 			case <-time.After(max(0, plan.NextTimer-d.now())):
 			}
-			plan = r.Step(d.now(), connector.Event{Kind: connector.TimerFired})
+			plan = dialer.Step(d.now(), connector.Event{Kind: connector.TimerFired})
 			continue
 		}
 		h := &discoveryHandler{d: d, closed: make(chan struct{})}
 		conn, err := d.protocol.DialDiscovery(*d.discoveryAddress.Load(), time.Second, h)
 		if err != nil {
-			d.log.Warn().Err(err).Msg("the list can't be reached; the last one stays in force")
-			plan = r.Step(d.now(), connector.Event{Kind: connector.ConnectFailed})
+			d.log.Warn().Err(err).Msg("discovery is unreachable; the last server list stays in force")
+			plan = dialer.Step(d.now(), connector.Event{Kind: connector.ConnectFailed})
 			continue
 		}
-		r.Step(d.now(), connector.Event{Kind: connector.Connected})
+		dialer.Step(d.now(), connector.Event{Kind: connector.Connected})
 		for ended := false; !ended; {
 			select {
 			case <-d.quit:
@@ -58,16 +59,17 @@
 			case <-d.discoveryMoved:
 				conn.Abort()
 			case <-time.After(snapshotInterval):
-				if quiet := d.config.DiscoveryReadTimeout; quiet > 0 && conn.ReadIdleTime() > quiet {
-					d.log.Warn().Dur("quiet", quiet).Msg("the list's source says nothing any more: it is connected to again")
+				if timeout := d.config.DiscoveryReadTimeout; timeout > 0 && conn.ReadIdleTime() > timeout {
+					d.log.Warn().Dur("quiet", timeout).Msg("discovery sends nothing any more; reconnecting")
 					conn.Abort()
 				}
 			}
 		}
-		plan = r.Step(d.now(), connector.Event{Kind: connector.ConnectionLost})
+		plan = dialer.Step(d.now(), connector.Event{Kind: connector.ConnectionLost})
 	}
 }
 
+// A discoveryHandler receives the events of the connection to the discovery service.
 type discoveryHandler struct {
 	d      *Daemon
 	peer   peer
--- a/internal/daemon/events.go
+++ b/internal/daemon/events.go
@@ -6,8 +6,8 @@
 	"fordusher/internal/director"
 )
 
-// logEvent writes one change of state of a request, an attempt or a connection. What ends a request without an answer is
-// written always, all else at the level debug.
+// logEvent logs one change of state of a request, a leg ("attempt" in the log) or a connection. A request that ends
+// without an answer is logged at level info, everything else at level debug.
 func (d *Daemon) logEvent(e director.Event) {
 	level := zerolog.DebugLevel
 	if e.Kind == director.RequestAbandoned {
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -11,44 +11,44 @@
 	"fordusher/internal/wire"
 )
 
-// An item of the inbox is what happened, with the connection that it made known.
+// An item is one input for the loop, with the connection that it introduces, if any.
 type item struct {
 	input      director.Input
 	conn       *transport.Conn
 	peer       *peer
-	receivedAt time.Time // of what stood in line
+	receivedAt time.Time // set for items of the client queue
 }
 
-// A peer counts what of it waits for the loop: the inbox's bound, peer by peer.
+// A peer counts the items of one connection that wait for the loop; the inbox is bounded peer by peer.
 type peer struct {
 	id           uint64
 	pending      atomic.Int32
-	disconnected atomic.Bool // a player's connection has ended
-	queued       []item      // what stands in line, of a player; the inbox's
-	inQueue      bool        // it has a place in line; the inbox's
-	cancelled    []string    // ids cancelled while something of it was in the batch in hand; at most a turn. The inbox's
+	disconnected atomic.Bool // the connection, a client's, has ended
+	queued       []item      // a client's items in the client queue; guarded by inbox.mu
+	inQueue      bool        // the peer is in inbox.queue; guarded by inbox.mu
+	cancelled    []string    // cancelled ids of requests that may be in the batch that the loop handles; at most batchSize; guarded by inbox.mu
 }
 
-// inbox is how everybody else reaches the loop. What connections say is bounded peer by peer; all else
-// is one item for each thing that the loop itself asked for.
+// inbox holds the inputs that other goroutines pass to the loop. Messages from connections are bounded peer by peer;
+// every other item results from one thing that the loop itself asked for.
 //
-// What players ask stands in a line of its own, of which the loop takes a turn's worth after all else that
-// is there: what nodes and the list say, endings, and what the loop asked for never wait behind requests.
-// Of one player everything keeps its order: while anything of it stands in line, so does the rest. Players take
-// turns, one item each, so that who asks for much waits behind itself and not others behind it.
+// Messages from clients wait in a queue of their own. The loop takes a batch of it after all priority items, so
+// messages from nodes and discovery, endings and results that the loop asked for never wait behind requests.
+// The items of one client keep their order: while any of them is queued, its later ones are queued too. The queue
+// serves clients round robin, one item each, so a client that sends many requests delays itself and not others.
 type inbox struct {
 	mu          sync.Mutex
 	priority    []item
-	queue       []*peer // those who have something in line, the next one first
-	head        int     // of the line
-	queuedCount int     // items
+	queue       []*peer // clients with queued items, in the order in which they are served
+	head        int     // index of the first client in queue
+	queuedCount int     // items of all clients in queue
 	wake        chan struct{}
 }
 
-// batchSize is how much of the line is taken at a time.
+// batchSize is the number of queued client items that the loop takes at a time.
 const batchSize = 64
 
-// put adds what is not a player's.
+// put adds a priority item: any item but a client's.
 func (b *inbox) put(i item) {
 	b.mu.Lock()
 	b.priority = append(b.priority, i)
@@ -56,7 +56,8 @@
 	b.signal()
 }
 
-// enqueueClient adds what a player's connection says, at the end of the line. Its peer counts until it is taken.
+// enqueueClient appends an item of a client's connection to the client queue. The caller has counted it in peer.pending,
+// where it counts until the loop handles it.
 func (b *inbox) enqueueClient(i item) {
 	i.receivedAt = time.Now()
 	b.mu.Lock()
@@ -64,7 +65,7 @@
 		b.queue = append(b.queue, i.peer)
 		i.peer.inQueue = true
 	}
-	if e, ok := i.input.(director.ClientReceived); ok && len(i.peer.cancelled) > 0 { // what was cancelled came before this
+	if e, ok := i.input.(director.ClientReceived); ok && len(i.peer.cancelled) > 0 { // sent after the cancellation
 		i.peer.cancelled = slices.DeleteFunc(i.peer.cancelled, func(id string) bool { return id == e.Message.ID })
 	}
 	i.peer.queued = append(i.peer.queued, i)
@@ -80,17 +81,18 @@
 	}
 }
 
-// takeBatch returns all that is first and a turn of the line.
-func (b *inbox) takeBatch(into []item) []item {
+// takeBatch returns all priority items and up to batchSize items of the client queue. It reuses the slice that the
+// caller passes, the last batch, for later items.
+func (b *inbox) takeBatch(previous []item) []item {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	taken := b.priority
-	b.priority = into[:0]
-	for most := len(taken) + batchSize; len(taken) < most && b.head < len(b.queue); {
+	b.priority = previous[:0]
+	for limit := len(taken) + batchSize; len(taken) < limit && b.head < len(b.queue); {
 		p := b.queue[b.head]
 		b.queue[b.head] = nil
 		b.head++
-		if len(p.queued) > 0 { // else it has withdrawn what it had there
+		if len(p.queued) > 0 { // otherwise its queued items were cancelled
 			taken = append(taken, p.queued[0])
 			p.queued[0] = item{}
 			p.queued = p.queued[1:]
@@ -109,13 +111,14 @@
 	return taken
 }
 
-// cancel takes a player's word that it leaves a request. Where the request still stands in line neither reaches the
-// loop; else the word goes before all that does, so that no attempt is begun for who is known to have left. It keeps
-// its place where what it ends, or the connection itself, is still to be made known.
+// cancel handles a client's cancellation of a request. If the request is still queued, both are dropped and neither
+// reaches the loop. Otherwise the cancellation goes ahead of the queue, so that no leg starts for a client that has
+// left. It is queued in order if the loop does not know the connection yet, or if another item with the same id, such as
+// the request of a playing session, is still queued.
 func (b *inbox) cancel(i item, id string) {
 	i.receivedAt = time.Now()
 	b.mu.Lock()
-	stands := false
+	queued := false
 	for k, x := range i.peer.queued {
 		e, ok := x.input.(director.ClientReceived)
 		if ok && e.Message.ID == id && isNewRequest(e) {
@@ -125,10 +128,10 @@
 			i.peer.pending.Add(-2)
 			return
 		}
-		stands = stands || !ok || e.Message.ID == id
+		queued = queued || !ok || e.Message.ID == id
 	}
-	if !stands {
-		if int(i.peer.pending.Load())-1 > len(i.peer.queued) { // the request may be in the batch in hand
+	if !queued {
+		if int(i.peer.pending.Load())-1 > len(i.peer.queued) { // the request may be in the batch that the loop handles
 			i.peer.cancelled = append(i.peer.cancelled[max(0, len(i.peer.cancelled)-batchSize+1):], id)
 		} else {
 			i.peer.cancelled = nil
@@ -136,13 +139,13 @@
 		b.priority = append(b.priority, i)
 	}
 	b.mu.Unlock()
-	if stands {
+	if queued {
 		b.enqueueClient(i)
 	}
 	b.signal()
 }
 
-// wasCancelled tells whether a request of the batch in hand was cancelled meanwhile.
+// wasCancelled reports whether a request in the batch that the loop handles was cancelled after the batch was taken.
 func (b *inbox) wasCancelled(p *peer, id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -152,39 +155,40 @@
 	return slices.Contains(p.cancelled, id)
 }
 
-// disconnect takes word that a player's connection has ended. What it has asked for is withdrawn from the line where
-// nothing is owed to who has left; the word waits only for what else stands there.
-func (b *inbox) disconnect(i item, owed bool) {
+// disconnect handles the end of a client's connection. It drops the client's queued requests unless keepRequests is set,
+// which means that the client may return for their answers. The item goes ahead of the queue unless other items of the
+// client are still queued.
+func (b *inbox) disconnect(i item, keepRequests bool) {
 	p := i.peer
 	b.mu.Lock()
-	if !owed {
-		stood := len(p.queued)
+	if !keepRequests {
+		before := len(p.queued)
 		p.queued = slices.DeleteFunc(p.queued, func(x item) bool {
-			said, ok := x.input.(director.ClientReceived)
-			return ok && isNewRequest(said)
+			e, ok := x.input.(director.ClientReceived)
+			return ok && isNewRequest(e)
 		})
-		b.queuedCount -= stood - len(p.queued)
-		p.pending.Add(int32(len(p.queued) - stood))
+		b.queuedCount -= before - len(p.queued)
+		p.pending.Add(int32(len(p.queued) - before))
 	}
-	stands := len(p.queued) > 0
-	if !stands {
+	queued := len(p.queued) > 0
+	if !queued {
 		i.peer = nil
 		b.priority = append(b.priority, i)
 	}
 	b.mu.Unlock()
-	if stands {
+	if queued {
 		p.pending.Add(1)
 		b.enqueueClient(i)
 	}
 	b.signal()
 }
 
-// isNewRequest tells whether a player asks for a session that does not play yet.
+// isNewRequest reports whether a message requests a session that is not playing yet.
 func isNewRequest(e director.ClientReceived) bool {
 	return e.Message.Type == wire.Request && (e.Details == nil || e.Details.PlayingOn == "")
 }
 
-// queueLength is how many stand in line.
+// queueLength returns the number of queued client items.
 func (b *inbox) queueLength() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -13,11 +13,11 @@
 
 func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1)} }
 
-// messageItem is what a player says of a request; a request that brings a node plays there already.
-func messageItem(p *peer, kind, id, playing string) item {
+// messageItem is a client's message about a request. A request with a node in playingOn is for a session that plays there.
+func messageItem(p *peer, kind, id, playingOn string) item {
 	p.pending.Add(1)
 	return item{peer: p, input: director.ClientReceived{Conn: p.id, Message: wire.SessionMessage{Type: kind, ID: id},
-		Details: &director.RequestDetails{PlayingOn: playing}}}
+		Details: &director.RequestDetails{PlayingOn: playingOn}}}
 }
 
 func connectingItem(p *peer) item {
@@ -25,12 +25,12 @@
 	return item{peer: p, input: director.ClientConnecting{Conn: p.id}}
 }
 
-// describeItems tells what was taken in a few letters each.
+// describeItems describes each taken item in a few words.
 func describeItems(items []item) (all []string) {
 	for _, i := range items {
 		switch e := i.input.(type) {
 		case director.ClientConnecting:
-			all = append(all, fmt.Sprintf("%d knocks", e.Conn))
+			all = append(all, fmt.Sprintf("%d connecting", e.Conn))
 		case director.ClientReceived:
 			all = append(all, fmt.Sprintf("%d %s %s", e.Conn, e.Message.Type, e.Message.ID))
 		case director.ClientLost:
@@ -40,48 +40,49 @@
 	return all
 }
 
-// Before, a request was taken, and an attempt begun for it, though the word that its client had left stood in the same
-// line: behind it, and behind one item of everybody else for each that came before it.
-func TestWhoLeftIsNotAskedForAnyMore(t *testing.T) {
+// The loop must not start a leg for a request whose cancellation, or whose client's disconnection, is already in the
+// inbox. In one common queue these would wait behind the request, and behind one item of every other client for each
+// earlier item of this client.
+func TestInboxDropsRequestsOfDepartedClients(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(b *inbox, p *peer)
 		want   []string
 	}{
-		"cancelled in line": {func(b *inbox, p *peer) {
+		"cancelled while queued": {func(b *inbox, p *peer) {
 			b.enqueueClient(messageItem(p, wire.Request, "a", ""))
 			b.enqueueClient(messageItem(p, wire.Request, "b", ""))
 			b.cancel(messageItem(p, wire.Cancel, "a", ""), "a")
 		}, []string{"1 want b"}},
-		"cancelled once taken": {func(b *inbox, p *peer) {
+		"cancelled after it was taken": {func(b *inbox, p *peer) {
 			b.enqueueClient(messageItem(p, wire.Request, "b", ""))
 			b.cancel(messageItem(p, wire.Cancel, "a", ""), "a")
 		}, []string{"1 leave a", "1 want b"}},
-		"cancelled before it was let in": {func(b *inbox, p *peer) {
+		"cancelled before the connection was accepted": {func(b *inbox, p *peer) {
 			b.enqueueClient(connectingItem(p))
 			b.enqueueClient(messageItem(p, wire.Request, "a", ""))
 			b.cancel(messageItem(p, wire.Cancel, "a", ""), "a")
-		}, []string{"1 knocks"}},
-		"closed in line": {func(b *inbox, p *peer) {
+		}, []string{"1 connecting"}},
+		"closed while queued": {func(b *inbox, p *peer) {
 			b.enqueueClient(messageItem(p, wire.Request, "a", ""))
 			b.enqueueClient(messageItem(p, wire.Request, "b", ""))
 			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, false)
 		}, []string{"1 closed"}},
-		"closed before it was let in": {func(b *inbox, p *peer) {
+		"closed before the connection was accepted": {func(b *inbox, p *peer) {
 			b.enqueueClient(connectingItem(p))
 			b.enqueueClient(messageItem(p, wire.Request, "a", ""))
 			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, false)
-		}, []string{"1 knocks", "1 closed"}},
-		"an ending keeps its place behind the knock": {func(b *inbox, p *peer) {
+		}, []string{"1 connecting", "1 closed"}},
+		"cancellation and close stay behind the connecting item": {func(b *inbox, p *peer) {
 			b.enqueueClient(connectingItem(p))
 			b.cancel(messageItem(p, wire.Cancel, "a", ""), "a")
 			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, false)
-		}, []string{"1 knocks", "1 leave a", "1 closed"}},
-		"what plays is handed over first": {func(b *inbox, p *peer) {
+		}, []string{"1 connecting", "1 leave a", "1 closed"}},
+		"request of a playing session stays before its cancellation": {func(b *inbox, p *peer) {
 			b.enqueueClient(messageItem(p, wire.Request, "a", "s-1"))
 			b.cancel(messageItem(p, wire.Cancel, "a", ""), "a")
 			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, false)
 		}, []string{"1 want a", "1 leave a", "1 closed"}},
-		"who may come again is still owed": {func(b *inbox, p *peer) {
+		"requests are kept for a client that may return": {func(b *inbox, p *peer) {
 			b.enqueueClient(messageItem(p, wire.Request, "a", ""))
 			b.disconnect(item{input: director.ClientLost{Conn: 1}, peer: p}, true)
 		}, []string{"1 want a", "1 closed"}},
@@ -90,66 +91,66 @@
 		c.script(b, p)
 		taken := b.takeBatch(nil)
 		if got := describeItems(taken); fmt.Sprint(got) != fmt.Sprint(c.want) {
-			t.Errorf("%s: %q, wanted %q", name, got, c.want)
+			t.Errorf("%s: took %q, want %q", name, got, c.want)
 		}
-		counted := 0
+		withPeer := 0
 		for _, i := range taken {
 			if i.peer != nil {
-				counted++
+				withPeer++
 			}
 		}
-		if n := int(p.pending.Load()); n != counted || b.queueLength() != 0 || len(b.queue) != 0 {
-			t.Errorf("%s: %d of %d counted, %d wait, %d in line", name, n, counted, b.queueLength(), len(b.queue))
+		if n := int(p.pending.Load()); n != withPeer || b.queueLength() != 0 || len(b.queue) != 0 {
+			t.Errorf("%s: %d items pending, want %d; %d items and %d clients still queued", name, n, withPeer, b.queueLength(), len(b.queue))
 		}
 	}
 }
 
-// A request that is in the loop's hand already, with others before it, is passed over once it is cancelled; one that
-// comes under the same id after that is not.
-func TestACancelReachesTheBatchInHand(t *testing.T) {
+// A request that is cancelled while it waits in the batch that the loop handles is skipped. A later request with the same
+// id is not.
+func TestCancelReachesTheTakenBatch(t *testing.T) {
 	b, p := newInbox(), &peer{id: 1}
 	b.enqueueClient(messageItem(p, wire.Request, "a", ""))
 	b.enqueueClient(messageItem(p, wire.Request, "b", ""))
 	if n := len(b.takeBatch(nil)); n != 2 {
-		t.Fatalf("%d taken", n)
+		t.Fatalf("%d items taken, want 2", n)
 	}
 	b.cancel(messageItem(p, wire.Cancel, "b", ""), "b")
 	p.pending.Add(-1)
 	if b.wasCancelled(p, "a") {
-		t.Fatal("the other one is passed over")
+		t.Fatal("the request that was not cancelled is skipped")
 	}
 	p.pending.Add(-1)
 	if !b.wasCancelled(p, "b") {
-		t.Fatal("it is not passed over")
+		t.Fatal("the cancelled request is not skipped")
 	}
-	b.takeBatch(nil) // the word itself
+	b.takeBatch(nil) // the cancellation itself
 	p.pending.Add(-1)
 	b.enqueueClient(messageItem(p, wire.Request, "b", ""))
 	b.takeBatch(nil)
 	p.pending.Add(-1)
 	if b.wasCancelled(p, "b") || len(p.cancelled) != 0 {
-		t.Fatal("a later one under the same id is passed over")
+		t.Fatal("a later request with the same id is skipped")
 	}
-	p.pending.Add(1) // something of it is in hand for as long as this goes on
+	p.pending.Add(1) // an item of the client stays in the batch throughout the loop below
 	for i := range 10 * batchSize {
 		b.cancel(messageItem(p, wire.Cancel, fmt.Sprint(i), ""), fmt.Sprint(i))
 	}
 	if len(p.cancelled) > batchSize || !b.wasCancelled(p, fmt.Sprint(10*batchSize-1)) {
-		t.Fatalf("%d are kept", len(p.cancelled))
+		t.Fatalf("%d cancelled ids are kept, or the last is not among them", len(p.cancelled))
 	}
 }
 
-// Whatever players say, cancel and close, in whatever order: nothing is taken twice or out of its order, no request of
-// who had left before, and the counts come out even.
-func TestTheLineWithWithdrawals(t *testing.T) {
+// For random sequences of requests, cancellations and disconnections, no request is taken twice, after its cancellation or
+// after its client has left, and every counter returns to zero.
+func TestInboxQueueWithCancellations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newInbox()
-		players := make([]*peer, 4)
-		left := make([]bool, len(players))
+		clients := make([]*peer, 4)
+		disconnected := make([]bool, len(clients))
 		next := 0
 		var waiting []map[string]bool
-		for i := range players {
-			players[i] = &peer{id: uint64(i)}
+		for i := range clients {
+			clients[i] = &peer{id: uint64(i)}
 			waiting = append(waiting, map[string]bool{})
 		}
 		check := func(taken []item) {
@@ -162,29 +163,29 @@
 					continue
 				}
 				if !waiting[e.Conn][e.Message.ID] {
-					t.Fatalf("%d %s was withdrawn, or taken before", e.Conn, e.Message.ID)
+					t.Fatalf("client %d: request %s was cancelled or taken before", e.Conn, e.Message.ID)
 				}
 				delete(waiting[e.Conn], e.Message.ID)
 			}
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			k := rapid.IntRange(0, len(players)-1).Draw(t, "player")
-			p := players[k]
-			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
-			case what < 2:
+			k := rapid.IntRange(0, len(clients)-1).Draw(t, "client")
+			p := clients[k]
+			switch action := rapid.IntRange(0, 9).Draw(t, "action"); {
+			case action < 2:
 				check(b.takeBatch(nil))
-			case left[k]:
-			case what < 6:
+			case disconnected[k]:
+			case action < 6:
 				next++
 				id := fmt.Sprint(next)
 				waiting[k][id] = true
 				b.enqueueClient(messageItem(p, wire.Request, id, ""))
-			case what < 9:
+			case action < 9:
 				id := fmt.Sprint(rapid.IntRange(1, next+1).Draw(t, "id"))
 				delete(waiting[k], id)
 				b.cancel(messageItem(p, wire.Cancel, id, ""), id)
 			default:
-				left[k] = true
+				disconnected[k] = true
 				clear(waiting[k])
 				b.disconnect(item{input: director.ClientLost{Conn: p.id}, peer: p}, false)
 			}
@@ -192,9 +193,9 @@
 		for b.queueLength() > 0 || len(b.priority) > 0 {
 			check(b.takeBatch(nil))
 		}
-		for k, p := range players {
+		for k, p := range clients {
 			if n := p.pending.Load(); n != 0 || len(p.queued) != 0 || len(waiting[k]) != 0 {
-				t.Fatalf("player %d: %d pending, %d said, %d never taken", k, n, len(p.queued), len(waiting[k]))
+				t.Fatalf("client %d: %d items pending, %d queued, %d requests never taken", k, n, len(p.queued), len(waiting[k]))
 			}
 		}
 	})
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -22,7 +22,7 @@
 const upgradeRequest = "GET / HTTP/1.1\r\nHost: d\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\n" +
 	"Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Protocol: " + wire.SessionProtocol + "\r\n\r\n"
 
-// tryUpgrade tries a handshake and returns the HTTP answer's status and its Retry-After.
+// tryUpgrade attempts a WebSocket handshake and returns the status and the Retry-After header of the HTTP response.
 func tryUpgrade(t *testing.T, address string) (status, retry string) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -44,9 +44,9 @@
 	return status, retry
 }
 
-// No room: newcomers are answered 503 with a time to come back, who plays goes on, and once somebody has
-// left there is room again.
-func TestNoRoomIsSaidAtTheHandshake(t *testing.T) {
+// A full director rejects new connections with status 503 and a Retry-After header, and keeps the clients that play. It
+// accepts connections again once clients have left.
+func TestFullDirectorRejectsAtTheHandshake(t *testing.T) {
 	p := newFixture(t, 1, `"limits": {`, `"limits": {"connections": 20, "handshakes": 20, `)
 	var conns []*transport.Conn
 	for i := range 19 { // 95%: full
@@ -61,17 +61,17 @@
 		t.Fatal(status, retry)
 	}
 	if _, busy := p.d.ConnectionUsage(); busy != 19 {
-		eventually(t, "nobody who plays is let go", func() bool { _, busy := p.d.ConnectionUsage(); return busy == 19 })
+		eventually(t, "all playing clients stay connected", func() bool { _, busy := p.d.ConnectionUsage(); return busy == 19 })
 	}
 	for _, c := range conns[:10] {
 		c.Close(1000, "")
 	}
-	eventually(t, "room again", func() bool {
+	eventually(t, "a connection is accepted again", func() bool {
 		status, _ := tryUpgrade(t, p.d.Address())
 		return status == "101"
 	})
 	p.d.Stop()
-	eventually(t, "nobody is let in by a director that closes", func() bool {
+	eventually(t, "a director that shuts down accepts no connections", func() bool {
 		c, err := net.Dial("tcp", p.d.Address())
 		if err != nil {
 			return true
@@ -81,8 +81,9 @@
 	})
 }
 
-// Idle players are let go, longest idle first, with 1013 and a time to come back; the one with a session stays.
-func TestIdleGoFirstAndAreToldWhenToComeBack(t *testing.T) {
+// Idle clients are evicted, the longest idle first, with close code 1013 and a time after which to retry. A client with a
+// session stays connected.
+func TestIdleClientsAreEvictedFirstWithRetryAfter(t *testing.T) {
 	p := newFixture(t, 1, `"limits": {`, `"limits": {"connections": 20, "handshakes": 20, `)
 	busy, playing := dial(t, p.d.Address())
 	busy.Send(requestMessage("1", "clip"), 0)
@@ -99,20 +100,20 @@
 	}
 	select {
 	case why := <-playing.closed:
-		t.Fatal("the one that plays was let go: ", why)
+		t.Fatal("the client that plays was evicted: ", why)
 	case why := <-idle[17].closed:
-		t.Fatal("the last to come was let go first: ", why)
+		t.Fatal("the client that connected last was evicted first: ", why)
 	case <-time.After(100 * ms):
 	}
 }
 
-// Handshakes that never come whole hold no more than their bound and are cut off; others get in meanwhile
-// or are reset at once, and connect once the slow ones are gone.
+// Connections that never complete their handshake are bounded in number and time. Other clients connect meanwhile, or are
+// reset at once and connect after the handshake time-out of the slow ones.
 func TestSlowHandshakesAreBounded(t *testing.T) {
 	p := newFixture(t, 1, `"limits": {`, `"limits": {"connections": 1000, "handshakes": 16, "players": {"handshake": "300ms"}, `)
 	for range 40 {
 		c, err := net.Dial("tcp", p.d.Address())
-		if errors.Is(err, syscall.ECONNRESET) { // over the bound: the reset may be there before connect returns
+		if errors.Is(err, syscall.ECONNRESET) { // over the bound: the reset may arrive before connect returns
 			continue
 		}
 		if err != nil {
@@ -121,7 +122,7 @@
 		defer c.Close()
 		io.WriteString(c, "GET / HT")
 	}
-	eventually(t, "a player gets in", func() bool {
+	eventually(t, "a client connects", func() bool {
 		c, err := transport.Dial(p.d.Address(), wire.SessionProtocol, 500*ms, transport.Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 4096},
 			&client{make(chan string, 10), make(chan error, 1)}, nil)
 		if err == nil {
@@ -131,8 +132,8 @@
 	})
 }
 
-// Players that connect and never read, while others are served as ever.
-func TestNeverReadersCostOthersNothing(t *testing.T) {
+// Clients that connect and never read do not keep other clients from being served.
+func TestNonReadingClientsDoNotDelayOthers(t *testing.T) {
 	p := newFixture(t, 2)
 	for range 300 {
 		c, err := net.Dial("tcp", p.d.Address())
@@ -151,12 +152,12 @@
 	}
 }
 
-// A player that makes the director write and reads nothing is cut off by a reset: an orderly close would
-// wait in the kernel behind what the player does not read, and so would what is unsent.
-func TestNeverReaderIsReset(t *testing.T) {
+// A client that causes answers and reads none of them is disconnected by a reset. With an orderly close, the close and the
+// unsent data would wait in the kernel behind the data that the client does not read.
+func TestNonReadingClientIsReset(t *testing.T) {
 	p := newFixture(t, 1, `"inbox": 64`, `"inbox": 1000000`)
-	// Set before it connects: a window that shrinks afterwards makes the kernel drop what the director has sent into it,
-	// the acknowledgements in it included, and at times both sides then wait for each other.
+	// The receive buffer is set before the connection is made. If the window shrank afterwards, the kernel would drop what the
+	// director has sent into it, with the acknowledgements, and sometimes both sides would then wait for each other.
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4<<10) })
 	}}
@@ -166,27 +167,27 @@
 	}
 	defer c.Close()
 	io.WriteString(c, upgradeRequest)
-	time.Sleep(100 * ms) // the handshake has to be answered before anything else comes
-	ask := ws.MustCompileFrame(ws.MaskFrame(ws.NewTextFrame(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "clip", Title: "none", Key: "k", WaitMS: 1000}))))
+	time.Sleep(100 * ms) // the handshake has to be answered before the first message is sent
+	request := ws.MustCompileFrame(ws.MaskFrame(ws.NewTextFrame(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "clip", Title: "none", Key: "k", WaitMS: 1000}))))
 	c.SetWriteDeadline(time.Now().Add(20 * time.Second))
-	for range 200_000 { // each is answered as before; the reset ends this
-		if _, err = c.Write(ask); err != nil {
+	for range 200_000 { // each repeated request is answered again, until the reset ends the loop
+		if _, err = c.Write(request); err != nil {
 			break
 		}
 	}
 	if !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 		t.Fatal(err)
 	}
-	eventually(t, "forgotten", func() bool { used, _ := p.d.ConnectionUsage(); return used == 0 })
+	eventually(t, "the connection is removed", func() bool { used, _ := p.d.ConnectionUsage(); return used == 0 })
 }
 
-// The process stood still for longer than three signs of life: nobody is closed for it.
-func TestStallClosesNobody(t *testing.T) {
+// A pause of the process that lasts longer than three heartbeat intervals must not close any client's connection.
+func TestProcessPauseClosesNoClient(t *testing.T) {
 	p := newFixture(t, 1, `"ping": "100ms"`, `"ping": "100ms", "ping_players": "200ms"`)
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
-	network := transport.NewMemoryNetwork(over)
-	gone := make(chan string, 1000)
+	done := make(chan struct{})
+	t.Cleanup(func() { close(done) })
+	network := transport.NewMemoryNetwork(done)
+	closed := make(chan string, 1000)
 	for i := range 500 {
 		from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 1)
 		first := true
@@ -198,17 +199,17 @@
 			case b[0] == 0x89:
 				c.Receive([]byte{0x8a, 0x80, 0, 0, 0, 0})
 			default:
-				gone <- string(b)
+				closed <- string(b)
 			}
 		})
 		c.Receive([]byte(upgradeRequest))
 	}
-	eventually(t, "all are in", func() bool { used, _ := p.d.ConnectionUsage(); return used >= 500 })
+	eventually(t, "all clients are connected", func() bool { used, _ := p.d.ConnectionUsage(); return used >= 500 })
 	p.d.AdvanceClock(5 * time.Second)
 	time.Sleep(1500 * ms)
 	select {
-	case b := <-gone:
-		t.Fatalf("closed: %q", b)
+	case b := <-closed:
+		t.Fatalf("a client received %q after the pause", b)
 	default:
 	}
 	if used, _ := p.d.ConnectionUsage(); used < 500 {
@@ -216,8 +217,8 @@
 	}
 }
 
-// A player that floods pings is worked off or cut off; others are answered meanwhile.
-func TestFloodOfPingsDisturbsNobody(t *testing.T) {
+// A flood of pings from one client is either processed or ends its connection; other clients are answered meanwhile.
+func TestPingFloodDoesNotDelayOthers(t *testing.T) {
 	p := newFixture(t, 1)
 	c, err := net.Dial("tcp", p.d.Address())
 	if err != nil {
@@ -229,7 +230,7 @@
 	defer close(stop)
 	go func() {
 		pings := bytes.Repeat([]byte{0x89, 0x80, 0, 0, 0, 0}, 1000)
-		for range 2000 { // bounded: twelve megabytes at most
+		for range 2000 { // 12 MB at most
 			select {
 			case <-stop:
 				return
@@ -250,9 +251,9 @@
 	}
 }
 
-// The room is full while the director is ordered to stop: who plays has its time, newcomers are told that it
-// closes, and it ends within its term.
-func TestFullWhileClosing(t *testing.T) {
+// A director that is full when it is stopped rejects new connections and still ends. The sessions that play have until the
+// shutdown time-out.
+func TestShutdownWhileFull(t *testing.T) {
 	p := newFixture(t, 1, `"limits": {`, `"limits": {"connections": 20, "handshakes": 20, `)
 	for i := range 19 {
 		c, in := dial(t, p.d.Address())
@@ -262,10 +263,10 @@
 		}
 	}
 	p.d.Stop()
-	eventually(t, "newcomers are turned away", func() bool {
+	eventually(t, "new connections are rejected", func() bool {
 		c, err := net.Dial("tcp", p.d.Address())
 		if err != nil {
-			return true // it has ended already
+			return true // the director has ended already
 		}
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(5 * time.Second))
@@ -277,6 +278,6 @@
 	select {
 	case <-p.d.Done():
 	case <-time.After(15 * time.Second):
-		t.Fatal("it does not end")
+		t.Fatal("the director did not end")
 	}
 }
--- a/internal/daemon/misuse.go
+++ b/internal/daemon/misuse.go
@@ -9,15 +9,15 @@
 	"fordusher/internal/transport"
 )
 
-// enqueueBounded puts a message of a node or of the list into the inbox, unless too many of its wait there.
+// enqueueBounded puts a message of a node or of discovery into the inbox, unless too many items of the peer wait there.
 func (d *Daemon) enqueueBounded(c *transport.Conn, p *peer, in director.Input) {
 	if d.reserveInboxSlot(c, p) {
 		d.inbox.put(item{input: in, peer: p})
 	}
 }
 
-// reserveInboxSlot counts one more message of a peer that waits, and closes the peer's connection where that is too
-// many.
+// reserveInboxSlot counts one more waiting message of a peer. If that exceeds the peer's bound, it ends the
+// connection's input and returns false.
 func (d *Daemon) reserveInboxSlot(c *transport.Conn, p *peer) bool {
 	if p.pending.Add(1) <= int32(d.config.ConnectionLimits.InboxSize) {
 		return true
@@ -28,32 +28,37 @@
 	return false
 }
 
+// WebSocket close codes (RFC 6455, section 7.4.1).
 const (
 	closePolicy      = 1008
 	closeInvalidData = 1007
 	closeGoingAway   = 1001
 )
 
-// malformedLogInterval is how often a malformed message of each kind of peer is told of; in between they are counted.
+// malformedLogInterval is the shortest interval between two log lines on malformed messages from one kind of peer, after
+// the first three. The messages in between are only counted.
 const malformedLogInterval = 10 * time.Second
 
-func (d *Daemon) malformed(c *transport.Conn, who int, err error) {
-	n := d.malformedCounts[who].Add(1)
-	d.malformedLogLimits[who].Do(func() {
-		d.log.Warn().Str("peer", c.RemoteAddr().String()).Str("from", [...]string{"player", "node", "list"}[who]).Int64("so_far", n).
-			Str("error", truncate(err.Error())).Msg("a malformed message")
+// malformed counts a malformed message, logs it subject to the rate limit, and ends the connection's input. The kind of
+// peer is 0 for a client, 1 for a node and 2 for discovery.
+func (d *Daemon) malformed(c *transport.Conn, peerKind int, err error) {
+	n := d.malformedCounts[peerKind].Add(1)
+	d.malformedLogLimits[peerKind].Do(func() {
+		d.log.Warn().Str("peer", c.RemoteAddr().String()).Str("from", [...]string{"player", "node", "list"}[peerKind]).Int64("so_far", n).
+			Str("error", truncate(err.Error())).Msg("received a malformed message")
 	})
 	c.EndInput(err, closeInvalidData)
 }
 
-// errFlood ends the input of a peer of which too much waits for the loop.
+// errFlood ends the input of a peer with too many messages waiting for the loop.
 var errFlood = errors.New("too many messages at once")
 
-// truncate bounds what a peer can put into a line; the writer escapes it.
+// truncate bounds the length of text from a peer in a log line or close reason, and makes it valid UTF-8; the log
+// writer escapes it.
 func truncate(text string) string {
-	const most = 200
-	if len(text) > most {
-		text = text[:most] + "..."
+	const maxLength = 200
+	if len(text) > maxLength {
+		text = text[:maxLength] + "..."
 	}
 	return strings.ToValidUTF8(text, "?")
 }
--- a/internal/daemon/nodes.go
+++ b/internal/daemon/nodes.go
@@ -10,10 +10,12 @@
 	"fordusher/internal/transport"
 )
 
-// maxSetupWriteDelay is how long a set-up may wait to be written. It tells a server how long its client waits, as of when it was
-// made, and the rest of the slack of 0.15 s is for its way.
+// maxSetupWriteDelay is how long a set-up may wait to be written. A set-up states how long its client still waits,
+// measured when the set-up was made. That figure may be late by 0.15 s when it reaches the node; the time beyond this
+// delay is left for the network.
 const maxSetupWriteDelay = 100 * time.Millisecond
 
+// connect dials a node and reports a failure to the loop; nodeHandler.Opened reports the success.
 func (d *Daemon) connect(o director.Connect) {
 	h := &nodeHandler{d: d, node: o.Node, peer: peer{id: o.Link}}
 	if _, err := d.protocol.DialNode(o.Address, o.Timeout, h); err != nil {
@@ -22,6 +24,7 @@
 	}
 }
 
+// A nodeHandler receives the events of one connection to a node, which is a streaming server.
 type nodeHandler struct {
 	d    *Daemon
 	node string
@@ -32,9 +35,9 @@
 	h.d.inbox.put(item{input: director.LinkConnected{Node: h.node, Link: h.peer.id}, conn: c})
 }
 
-// Expired says that a set-up was not written in time, and never will be.
-func (h *nodeHandler) Expired(_ *transport.Conn, attempt uint64) {
-	h.d.inbox.put(item{input: director.Withdrawn{Leg: attempt}})
+// Expired tells the loop that a leg's set-up was not written in time and never will be.
+func (h *nodeHandler) Expired(_ *transport.Conn, leg uint64) {
+	h.d.inbox.put(item{input: director.Withdrawn{Leg: leg}})
 }
 
 func (h *nodeHandler) Message(c *transport.Conn, raw []byte) {
@@ -52,6 +55,6 @@
 	}
 }
 
-func (h *nodeHandler) Closed(_ *transport.Conn, why error, unsent []uint64) {
-	h.d.inbox.put(item{input: director.LinkLost{Link: h.peer.id, Unsent: unsent, Reason: truncate(why.Error())}})
+func (h *nodeHandler) Closed(_ *transport.Conn, reason error, unsent []uint64) {
+	h.d.inbox.put(item{input: director.LinkLost{Link: h.peer.id, Unsent: unsent, Reason: truncate(reason.Error())}})
 }
--- a/internal/daemon/pause.go
+++ b/internal/daemon/pause.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// minPause is by how much a wait must run over its time to be taken for a pause of the process: less is a busy machine.
+// minPause is how far a wait must exceed its time limit to count as a pause of the process. A shorter excess is usual on a busy
+// machine.
 const minPause = 50 * time.Millisecond
 
-// maxLoopWait is how often the loop wakes at least. A pause that falls wholly between two looks is not seen, so it is below the
-// slack of 0.15 s that a deadline passed on may have.
+// maxLoopWait is the longest wait of the loop between two wake-ups. A pause that lies wholly within one wait is not
+// detected, so it is below the 0.15 s by which a deadline that is passed on to a node may be late.
 const maxLoopWait = 100 * time.Millisecond
 
-// pauseDetector notices that the process did not run for a time (it was stopped, or its machine was), from waits that ran over.
-// What came meanwhile waited in the kernel, and was read after: nothing else tells how long ago it was sent.
+// pauseDetector detects from overlong waits that the process did not run for a time, because it or its machine was
+// stopped. Messages that arrive during a pause wait in the kernel and are read after it; nothing else shows how long ago
+// they were sent.
 type pauseDetector struct {
-	pauseStart time.Time // the last pause began no sooner
-	pauseEnd   time.Time // and was noticed then
+	pauseStart time.Time // earliest possible start of the last pause
+	pauseEnd   time.Time // when that pause was detected
 }
 
-// observe takes a wait that was to last so long at most.
-func (p *pauseDetector) observe(from, to time.Time, most time.Duration) {
-	if to.Sub(from) > most+minPause {
+// observe records a wait from one time to another that was limited to maxWait.
+func (p *pauseDetector) observe(from, to time.Time, maxWait time.Duration) {
+	if to.Sub(from) > maxWait+minPause {
 		p.pauseStart, p.pauseEnd = from, to
 	}
 }
 
-// earliestSent is the moment since which what was read at a time may have waited: the beginning of a pause that it was read
-// after, else the time itself.
+// earliestSent returns the earliest time since which a message may have waited in the kernel, given the time at which it
+// was read. That is the start of the last pause if the message was read during or just after it, else the read time.
 func (p *pauseDetector) earliestSent(read time.Time) time.Time {
 	if read.After(p.pauseStart) && read.Before(p.pauseEnd.Add(minPause)) {
 		return p.pauseStart
--- a/internal/daemon/protocol.go
+++ b/internal/daemon/protocol.go
@@ -9,39 +9,39 @@
 	"fordusher/internal/wire"
 )
 
-// A Protocol is the protocols that a director speaks: how it listens and connects, and what bytes mean in the loop's
-// words. It decides nothing. Its From methods are called by any goroutine, in order for one connection; its To methods
-// by the loop's goroutine alone.
+// A Protocol is the set of protocols that a director speaks: it listens and connects, and translates between bytes and
+// the loop's messages. It makes no decisions. Its Decode methods are called from any goroutine, in order for each
+// connection; its Encode methods are called from the loop's goroutine only.
 type Protocol interface {
 	Listen(h transport.Handler) (*transport.Server, error)
-	DialNode(address string, within time.Duration, h transport.Handler) (*transport.Conn, error)
-	DialDiscovery(address string, within time.Duration, h transport.Handler) (*transport.Conn, error)
+	DialNode(address string, timeout time.Duration, h transport.Handler) (*transport.Conn, error)
+	DialDiscovery(address string, timeout time.Duration, h transport.Handler) (*transport.Conn, error)
 
-	// DecodeClient and FromNode read a message. What is read has no type where it is nothing to the loop; a reply, if
-	// there is one, goes out at once. An error ends the connection.
+	// DecodeClient, DecodeNode and DecodeDiscovery decode a message. A message that does not concern the loop is returned
+	// without a type. A reply, if there is one, is sent at once. An error ends the connection's input.
 	DecodeClient(raw []byte) (in director.ClientReceived, reply []byte, err error)
 	DecodeNode(raw []byte) (in director.LinkReceived, reply []byte, err error)
 	DecodeDiscovery(raw []byte) (wire.DiscoveryMessage, error)
 
-	// What the protocol has no words for is nil.
+	// The Encode methods return nil for a message that the protocol cannot express.
 	EncodeClient(o director.SendClient) []byte
 	EncodeNode(o director.SendNode) []byte
 	EncodeDiscovery(m wire.DiscoveryMessage) []byte
 }
 
-// webSocketProtocol is the project's own protocols over WebSocket.
+// webSocketProtocol implements the project's own protocols over WebSocket.
 type webSocketProtocol struct{ config *conf.Config }
 
-func (f webSocketProtocol) Listen(h transport.Handler) (*transport.Server, error) {
-	return transport.Serve(f.config.ListenAddress, wire.SessionProtocol, f.config.ConnectionLimits.Clients, h)
+func (p webSocketProtocol) Listen(h transport.Handler) (*transport.Server, error) {
+	return transport.Serve(p.config.ListenAddress, wire.SessionProtocol, p.config.ConnectionLimits.Clients, h)
 }
 
-func (f webSocketProtocol) DialNode(address string, within time.Duration, h transport.Handler) (*transport.Conn, error) {
-	return transport.Dial(address, wire.NodeProtocol, within, f.config.ConnectionLimits.Nodes, h, nil)
+func (p webSocketProtocol) DialNode(address string, timeout time.Duration, h transport.Handler) (*transport.Conn, error) {
+	return transport.Dial(address, wire.NodeProtocol, timeout, p.config.ConnectionLimits.Nodes, h, nil)
 }
 
-func (f webSocketProtocol) DialDiscovery(address string, within time.Duration, h transport.Handler) (*transport.Conn, error) {
-	return transport.Dial(address, wire.DiscoveryProtocol, within, f.config.ConnectionLimits.Discovery, h, nil)
+func (p webSocketProtocol) DialDiscovery(address string, timeout time.Duration, h transport.Handler) (*transport.Conn, error) {
+	return transport.Dial(address, wire.DiscoveryProtocol, timeout, p.config.ConnectionLimits.Discovery, h, nil)
 }
 
 func (webSocketProtocol) DecodeClient(raw []byte) (in director.ClientReceived, reply []byte, err error) {
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -7,19 +7,19 @@
 	"fordusher/internal/transport"
 )
 
-// Stop orders the director to end as package shutdown decides; Done tells when it has.
+// Stop starts the director's orderly shutdown, which package shutdown controls; Done signals its end.
 func (d *Daemon) Stop() { d.inbox.put(item{input: director.Stop{}}) }
 
 // Done is closed once the director has ended.
 func (d *Daemon) Done() <-chan struct{} { return d.done }
 
-// Kill ends the director at once, as a crash would: nothing that it owes is answered.
+// Kill ends the director at once, as a crash would: pending requests get no answer.
 func (d *Daemon) Kill() {
 	d.killOnce.Do(func() { close(d.quit) })
 	<-d.done
 }
 
-// closeAll ends every connection at once.
+// closeAll closes every connection at once, without sending queued data.
 func (d *Daemon) closeAll() {
 	d.server.Close()
 	for _, c := range d.links {
@@ -30,11 +30,12 @@
 	}
 }
 
-// drainConnections lets what is queued go out, for a short while, and then ends every connection.
+// drainConnections closes client connections gracefully, waits up to twice the write time-out for queued data to go
+// out, and then closes every connection that remains.
 func (d *Daemon) drainConnections() {
 	d.server.SetRefusing(true)
-	d.server.Each(func(c *transport.Conn) { c.Close(closeGoingAway, "director closes") }) // what has come in part is no request
-	for end := time.Now().Add(d.config.ConnectionLimits.Clients.WriteTimeout * 2); time.Now().Before(end); {
+	d.server.Each(func(c *transport.Conn) { c.Close(closeGoingAway, "director closes") }) // a message received in part is not a request
+	for deadline := time.Now().Add(d.config.ConnectionLimits.Clients.WriteTimeout * 2); time.Now().Before(deadline); {
 		open := 0
 		d.server.Each(func(*transport.Conn) { open++ })
 		if open == 0 {
@@ -44,5 +45,5 @@
 	}
 	d.killOnce.Do(func() { close(d.quit) })
 	d.closeAll()
-	d.log.Info().Msg("closed")
+	d.log.Info().Msg("shutdown complete")
 }
--- a/internal/platform/backlog_test.go
+++ b/internal/platform/backlog_test.go
@@ -10,7 +10,7 @@
 
 // A client that sends what can't be read is closed, but what it has asked for before is owed its answer, which goes out
 // first: by the same connection, and once.
-func TestWhatCannotBeReadFreesNoRequest(t *testing.T) {
+func TestUnreadableInputKeepsPendingRequests(t *testing.T) {
 	for name, bad := range map[string][]byte{
 		"a length that no message has": {0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11},
 		"a message too long":           {0xff, 0xff, kindSetup, 0, 0, 0, 0, 0, 0, 0, 9},
@@ -68,7 +68,7 @@
 
 // More requests than a connection may have waiting come while the loop stands still. Each has one final answer, and the
 // connection stays.
-func TestMoreRequestsThanMayWaitAreAllAnswered(t *testing.T) {
+func TestRequestsBeyondTheInboxBoundAreAllAnswered(t *testing.T) {
 	var held *pausableDecider
 	p := startFixtureWith(t, 1, "", testSettings, func(d director.Decider) director.Decider {
 		held = &pausableDecider{Decider: d}
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -67,7 +67,7 @@
 	params  []byte
 }
 
-var errLength = errors.New("a length that no message has")
+var errMessageLength = errors.New("a length that no message has")
 
 // splitClientMessage finds a viewers' message at the beginning of what has come.
 func splitClientMessage(in []byte) (int, error) {
@@ -76,7 +76,7 @@
 	}
 	size := lengthSize + int(binary.BigEndian.Uint16(in))
 	if size < headerSize || size > maxMessageSize {
-		return 0, fmt.Errorf("%w: %d", errLength, size-lengthSize)
+		return 0, fmt.Errorf("%w: %d", errMessageLength, size-lengthSize)
 	}
 	if len(in) < size {
 		return 0, nil
@@ -88,7 +88,7 @@
 
 func parseClientMessage(raw []byte) (clientMessage, error) {
 	if size, err := splitClientMessage(raw); err != nil || size != len(raw) {
-		return clientMessage{}, errLength
+		return clientMessage{}, errMessageLength
 	}
 	return clientMessage{raw[lengthSize], binary.BigEndian.Uint64(raw[lengthSize+1:]), raw[headerSize:]}, nil
 }
--- a/internal/platform/codec_test.go
+++ b/internal/platform/codec_test.go
@@ -49,7 +49,7 @@
 }
 
 // Everything here comes from clients that the platform warns of; each must be seen at the door.
-func TestSetupThatCantBeUsedIsAnError(t *testing.T) {
+func TestInvalidSetupIsAnError(t *testing.T) {
 	for name, changes := range map[string]map[byte]string{
 		"no class":            {codeClass: omitted},
 		"a class of blanks":   {codeClass: "  "},
@@ -92,7 +92,7 @@
 }
 
 // It guards sessions that are handed over at a start: those say any waiting time, and were refused for it.
-func TestWhatPlaysAlreadyMayWaitForEver(t *testing.T) {
+func TestPlayingSessionAcceptsAnyWait(t *testing.T) {
 	m, err := parseClientMessage(setupMessage(7, map[byte]string{
 		codeWait: "4294967", codeDescription: omitted, codePlacement: "home:4;copies:3;top:4;at:s-00c41f7a"}))
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestLengthsThatNoMessageHas(t *testing.T) {
+func TestInvalidMessageLengths(t *testing.T) {
 	for _, in := range []string{"\x00\x00", "\x00\x08", "\xff\xff", "\x40\x01"} {
 		if _, err := splitClientMessage([]byte(in)); err == nil {
 			t.Errorf("viewer: %q is taken for a length", in)
@@ -118,7 +118,7 @@
 
 const testAnswer = "RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 9b1f03aa5c7e2d41\r\nContent-Length: 5\r\n\r\nhello"
 
-func TestAnswersOfMediaNodes(t *testing.T) {
+func TestParseRTSPResponse(t *testing.T) {
 	m, err := parseRTSP([]byte(testAnswer))
 	if err != nil || m.status != 200 || m.seq() != 1 || m.session() != "9b1f03aa5c7e2d41" || string(m.body) != "hello" {
 		t.Fatalf("%+v, %v", m, err)
@@ -143,7 +143,7 @@
 }
 
 // Any cut of the bytes gives the same messages, in every vocabulary.
-func TestAnyCutGivesTheSameMessages(t *testing.T) {
+func TestSplitIsIndependentOfChunking(t *testing.T) {
 	frame := binary.BigEndian.AppendUint32(nil, frameHeaderSize-frameLengthSize+recordSize)
 	frame = binary.BigEndian.AppendUint64(frame, 42)
 	frame = append(append(frame, frameUpdate), make([]byte, recordSize)...)
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestRecordOfTheBoard(t *testing.T) {
+func TestParseDiscoveryFrame(t *testing.T) {
 	raw := binary.BigEndian.AppendUint32(nil, frameHeaderSize-frameLengthSize+recordSize)
 	raw = binary.BigEndian.AppendUint64(raw, 41)
 	raw = append(raw, frameSnapshot)
@@ -191,16 +191,16 @@
 	raw = binary.BigEndian.AppendUint32(raw, 1500)
 	raw = binary.BigEndian.AppendUint64(raw, 1000)
 	f, err := parseFrame(raw)
-	if err != nil || f.number != 41 || f.kind != frameSnapshot || len(f.records) != 1 {
+	if err != nil || f.eventNumber != 41 || f.kind != frameSnapshot || len(f.records) != 1 {
 		t.Fatalf("%+v, %v", f, err)
 	}
 	if r := f.records[0]; nodeName(r.id) != "s-00c41f7a" || r.address.String() != "10.1.0.9:2905" || r.state != 1 ||
-		r.zone != 0 || r.kind != 1 || r.cell != 2 || r.weight != 1.5 || r.startedMilli != 1000 {
+		r.zone != 0 || r.kind != 1 || r.cell != 2 || r.weight != 1.5 || r.startedMillis != 1000 {
 		t.Fatalf("%+v", r)
 	}
 }
 
-func FuzzViewer(f *testing.F) {
+func FuzzClientMessage(f *testing.F) {
 	f.Add(setupMessage(7, nil))
 	f.Add(releaseMessage(3, causeNacked))
 	f.Add([]byte("\x00\x0b\x0c\x00\x00\x00\x00\x00\x00\x00\x01\x4b\x00"))
@@ -233,7 +233,7 @@
 	})
 }
 
-func FuzzBoard(f *testing.F) {
+func FuzzDiscoveryFrame(f *testing.F) {
 	f.Add([]byte("\x00\x00\x00\x09\x00\x00\x00\x00\x00\x00\x00\x01\x00"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		if size, err := splitFrame(in); err == nil && size > 0 {
--- a/internal/platform/daemon_test.go
+++ b/internal/platform/daemon_test.go
@@ -295,7 +295,7 @@
 	return value
 }
 
-func TestAWholeSession(t *testing.T) {
+func TestSessionFromSetupToRelease(t *testing.T) {
 	p := startFixture(t, 1, "")
 	v := p.newClient()
 	v.send(newClientMessage(kindProbe, 5).param(codeCause, []byte{0}).finish())
@@ -316,7 +316,7 @@
 	p.wait("the node's release was not heard", func() bool { return p.nodes[0].countReceived("RTSP/1.0 200 OK") == 1 })
 }
 
-func TestASessionOutlivesItsConnections(t *testing.T) {
+func TestSessionOutlivesItsConnections(t *testing.T) {
 	p := startFixture(t, 1, "")
 	v := p.newClient()
 	v.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
@@ -336,7 +336,7 @@
 
 // What a node answers that can't be read, is cut off or follows itself must never reach a viewer as an answer; a free
 // session is set up elsewhere.
-func TestAnswersThatAreSpoilt(t *testing.T) {
+func TestInvalidNodeAnswersAreRetriedElsewhere(t *testing.T) {
 	for name, reply := range map[string]func(string) string{
 		"noise":          func(string) string { return "\x16\x03\x01\x02\x00\x01" },
 		"no length":      func(s string) string { return "RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: " + s + "\r\n\r\n" },
@@ -362,7 +362,7 @@
 	}
 }
 
-func TestAnswersThatSayMoreThanTheyShould(t *testing.T) {
+func TestUnexpectedAndDuplicateNodeAnswers(t *testing.T) {
 	p := startFixture(t, 1, "")
 	p.nodes[0].setReply(func(s string) string {
 		return acceptResponse("ffffffffffffffff") + acceptResponse(s) + acceptResponse(s)
@@ -375,7 +375,7 @@
 }
 
 // A paid session whose answer can't be read may have run: it is neither sent again nor is coming again called harmless.
-func TestAPaidSessionIsNeverSentAgain(t *testing.T) {
+func TestPaidSetupIsNotRetried(t *testing.T) {
 	p := startFixture(t, 2, "")
 	for _, n := range p.nodes {
 		n.setReply(func(string) string { return "noise" })
@@ -391,7 +391,7 @@
 }
 
 // Each is owed a refusal or a close; the usual viewer beside it notices nothing.
-func TestClientsThatMeanHarm(t *testing.T) {
+func TestMalformedClientInput(t *testing.T) {
 	p := startFixture(t, 1, "")
 	usual := p.newClient()
 	usual.send(newClientMessage(kindProbe, 1).finish())
@@ -432,7 +432,7 @@
 	usual.expect(kindRelease, 1, codeCause)
 }
 
-func TestANodeThatDies(t *testing.T) {
+func TestNodeCrashReleasesItsSessions(t *testing.T) {
 	p := startFixture(t, 1, "")
 	v := p.newClient()
 	v.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
@@ -447,7 +447,7 @@
 // An emulatedDiscovery tells what it is told to, and notes from which number it is asked.
 type emulatedDiscovery struct {
 	ln    net.Listener
-	asked chan uint64
+	requestedFrom chan uint64
 	conns chan net.Conn
 }
 
@@ -468,7 +468,7 @@
 			if _, err := io.ReadFull(c, from); err != nil {
 				continue
 			}
-			b.asked <- binary.BigEndian.Uint64(from)
+			b.requestedFrom <- binary.BigEndian.Uint64(from)
 			b.conns <- c
 		}
 	}()
@@ -478,7 +478,7 @@
 func (b *emulatedDiscovery) next(t *testing.T) (from uint64, c net.Conn) {
 	t.Helper()
 	select {
-	case from = <-b.asked:
+	case from = <-b.requestedFrom:
 		return from, <-b.conns
 	case <-time.After(testTimeout):
 		t.Fatal("the board was not asked")
@@ -502,7 +502,7 @@
 	return binary.BigEndian.AppendUint64(raw, 0)
 }
 
-func TestTheBoard(t *testing.T) {
+func TestDiscoveryReconnectsAndResumes(t *testing.T) {
 	b, moved := newEmulatedDiscovery(t), newEmulatedDiscovery(t)
 	p := startFixture(t, 2, b.ln.Addr().String())
 	from, c := b.next(t)
@@ -546,7 +546,7 @@
 	}
 }
 
-func TestAnOrderToStop(t *testing.T) {
+func TestStopAnswersAndReleases(t *testing.T) {
 	p := startFixture(t, 1, "")
 	var asked sync.WaitGroup
 	asked.Add(1)
@@ -583,7 +583,7 @@
 	}
 }
 
-func TestPostingsThatCantBeUsed(t *testing.T) {
+func TestInvalidStartConfigsAreReported(t *testing.T) {
 	for want, text := range map[string]string{
 		"line 2":            "{\n\"name\": }",
 		"settings":          `{"name":"a"}`,
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -31,12 +31,12 @@
 	zone, kind   int
 	cell         int
 	weight       float64
-	startedMilli uint64 // Unix; 0: not told
+	startedMillis uint64 // Unix; 0: not told
 }
 
 // A frame is an event of the notice board, or word that there is none.
 type frame struct {
-	number  uint64
+	eventNumber  uint64
 	kind    byte
 	records []nodeRecord
 }
@@ -62,7 +62,7 @@
 	if size, err := splitFrame(raw); err != nil || size != len(raw) {
 		return f, errFrame
 	}
-	f.number, f.kind = binary.BigEndian.Uint64(raw[frameLengthSize:]), raw[frameHeaderSize-1]
+	f.eventNumber, f.kind = binary.BigEndian.Uint64(raw[frameLengthSize:]), raw[frameHeaderSize-1]
 	rest := raw[frameHeaderSize:]
 	if f.kind > frameUpdate || f.kind == frameKeepAlive && len(rest) > 0 {
 		return f, fmt.Errorf("%w: kind %d", errFrame, f.kind)
@@ -74,7 +74,7 @@
 			state:   rest[10], zone: int(rest[11]), kind: int(rest[12]),
 			cell:         int(binary.BigEndian.Uint16(rest[13:])),
 			weight:       float64(binary.BigEndian.Uint32(rest[15:])) / 1000,
-			startedMilli: binary.BigEndian.Uint64(rest[19:]),
+			startedMillis: binary.BigEndian.Uint64(rest[19:]),
 		}
 		if int(r.state) >= len(nodeStates) {
 			return f, fmt.Errorf("%w: state %d of %s", errFrame, r.state, nodeName(r.id))
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// noteKinds are the module's notes, by their causes.
-var noteKinds = map[string]policy.MeasurementKind{
+// measurementKinds are the module's notes, by their causes.
+var measurementKinds = map[string]policy.MeasurementKind{
 	"quality": policy.DeliveredShare, "profile": policy.CurrentRung, "nic": policy.LinkLoad, "tor": policy.UplinkLoad,
 }
 
@@ -158,7 +158,7 @@
 		in.Message.Load, err = f.parseLoadReport(m)
 		return in, newOKResponse(m.headers["cseq"], m.headers["session"]), err
 	case methodAnnounce:
-		kind, known := noteKinds[m.headers["x-cause"]]
+		kind, known := measurementKinds[m.headers["x-cause"]]
 		value, err := strconv.ParseFloat(m.headers["x-value"], 64)
 		if !known || err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
 			return in, nil, errors.New("a note that can't be read")
@@ -227,14 +227,14 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if x.kind == frameKeepAlive || x.number <= f.lastEvent {
+	if x.kind == frameKeepAlive || x.eventNumber <= f.lastEvent {
 		return m, nil
 	}
-	if x.kind == frameUpdate && x.number != f.lastEvent+1 && !f.awaitingFirstEvent {
-		return m, fmt.Errorf("event %d follows %d", x.number, f.lastEvent)
+	if x.kind == frameUpdate && x.eventNumber != f.lastEvent+1 && !f.awaitingFirstEvent {
+		return m, fmt.Errorf("event %d follows %d", x.eventNumber, f.lastEvent)
 	}
-	f.lastEvent, f.awaitingFirstEvent = x.number, false
-	m.Type, m.Serial = wire.Update, x.number
+	f.lastEvent, f.awaitingFirstEvent = x.eventNumber, false
+	m.Type, m.Serial = wire.Update, x.eventNumber
 	if x.kind == frameSnapshot {
 		m.Type = wire.Snapshot
 	}
@@ -248,7 +248,7 @@
 	for _, r := range x.records {
 		m.Nodes = append(m.Nodes, wire.NodeEntry{
 			Node: nodeName(r.id), Address: r.address.String(), State: nodeStates[r.state], MachineKind: name(f.settings.Kinds, r.kind),
-			Zone: name(f.settings.Zones, r.zone), Incarnation: r.startedMilli, UptimeMS: ageMillis(r.startedMilli, now), Weight: r.weight, Cell: r.cell,
+			Zone: name(f.settings.Zones, r.zone), Incarnation: r.startedMillis, UptimeMS: ageMillis(r.startedMillis, now), Weight: r.weight, Cell: r.cell,
 		})
 	}
 	return m, nil
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -20,7 +20,7 @@
 type blockingDecider struct {
 	director.Decider
 	entered chan struct{}
-	open    chan struct{}
+	unblock    chan struct{}
 	once    sync.Once
 }
 
@@ -28,15 +28,15 @@
 	if d, ok := happened.(policy.Request); ok && d.PlayingOn == "" {
 		g.once.Do(func() {
 			close(g.entered)
-			<-g.open
+			<-g.unblock
 		})
 	}
 	return g.Decider.Step(now, happened)
 }
 
-// startBlocked starts a director whose loop stands still in its first request until the gate is opened; the request is sent,
+// startBlockedInFirstRequest starts a director whose loop stands still in its first request until the gate is opened; the request is sent,
 // and the loop stands, when it returns.
-func startBlocked(t *testing.T, nodes int) (*fixture, *blockingDecider) {
+func startBlockedInFirstRequest(t *testing.T, nodes int) (*fixture, *blockingDecider) {
 	t.Helper()
 	p, g := startBlockingFixture(t, 512, nodes)
 	v := p.newClient()
@@ -48,13 +48,13 @@
 // startBlockingFixture starts a director whose loop will stand still in its first request, with so many descriptors.
 func startBlockingFixture(t *testing.T, sockets, nodes int) (*fixture, *blockingDecider) {
 	t.Helper()
-	g := &blockingDecider{entered: make(chan struct{}), open: make(chan struct{})}
+	g := &blockingDecider{entered: make(chan struct{}), unblock: make(chan struct{})}
 	p := startFixtureLimited(t, sockets, nodes, "", testSettings, func(m director.Decider) director.Decider { g.Decider = m; return g })
 	t.Cleanup(func() {
 		select {
-		case <-g.open:
+		case <-g.unblock:
 		default:
-			close(g.open)
+			close(g.unblock)
 		}
 	})
 	return p, g
@@ -90,11 +90,11 @@
 }
 
 // A request whose client leaves while the loop is busy with another one is never sent on.
-func TestAClientThatLeavesWhileItsRequestWaitsForTheLoop(t *testing.T) {
+func TestClientDepartsWhileItsRequestWaitsInTheInbox(t *testing.T) {
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p, g := startBlocked(t, 1)
+			p, g := startBlockedInFirstRequest(t, 1)
 			v := p.newClient()
 			v.send(setupMessage(2, defaultPlacement))
 			v.roundTrip()
@@ -102,7 +102,7 @@
 			if name != "cancels" {
 				p.wait("its end was not seen", func() bool { return p.closedClients.Load() > 0 })
 			}
-			close(g.open)
+			close(g.unblock)
 			last := p.newClient() // what comes after it is served, so it was gone past
 			last.send(setupMessage(3, defaultPlacement))
 			last.expect(kindAnswer, 3, codeDescription)
@@ -120,7 +120,7 @@
 // oneSeatSettings has one seat for each title of the paid class.
 var oneSeatSettings = strings.Replace(testSettings, `"shelves":1`, `"licence_cap":[0,1],"shelves":1`, 1)
 
-func TestAClientThatLeavesWhileItsRequestIsHeld(t *testing.T) {
+func TestClientDepartsWhileItsRequestWaitsForASeat(t *testing.T) {
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -162,7 +162,7 @@
 	return out
 }
 
-func TestAClientThatLeavesBetweenTwoAttempts(t *testing.T) {
+func TestClientDepartsBetweenTwoLegs(t *testing.T) {
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -191,7 +191,7 @@
 }
 
 // An attempt that is out when its client leaves is given up, and its answer, which crosses that, reaches nobody.
-func TestAClientThatLeavesWithAnAttemptOut(t *testing.T) {
+func TestClientDepartsDuringALeg(t *testing.T) {
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -236,7 +236,7 @@
 }
 
 // The answer and the deadline cross: whichever comes first, one final answer, and none after it.
-func TestAnAnswerAgainstTheDeadline(t *testing.T) {
+func TestNodeAnswerAfterTheDeadline(t *testing.T) {
 	p := startFixture(t, 1, "")
 	asked, let := holdReplies(t, p.nodes[0])
 	v := p.newClient()
@@ -268,7 +268,7 @@
 }
 
 // The answer and the loss of its connection cross: what came whole before it counts, half of it does not.
-func TestAnAnswerAgainstTheLossOfItsConnection(t *testing.T) {
+func TestNodeAnswerRacesConnectionLoss(t *testing.T) {
 	for name, whole := range map[string]bool{"whole": true, "half": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -306,7 +306,7 @@
 
 // Every message, cut at each of its bytes, is read as the whole one is: a viewer's set-up, a node's answer, an event of
 // the board.
-func TestMessagesCutAtEveryByte(t *testing.T) {
+func TestMessagesSplitAtEveryByte(t *testing.T) {
 	b := newEmulatedDiscovery(t)
 	p := startFixture(t, 2, b.ln.Addr().String())
 	_, board := b.next(t)
@@ -372,7 +372,7 @@
 
 // A node closes its connection as a set-up is written on it. Whichever comes first: one final answer, a paid set-up
 // once at most where it may have run, and never a word that coming again is harmless then.
-func TestAnIdleConnectionClosedAsASetUpIsWritten(t *testing.T) {
+func TestNodeClosesConnectionDuringSetupWrite(t *testing.T) {
 	p := startFixture(t, 1, "")
 	n, v := p.nodes[0], p.newClient()
 	for id := uint64(1); id <= 40; id++ {
@@ -409,7 +409,7 @@
 }
 
 // An idle connection is let go for a newcomer while a request of its own stands in line right behind that one's knock.
-func TestARequestThatCrossesItsConnectionsBeingLetGo(t *testing.T) {
+func TestRequestRacesEvictionOfItsConnection(t *testing.T) {
 	p, g := startBlockingFixture(t, reservedDescriptors+minPendingConnections+4, 1) // room for two viewers
 	idle, busy := p.newClient(), p.newClient()
 	idle.send(releaseMessage(77, causeEnded)) // knocks, and asks for nothing
@@ -423,7 +423,7 @@
 	newcomer.roundTrip()
 	idle.send(setupMessage(3, defaultPlacement))
 	idle.roundTrip()
-	close(g.open)
+	close(g.unblock)
 	busy.expect(kindAnswer, 1, codeDescription)
 	for session, v := range map[uint64]*emulatedClient{2: newcomer, 3: idle} {
 		if m, ok := v.next(); !ok || m.session != session || m.kind != kindAnswer && m.kind != kindRelease {
@@ -433,7 +433,7 @@
 }
 
 // A client that does not read holds what is written to it back; that it has left is seen all the same, and at once.
-func TestAClientThatLeavesWhileItsAnswersAreHeldBack(t *testing.T) {
+func TestClientDepartsWhileItsAnswersAreUnread(t *testing.T) {
 	for name, leave := range map[string]func(v *emulatedClient){
 		"closes": func(v *emulatedClient) { v.c.Close() },
 		"resets": func(v *emulatedClient) { v.reset() },
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -15,9 +15,9 @@
 	"fordusher/policy"
 )
 
-// settingsDrawn are settings of some customer: other names and numbers of classes, other deadlines and limits; any of
+// drawSettings are settings of some customer: other names and numbers of classes, other deadlines and limits; any of
 // them may be left out or be 0.
-func settingsDrawn(t *rapid.T) map[string]any {
+func drawSettings(t *rapid.T) map[string]any {
 	maybe := func(m map[string]any, key string, value any) {
 		switch rapid.IntRange(0, 5).Draw(t, key) {
 		case 0: // left out
@@ -95,9 +95,9 @@
 type loopModel struct {
 	*rapid.T
 	loop    *director.Loop
-	posting *StartConfig
+	startConfig *StartConfig
 	now     time.Duration
-	owed    map[string]*pendingAnswer
+	requests    map[string]*modelRequest
 	links   map[uint64]string
 	open    map[uint64]bool
 	drains  map[string]bool
@@ -105,17 +105,17 @@
 	ended   bool
 }
 
-type pendingAnswer struct {
+type modelRequest struct {
 	class          policy.Tariff
 	name           string
-	by             time.Duration
-	answered, left bool
+	deadline             time.Duration
+	answered, cancelled bool
 	legs           int
-	out, ran       bool
+	setupPending, mayHaveRun       bool
 	link           uint64
 }
 
-func (c *loopModel) do(in director.Input) {
+func (c *loopModel) step(in director.Input) {
 	outs := append([]director.Output(nil), c.loop.Step(c.now, in)...)
 	closed := false
 	for _, o := range outs {
@@ -125,8 +125,8 @@
 		case director.CloseLink:
 			delete(c.open, o.Link)
 		case director.CloseClient:
-			for _, w := range c.owed {
-				if !w.answered && !w.left {
+			for _, w := range c.requests {
+				if !w.answered && !w.cancelled {
 					c.Fatalf("the connection is closed that %s waits on: %+v", w.name, o)
 				}
 			}
@@ -134,14 +134,14 @@
 		case director.ShutdownComplete:
 			c.ended = true
 		case director.SendNode:
-			w := c.owed[o.Message.Session]
+			w := c.requests[o.Message.Session]
 			if w == nil {
 				continue
 			}
 			switch o.Message.Type {
 			case wire.Setup:
 				w.legs++
-				if w.left || w.answered || w.out || w.ran && w.class.AtMostOnce {
+				if w.cancelled || w.answered || w.setupPending || w.mayHaveRun && w.class.AtMostOnce {
 					c.Fatalf("%s is set up: %+v", w.name, *w)
 				}
 				if !c.open[o.Link] || c.drains[c.links[o.Link]] {
@@ -150,49 +150,49 @@
 				if o.Message.Rung < w.class.Floor {
 					c.Fatalf("%s is set up at rung %d under its floor %d", w.name, o.Message.Rung, w.class.Floor)
 				}
-				if most := max(1, c.posting.parsedSettings.Permissions.MaxAttempts); w.legs > most {
+				if most := max(1, c.startConfig.parsedSettings.Permissions.MaxAttempts); w.legs > most {
 					c.Fatalf("%s is set up for the %d. time of %d", w.name, w.legs, most)
 				}
-				w.out, w.link = true, o.Link
+				w.setupPending, w.link = true, o.Link
 			case wire.End:
-				w.out = false
+				w.setupPending = false
 			}
 		case director.SendClient:
-			w := c.owed[o.Message.ID]
+			w := c.requests[o.Message.ID]
 			if w == nil {
 				continue
 			}
 			switch o.Message.Type {
 			case wire.Playing, wire.Nack, wire.Errored:
-				if w.answered || w.left || c.now > w.by {
+				if w.answered || w.cancelled || c.now > w.deadline {
 					c.Fatalf("%s is answered %s at %v: %+v", w.name, o.Message.Type, c.now, *w)
 				}
-				if o.Message.Type == wire.Nack && w.class.AtMostOnce && w.ran {
+				if o.Message.Type == wire.Nack && w.class.AtMostOnce && w.mayHaveRun {
 					c.Fatalf("%s may have run and coming again is called harmless", w.name)
 				}
 				w.answered = true
 			}
 		}
 	}
-	for id, w := range c.owed {
-		if !w.answered && !w.left && c.now > w.by {
+	for id, w := range c.requests {
+		if !w.answered && !w.cancelled && c.now > w.deadline {
 			c.Fatalf("%s has no answer by %v: %+v, %s", w.name, c.now, *w, id)
 		}
 	}
 	if closed {
-		c.do(director.ClientLost{Conn: c.conn})
-		c.enter()
+		c.step(director.ClientLost{Conn: c.conn})
+		c.connectClient()
 	}
 }
 
-// enter connects the viewers.
-func (c *loopModel) enter() {
+// connectClient connects the viewers.
+func (c *loopModel) connectClient() {
 	c.conn++
-	c.do(director.ClientConnecting{Conn: c.conn})
-	c.do(director.ClientAccepted{Conn: c.conn})
+	c.step(director.ClientConnecting{Conn: c.conn})
+	c.step(director.ClientAccepted{Conn: c.conn})
 }
 
-func (c *loopModel) pass(d time.Duration) {
+func (c *loopModel) advance(d time.Duration) {
 	for end := c.now + d; !c.ended; {
 		next := c.loop.Next()
 		if next > end {
@@ -200,14 +200,14 @@
 			return
 		}
 		c.now = max(c.now, next)
-		c.do(director.Tick{})
+		c.step(director.Tick{})
 	}
 }
 
 // Whatever a customer's settings leave out or set to 0: the program starts, and keeps the rules.
-func TestSettingsOfAnyCustomer(t *testing.T) {
+func TestRandomSettingsKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		raw, err := json.Marshal(settingsDrawn(t))
+		raw, err := json.Marshal(drawSettings(t))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -224,17 +224,17 @@
 			t.Fatalf("%s: %v", raw, err)
 		}
 		house := posting.Config(time.Now())
-		c := &loopModel{T: t, posting: posting, owed: map[string]*pendingAnswer{}, links: map[uint64]string{}, open: map[uint64]bool{},
+		c := &loopModel{T: t, startConfig: posting, requests: map[string]*modelRequest{}, links: map[uint64]string{}, open: map[uint64]bool{},
 			drains: map[string]bool{}, loop: house.NewLoop("b", 1, posting.NewDecider(1))}
-		c.do(director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Snapshot, Nodes: house.Nodes}})
-		c.enter()
+		c.step(director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Snapshot, Nodes: house.Nodes}})
+		c.connectClient()
 		classes := posting.parsedSettings.Tariffs()
 		front := NewProtocol(posting, house, time.Now)
 		for step := range rapid.IntRange(1, 80).Draw(t, "steps") {
-			c.pass(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
+			c.advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			var ids []string
-			for id, w := range c.owed {
-				if w.out {
+			for id, w := range c.requests {
+				if w.setupPending {
 					ids = append(ids, id)
 				}
 			}
@@ -250,8 +250,8 @@
 				}
 				in.Conn = c.conn
 				by := min(time.Duration(wait)*time.Millisecond, classes[k].HardStop)
-				c.owed[in.Message.ID] = &pendingAnswer{class: classes[k], name: fmt.Sprintf("session %d of class %d", step+1, k), by: c.now + by}
-				c.do(in)
+				c.requests[in.Message.ID] = &modelRequest{class: classes[k], name: fmt.Sprintf("session %d of class %d", step+1, k), deadline: c.now + by}
+				c.step(in)
 			case what < 6: // a connection comes up or fails
 				for link, node := range c.links {
 					if c.open[link] {
@@ -259,40 +259,40 @@
 					}
 					if what == 4 {
 						c.open[link] = true
-						c.do(director.LinkConnected{Node: node, Link: link})
+						c.step(director.LinkConnected{Node: node, Link: link})
 					} else {
 						delete(c.links, link)
-						c.do(director.LinkFailed{Node: node, Link: link, Refused: true})
+						c.step(director.LinkFailed{Node: node, Link: link, Refused: true})
 					}
 					break
 				}
 			case what < 8 && len(ids) > 0:
 				id := rapid.SampledFrom(ids).Draw(t, "answered")
-				w := c.owed[id]
+				w := c.requests[id]
 				kind := rapid.SampledFrom([]string{wire.Accepted, wire.Full, wire.Failed}).Draw(t, "kind")
-				w.out, w.ran = false, w.ran || kind != wire.Full
-				c.do(director.LinkReceived{Link: w.link, Message: wire.NodeMessage{Type: kind, Session: id}})
+				w.setupPending, w.mayHaveRun = false, w.mayHaveRun || kind != wire.Full
+				c.step(director.LinkReceived{Link: w.link, Message: wire.NodeMessage{Type: kind, Session: id}})
 			case what == 8 && len(ids) > 0:
 				id := rapid.SampledFrom(ids).Draw(t, "left")
-				c.owed[id].left = true
-				c.do(director.ClientReceived{Conn: c.conn, Message: wire.SessionMessage{Type: wire.Cancel, ID: id}, Details: &director.RequestDetails{}})
+				c.requests[id].cancelled = true
+				c.step(director.ClientReceived{Conn: c.conn, Message: wire.SessionMessage{Type: wire.Cancel, ID: id}, Details: &director.RequestDetails{}})
 			case what == 9:
 				i := rapid.IntRange(0, 3).Draw(t, "node")
 				c.drains[nodeName(uint32(i))] = true
 				e := targets[i].entry(time.Now())
 				e.State = wire.Draining
-				c.do(director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{e}}})
+				c.step(director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{e}}})
 			}
 		}
 		// The order to stop: everything owed is answered, and it ends by itself before it is killed.
 		began := c.now
-		c.do(director.Stop{})
-		c.pass(posting.maxHardStop() + killAfter)
+		c.step(director.Stop{})
+		c.advance(posting.maxHardStop() + killAfter)
 		if !c.ended || c.now > began+posting.maxHardStop()+killAfter {
 			t.Fatalf("it has not ended %v after the order; %v are given", c.now-began, posting.maxHardStop()+killAfter)
 		}
-		for _, w := range c.owed {
-			if !w.answered && !w.left {
+		for _, w := range c.requests {
+			if !w.answered && !w.cancelled {
 				t.Fatalf("%s was never answered", w.name)
 			}
 		}
@@ -300,7 +300,7 @@
 }
 
 // What can't be used is named by its key, in one line.
-func TestSettingsThatCantBeUsed(t *testing.T) {
+func TestInvalidSettingsAreReported(t *testing.T) {
 	for want, change := range map[string][2]string{
 		"classes: number 1 has no name":              {`"name":"exam"`, `"name":""`},
 		`classes: "clip" is there twice`:             {`"name":"exam"`, `"name":"clip"`},
