--- a/internal/platform/backlog_test.go
+++ b/internal/platform/backlog_test.go
@@ -8,40 +8,40 @@
 	"time"
 )
 
-// A client that sends what can't be read is closed, but what it has asked for before is owed its answer, which goes out
-// first: by the same connection, and once.
+// Unreadable input ends a client's connection, but a request that the client sent before is still answered first: on the
+// same connection, and once.
 func TestUnreadableInputKeepsPendingRequests(t *testing.T) {
 	for name, bad := range map[string][]byte{
-		"a length that no message has": {0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11},
-		"a message too long":           {0xff, 0xff, kindSetup, 0, 0, 0, 0, 0, 0, 0, 9},
-		"a type that there is not":     newClientMessage(123, 7).finish(),
-		"half a message":               setupMessage(9, defaultPlacement)[:20],
+		"an invalid length":       {0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11},
+		"a message too long":      {0xff, 0xff, kindSetup, 0, 0, 0, 0, 0, 0, 0, 9},
+		"an unknown message type": newClientMessage(123, 7).finish(),
+		"half a message":          setupMessage(9, defaultPlacement)[:20],
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := startFixture(t, 1, "")
 			p.nodes[0].setReply(func(string) string { return "" })
 			v := p.newClient()
-			// The paid class has no time-out of attempts before its deadline.
+			// A leg of the paid class has no time-out before the request's deadline.
 			v.send(setupMessage(2, map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam"}))
-			p.wait("the set-up did not reach its server", func() bool { return p.nodes[0].countReceived("Session: "+sessionID(2)) == 1 })
+			p.wait("the set-up did not reach its node", func() bool { return p.nodes[0].countReceived("Session: "+sessionID(2)) == 1 })
 			v.send(bad)
 			if name == "half a message" {
-				time.Sleep(firstMessageTimeout + 100*time.Millisecond) // it is only then that it counts as unreadable
-				p.wait("the deadline did not pass", func() bool { return p.d.Counts().Errored+p.d.Counts().Nacked == 1 })
+				time.Sleep(firstMessageTimeout + 100*time.Millisecond) // a partial message counts as unreadable only after this time-out
+				p.wait("the request was not answered at its deadline", func() bool { return p.d.Counts().Errored+p.d.Counts().Nacked == 1 })
 				if m, ok := v.next(); !ok || m.kind != kindRelease || m.session != 2 {
-					t.Fatalf("%v, kind %d of session %d; an answer is owed", ok, m.kind, m.session)
+					t.Fatalf("read ok: %v, kind %d, session %d; want a release of session 2", ok, m.kind, m.session)
 				}
 			} else {
 				p.probeClient = p.newClient()
-				p.probeClient.roundTrip() // the director has seen more since
+				p.probeClient.roundTrip() // the director has read the input sent before
 				p.nodes[0].send(acceptResponse(sessionID(2)))
 				v.expect(kindAnswer, 2, codeDescription)
 			}
 			if m, ok := v.next(); ok {
-				t.Fatalf("kind %d of session %d on a connection that was to be closed", m.kind, m.session)
+				t.Fatalf("kind %d of session %d on a connection that should be closed", m.kind, m.session)
 			}
-			p.wait("the account does not come out even", func() bool {
+			p.wait("the request counters are wrong", func() bool {
 				c := p.d.Counts()
 				return c.Abandoned == 0 && c.Taken == 1 && c.Played+c.Errored+c.Nacked == 1
 			})
@@ -54,36 +54,36 @@
 	}
 }
 
-// A pausableDecider lets a module's Step wait while it is held.
+// A pausableDecider blocks Step while its mutex is locked.
 type pausableDecider struct {
 	director.Decider
 	hold sync.Mutex
 }
 
-func (s *pausableDecider) Step(now time.Duration, happened policy.Event) []policy.Action {
+func (s *pausableDecider) Step(now time.Duration, event policy.Event) []policy.Action {
 	s.hold.Lock()
 	defer s.hold.Unlock()
-	return s.Decider.Step(now, happened)
+	return s.Decider.Step(now, event)
 }
 
-// More requests than a connection may have waiting come while the loop stands still. Each has one final answer, and the
-// connection stays.
+// While the loop is blocked, one connection sends more requests than may wait in the inbox. Each request gets one final
+// answer, and the connection stays open.
 func TestRequestsBeyondTheInboxBoundAreAllAnswered(t *testing.T) {
-	var held *pausableDecider
+	var decider *pausableDecider
 	p := startFixtureWith(t, 1, "", testSettings, func(d director.Decider) director.Decider {
-		held = &pausableDecider{Decider: d}
-		return held
+		decider = &pausableDecider{Decider: d}
+		return decider
 	})
 	v := p.newClient()
 	v.roundTrip()
-	held.hold.Lock()
+	decider.hold.Lock()
 	const requests = maxInboxPerPeer + 500
 	go func() {
 		for id := range uint64(requests) {
 			v.send(setupMessage(id+1, defaultPlacement))
 		}
 		time.Sleep(50 * time.Millisecond)
-		held.hold.Unlock()
+		decider.hold.Unlock()
 	}()
 	answers := map[uint64]int{}
 	for len(answers) < requests {
@@ -100,5 +100,5 @@
 			t.Fatalf("%d answers to request %d", n, id)
 		}
 	}
-	v.roundTrip() // it still works
+	v.roundTrip() // the connection still works
 }
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -1,6 +1,7 @@
-// Package platform has the protocol of the operators' platform: viewers' binary messages, media nodes' RTSP and the
-// notice board's frames, as pure codecs; what a director is told at its start; and the translation of all three into
-// the words of the director's loop and back (Front). It decides nothing. docs/platform.md has the design.
+// Package platform implements the protocols of the operators' platform: the binary messages of clients, the RTSP of nodes
+// and the frames of the discovery service, as codecs without side effects. It also reads a director's start
+// configuration, and translates between all three protocols and the messages of the director's loop (Protocol). It makes
+// no placement decisions. docs/platform.md describes the design.
 package platform
 
 import (
@@ -14,18 +15,18 @@
 	"fordusher/internal/transport"
 )
 
-// maxMessageSize is the largest message of viewers and media nodes, in bytes.
+// maxMessageSize is the size limit for messages of clients and nodes, in bytes.
 const maxMessageSize = 16 << 10
 
-// A viewers' message is length:2 type:1 session:8 and parameters of code:1 length:2 value; the length counts all that
-// follows it. Numbers are big-endian.
+// A client message consists of length:2 type:1 session:8 and parameters of code:1 length:2 value (sizes in bytes). Each
+// length counts the bytes that follow it. Numbers are big-endian.
 const (
 	lengthSize      = 2
 	headerSize      = lengthSize + 1 + 8
 	paramHeaderSize = 1 + 2
 )
 
-// The types of viewers' messages.
+// The types of client messages.
 const (
 	kindSetup      = 1
 	kindProgress   = 6
@@ -39,7 +40,7 @@
 	kindRung       = 60
 )
 
-// The codes of parameters.
+// The parameter codes.
 const (
 	codeClass       = 33
 	codeWait        = 36
@@ -50,26 +51,26 @@
 	codeDescription = 78
 )
 
-// The causes of releases. Those that say that trying again is harmless claim that nothing ran.
+// The causes of releases. A cause that calls a retry harmless claims that nothing ran.
 const (
-	causeEnded   = 16 // the session has come to its end; before the answer: given up
-	causeMoved   = 31 // moved, or ended by its viewer
-	causeLost    = 41 // the session was cut
-	causeNacked  = 42 // trying again is harmless
-	causeErrored = 47 // nothing is claimed
-	causeInvalid = 95 // nothing is claimed: the request can't be used
+	causeEnded   = 16 // the session has ended normally; before the answer: the client gave up
+	causeMoved   = 31 // the session was moved, or ended by its client
+	causeLost    = 41 // the session was interrupted
+	causeNacked  = 42 // a retry is harmless
+	causeErrored = 47 // no claim whether the session ran
+	causeInvalid = 95 // the request is invalid; no claim whether the session ran
 )
 
-// A clientMessage is a message of viewers, its parameters not looked at.
+// A clientMessage is a message to or from a client, with its parameters not parsed yet.
 type clientMessage struct {
 	kind    byte
 	session uint64
 	params  []byte
 }
 
-var errMessageLength = errors.New("a length that no message has")
+var errMessageLength = errors.New("invalid message length")
 
-// splitClientMessage finds a viewers' message at the beginning of what has come.
+// splitClientMessage returns the size of the client message at the start of the input, or 0 if the message is incomplete.
 func splitClientMessage(in []byte) (int, error) {
 	if len(in) < lengthSize {
 		return 0, nil
@@ -93,19 +94,19 @@
 	return clientMessage{raw[lengthSize], binary.BigEndian.Uint64(raw[lengthSize+1:]), raw[headerSize:]}, nil
 }
 
-// eachParam calls f for every parameter; it fails where they do not fill the message exactly, or one comes twice.
+// eachParam calls f for every parameter. It fails if the parameters do not fill the message exactly or one occurs twice.
 func (m clientMessage) eachParam(f func(code byte, value []byte) error) error {
 	var seen [256]bool
 	for in := m.params; len(in) > 0; {
 		if len(in) < paramHeaderSize {
-			return errors.New("a parameter is cut off")
+			return errors.New("truncated parameter header")
 		}
 		code, size := in[0], int(binary.BigEndian.Uint16(in[1:]))
 		if len(in) < paramHeaderSize+size {
-			return fmt.Errorf("parameter %d is cut off", code)
+			return fmt.Errorf("parameter %d is truncated", code)
 		}
 		if seen[code] {
-			return fmt.Errorf("parameter %d comes twice", code)
+			return fmt.Errorf("parameter %d occurs twice", code)
 		}
 		seen[code] = true
 		if err := f(code, in[paramHeaderSize:paramHeaderSize+size]); err != nil {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// clientWriter makes a viewers' message.
+// A clientWriter builds a client message.
 type clientWriter []byte
 
 func newClientMessage(kind byte, session uint64) clientWriter {
@@ -140,18 +141,18 @@
 	return newClientMessage(kindRelease, session).param(codeCause, []byte{cause}).finish()
 }
 
-// A setup is what a viewer's set-up says.
+// A setup is the content of a client's set-up message: its request for a session.
 type setup struct {
 	class, title               string
 	wait                       int64 // ms
 	lengthHint                 float64
 	firstCell, copies, maxRung int
-	playingNode                string // the media node, where it plays already
+	playingNode                string // the node, if the session is already playing
 	description                []byte
 	hasWait, hasPlacement      bool
 }
 
-// The bounds of a set-up's figures: what lies beyond is a fault of its sender.
+// The bounds of the numbers and names in a set-up. A value beyond them is an error of the sender.
 const (
 	maxWaitMillis       = 3_600_000 // ms
 	maxLengthHintMillis = 1e9       // ms
@@ -160,7 +161,7 @@
 	maxNameLength       = 128
 )
 
-// parseSetup reads a set-up. On an error it holds what was read before.
+// parseSetup parses a set-up. On an error it also returns the fields parsed before the error.
 func parseSetup(m clientMessage) (s setup, err error) {
 	err = m.eachParam(func(code byte, value []byte) error {
 		switch code {
@@ -177,7 +178,7 @@
 		case codeLengthHint:
 			s.lengthHint, err = strconv.ParseFloat(string(value), 64)
 			if err != nil || math.IsNaN(s.lengthHint) || s.lengthHint < 0 || s.lengthHint > maxLengthHintMillis {
-				return errors.New("no length of a session")
+				return errors.New("invalid session length")
 			}
 		case codePlacement:
 			s.hasPlacement = true
@@ -190,16 +191,16 @@
 	switch {
 	case err != nil:
 	case s.class == "" || s.title == "" || !s.hasPlacement:
-		err = errors.New("class, title and place are not all there")
+		err = errors.New("class, title or placement is missing")
 	case s.playingNode == "" && (s.description == nil || !s.hasWait):
-		err = errors.New("there is no description, or it is not said how long the viewer waits")
-	case s.playingNode == "" && s.wait > maxWaitMillis: // a session that plays waits for nothing, and may say any number
-		err = errors.New("no viewer waits so long")
+		err = errors.New("description or wait is missing")
+	case s.playingNode == "" && s.wait > maxWaitMillis: // not checked for a playing session: it waits for no answer, and its client may send any number
+		err = errors.New("wait is too long")
 	}
 	return s, err
 }
 
-// parsePlacement reads the figures of the request and its viewer: key:value, separated by semicolons.
+// parsePlacement parses the placement parameter: key:value pairs, separated by semicolons.
 func (s *setup) parsePlacement(text string) (err error) {
 	seen := map[string]bool{}
 	for part := range strings.SplitSeq(text, ";") {
@@ -229,32 +230,32 @@
 		}
 	}
 	if !seen["home"] || !seen["copies"] || !seen["top"] {
-		return errors.New("home, copies and top are not all there")
+		return errors.New("home, copies or top is missing")
 	}
 	return nil
 }
 
-func parseBoundedInt(text string, least, most int64) (int64, error) {
+func parseBoundedInt(text string, lowest, highest int64) (int64, error) {
 	n, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || n < least || n > most {
-		return 0, fmt.Errorf("not a number from %d to %d", least, most)
+	if err != nil || n < lowest || n > highest {
+		return 0, fmt.Errorf("not a number from %d to %d", lowest, highest)
 	}
 	return n, nil
 }
 
 func checkName(text string) error {
 	if len(text) == 0 || len(text) > maxNameLength {
-		return errors.New("no name")
+		return errors.New("name is empty, too long or not printable ASCII")
 	}
 	for _, c := range []byte(text) {
 		if c <= ' ' || c > '~' {
-			return errors.New("no name")
+			return errors.New("name is empty, too long or not printable ASCII")
 		}
 	}
 	return nil
 }
 
-// idSize is how many hex digits an id has.
+// idSize is the number of hex digits of an id.
 const idSize = 16
 
 func checkHexID(text string) error {
@@ -271,7 +272,7 @@
 
 func sessionID(session uint64) string { return fmt.Sprintf("%016x", session) }
 
-// parseSessionID reads what sessionID has written; 0 where it is something else.
+// parseSessionID is the inverse of sessionID; it returns 0 for any other text.
 func parseSessionID(text string) uint64 {
 	if checkHexID(text) != nil {
 		return 0
--- a/internal/platform/codec_test.go
+++ b/internal/platform/codec_test.go
@@ -11,7 +11,8 @@
 	"fordusher/internal/transport"
 )
 
-// setupMessage is a viewer's set-up as it comes; the changes replace parameters, nil takes one out.
+// setupMessage returns a client's set-up message. The changes replace parameter values; the value omitted removes a
+// parameter.
 func setupMessage(session uint64, changes map[byte]string) []byte {
 	params := []struct {
 		code  byte
@@ -48,34 +49,34 @@
 	}
 }
 
-// Everything here comes from clients that the platform warns of; each must be seen at the door.
+// The platform warns of clients that send such set-ups; each has to be rejected when it is parsed.
 func TestInvalidSetupIsAnError(t *testing.T) {
 	for name, changes := range map[string]map[byte]string{
-		"no class":            {codeClass: omitted},
-		"a class of blanks":   {codeClass: "  "},
-		"no title":            {codeTitle: omitted},
-		"a short title":       {codeTitle: "7f3a"},
-		"no wait":             {codeWait: omitted},
-		"a negative wait":     {codeWait: "-5"},
-		"a wait of no number": {codeWait: "NaN"},
-		"a huge wait":         {codeWait: "99999999999999999999"},
-		"a long wait":         {codeWait: "4294967"},
-		"an infinite hint":    {codeLengthHint: "+Inf"},
-		"a negative hint":     {codeLengthHint: "-1"},
-		"no place":            {codePlacement: omitted},
-		"half a place":        {codePlacement: "home:4;copies:3"},
-		"a negative cell":     {codePlacement: "home:-4;copies:3;top:4"},
-		"no copies":           {codePlacement: "home:4;copies:0;top:4"},
-		"a place twice":       {codePlacement: "home:4;home:5;copies:1;top:4"},
-		"a rung of no number": {codePlacement: "home:4;copies:3;top:x"},
-		"no description":      {codeDescription: omitted},
+		"no class":                    {codeClass: omitted},
+		"a blank class":               {codeClass: "  "},
+		"no title":                    {codeTitle: omitted},
+		"a short title":               {codeTitle: "7f3a"},
+		"no wait":                     {codeWait: omitted},
+		"a negative wait":             {codeWait: "-5"},
+		"a wait of NaN":               {codeWait: "NaN"},
+		"a huge wait":                 {codeWait: "99999999999999999999"},
+		"a long wait":                 {codeWait: "4294967"},
+		"an infinite hint":            {codeLengthHint: "+Inf"},
+		"a negative hint":             {codeLengthHint: "-1"},
+		"no placement":                {codePlacement: omitted},
+		"half a placement":            {codePlacement: "home:4;copies:3"},
+		"a negative cell":             {codePlacement: "home:-4;copies:3;top:4"},
+		"no copies":                   {codePlacement: "home:4;copies:0;top:4"},
+		"home given twice":            {codePlacement: "home:4;home:5;copies:1;top:4"},
+		"a rung that is not a number": {codePlacement: "home:4;copies:3;top:x"},
+		"no description":              {codeDescription: omitted},
 	} {
 		m, err := parseClientMessage(setupMessage(7, changes))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		if s, err := parseSetup(m); err == nil {
-			t.Errorf("%s: taken as %+v", name, s)
+			t.Errorf("%s: parsed as %+v", name, s)
 		}
 	}
 	twice := newClientMessage(kindSetup, 1).param(codeClass, []byte("a")).param(codeClass, []byte("b")).finish()
@@ -86,12 +87,13 @@
 			t.Fatal(err)
 		}
 		if _, err := parseSetup(m); err == nil {
-			t.Errorf("%q was taken", raw)
+			t.Errorf("%q was parsed without an error", raw)
 		}
 	}
 }
 
-// It guards sessions that are handed over at a start: those say any waiting time, and were refused for it.
+// Clients of playing sessions, which hand them over when a director starts, send any waiting time. Their set-ups must not
+// be rejected for it.
 func TestPlayingSessionAcceptsAnyWait(t *testing.T) {
 	m, err := parseClientMessage(setupMessage(7, map[byte]string{
 		codeWait: "4294967", codeDescription: omitted, codePlacement: "home:4;copies:3;top:4;at:s-00c41f7a"}))
@@ -106,12 +108,12 @@
 func TestInvalidMessageLengths(t *testing.T) {
 	for _, in := range []string{"\x00\x00", "\x00\x08", "\xff\xff", "\x40\x01"} {
 		if _, err := splitClientMessage([]byte(in)); err == nil {
-			t.Errorf("viewer: %q is taken for a length", in)
+			t.Errorf("client: %q is accepted as a length", in)
 		}
 	}
 	for _, in := range []string{"\xff\xff\xff\xff", "\x00\x00\x00\x00", "\x00\x00\x00\x0a"} {
 		if _, err := splitFrame([]byte(in)); err == nil {
-			t.Errorf("board: %q is taken for a length", in)
+			t.Errorf("discovery: %q is accepted as a length", in)
 		}
 	}
 }
@@ -124,17 +126,17 @@
 		t.Fatalf("%+v, %v", m, err)
 	}
 	for name, in := range map[string]string{
-		"noise":                      "\x16\x03\x01",
-		"another protocol":           "HTTP/1.1 200 OK\r\n\r\n",
-		"no length":                  "RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n",
-		"a negative length":          "RTSP/1.0 200 OK\r\nContent-Length: -1\r\n\r\n",
-		"an answer of 3 GB":          "RTSP/1.0 200 OK\r\nContent-Length: 3221225472\r\n\r\n",
-		"two lengths":                "RTSP/1.0 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-		"a status of no number":      "RTSP/1.0 two OK\r\nContent-Length: 0\r\n\r\n",
-		"a line of no header":        "RTSP/1.0 200 OK\r\nnonsense\r\nContent-Length: 0\r\n\r\n",
-		"a head of bytes":            "RTSP/1.0 200 OK\r\nA: \x80\r\nContent-Length: 0\r\n\r\n",
-		"a length that is too short": strings.Replace(testAnswer, ": 5", ": 3", 1),
-		"a head without an end":      "RTSP/1.0 200 OK\r\n" + strings.Repeat("a", maxMessageSize),
+		"noise":                         "\x16\x03\x01",
+		"another protocol":              "HTTP/1.1 200 OK\r\n\r\n",
+		"no length":                     "RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n",
+		"a negative length":             "RTSP/1.0 200 OK\r\nContent-Length: -1\r\n\r\n",
+		"a body of 3 GB":                "RTSP/1.0 200 OK\r\nContent-Length: 3221225472\r\n\r\n",
+		"two lengths":                   "RTSP/1.0 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+		"a status that is not a number": "RTSP/1.0 two OK\r\nContent-Length: 0\r\n\r\n",
+		"a line without a colon":        "RTSP/1.0 200 OK\r\nnonsense\r\nContent-Length: 0\r\n\r\n",
+		"a non-ASCII header":            "RTSP/1.0 200 OK\r\nA: \x80\r\nContent-Length: 0\r\n\r\n",
+		"a length that is too short":    strings.Replace(testAnswer, ": 5", ": 3", 1),
+		"a header without an end":       "RTSP/1.0 200 OK\r\n" + strings.Repeat("a", maxMessageSize),
 	} {
 		if size, err := splitRTSP([]byte(in)); err == nil {
 			t.Errorf("%s: size %d", name, size)
@@ -142,42 +144,42 @@
 	}
 }
 
-// Any cut of the bytes gives the same messages, in every vocabulary.
+// A byte stream yields the same messages however it is split into reads, in all three protocols.
 func TestSplitIsIndependentOfChunking(t *testing.T) {
 	frame := binary.BigEndian.AppendUint32(nil, frameHeaderSize-frameLengthSize+recordSize)
 	frame = binary.BigEndian.AppendUint64(frame, 42)
 	frame = append(append(frame, frameUpdate), make([]byte, recordSize)...)
 	for name, x := range map[string]struct {
-		split transport.SplitFunc
-		one   []byte
+		split   transport.SplitFunc
+		message []byte
 	}{
-		"viewer": {splitClientMessage, setupMessage(9, nil)}, "node": {splitRTSP, []byte(testAnswer)}, "board": {splitFrame, frame},
+		"client": {splitClientMessage, setupMessage(9, nil)}, "node": {splitRTSP, []byte(testAnswer)}, "discovery": {splitFrame, frame},
 	} {
 		rapid.Check(t, func(t *rapid.T) {
 			n := rapid.IntRange(1, 4).Draw(t, "messages")
-			all := bytes.Repeat(x.one, n)
-			var have []byte
+			stream := bytes.Repeat(x.message, n)
+			var buffered []byte
 			got := 0
-			for len(all) > 0 {
-				k := rapid.IntRange(1, len(all)).Draw(t, "cut")
-				have, all = append(have, all[:k]...), all[k:]
+			for len(stream) > 0 {
+				k := rapid.IntRange(1, len(stream)).Draw(t, "chunk")
+				buffered, stream = append(buffered, stream[:k]...), stream[k:]
 				for {
-					size, err := x.split(have)
+					size, err := x.split(buffered)
 					if err != nil {
 						t.Fatalf("%s: %v", name, err)
 					}
 					if size == 0 {
 						break
 					}
-					if !bytes.Equal(have[:size], x.one) {
-						t.Fatalf("%s: %q", name, have[:size])
+					if !bytes.Equal(buffered[:size], x.message) {
+						t.Fatalf("%s: got %q", name, buffered[:size])
 					}
-					have = have[size:]
+					buffered = buffered[size:]
 					got++
 				}
 			}
 			if got != n {
-				t.Fatalf("%s: %d messages of %d", name, got, n)
+				t.Fatalf("%s: %d messages, want %d", name, got, n)
 			}
 		})
 	}
@@ -211,7 +213,7 @@
 		}
 		m, err := parseClientMessage(in[:size])
 		if err != nil {
-			t.Fatalf("split takes it, read does not: %v", err)
+			t.Fatalf("the splitter accepts it, the parser does not: %v", err)
 		}
 		if s, err := parseSetup(m); err == nil && (s.copies < 1 || s.firstCell < 0 || s.maxRung < 0 || s.wait < 0) {
 			t.Fatalf("%+v", s)
@@ -228,7 +230,7 @@
 			return
 		}
 		if _, err := parseRTSP(in[:size]); err != nil {
-			t.Fatalf("split takes it, read does not: %v", err)
+			t.Fatalf("the splitter accepts it, the parser does not: %v", err)
 		}
 	})
 }
--- a/internal/platform/daemon_test.go
+++ b/internal/platform/daemon_test.go
@@ -20,19 +20,19 @@
 	"fordusher/internal/transport"
 )
 
-// The program itself on loopback, between a media node, a notice board and viewers that are written from the
-// platform's protocol and do as they are told.
+// These tests run the daemon on loopback with emulated nodes, discovery services and clients, which speak the platform's
+// protocols and send what each test prescribes.
 
-// testTimeout is the longest that a test waits for what has to come; nothing waits for it to pass.
+// testTimeout is how long a test waits for an expected event before it fails. No test waits for it to pass.
 const testTimeout = 10 * time.Second
 
-// An emulatedNode is a media node: reply says what goes back for a set-up, word for word; nothing where it is empty.
+// An emulatedNode is a node that answers each set-up with the bytes that reply returns, if any.
 type emulatedNode struct {
 	t        *testing.T
 	ln       net.Listener
 	mu       sync.Mutex
 	conns    []net.Conn
-	received []string // heads and bodies, as they came
+	received []string // headers and bodies of all messages
 	reply    func(session string) string
 }
 
@@ -58,7 +58,7 @@
 	return n
 }
 
-// stop ends it as a process that dies: its connections are reset, and new ones refused.
+// stop emulates a crash of the node: its connections are reset, and new ones are refused.
 func (n *emulatedNode) stop() {
 	n.ln.Close()
 	n.mu.Lock()
@@ -71,29 +71,29 @@
 }
 
 func (n *emulatedNode) serve(c net.Conn) {
-	var have []byte
+	var buffered []byte
 	for {
 		buf := make([]byte, 4096)
 		k, err := c.Read(buf)
 		if err != nil {
 			return
 		}
-		have = append(have, buf[:k]...)
+		buffered = append(buffered, buf[:k]...)
 		for {
-			size, err := splitRTSP(have)
+			size, err := splitRTSP(buffered)
 			if err != nil {
-				n.t.Errorf("the director sent %q: %v", have, err)
+				n.t.Errorf("the director sent %q: %v", buffered, err)
 				return
 			}
 			if size == 0 {
 				break
 			}
-			m, _ := parseRTSP(have[:size])
+			m, _ := parseRTSP(buffered[:size])
 			n.mu.Lock()
-			n.received = append(n.received, string(have[:size]))
+			n.received = append(n.received, string(buffered[:size]))
 			reply := n.reply
 			n.mu.Unlock()
-			have = have[size:]
+			buffered = buffered[size:]
 			if m.method == methodSetup {
 				io.WriteString(c, reply(m.session()))
 			}
@@ -107,13 +107,14 @@
 	n.mu.Unlock()
 }
 
-// send goes out on the connection that was made last.
+// send writes text to the node's newest connection.
 func (n *emulatedNode) send(text string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	io.WriteString(n.conns[len(n.conns)-1], text)
 }
 
+// countReceived returns the number of received messages that contain a text.
 func (n *emulatedNode) countReceived(part string) (times int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -137,16 +138,16 @@
 	return fmt.Sprintf("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: %s\r\nReason: cause=%d\r\nContent-Length: 0\r\n\r\n", session, cause)
 }
 
-// A fixture is a director, with the nodes that its list names.
+// A fixture is a director with the emulated nodes on its server list.
 type fixture struct {
 	t             *testing.T
 	d             *daemon.Daemon
 	nodes         []*emulatedNode
-	probeClient   *emulatedClient // for tests beside what is tried
-	closedClients atomic.Int32    // viewers' connections that the director has seen end
+	probeClient   *emulatedClient // sends probes beside the connection under test; made on first use
+	closedClients atomic.Int32    // client connections whose end the director has handled
 }
 
-// A countingProtocol front counts the viewers' connections that have ended.
+// A countingProtocol counts the client connections that have ended.
 type countingProtocol struct {
 	*Protocol
 	closedClients *atomic.Int32
@@ -171,7 +172,7 @@
 	h.closedClients.Add(1)
 }
 
-// testSettings are those of a deployment, as far as they are read.
+// testSettings are the settings of a deployment, limited to the keys that a director reads.
 const testSettings = `{"balancers":1,"me":0,"zone":"z","zones":["z"],"flavors":["box"],"membership_mode":"push",
  "classes":[{"name":"clip","target_s":1,"give_up_s":2,"semantics":"free","credit":1},
   {"name":"exam","target_s":1,"give_up_s":2,"semantics":"single_shot","credit":3}],
@@ -180,19 +181,19 @@
  "permissions":{"max_attempts":4,"connect_timeout_s":0.5},"report":{"fields":["x0","x1"]},
  "rules":{"cold_from":0.5,"fall_multiple":4,"ramp_time_s":0.1,"tip_after_s":0.05}}`
 
-func startFixture(t *testing.T, nodes int, board string) *fixture {
+func startFixture(t *testing.T, nodes int, discoveryAddress string) *fixture {
 	t.Helper()
-	return startFixtureWith(t, nodes, board, testSettings, nil)
+	return startFixtureWith(t, nodes, discoveryAddress, testSettings, nil)
 }
 
-// startFixtureWith is start with other settings, and with something around the module.
-func startFixtureWith(t *testing.T, nodes int, board, settings string, around func(director.Decider) director.Decider) *fixture {
+// startFixtureWith is startFixture with other settings and, if wrap is not nil, with the decider that wrap returns.
+func startFixtureWith(t *testing.T, nodes int, discoveryAddress, settings string, wrap func(director.Decider) director.Decider) *fixture {
 	t.Helper()
-	return startFixtureLimited(t, 512, nodes, board, settings, around)
+	return startFixtureLimited(t, 512, nodes, discoveryAddress, settings, wrap)
 }
 
-// startFixtureLimited is startWith with so many descriptors.
-func startFixtureLimited(t *testing.T, sockets, nodes int, board, settings string, around func(director.Decider) director.Decider) *fixture {
+// startFixtureLimited is startFixtureWith with a limit on file descriptors.
+func startFixtureLimited(t *testing.T, sockets, nodes int, discoveryAddress, settings string, wrap func(director.Decider) director.Decider) *fixture {
 	t.Helper()
 	p := &fixture{t: t}
 	var targets []target
@@ -202,39 +203,40 @@
 		targets = append(targets, target{ID: nodeName(uint32(i)), Endpoint: n.ln.Addr().String(), Zone: "z", Kind: "box", Cell: i,
 			State: "ready", Weight: 1})
 	}
-	known, err := json.Marshal(targets)
+	nodeTargets, err := json.Marshal(targets)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if board == "" {
-		board = "127.0.0.1:1"
+	if discoveryAddress == "" {
+		discoveryAddress = "127.0.0.1:1"
 	}
-	posting, err := parseStartConfig(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"1f","board":%q,
+	startConfig, err := parseStartConfig(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"1f","board":%q,
  "limits":{"cores":1,"memory_mb":256,"sockets":%d},"settings":%s,
- "known":{"rev":3,"notices":[{"rev":3,"pool":{"rev":3,"all":true,"targets":%s}}]}}`, board, sockets, settings, known))
+ "known":{"rev":3,"notices":[{"rev":3,"pool":{"rev":3,"all":true,"targets":%s}}]}}`, discoveryAddress, sockets, settings, nodeTargets))
 	if err != nil {
 		t.Fatal(err)
 	}
-	house := posting.Config(time.Now())
-	front := NewProtocol(posting, house, time.Now)
-	module := posting.NewDecider(1)
-	if around != nil {
-		module = around(module)
+	config := startConfig.Config(time.Now())
+	protocol := NewProtocol(startConfig, config, time.Now)
+	decider := startConfig.NewDecider(1)
+	if wrap != nil {
+		decider = wrap(decider)
 	}
-	p.d, err = daemon.StartWithProtocol(countingProtocol{front, &p.closedClients}, house, "b", 1, module, zerolog.Nop())
+	p.d, err = daemon.StartWithProtocol(countingProtocol{protocol, &p.closedClients}, config, "b", 1, decider, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.d.Kill)
-	time.Sleep(150 * time.Millisecond) // a director that has just started is careful for the ramp's time
+	time.Sleep(150 * time.Millisecond) // a director is cautious for the ramp's warmup (0.1 s here) after its start
 	return p
 }
 
-func (p *fixture) wait(what string, ok func() bool) {
+// wait waits until ok returns true, or fails the test with the given message.
+func (p *fixture) wait(failure string, ok func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			p.t.Fatal(what)
+	for deadline := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			p.t.Fatal(failure)
 		}
 	}
 }
@@ -258,13 +260,13 @@
 
 func (v *emulatedClient) send(raw []byte) { v.c.Write(raw) }
 
-// next reads a message; ok is false where the connection has ended.
+// next reads a message; ok is false if the connection has ended.
 func (v *emulatedClient) next() (m clientMessage, ok bool) {
 	v.t.Helper()
 	head := make([]byte, lengthSize)
 	if _, err := io.ReadFull(v.r, head); err != nil {
 		if n, is := err.(net.Error); is && n.Timeout() {
-			v.t.Fatal("nothing came")
+			v.t.Fatal("no message was received")
 		}
 		return m, false
 	}
@@ -279,12 +281,12 @@
 	return m, true
 }
 
-// expect reads a message of a kind about a session; it returns the value of a parameter.
+// expect reads a message, which must have the given kind and session, and returns the value of one of its parameters.
 func (v *emulatedClient) expect(kind byte, session uint64, code byte) (value string) {
 	v.t.Helper()
 	m, ok := v.next()
 	if !ok || m.kind != kind || m.session != session {
-		v.t.Fatalf("%v, kind %d, session %d; wanted kind %d, session %d", ok, m.kind, m.session, kind, session)
+		v.t.Fatalf("read ok: %v, kind %d, session %d; want kind %d, session %d", ok, m.kind, m.session, kind, session)
 	}
 	m.eachParam(func(c byte, x []byte) error {
 		if c == code {
@@ -300,7 +302,7 @@
 	v := p.newClient()
 	v.send(newClientMessage(kindProbe, 5).param(codeCause, []byte{0}).finish())
 	if v.expect(kindProbeReply, 5, codeCause) != "\x01" {
-		t.Fatal("the test was not passed")
+		t.Fatal("the probe reply does not report success")
 	}
 	v.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
 	if got := v.expect(kindAnswer, 7, codeDescription); got != nodeDescription {
@@ -311,9 +313,9 @@
 	}
 	p.nodes[0].send(teardownMessage(sessionID(7), causeEnded))
 	if v.expect(kindRelease, 7, codeCause) != string([]byte{causeEnded}) {
-		t.Fatal("another cause")
+		t.Fatal("the release has another cause than the node's")
 	}
-	p.wait("the node's release was not heard", func() bool { return p.nodes[0].countReceived("RTSP/1.0 200 OK") == 1 })
+	p.wait("the node received no response to its TEARDOWN", func() bool { return p.nodes[0].countReceived("RTSP/1.0 200 OK") == 1 })
 }
 
 func TestSessionOutlivesItsConnections(t *testing.T) {
@@ -329,13 +331,13 @@
 	n.mu.Lock()
 	n.conns[0].Close()
 	n.mu.Unlock()
-	p.wait("no new connection", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return len(n.conns) > 1 })
+	p.wait("the director did not reconnect to the node", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return len(n.conns) > 1 })
 	n.send(teardownMessage(sessionID(7), causeEnded))
 	other.expect(kindRelease, 7, codeCause)
 }
 
-// What a node answers that can't be read, is cut off or follows itself must never reach a viewer as an answer; a free
-// session is set up elsewhere.
+// An answer of a node that is invalid, truncated or names another session must never reach a client. A session of a free
+// tariff is set up on another node instead.
 func TestInvalidNodeAnswersAreRetriedElsewhere(t *testing.T) {
 	for name, reply := range map[string]func(string) string{
 		"noise":          func(string) string { return "\x16\x03\x01\x02\x00\x01" },
@@ -345,14 +347,14 @@
 		"half a line":    func(s string) string { return acceptResponse(s)[:20] },
 		"half a body":    func(s string) string { return acceptResponse(s)[:len(acceptResponse(s))-5] },
 		"nothing at all": func(string) string { return "" },
-		"of nobody":      func(string) string { return acceptResponse("ffffffffffffffff") },
+		"other session":  func(string) string { return acceptResponse("ffffffffffffffff") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := startFixture(t, 2, "")
 			p.nodes[0].setReply(reply)
 			v := p.newClient()
-			for id := uint64(1); id <= 4; id++ { // two holders: each is tried first by some
+			for id := uint64(1); id <= 4; id++ { // two nodes hold the title; each is the first choice of some sessions
 				v.send(setupMessage(id, map[byte]string{codePlacement: "home:0;copies:2;top:1"}))
 				if got := v.expect(kindAnswer, id, codeDescription); got != nodeDescription {
 					t.Fatalf("description %q", got)
@@ -374,7 +376,8 @@
 	}
 }
 
-// A paid session whose answer can't be read may have run: it is neither sent again nor is coming again called harmless.
+// A paid session whose answer is invalid may have run. Its set-up is not sent again, and its release does not call a retry
+// harmless.
 func TestPaidSetupIsNotRetried(t *testing.T) {
 	p := startFixture(t, 2, "")
 	for _, n := range p.nodes {
@@ -383,53 +386,53 @@
 	v := p.newClient()
 	v.send(setupMessage(7, map[byte]string{codeClass: "exam", codePlacement: "home:0;copies:2;top:1"}))
 	if cause := v.expect(kindRelease, 7, codeCause); cause == string([]byte{causeNacked}) {
-		t.Fatal("coming again was called harmless")
+		t.Fatal("the release calls a retry harmless")
 	}
 	if sent := p.nodes[0].countReceived(methodSetup+" ") + p.nodes[1].countReceived(methodSetup+" "); sent != 1 {
-		t.Fatalf("sent %d times", sent)
+		t.Fatalf("the set-up was sent %d times, want once", sent)
 	}
 }
 
-// Each is owed a refusal or a close; the usual viewer beside it notices nothing.
+// Each invalid input is answered with a release or closes the connection. A correct client beside it is still served.
 func TestMalformedClientInput(t *testing.T) {
 	p := startFixture(t, 1, "")
-	usual := p.newClient()
-	usual.send(newClientMessage(kindProbe, 1).finish())
-	usual.expect(kindProbeReply, 1, codeCause)
+	correct := p.newClient()
+	correct.send(newClientMessage(kindProbe, 1).finish())
+	correct.expect(kindProbeReply, 1, codeCause)
 	place := map[byte]string{codePlacement: "home:0;copies:1;top:1"}
 	for name, raw := range map[string][]byte{
 		"noise":              []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"),
 		"a length of 0":      make([]byte, 64),
 		"an unknown message": newClientMessage(123, 9).finish(),
-		"a message of ours":  newClientMessage(kindAnswer, 9).finish(),
+		"a director's kind":  newClientMessage(kindAnswer, 9).finish(),
 		"an unknown class":   setupMessage(9, map[byte]string{codeClass: "none"}),
 		"a negative wait":    setupMessage(9, map[byte]string{codeWait: "-1"}),
 		"no id":              setupMessage(0, place),
-		"a cell beyond all":  setupMessage(9, map[byte]string{codePlacement: "home:99;copies:1;top:1"}),
-		"megabytes":          make([]byte, 4<<20),
+		"an invalid cell":    setupMessage(9, map[byte]string{codePlacement: "home:99;copies:1;top:1"}),
+		"4 MB of zeros":      make([]byte, 4<<20),
 		"half a set-up":      setupMessage(9, place)[:40],
 		"silence":            nil,
 	} {
 		v := p.newClient()
-		began := time.Now()
+		sentAt := time.Now()
 		go v.send(raw)
 		if m, ok := v.next(); ok && (m.kind != kindRelease || m.session != 9 && m.session != 0) {
-			t.Errorf("%s: answered with %d", name, m.kind)
+			t.Errorf("%s: answered with kind %d", name, m.kind)
 		}
-		if took := time.Since(began); took > 3*time.Second {
-			t.Errorf("%s: %v", name, took)
+		if took := time.Since(sentAt); took > 3*time.Second {
+			t.Errorf("%s: answered or closed after %v only", name, took)
 		}
 		v.c.Close()
 	}
-	usual.send(setupMessage(1, place))
-	usual.expect(kindAnswer, 1, codeDescription)
-	thief := p.newClient()
+	correct.send(setupMessage(1, place))
+	correct.expect(kindAnswer, 1, codeDescription)
+	intruder := p.newClient() // requests the same session id on another connection
 	for range 20 {
-		thief.send(setupMessage(1, place))
-		thief.expect(kindRelease, 1, codeCause)
+		intruder.send(setupMessage(1, place))
+		intruder.expect(kindRelease, 1, codeCause)
 	}
 	p.nodes[0].send(teardownMessage(sessionID(1), causeEnded))
-	usual.expect(kindRelease, 1, codeCause)
+	correct.expect(kindRelease, 1, codeCause)
 }
 
 func TestNodeCrashReleasesItsSessions(t *testing.T) {
@@ -437,18 +440,19 @@
 	v := p.newClient()
 	v.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
 	v.expect(kindAnswer, 7, codeDescription)
-	began := time.Now()
+	stoppedAt := time.Now()
 	p.nodes[0].stop()
-	if cause := v.expect(kindRelease, 7, codeCause); cause != string([]byte{causeLost}) || time.Since(began) > time.Second {
-		t.Fatalf("cause %q after %v", cause, time.Since(began))
+	if cause := v.expect(kindRelease, 7, codeCause); cause != string([]byte{causeLost}) || time.Since(stoppedAt) > time.Second {
+		t.Fatalf("cause %q after %v", cause, time.Since(stoppedAt))
 	}
 }
 
-// An emulatedDiscovery tells what it is told to, and notes from which number it is asked.
+// An emulatedDiscovery is a discovery service: it passes on the connections that it accepts, and the event number after
+// which each asks for events.
 type emulatedDiscovery struct {
-	ln    net.Listener
+	ln            net.Listener
 	requestedFrom chan uint64
-	conns chan net.Conn
+	conns         chan net.Conn
 }
 
 func newEmulatedDiscovery(t *testing.T) *emulatedDiscovery {
@@ -481,12 +485,12 @@
 	case from = <-b.requestedFrom:
 		return from, <-b.conns
 	case <-time.After(testTimeout):
-		t.Fatal("the board was not asked")
+		t.Fatal("the director did not connect to discovery")
 	}
 	return 0, nil
 }
 
-// nodeEvent is a change of one node's state.
+// nodeEvent returns the frame of a discovery event that changes one node's state.
 func nodeEvent(number uint64, node uint32, state byte, address string) []byte {
 	raw := binary.BigEndian.AppendUint32(nil, frameHeaderSize-frameLengthSize+recordSize)
 	raw = append(binary.BigEndian.AppendUint64(raw, number), frameUpdate)
@@ -507,23 +511,23 @@
 	p := startFixture(t, 2, b.ln.Addr().String())
 	from, c := b.next(t)
 	if from != 3 {
-		t.Fatalf("asked from %d", from)
+		t.Fatalf("events after %d were requested", from)
 	}
 	drained := nodeEvent(4, 0, 1, p.nodes[0].ln.Addr().String())
 	c.Write(drained)
-	c.Write(drained) // told twice
+	c.Write(drained) // a duplicate
 	c.Write(nodeEvent(6, 1, 1, p.nodes[1].ln.Addr().String()))
-	if from, c = b.next(t); from != 4 { // 5 was left out
-		t.Fatalf("asked from %d", from)
+	if from, c = b.next(t); from != 4 { // event 5 was skipped
+		t.Fatalf("events after %d were requested", from)
 	}
-	c.Write(drained[:20]) // and breaks off
+	c.Write(drained[:20]) // a truncated frame
 	c.Close()
 	if from, _ = b.next(t); from != 4 {
-		t.Fatalf("asked from %d", from)
+		t.Fatalf("events after %d were requested", from)
 	}
 	p.d.SetDiscoveryAddress(moved.ln.Addr().String())
 	if from, c = moved.next(t); from != 4 {
-		t.Fatalf("asked from %d", from)
+		t.Fatalf("events after %d were requested", from)
 	}
 	v := p.newClient()
 	for id := uint64(1); id <= 4; id++ {
@@ -531,45 +535,45 @@
 		v.expect(kindAnswer, id, codeDescription)
 	}
 	if sent := p.nodes[0].countReceived(methodSetup + " "); sent != 0 {
-		t.Fatalf("%d set-ups went to a node that drains", sent)
+		t.Fatalf("%d set-ups were sent to a draining node", sent)
 	}
-	c.Write(nodeEvent(5, 1, 2, p.nodes[1].ln.Addr().String())) // gone, and all that plays there once its connection ends
+	c.Write(nodeEvent(5, 1, 2, p.nodes[1].ln.Addr().String())) // the node is removed; its sessions are lost when its connection ends
 	p.nodes[1].stop()
 	for range 4 {
 		if m, ok := v.next(); !ok || m.kind != kindRelease {
 			t.Fatalf("%v, kind %d", ok, m.kind)
 		}
 	}
-	// Silence: the board is asked again though the connection stands.
+	// After a silence the director reconnects although the connection is still open.
 	if from, _ = moved.next(t); from != 5 {
-		t.Fatalf("asked from %d", from)
+		t.Fatalf("events after %d were requested", from)
 	}
 }
 
 func TestStopAnswersAndReleases(t *testing.T) {
 	p := startFixture(t, 1, "")
-	var asked sync.WaitGroup
-	asked.Add(1)
-	hold := make(chan bool)
+	var setupReceived sync.WaitGroup
+	setupReceived.Add(1)
+	release := make(chan bool)
 	v := p.newClient()
 	place := map[byte]string{codePlacement: "home:0;copies:1;top:1"}
 	v.send(setupMessage(1, place))
 	v.expect(kindAnswer, 1, codeDescription)
-	p.nodes[0].setReply(func(s string) string { asked.Done(); <-hold; return acceptResponse(s) })
+	p.nodes[0].setReply(func(s string) string { setupReceived.Done(); <-release; return acceptResponse(s) })
 	v.send(setupMessage(2, place))
-	asked.Wait()
+	setupReceived.Wait()
 	p.d.Stop()
 	late := p.newClient()
 	late.send(setupMessage(3, place))
 	if cause := late.expect(kindRelease, 3, codeCause); cause != string([]byte{causeNacked}) {
 		t.Fatalf("cause %q", cause)
 	}
-	close(hold)
+	close(release)
 	seen := map[uint64][]byte{}
-	for len(seen[1])+len(seen[2]) < 3 { // the first is released; the second is answered, and released
+	for len(seen[1])+len(seen[2]) < 3 { // session 1 is released; session 2 is answered and then released
 		m, ok := v.next()
 		if !ok {
-			t.Fatalf("closed after %v", seen)
+			t.Fatalf("the connection was closed after the messages %v", seen)
 		}
 		seen[m.session] = append(seen[m.session], m.kind)
 	}
@@ -579,7 +583,7 @@
 	select {
 	case <-p.d.Done():
 	case <-time.After(testTimeout):
-		t.Fatal("it did not end")
+		t.Fatal("the director did not end")
 	}
 }
 
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -7,8 +7,8 @@
 	"net/netip"
 )
 
-// A frame of the notice board is length:4 number:8 kind:1 payload; the length counts all that follows it. Numbers are
-// big-endian.
+// A frame of the discovery service consists of length:4 number:8 kind:1 payload (sizes in bytes). The length counts the
+// bytes that follow it. Numbers are big-endian.
 const (
 	frameLengthSize = 4
 	frameHeaderSize = frameLengthSize + 8 + 1
@@ -16,34 +16,34 @@
 	maxFrameSize    = 4 << 20
 )
 
-// The kinds of frame.
+// The kinds of frames.
 const (
 	frameKeepAlive = iota
 	frameSnapshot
 	frameUpdate
 )
 
-// A nodeRecord is a media node as a frame names it.
+// A nodeRecord is the entry of one node in a frame.
 type nodeRecord struct {
-	id           uint32
-	address      netip.AddrPort
-	state        byte
-	zone, kind   int
-	cell         int
-	weight       float64
-	startedMillis uint64 // Unix; 0: not told
+	id            uint32
+	address       netip.AddrPort
+	state         byte
+	zone, kind    int
+	cell          int
+	weight        float64
+	startedMillis uint64 // Unix milliseconds; 0: unknown
 }
 
-// A frame is an event of the notice board, or word that there is none.
+// A frame is a discovery event, or a keep-alive.
 type frame struct {
-	eventNumber  uint64
-	kind    byte
-	records []nodeRecord
+	eventNumber uint64
+	kind        byte
+	records     []nodeRecord
 }
 
-var errFrame = errors.New("a frame that can't be read")
+var errFrame = errors.New("invalid discovery frame")
 
-// splitFrame finds a frame at the beginning of what has come.
+// splitFrame returns the size of the frame at the start of the input, or 0 if the frame is incomplete.
 func splitFrame(in []byte) (int, error) {
 	if len(in) < frameLengthSize {
 		return 0, nil
@@ -72,8 +72,8 @@
 			id:      binary.BigEndian.Uint32(rest),
 			address: netip.AddrPortFrom(netip.AddrFrom4([4]byte(rest[4:8])), binary.BigEndian.Uint16(rest[8:])),
 			state:   rest[10], zone: int(rest[11]), kind: int(rest[12]),
-			cell:         int(binary.BigEndian.Uint16(rest[13:])),
-			weight:       float64(binary.BigEndian.Uint32(rest[15:])) / 1000,
+			cell:          int(binary.BigEndian.Uint16(rest[13:])),
+			weight:        float64(binary.BigEndian.Uint32(rest[15:])) / 1000,
 			startedMillis: binary.BigEndian.Uint64(rest[19:]),
 		}
 		if int(r.state) >= len(nodeStates) {
@@ -84,8 +84,8 @@
 	return f, nil
 }
 
-// nodeName is a media node's id in text.
+// nodeName returns the textual form of a node's id.
 func nodeName(id uint32) string { return fmt.Sprintf("s-%08x", id) }
 
-// resumeRequest is what a director tells the notice board: the number of the last event it has.
+// resumeRequest encodes a director's message to the discovery service: the number of the last event received.
 func resumeRequest(last uint64) []byte { return binary.BigEndian.AppendUint64(nil, last) }
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -17,41 +17,41 @@
 	"fordusher/policy"
 )
 
-// A Protocol is the platform's protocol for a daemon: it turns bytes into the loop's words and back, message by message,
-// and keeps nothing of sessions.
+// A Protocol implements daemon.Protocol for the platform. It translates message by message between the platform's bytes
+// and the loop's messages, and keeps no state of sessions.
 type Protocol struct {
 	config   *conf.Config
 	settings *simwire.Config
 	now      func() time.Time
 
 	mu                 sync.Mutex
-	lastEvent          uint64 // number of the last event of the notice board
-	awaitingFirstEvent bool   // it was just asked for what is later
+	lastEvent          uint64 // number of the last discovery event received
+	awaitingFirstEvent bool   // later events were requested and none has arrived yet
 }
 
-// NewProtocol makes the front of a posting; now is the clock that the notice board's times are of.
-func NewProtocol(p *StartConfig, house *conf.Config, now func() time.Time) *Protocol {
-	return &Protocol{config: house, settings: p.parsedSettings, now: now, lastEvent: p.InitialDiscovery.Revision}
+// NewProtocol returns the protocol for a start configuration. The times in discovery events are compared with now.
+func NewProtocol(start *StartConfig, config *conf.Config, now func() time.Time) *Protocol {
+	return &Protocol{config: config, settings: start.parsedSettings, now: now, lastEvent: start.InitialDiscovery.Revision}
 }
 
-// Listen accepts viewers.
-func (f *Protocol) Listen(h transport.Handler) (*transport.Server, error) {
-	return transport.ServeTCP(f.config.ListenAddress, splitClientMessage, f.config.ConnectionLimits.Clients, h)
+// Listen accepts client connections.
+func (p *Protocol) Listen(h transport.Handler) (*transport.Server, error) {
+	return transport.ServeTCP(p.config.ListenAddress, splitClientMessage, p.config.ConnectionLimits.Clients, h)
 }
 
-// DialNode connects to a media node.
-func (f *Protocol) DialNode(address string, within time.Duration, h transport.Handler) (*transport.Conn, error) {
-	return transport.DialTCP(address, within, splitRTSP, f.config.ConnectionLimits.Nodes, h)
+// DialNode connects to a node.
+func (p *Protocol) DialNode(address string, timeout time.Duration, h transport.Handler) (*transport.Conn, error) {
+	return transport.DialTCP(address, timeout, splitRTSP, p.config.ConnectionLimits.Nodes, h)
 }
 
-// DialDiscovery connects to the notice board.
-func (f *Protocol) DialDiscovery(address string, within time.Duration, h transport.Handler) (*transport.Conn, error) {
-	return transport.DialTCP(address, within, splitFrame, f.config.ConnectionLimits.Discovery, h)
+// DialDiscovery connects to the discovery service.
+func (p *Protocol) DialDiscovery(address string, timeout time.Duration, h transport.Handler) (*transport.Conn, error) {
+	return transport.DialTCP(address, timeout, splitFrame, p.config.ConnectionLimits.Discovery, h)
 }
 
-// DecodeClient reads a viewers' message. What can't be used of a set-up reaches the loop all the same, which knows
-// whether its id is in use.
-func (f *Protocol) DecodeClient(raw []byte) (in director.ClientReceived, reply []byte, err error) {
+// DecodeClient decodes a client's message. An invalid set-up is passed to the loop with its InvalidReason, because only
+// the loop knows whether the id is in use.
+func (p *Protocol) DecodeClient(raw []byte) (in director.ClientReceived, reply []byte, err error) {
 	m, err := parseClientMessage(raw)
 	if err != nil {
 		return in, nil, err
@@ -61,11 +61,11 @@
 	case kindSetup:
 		s, err := parseSetup(m)
 		in.Details = &director.RequestDetails{Base: s.firstCell, Copies: s.copies, Description: s.description, PlayingOn: s.playingNode}
-		if err == nil && (s.firstCell >= f.settings.Family.Cells || s.copies > f.settings.Family.Cells) {
-			err = errors.New("there are not so many cells")
+		if err == nil && (s.firstCell >= p.settings.Family.Cells || s.copies > p.settings.Family.Cells) {
+			err = errors.New("home or copies exceeds the number of cells")
 		}
 		if err == nil && m.session == 0 {
-			err = errors.New("it has no id")
+			err = errors.New("the session id is 0")
 		}
 		if err != nil {
 			in.Details.InvalidReason, in.Details.PlayingOn = err.Error(), ""
@@ -82,14 +82,14 @@
 		return in, newClientMessage(kindProbeReply, m.session).param(codeCause, []byte{1}).finish(), nil
 	case kindAck, kindProgress:
 		return in, nil, nil
-	case kindAnswer, kindNote, kindMove, kindProbeReply, kindRung: // not a viewer's to say
+	case kindAnswer, kindNote, kindMove, kindProbeReply, kindRung: // messages that a client may not send
 		return in, releaseMessage(m.session, causeInvalid), nil
 	}
 	return in, nil, fmt.Errorf("unknown message %d", m.kind)
 }
 
-// EncodeClient words an answer, or the end of a session. Viewers are told nothing of rungs.
-func (f *Protocol) EncodeClient(o director.SendClient) []byte {
+// EncodeClient encodes an answer or the end of a session. Clients receive no rung messages; for these it returns nil.
+func (p *Protocol) EncodeClient(o director.SendClient) []byte {
 	m := o.Message
 	session := parseSessionID(m.ID)
 	switch m.Type {
@@ -111,13 +111,13 @@
 	return nil
 }
 
-// measurementKinds are the module's notes, by their causes.
+// measurementKinds maps the X-Cause header of a node's ANNOUNCE to the kind of measurement.
 var measurementKinds = map[string]policy.MeasurementKind{
 	"quality": policy.DeliveredShare, "profile": policy.CurrentRung, "nic": policy.LinkLoad, "tor": policy.UplinkLoad,
 }
 
-// DecodeNode reads a media node's message.
-func (f *Protocol) DecodeNode(raw []byte) (in director.LinkReceived, reply []byte, err error) {
+// DecodeNode decodes a node's message.
+func (p *Protocol) DecodeNode(raw []byte) (in director.LinkReceived, reply []byte, err error) {
 	m, err := parseRTSP(raw)
 	if err != nil {
 		return in, nil, err
@@ -126,10 +126,10 @@
 	switch m.method {
 	case "":
 		if m.seq() != seqSetup || m.status < 200 {
-			return in, nil, nil // progress, or what wants nothing of us
+			return in, nil, nil // progress, or a response that requires no action
 		}
 		if in.Message.Session == "" {
-			return in, nil, errors.New("an answer without a session")
+			return in, nil, errors.New("response without a valid session id")
 		}
 		switch {
 		case m.status == 200:
@@ -144,7 +144,7 @@
 		default:
 			in.Message.Type = wire.Failed
 		}
-		in.Message.Load, err = f.parseLoadReport(m)
+		in.Message.Load, err = p.parseLoadReport(m)
 		return in, nil, err
 	case methodTeardown:
 		in.Message.Type = wire.Ended
@@ -155,13 +155,13 @@
 		default:
 			in.Message.Reason = wire.Lost
 		}
-		in.Message.Load, err = f.parseLoadReport(m)
+		in.Message.Load, err = p.parseLoadReport(m)
 		return in, newOKResponse(m.headers["cseq"], m.headers["session"]), err
 	case methodAnnounce:
 		kind, known := measurementKinds[m.headers["x-cause"]]
 		value, err := strconv.ParseFloat(m.headers["x-value"], 64)
 		if !known || err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
-			return in, nil, errors.New("a note that can't be read")
+			return in, nil, errors.New("ANNOUNCE with an unknown cause or an invalid value")
 		}
 		in.Message.Type, in.Message.MeasurementKind, in.Message.MeasurementValue = wire.Measurement, int(kind), value
 	case methodOptions:
@@ -170,8 +170,8 @@
 	return in, nil, nil
 }
 
-// parseLoadReport reads a media node's report, if the message holds one.
-func (f *Protocol) parseLoadReport(m rtspMessage) (*wire.NodeLoad, error) {
+// parseLoadReport parses a node's load report (the X-Group header), or returns nil if the message has none.
+func (p *Protocol) parseLoadReport(m rtspMessage) (*wire.NodeLoad, error) {
 	text, ok := m.headers["x-group"]
 	if !ok {
 		return nil, nil
@@ -181,21 +181,21 @@
 		name, value, ok := strings.Cut(part, ":")
 		v, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-			return nil, fmt.Errorf("a report that can't be read: %q", part)
+			return nil, fmt.Errorf("invalid field %q in a load report", part)
 		}
 		simwire.SetLoadField(&load, name, v)
 	}
-	told := func(v float64) *float64 {
+	nonNegative := func(v float64) *float64 {
 		if v < 0 {
 			return nil
 		}
 		return &v
 	}
-	return &wire.NodeLoad{Streams: told(load.Streams), Link: told(load.Link), Uplink: told(load.Uplink)}, nil
+	return &wire.NodeLoad{Streams: nonNegative(load.Streams), Link: nonNegative(load.Link), Uplink: nonNegative(load.Uplink)}, nil
 }
 
-// EncodeNode words what a media node is to do.
-func (f *Protocol) EncodeNode(o director.SendNode) []byte {
+// EncodeNode encodes a set-up, the end of a session or a change of its rung for a node.
+func (p *Protocol) EncodeNode(o director.SendNode) []byte {
 	m := o.Message
 	switch m.Type {
 	case wire.Setup:
@@ -218,27 +218,27 @@
 	return nil
 }
 
-// DecodeDiscovery reads an event of the notice board. One that was had already is nothing; one that leaves others out ends
-// the connection, so that they are asked for.
-func (f *Protocol) DecodeDiscovery(raw []byte) (m wire.DiscoveryMessage, err error) {
+// DecodeDiscovery decodes a discovery event. An event that was received before yields a message without a type. An event
+// that skips others is an error, which ends the connection, so that the missing events are requested again.
+func (p *Protocol) DecodeDiscovery(raw []byte) (m wire.DiscoveryMessage, err error) {
 	x, err := parseFrame(raw)
 	if err != nil {
 		return m, err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if x.kind == frameKeepAlive || x.eventNumber <= f.lastEvent {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if x.kind == frameKeepAlive || x.eventNumber <= p.lastEvent {
 		return m, nil
 	}
-	if x.kind == frameUpdate && x.eventNumber != f.lastEvent+1 && !f.awaitingFirstEvent {
-		return m, fmt.Errorf("event %d follows %d", x.eventNumber, f.lastEvent)
+	if x.kind == frameUpdate && x.eventNumber != p.lastEvent+1 && !p.awaitingFirstEvent {
+		return m, fmt.Errorf("event %d follows event %d", x.eventNumber, p.lastEvent)
 	}
-	f.lastEvent, f.awaitingFirstEvent = x.eventNumber, false
+	p.lastEvent, p.awaitingFirstEvent = x.eventNumber, false
 	m.Type, m.Serial = wire.Update, x.eventNumber
 	if x.kind == frameSnapshot {
 		m.Type = wire.Snapshot
 	}
-	now := f.now()
+	now := p.now()
 	name := func(list []string, i int) string {
 		if i < len(list) {
 			return list[i]
@@ -247,20 +247,20 @@
 	}
 	for _, r := range x.records {
 		m.Nodes = append(m.Nodes, wire.NodeEntry{
-			Node: nodeName(r.id), Address: r.address.String(), State: nodeStates[r.state], MachineKind: name(f.settings.Kinds, r.kind),
-			Zone: name(f.settings.Zones, r.zone), Incarnation: r.startedMillis, UptimeMS: ageMillis(r.startedMillis, now), Weight: r.weight, Cell: r.cell,
+			Node: nodeName(r.id), Address: r.address.String(), State: nodeStates[r.state], MachineKind: name(p.settings.Kinds, r.kind),
+			Zone: name(p.settings.Zones, r.zone), Incarnation: r.startedMillis, UptimeMS: ageMillis(r.startedMillis, now), Weight: r.weight, Cell: r.cell,
 		})
 	}
 	return m, nil
 }
 
-// EncodeDiscovery asks the notice board for what is later than the last event.
-func (f *Protocol) EncodeDiscovery(m wire.DiscoveryMessage) []byte {
+// EncodeDiscovery encodes a subscription as a request for the events after the last one received.
+func (p *Protocol) EncodeDiscovery(m wire.DiscoveryMessage) []byte {
 	if m.Type != wire.Subscribe {
 		return nil
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.awaitingFirstEvent = true
-	return resumeRequest(f.lastEvent)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.awaitingFirstEvent = true
+	return resumeRequest(p.lastEvent)
 }
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -13,29 +13,29 @@
 	"fordusher/policy"
 )
 
-// Two events that cross: each order of them is played, by peers and a module that hold what they do until told. Nothing
-// here is slept for.
+// These tests cover races of two events in either order. The emulated peers and the decider block until a test lets them go
+// on, so the order does not depend on sleeping.
 
-// A blockingDecider holds the loop within the module's answer to the first request, until it is opened.
+// A blockingDecider blocks the loop in the decider's Step for the first request, until unblock is closed.
 type blockingDecider struct {
 	director.Decider
 	entered chan struct{}
-	unblock    chan struct{}
+	unblock chan struct{}
 	once    sync.Once
 }
 
-func (g *blockingDecider) Step(now time.Duration, happened policy.Event) []policy.Action {
-	if d, ok := happened.(policy.Request); ok && d.PlayingOn == "" {
+func (g *blockingDecider) Step(now time.Duration, event policy.Event) []policy.Action {
+	if r, ok := event.(policy.Request); ok && r.PlayingOn == "" {
 		g.once.Do(func() {
 			close(g.entered)
 			<-g.unblock
 		})
 	}
-	return g.Decider.Step(now, happened)
+	return g.Decider.Step(now, event)
 }
 
-// startBlockedInFirstRequest starts a director whose loop stands still in its first request until the gate is opened; the request is sent,
-// and the loop stands, when it returns.
+// startBlockedInFirstRequest starts a director, sends session 1's request and returns once the loop is blocked in it.
+// The loop goes on when the test closes unblock.
 func startBlockedInFirstRequest(t *testing.T, nodes int) (*fixture, *blockingDecider) {
 	t.Helper()
 	p, g := startBlockingFixture(t, 512, nodes)
@@ -45,11 +45,11 @@
 	return p, g
 }
 
-// startBlockingFixture starts a director whose loop will stand still in its first request, with so many descriptors.
+// startBlockingFixture starts a director with a limit on file descriptors, whose loop will block in its first request.
 func startBlockingFixture(t *testing.T, sockets, nodes int) (*fixture, *blockingDecider) {
 	t.Helper()
 	g := &blockingDecider{entered: make(chan struct{}), unblock: make(chan struct{})}
-	p := startFixtureLimited(t, sockets, nodes, "", testSettings, func(m director.Decider) director.Decider { g.Decider = m; return g })
+	p := startFixtureLimited(t, sockets, nodes, "", testSettings, func(d director.Decider) director.Decider { g.Decider = d; return g })
 	t.Cleanup(func() {
 		select {
 		case <-g.unblock:
@@ -62,26 +62,26 @@
 
 var defaultPlacement = map[byte]string{codePlacement: "home:0;copies:1;top:1"}
 
-// reset ends a viewer's connection as a process that dies does.
+// reset resets the client's connection, as a crash of the client's process does.
 func (v *emulatedClient) reset() {
 	v.c.(*net.TCPConn).SetLinger(0)
 	v.c.Close()
 }
 
-// roundTrip waits until a director has heard what was sent before on a connection: it answers tests in their order.
+// roundTrip waits until the director has read everything sent before on the connection: probes are answered in order.
 func (v *emulatedClient) roundTrip() {
 	v.t.Helper()
 	v.send(newClientMessage(kindProbe, 99).param(codeCause, []byte{0}).finish())
 	for {
 		if m, ok := v.next(); !ok {
-			v.t.Fatal("the connection ended before the test was passed")
+			v.t.Fatal("the connection ended before the probe was answered")
 		} else if m.kind == kindProbeReply {
 			return
 		}
 	}
 }
 
-// departures is how a client may leave that has asked for session 2.
+// departures are the ways in which a client that has requested session 2 may leave.
 var departures = map[string]func(v *emulatedClient){
 	"closes":      func(v *emulatedClient) { v.c.Close() },
 	"half-closes": func(v *emulatedClient) { v.c.(*net.TCPConn).CloseWrite() },
@@ -89,7 +89,8 @@
 	"cancels":     func(v *emulatedClient) { v.send(releaseMessage(2, causeEnded)); v.roundTrip() },
 }
 
-// A request whose client leaves while the loop is busy with another one is never sent on.
+// A request is never sent to a node if its client leaves while the request waits in the inbox, because the loop is busy with
+// another one.
 func TestClientDepartsWhileItsRequestWaitsInTheInbox(t *testing.T) {
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
@@ -100,16 +101,16 @@
 			v.roundTrip()
 			leave(v)
 			if name != "cancels" {
-				p.wait("its end was not seen", func() bool { return p.closedClients.Load() > 0 })
+				p.wait("the director did not handle the disconnection", func() bool { return p.closedClients.Load() > 0 })
 			}
 			close(g.unblock)
-			last := p.newClient() // what comes after it is served, so it was gone past
+			last := p.newClient() // its request comes later; once it is answered, the loop has passed session 2's
 			last.send(setupMessage(3, defaultPlacement))
 			last.expect(kindAnswer, 3, codeDescription)
 			if n := p.nodes[0].countReceived("Session: " + sessionID(2)); n != 0 {
-				t.Fatalf("%d messages went to the node for who had left", n)
+				t.Fatalf("%d messages of session 2 were sent to the node after its client had left", n)
 			}
-			p.wait("the account does not come out even", func() bool {
+			p.wait("the request counters are wrong", func() bool {
 				c := p.d.Counts()
 				return c.Legs == 2 && c.Played == 2 && c.IllegalTransitions == 0 && c.Overdue == 0
 			})
@@ -117,9 +118,10 @@
 	}
 }
 
-// oneSeatSettings has one seat for each title of the paid class.
+// oneSeatSettings are testSettings with one seat for each title of the paid class.
 var oneSeatSettings = strings.Replace(testSettings, `"shelves":1`, `"licence_cap":[0,1],"shelves":1`, 1)
 
+// A request whose client leaves while it waits for a seat is never sent to a node, and the next request gets the seat.
 func TestClientDepartsWhileItsRequestWaitsForASeat(t *testing.T) {
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
@@ -129,31 +131,31 @@
 			first, v, last := p.newClient(), p.newClient(), p.newClient()
 			first.send(setupMessage(1, paid))
 			first.expect(kindAnswer, 1, codeDescription)
-			v.send(setupMessage(2, paid)) // there is no seat for it
+			v.send(setupMessage(2, paid)) // waits, because the only seat is taken
 			v.roundTrip()
-			p.wait("it was not taken", func() bool { return p.d.Counts().Taken == 2 })
+			p.wait("the request was not taken", func() bool { return p.d.Counts().Taken == 2 })
 			leave(v)
-			p.wait("its end was not seen", func() bool { return p.d.Counts().Abandoned == 1 })
+			p.wait("the request was not abandoned", func() bool { return p.d.Counts().Abandoned == 1 })
 			last.send(setupMessage(3, paid))
 			last.roundTrip()
-			p.nodes[0].send(teardownMessage(sessionID(1), causeEnded)) // the seat comes back
+			p.nodes[0].send(teardownMessage(sessionID(1), causeEnded)) // frees the seat
 			last.expect(kindAnswer, 3, codeDescription)
 			if n := p.nodes[0].countReceived("Session: " + sessionID(2)); n != 0 {
-				t.Fatalf("%d messages went to the node for who had left", n)
+				t.Fatalf("%d messages of session 2 were sent to the node after its client had left", n)
 			}
 		})
 	}
 }
 
-// A drainObserver tells when its module has heard that a server drains.
+// A drainObserver signals when its decider has received a server list with a draining node.
 type drainObserver struct {
 	director.Decider
 	drains chan struct{}
 }
 
-func (w drainObserver) Step(now time.Duration, happened policy.Event) []policy.Action {
-	out := w.Decider.Step(now, happened)
-	if list, ok := happened.(policy.ServerList); ok && slices.ContainsFunc(list.Entries, func(e policy.NodeEntry) bool { return e.State == policy.Draining }) {
+func (w drainObserver) Step(now time.Duration, event policy.Event) []policy.Action {
+	out := w.Decider.Step(now, event)
+	if list, ok := event.(policy.ServerList); ok && slices.ContainsFunc(list.Entries, func(e policy.NodeEntry) bool { return e.State == policy.Draining }) {
 		select {
 		case w.drains <- struct{}{}:
 		default:
@@ -162,6 +164,7 @@
 	return out
 }
 
+// After its client has left, a request whose first leg failed must not start another leg when a node becomes available.
 func TestClientDepartsBetweenTwoLegs(t *testing.T) {
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
@@ -169,28 +172,29 @@
 			b := newEmulatedDiscovery(t)
 			drains := make(chan struct{}, 1)
 			p := startFixtureWith(t, 2, b.ln.Addr().String(), testSettings, func(d director.Decider) director.Decider { return drainObserver{d, drains} })
-			_, board := b.next(t)
-			board.Write(nodeEvent(4, 1, 1, p.nodes[1].ln.Addr().String())) // the other holder drains
-			<-drains                                                       // else the second attempt could go there at once
+			_, conn := b.next(t)
+			conn.Write(nodeEvent(4, 1, 1, p.nodes[1].ln.Addr().String())) // the other node that holds the title drains
+			<-drains                                                      // otherwise the second leg could go there at once
 			p.nodes[0].setReply(func(s string) string { return rtspResponse(s, 500, "") })
 			v, last := p.newClient(), p.newClient()
 			place := map[byte]string{codePlacement: "home:0;copies:2;top:1"}
 			v.send(setupMessage(2, place))
-			p.wait("no attempt has failed", func() bool { return p.d.Counts().Legs == 1 })
+			p.wait("no leg was sent", func() bool { return p.d.Counts().Legs == 1 })
 			v.roundTrip()
 			leave(v)
-			p.wait("its end was not seen", func() bool { return p.d.Counts().Abandoned == 1 })
-			board.Write(nodeEvent(5, 1, 0, p.nodes[1].ln.Addr().String())) // and is back: an attempt could begin there
+			p.wait("the request was not abandoned", func() bool { return p.d.Counts().Abandoned == 1 })
+			conn.Write(nodeEvent(5, 1, 0, p.nodes[1].ln.Addr().String())) // the node is up again, so a leg could start there
 			last.send(setupMessage(3, place))
 			last.expect(kindAnswer, 3, codeDescription)
 			if n := p.nodes[1].countReceived("Session: " + sessionID(2)); n != 0 {
-				t.Fatalf("%d messages went to the other node for who had left", n)
+				t.Fatalf("%d messages of session 2 were sent to the other node after its client had left", n)
 			}
 		})
 	}
 }
 
-// An attempt that is out when its client leaves is given up, and its answer, which crosses that, reaches nobody.
+// If a client leaves during a leg, the leg is cancelled. The node's answer, which crosses the cancellation, reaches no
+// client, and the seat is free again.
 func TestClientDepartsDuringALeg(t *testing.T) {
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
@@ -200,15 +204,15 @@
 			paid := map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam"}
 			v := p.newClient()
 			v.send(setupMessage(2, paid))
-			p.wait("no attempt", func() bool { return p.nodes[0].countReceived(methodSetup+" ") == 1 })
+			p.wait("no set-up was sent", func() bool { return p.nodes[0].countReceived(methodSetup+" ") == 1 })
 			leave(v)
-			p.wait("the attempt was not given up", func() bool { return p.nodes[0].countReceived(methodTeardown+" ") == 1 })
-			p.nodes[0].send(acceptResponse(sessionID(2))) // it crosses the word
+			p.wait("the leg was not cancelled", func() bool { return p.nodes[0].countReceived(methodTeardown+" ") == 1 })
+			p.nodes[0].send(acceptResponse(sessionID(2))) // the answer crosses the cancellation
 			p.nodes[0].setReply(acceptResponse)
-			last := p.newClient() // the seat came back
+			last := p.newClient() // gets the seat of the cancelled leg
 			last.send(setupMessage(3, paid))
 			last.expect(kindAnswer, 3, codeDescription)
-			p.wait("the account does not come out even", func() bool {
+			p.wait("the request counters are wrong", func() bool {
 				c := p.d.Counts()
 				return c.Abandoned == 1 && c.Played == 1 && c.Legs == 2 && c.IllegalTransitions == 0
 			})
@@ -216,41 +220,42 @@
 	}
 }
 
-// Whoever holds the answer back lets the test say what it crosses.
-func holdReplies(t *testing.T, n *emulatedNode) (asked, let chan struct{}) {
-	asked, let = make(chan struct{}), make(chan struct{})
+// holdReplies makes a node delay its answers: it closes received at the first set-up, and answers once the test closes
+// release.
+func holdReplies(t *testing.T, n *emulatedNode) (received, release chan struct{}) {
+	received, release = make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	n.setReply(func(s string) string {
-		once.Do(func() { close(asked) })
-		<-let
+		once.Do(func() { close(received) })
+		<-release
 		return acceptResponse(s)
 	})
 	t.Cleanup(func() {
 		select {
-		case <-let:
+		case <-release:
 		default:
-			close(let)
+			close(release)
 		}
 	})
-	return asked, let
+	return received, release
 }
 
-// The answer and the deadline cross: whichever comes first, one final answer, and none after it.
+// A node's answer that arrives after the request's deadline must not cause a second final answer.
 func TestNodeAnswerAfterTheDeadline(t *testing.T) {
 	p := startFixture(t, 1, "")
-	asked, let := holdReplies(t, p.nodes[0])
+	received, release := holdReplies(t, p.nodes[0])
 	v := p.newClient()
 	v.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam", codeWait: "300"}))
-	<-asked
+	<-received
 	if cause := v.expect(kindRelease, 7, codeCause); cause == string([]byte{causeNacked}) {
-		t.Fatal("coming again was called harmless")
+		t.Fatal("the release calls a retry harmless")
 	}
-	close(let) // the answer comes after its time
-	p.wait("the attempt was not given up", func() bool { return p.nodes[0].countReceived(methodTeardown+" ") == 1 })
+	close(release) // the answer arrives after the deadline
+	p.wait("the leg was not cancelled", func() bool { return p.nodes[0].countReceived(methodTeardown+" ") == 1 })
 	v.roundTripOnly(7)
 }
 
-// roundTripOnly wants no word of a session until a test is passed.
+// roundTripOnly makes a round trip during which no message about the session may arrive.
 func (v *emulatedClient) roundTripOnly(session uint64) {
 	v.t.Helper()
 	v.send(newClientMessage(kindProbe, 98).param(codeCause, []byte{0}).finish())
@@ -258,16 +263,16 @@
 		m, ok := v.next()
 		switch {
 		case !ok:
-			v.t.Fatal("the connection ended")
+			v.t.Fatal("the connection ended before the probe was answered")
 		case m.session == session:
-			v.t.Fatalf("a second word on session %d: kind %d", session, m.kind)
+			v.t.Fatalf("a second message about session %d: kind %d", session, m.kind)
 		case m.kind == kindProbeReply:
 			return
 		}
 	}
 }
 
-// The answer and the loss of its connection cross: what came whole before it counts, half of it does not.
+// A node closes the connection right after its answer. An answer that was received completely counts, a partial one does not.
 func TestNodeAnswerRacesConnectionLoss(t *testing.T) {
 	for name, whole := range map[string]bool{"whole": true, "half": false} {
 		t.Run(name, func(t *testing.T) {
@@ -294,29 +299,29 @@
 				return
 			}
 			if cause := v.expect(kindRelease, 7, codeCause); cause == string([]byte{causeNacked}) {
-				t.Fatal("coming again was called harmless")
+				t.Fatal("the release calls a retry harmless")
 			}
 			v.roundTripOnly(7)
 			if sent := n.countReceived(methodSetup + " "); sent != 1 {
-				t.Fatalf("a paid set-up was sent %d times", sent)
+				t.Fatalf("a paid set-up was sent %d times, want once", sent)
 			}
 		})
 	}
 }
 
-// Every message, cut at each of its bytes, is read as the whole one is: a viewer's set-up, a node's answer, an event of
-// the board.
+// A message that arrives in two parts, split at any byte, has the same effect as the whole message: a client's set-up, a
+// node's answer and a discovery event.
 func TestMessagesSplitAtEveryByte(t *testing.T) {
 	b := newEmulatedDiscovery(t)
 	p := startFixture(t, 2, b.ln.Addr().String())
-	_, board := b.next(t)
+	_, conn := b.next(t)
 	v := p.newClient()
 	raw := setupMessage(0, defaultPlacement)
 	for cut := 1; cut < len(raw); cut++ {
 		id := uint64(cut)
 		raw := setupMessage(id, defaultPlacement)
 		v.send(raw[:cut])
-		v.roundTripOnOtherConn(p) // what came before the rest has been read
+		v.roundTripOnOtherConn(p) // the director has read the first part
 		v.send(raw[cut:])
 		v.expect(kindAnswer, id, codeDescription)
 		v.send(releaseMessage(id, causeEnded))
@@ -330,7 +335,7 @@
 		n.setReply(func(string) string { return text[:cut] })
 		before := n.countReceived(methodSetup + " ")
 		v.send(setupMessage(id, defaultPlacement))
-		p.wait("no attempt", func() bool { return n.countReceived(methodSetup+" ") > before })
+		p.wait("no set-up was sent", func() bool { return n.countReceived(methodSetup+" ") > before })
 		n.send(text[cut:])
 		v.expect(kindAnswer, id, codeDescription)
 		v.send(releaseMessage(id, causeEnded))
@@ -339,12 +344,12 @@
 	n.setReply(acceptResponse)
 	number := uint64(4)
 	for cut := range len(nodeEvent(0, 0, 0, "")) {
-		drains := nodeEvent(number, 0, byte(number%2)^1, n.ln.Addr().String()) // drains, is ready, drains, ...
-		board.Write(drains[:cut])
-		board.Write(drains[cut:])
+		event := nodeEvent(number, 0, byte(number%2)^1, n.ln.Addr().String()) // alternately draining and up
+		conn.Write(event[:cut])
+		conn.Write(event[cut:])
 		number++
 	}
-	board.Write(nodeEvent(number, 0, 1, n.ln.Addr().String()))
+	conn.Write(nodeEvent(number, 0, 1, n.ln.Addr().String()))
 	sent := func() int { return n.countReceived(methodSetup + " ") }
 	for id := uint64(9000); ; id++ {
 		before := sent()
@@ -352,16 +357,16 @@
 		v.expect(kindAnswer, id, codeDescription)
 		v.send(releaseMessage(id, causeEnded))
 		v.expect(kindAck, id, 0)
-		if sent() == before && p.nodes[1].countReceived(methodSetup+" ") > 6 { // it drains, as the last event says
+		if sent() == before && p.nodes[1].countReceived(methodSetup+" ") > 6 { // node 0 drains, as the last event states
 			break
 		}
 		if id == 9400 {
-			t.Fatal("the last event was not read")
+			t.Fatal("the last event had no effect")
 		}
 	}
 }
 
-// roundTripOnOtherConn waits until a director has read what was sent before on other connections.
+// roundTripOnOtherConn waits for a probe on another connection, by which time the director has read what this client sent.
 func (v *emulatedClient) roundTripOnOtherConn(p *fixture) {
 	v.t.Helper()
 	if p.probeClient == nil {
@@ -370,16 +375,16 @@
 	p.probeClient.roundTrip()
 }
 
-// A node closes its connection as a set-up is written on it. Whichever comes first: one final answer, a paid set-up
-// once at most where it may have run, and never a word that coming again is harmless then.
+// A node closes its connection while a set-up is written to it. In either order the request gets one final answer. A paid
+// set-up that may have run is not sent again, and its answer must not call a retry harmless.
 func TestNodeClosesConnectionDuringSetupWrite(t *testing.T) {
 	p := startFixture(t, 1, "")
 	n, v := p.nodes[0], p.newClient()
 	for id := uint64(1); id <= 40; id++ {
-		v.send(setupMessage(1000+id, defaultPlacement)) // so that there is a connection
+		v.send(setupMessage(1000+id, defaultPlacement)) // makes the director connect to the node
 		m, ok := v.next()
 		if !ok || m.kind != kindAnswer && m.kind != kindRelease {
-			t.Fatalf("%v, kind %d", ok, m.kind)
+			t.Fatalf("read ok: %v, kind %d; want a final answer", ok, m.kind)
 		}
 		if m.kind == kindAnswer {
 			v.send(releaseMessage(1000+id, causeEnded))
@@ -399,7 +404,7 @@
 		m, ok = v.next()
 		sent := n.countReceived("Session: "+sessionID(id)) - before
 		if !ok || m.session != id || m.kind != kindAnswer && m.kind != kindRelease || sent > 1 {
-			t.Fatalf("%v, kind %d, session %d, sent %d times", ok, m.kind, m.session, sent)
+			t.Fatalf("read ok: %v, kind %d, session %d, set-up sent %d times; want one final answer and at most one set-up", ok, m.kind, m.session, sent)
 		}
 		if m.kind == kindAnswer {
 			v.send(releaseMessage(id, causeEnded))
@@ -408,14 +413,15 @@
 	}
 }
 
-// An idle connection is let go for a newcomer while a request of its own stands in line right behind that one's knock.
+// An idle connection is chosen for eviction to admit a new one, while a request of its own is queued right behind the new
+// connection. That request still gets a final answer.
 func TestRequestRacesEvictionOfItsConnection(t *testing.T) {
-	p, g := startBlockingFixture(t, reservedDescriptors+minPendingConnections+4, 1) // room for two viewers
+	p, g := startBlockingFixture(t, reservedDescriptors+minPendingConnections+4, 1) // capacity for two clients
 	idle, busy := p.newClient(), p.newClient()
-	idle.send(releaseMessage(77, causeEnded)) // knocks, and asks for nothing
+	idle.send(releaseMessage(77, causeEnded)) // connects and requests nothing
 	idle.expect(kindAck, 77, 0)
-	p.wait("it was not let in", func() bool { used, _ := p.d.ConnectionUsage(); return used == 1 })
-	time.Sleep(300 * time.Millisecond) // idle for long enough to make place
+	p.wait("the connection was not accepted", func() bool { used, _ := p.d.ConnectionUsage(); return used == 1 })
+	time.Sleep(300 * time.Millisecond) // idle for longer than 250 ms, so it may be evicted
 	busy.send(setupMessage(1, defaultPlacement))
 	<-g.entered
 	newcomer := p.newClient()
@@ -427,12 +433,12 @@
 	busy.expect(kindAnswer, 1, codeDescription)
 	for session, v := range map[uint64]*emulatedClient{2: newcomer, 3: idle} {
 		if m, ok := v.next(); !ok || m.session != session || m.kind != kindAnswer && m.kind != kindRelease {
-			t.Fatalf("%v, kind %d of session %d; session %d is owed a final answer", ok, m.kind, m.session, session)
+			t.Fatalf("read ok: %v, kind %d, session %d; want a final answer for session %d", ok, m.kind, m.session, session)
 		}
 	}
 }
 
-// A client that does not read holds what is written to it back; that it has left is seen all the same, and at once.
+// Answers to a client that does not read wait to be written. The director still detects at once that the client has left.
 func TestClientDepartsWhileItsAnswersAreUnread(t *testing.T) {
 	for name, leave := range map[string]func(v *emulatedClient){
 		"closes": func(v *emulatedClient) { v.c.Close() },
@@ -447,20 +453,20 @@
 			first.expect(kindAnswer, 1, codeDescription)
 			v.c.(*net.TCPConn).SetReadBuffer(4096)
 			many := []byte{}
-			for range 12_000 { // what they are answered with is more than two kernels hold, and less than the queue does
+			for range 12_000 { // the replies exceed both kernels' socket buffers but not the director's write queue
 				many = append(many, newClientMessage(kindProbe, 99).param(codeCause, []byte{0}).finish()...)
 			}
 			v.send(many)
-			v.send(setupMessage(2, paid)) // there is no seat for it
-			p.wait("it was not taken", func() bool { return p.d.Counts().Taken == 2 })
+			v.send(setupMessage(2, paid)) // waits, because the only seat is taken
+			p.wait("the request was not taken", func() bool { return p.d.Counts().Taken == 2 })
 			leave(v)
-			p.wait("its end was not seen", func() bool { return p.d.Counts().Abandoned == 1 })
+			p.wait("the request was not abandoned", func() bool { return p.d.Counts().Abandoned == 1 })
 			last.send(setupMessage(3, paid))
 			last.roundTrip()
 			p.nodes[0].send(teardownMessage(sessionID(1), causeEnded))
 			last.expect(kindAnswer, 3, codeDescription)
 			if n := p.nodes[0].countReceived("Session: " + sessionID(2)); n != 0 {
-				t.Fatalf("%d messages went to the node for who had left", n)
+				t.Fatalf("%d messages of session 2 were sent to the node after its client had left", n)
 			}
 		})
 	}
--- a/internal/platform/rtsp.go
+++ b/internal/platform/rtsp.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// The methods of RTSP that cross the sockets.
+// The RTSP methods in use.
 const (
 	methodSetup    = "SETUP"
 	methodTeardown = "TEARDOWN"
@@ -25,7 +25,8 @@
 	maxHeaders  = 64
 )
 
-// The sequence numbers that tell an answer's kind. Other messages of ours carry the last.
+// The sequence numbers of the director's requests. A response's sequence number shows which kind of request it answers;
+// requests of other kinds carry seqOther.
 const (
 	seqSetup    = 1
 	seqTeardown = 2
@@ -33,19 +34,19 @@
 	seqOther    = 4
 )
 
-// An rtspMessage is a message of media nodes: a request with a method, or an answer with a status.
+// An rtspMessage is a message to or from a node: a request with a method, or a response with a status.
 type rtspMessage struct {
-	method  string // empty: an answer
+	method  string // empty for a response
 	status  int
 	headers map[string]string // by lower-case name
 	body    []byte
 }
 
-// messagePrefixes are how a message can begin.
+// messagePrefixes are the possible beginnings of a message.
 var messagePrefixes = []string{rtspVersion + " ", methodTeardown + " ", methodOptions + " ", methodAnnounce + " ", methodRedirect + " ",
 	methodSetup + " ", methodRung + " "}
 
-// hasMessagePrefix tells whether bytes can be the beginning of a message.
+// hasMessagePrefix reports whether the input can be the beginning of a message.
 func hasMessagePrefix(in []byte) bool {
 	for _, s := range messagePrefixes {
 		n := min(len(s), len(in))
@@ -57,14 +58,14 @@
 }
 
 var (
-	errMessageStart  = errors.New("not the beginning of a message")
-	errHeader        = errors.New("a head that can't be read")
-	errContentLength = errors.New("a length that can't be")
+	errMessageStart  = errors.New("not the beginning of an RTSP message")
+	errHeader        = errors.New("invalid RTSP header")
+	errContentLength = errors.New("invalid RTSP content length")
 )
 
-// splitRTSP finds a message at the beginning of what has come. It reads the head whole, so what is not a message ends
-// the connection before anything of it is believed; and so does what follows a message and is none: a length that is
-// too small leaves the rest of the body there.
+// splitRTSP returns the size of the message at the start of the input, or 0 if the message is incomplete. It validates the
+// whole header, so invalid input ends the connection before any part of it is used. It also rejects a message that is
+// followed by bytes that cannot begin another one: a content length that is too small leaves the rest of the body there.
 func splitRTSP(in []byte) (int, error) {
 	if !hasMessagePrefix(in) {
 		return 0, errMessageStart
@@ -106,7 +107,7 @@
 	return m, err
 }
 
-// parseHeader reads a head of lines that all end in CR LF, and the length of the body.
+// parseHeader parses a header whose lines all end in CR LF, and returns the length of the body.
 func parseHeader(head []byte) (m rtspMessage, length int, err error) {
 	lines := strings.Split(strings.TrimSuffix(string(head), "\r\n"), "\r\n")
 	if len(lines) > maxHeaders {
@@ -137,7 +138,7 @@
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
 		name = strings.ToLower(name)
-		if _, twice := m.headers[name]; !ok || name == "" || strings.ContainsAny(name, " \t") || twice {
+		if _, duplicate := m.headers[name]; !ok || name == "" || strings.ContainsAny(name, " \t") || duplicate {
 			return m, 0, errHeader
 		}
 		m.headers[name] = strings.TrimSpace(value)
@@ -153,7 +154,7 @@
 	return m, int(n), nil
 }
 
-// seq is a message's sequence number, 0 where it has none.
+// seq returns a message's sequence number, or 0 if it has none.
 func (m rtspMessage) seq() int {
 	n, err := strconv.Atoi(m.headers["cseq"])
 	if err != nil {
@@ -162,7 +163,7 @@
 	return n
 }
 
-// session is a message's session, empty where it has none that can be read.
+// session returns a message's session id, or an empty string if it has no valid one.
 func (m rtspMessage) session() string {
 	id := m.headers["session"]
 	if checkHexID(id) != nil {
@@ -171,7 +172,7 @@
 	return id
 }
 
-// cause is what a release gives as its reason; 0 where it gives none.
+// cause returns the cause in a message's Reason header, or 0 if there is none.
 func (m rtspMessage) cause() int {
 	text, ok := strings.CutPrefix(m.headers["reason"], "cause=")
 	if !ok {
@@ -184,7 +185,7 @@
 	return n
 }
 
-// rtspWriter makes a message.
+// An rtspWriter builds a message.
 type rtspWriter struct{ bytes.Buffer }
 
 func newRequest(method, address string, seq int, session string) *rtspWriter {
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -15,12 +15,12 @@
 	"fordusher/policy"
 )
 
-// drawSettings are settings of some customer: other names and numbers of classes, other deadlines and limits; any of
-// them may be left out or be 0.
+// drawSettings draws random platform settings: the names and number of classes, deadlines and limits. Most values may be
+// left out or be 0.
 func drawSettings(t *rapid.T) map[string]any {
 	maybe := func(m map[string]any, key string, value any) {
 		switch rapid.IntRange(0, 5).Draw(t, key) {
-		case 0: // left out
+		case 0: // omitted
 		case 1:
 			switch value.(type) {
 			case float64, int:
@@ -91,28 +91,29 @@
 	return s
 }
 
-// A loopModel is one director with drawn settings, stepped by hand, and plain books of what it owes.
+// A loopModel is the loop of one director with drawn settings, which the test steps, and a plain record of its requests
+// and connections to check its outputs against.
 type loopModel struct {
 	*rapid.T
-	loop    *director.Loop
+	loop        *director.Loop
 	startConfig *StartConfig
-	now     time.Duration
+	now         time.Duration
 	requests    map[string]*modelRequest
-	links   map[uint64]string
-	open    map[uint64]bool
-	drains  map[string]bool
-	conn    uint64
-	ended   bool
+	links       map[uint64]string
+	open        map[uint64]bool
+	drains      map[string]bool
+	conn        uint64
+	ended       bool
 }
 
 type modelRequest struct {
-	class          policy.Tariff
-	name           string
-	deadline             time.Duration
-	answered, cancelled bool
-	legs           int
-	setupPending, mayHaveRun       bool
-	link           uint64
+	class                    policy.Tariff
+	name                     string
+	deadline                 time.Duration
+	answered, cancelled      bool
+	legs                     int
+	setupPending, mayHaveRun bool
+	link                     uint64
 }
 
 func (c *loopModel) step(in director.Input) {
@@ -127,7 +128,7 @@
 		case director.CloseClient:
 			for _, w := range c.requests {
 				if !w.answered && !w.cancelled {
-					c.Fatalf("the connection is closed that %s waits on: %+v", w.name, o)
+					c.Fatalf("the connection is closed while %s waits for its answer: %+v", w.name, o)
 				}
 			}
 			closed = closed || o.Idle
@@ -142,16 +143,16 @@
 			case wire.Setup:
 				w.legs++
 				if w.cancelled || w.answered || w.setupPending || w.mayHaveRun && w.class.AtMostOnce {
-					c.Fatalf("%s is set up: %+v", w.name, *w)
+					c.Fatalf("%s must not be set up: %+v", w.name, *w)
 				}
 				if !c.open[o.Link] || c.drains[c.links[o.Link]] {
-					c.Fatalf("%s is set up on %d at %s: open %v, drains %v", w.name, o.Link, c.links[o.Link], c.open[o.Link], c.drains[c.links[o.Link]])
+					c.Fatalf("%s is set up on link %d to %s: open %v, draining %v", w.name, o.Link, c.links[o.Link], c.open[o.Link], c.drains[c.links[o.Link]])
 				}
 				if o.Message.Rung < w.class.Floor {
-					c.Fatalf("%s is set up at rung %d under its floor %d", w.name, o.Message.Rung, w.class.Floor)
+					c.Fatalf("%s is set up at rung %d, below its floor %d", w.name, o.Message.Rung, w.class.Floor)
 				}
-				if most := max(1, c.startConfig.parsedSettings.Permissions.MaxAttempts); w.legs > most {
-					c.Fatalf("%s is set up for the %d. time of %d", w.name, w.legs, most)
+				if maxLegs := max(1, c.startConfig.parsedSettings.Permissions.MaxAttempts); w.legs > maxLegs {
+					c.Fatalf("%s has leg %d, at most %d are allowed", w.name, w.legs, maxLegs)
 				}
 				w.setupPending, w.link = true, o.Link
 			case wire.End:
@@ -165,10 +166,10 @@
 			switch o.Message.Type {
 			case wire.Playing, wire.Nack, wire.Errored:
 				if w.answered || w.cancelled || c.now > w.deadline {
-					c.Fatalf("%s is answered %s at %v: %+v", w.name, o.Message.Type, c.now, *w)
+					c.Fatalf("%s must not be answered %s at %v: %+v", w.name, o.Message.Type, c.now, *w)
 				}
 				if o.Message.Type == wire.Nack && w.class.AtMostOnce && w.mayHaveRun {
-					c.Fatalf("%s may have run and coming again is called harmless", w.name)
+					c.Fatalf("%s may have run, but the answer calls a retry harmless", w.name)
 				}
 				w.answered = true
 			}
@@ -176,7 +177,7 @@
 	}
 	for id, w := range c.requests {
 		if !w.answered && !w.cancelled && c.now > w.deadline {
-			c.Fatalf("%s has no answer by %v: %+v, %s", w.name, c.now, *w, id)
+			c.Fatalf("%s has no answer at %v, after its deadline: %+v, %s", w.name, c.now, *w, id)
 		}
 	}
 	if closed {
@@ -185,7 +186,7 @@
 	}
 }
 
-// connectClient connects the viewers.
+// connectClient opens a new client connection.
 func (c *loopModel) connectClient() {
 	c.conn++
 	c.step(director.ClientConnecting{Conn: c.conn})
@@ -204,7 +205,7 @@
 	}
 }
 
-// Whatever a customer's settings leave out or set to 0: the program starts, and keeps the rules.
+// With any values of the settings left out or set to 0, the loop starts and keeps the rules for set-ups and answers.
 func TestRandomSettingsKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		raw, err := json.Marshal(drawSettings(t))
@@ -217,19 +218,19 @@
 			targets = append(targets, target{ID: nodeName(uint32(i)), Endpoint: fmt.Sprintf("127.0.0.1:%d", 1000+i), Zone: "east",
 				Kind: "box", Cell: i, State: "ready", Weight: float64(i)})
 		}
-		known, _ := json.Marshal(targets)
-		posting, err := parseStartConfig(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:0","seed":"1","board":"127.0.0.1:1",
- "limits":{"sockets":%d},"settings":%s,"known":{"rev":1,"notices":[{"rev":1,"pool":{"all":true,"targets":%s}}]}}`, sockets, raw, known))
+		nodes, _ := json.Marshal(targets)
+		startConfig, err := parseStartConfig(fmt.Appendf(nil, `{"name":"n","listen":"127.0.0.1:0","seed":"1","board":"127.0.0.1:1",
+ "limits":{"sockets":%d},"settings":%s,"known":{"rev":1,"notices":[{"rev":1,"pool":{"all":true,"targets":%s}}]}}`, sockets, raw, nodes))
 		if err != nil {
 			t.Fatalf("%s: %v", raw, err)
 		}
-		house := posting.Config(time.Now())
-		c := &loopModel{T: t, startConfig: posting, requests: map[string]*modelRequest{}, links: map[uint64]string{}, open: map[uint64]bool{},
-			drains: map[string]bool{}, loop: house.NewLoop("b", 1, posting.NewDecider(1))}
-		c.step(director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Snapshot, Nodes: house.Nodes}})
+		config := startConfig.Config(time.Now())
+		c := &loopModel{T: t, startConfig: startConfig, requests: map[string]*modelRequest{}, links: map[uint64]string{}, open: map[uint64]bool{},
+			drains: map[string]bool{}, loop: config.NewLoop("b", 1, startConfig.NewDecider(1))}
+		c.step(director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Snapshot, Nodes: config.Nodes}})
 		c.connectClient()
-		classes := posting.parsedSettings.Tariffs()
-		front := NewProtocol(posting, house, time.Now)
+		classes := startConfig.parsedSettings.Tariffs()
+		protocol := NewProtocol(startConfig, config, time.Now)
 		for step := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			c.advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			var ids []string
@@ -238,26 +239,26 @@
 					ids = append(ids, id)
 				}
 			}
-			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
-			case what < 4:
+			switch action := rapid.IntRange(0, 9).Draw(t, "action"); {
+			case action < 4:
 				k := rapid.IntRange(0, len(classes)-1).Draw(t, "class")
 				wait := rapid.SampledFrom([]int{30, 200, 900, 3000, 60000}).Draw(t, "wait")
 				raw := setupMessage(uint64(step+1), map[byte]string{codeClass: fmt.Sprintf("class-%d", k), codeWait: fmt.Sprint(wait),
-					codePlacement: fmt.Sprintf("home:%d;copies:1;top:2", rapid.IntRange(0, posting.parsedSettings.Family.Cells-1).Draw(t, "home"))})
-				in, _, err := front.DecodeClient(raw)
+					codePlacement: fmt.Sprintf("home:%d;copies:1;top:2", rapid.IntRange(0, startConfig.parsedSettings.Family.Cells-1).Draw(t, "home"))})
+				in, _, err := protocol.DecodeClient(raw)
 				if err != nil {
 					t.Fatal(err)
 				}
 				in.Conn = c.conn
-				by := min(time.Duration(wait)*time.Millisecond, classes[k].HardStop)
-				c.requests[in.Message.ID] = &modelRequest{class: classes[k], name: fmt.Sprintf("session %d of class %d", step+1, k), deadline: c.now + by}
+				timeout := min(time.Duration(wait)*time.Millisecond, classes[k].HardStop)
+				c.requests[in.Message.ID] = &modelRequest{class: classes[k], name: fmt.Sprintf("session %d of class %d", step+1, k), deadline: c.now + timeout}
 				c.step(in)
-			case what < 6: // a connection comes up or fails
+			case action < 6: // a connection is made or fails
 				for link, node := range c.links {
 					if c.open[link] {
 						continue
 					}
-					if what == 4 {
+					if action == 4 {
 						c.open[link] = true
 						c.step(director.LinkConnected{Node: node, Link: link})
 					} else {
@@ -266,17 +267,17 @@
 					}
 					break
 				}
-			case what < 8 && len(ids) > 0:
+			case action < 8 && len(ids) > 0:
 				id := rapid.SampledFrom(ids).Draw(t, "answered")
 				w := c.requests[id]
 				kind := rapid.SampledFrom([]string{wire.Accepted, wire.Full, wire.Failed}).Draw(t, "kind")
 				w.setupPending, w.mayHaveRun = false, w.mayHaveRun || kind != wire.Full
 				c.step(director.LinkReceived{Link: w.link, Message: wire.NodeMessage{Type: kind, Session: id}})
-			case what == 8 && len(ids) > 0:
-				id := rapid.SampledFrom(ids).Draw(t, "left")
+			case action == 8 && len(ids) > 0:
+				id := rapid.SampledFrom(ids).Draw(t, "cancelled")
 				c.requests[id].cancelled = true
 				c.step(director.ClientReceived{Conn: c.conn, Message: wire.SessionMessage{Type: wire.Cancel, ID: id}, Details: &director.RequestDetails{}})
-			case what == 9:
+			case action == 9:
 				i := rapid.IntRange(0, 3).Draw(t, "node")
 				c.drains[nodeName(uint32(i))] = true
 				e := targets[i].entry(time.Now())
@@ -284,12 +285,12 @@
 				c.step(director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{e}}})
 			}
 		}
-		// The order to stop: everything owed is answered, and it ends by itself before it is killed.
-		began := c.now
+		// After Stop every pending request is answered, and the director ends by itself before the platform kills it.
+		stoppedAt := c.now
 		c.step(director.Stop{})
-		c.advance(posting.maxHardStop() + killAfter)
-		if !c.ended || c.now > began+posting.maxHardStop()+killAfter {
-			t.Fatalf("it has not ended %v after the order; %v are given", c.now-began, posting.maxHardStop()+killAfter)
+		c.advance(startConfig.maxHardStop() + killAfter)
+		if !c.ended || c.now > stoppedAt+startConfig.maxHardStop()+killAfter {
+			t.Fatalf("the director has not ended %v after Stop; it is killed after %v", c.now-stoppedAt, startConfig.maxHardStop()+killAfter)
 		}
 		for _, w := range c.requests {
 			if !w.answered && !w.cancelled {
@@ -299,7 +300,7 @@
 	})
 }
 
-// What can't be used is named by its key, in one line.
+// The error for an invalid setting names its key, on one line.
 func TestInvalidSettingsAreReported(t *testing.T) {
 	for want, change := range map[string][2]string{
 		"classes: number 1 has no name":              {`"name":"exam"`, `"name":""`},
@@ -316,11 +317,11 @@
 	} {
 		text := strings.Replace(testSettings, change[0], change[1], 1)
 		if text == testSettings {
-			t.Fatalf("%s changes nothing", change[0])
+			t.Fatalf("testSettings do not contain %s", change[0])
 		}
 		_, err := parseStartConfig([]byte(`{"settings":` + text + `}`))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("want an error with %q on one line, got %v", want, err)
 		}
 	}
 	if _, err := parseStartConfig([]byte(`{"limits":{"sockets":-1},"settings":` + testSettings + `}`)); err == nil || !strings.Contains(err.Error(), "sockets is -1") {
--- a/internal/platform/start_config.go
+++ b/internal/platform/start_config.go
@@ -19,14 +19,15 @@
 	"fordusher/shutdown"
 )
 
-// The variables that tell a director what it is.
+// The environment variables that configure a director. The first two override the fields of the same meaning in the file
+// that the third one names.
 const (
 	envName       = "PROXY_NAME"
 	envListen     = "PROXY_LISTEN"
-	EnvConfigFile = "PROXY_CONFIG" // the file with all of it
+	EnvConfigFile = "PROXY_CONFIG" // path of the start configuration file
 )
 
-// A StartConfig is what a director is told at its start.
+// A StartConfig is a director's start configuration: the content of the file that EnvConfigFile names.
 type StartConfig struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -46,7 +47,7 @@
 	parsedSettings *simwire.Config
 }
 
-// A discoveryUpdate is an event of the notice board in text.
+// A discoveryUpdate is a discovery event in JSON: some nodes, or all nodes if All is set.
 type discoveryUpdate struct {
 	Revision uint64 `json:"rev"`
 	Pool     struct {
@@ -55,6 +56,7 @@
 	} `json:"pool"`
 }
 
+// A target is the entry of one node in a discoveryUpdate.
 type target struct {
 	ID            string  `json:"uid"`
 	Endpoint      string  `json:"endpoint"`
@@ -66,53 +68,53 @@
 	StartedMillis int64   `json:"boot_ms"`
 }
 
-// nodeStates are those of a media node, by their numbers in frames; stateNames are theirs in text.
+// nodeStates lists a node's states by their number in frames; statesByName maps their names in JSON.
 var (
 	nodeStates   = [...]string{wire.Up, wire.Draining, wire.Removed}
 	statesByName = map[string]string{"ready": wire.Up, "draining": wire.Draining, "gone": wire.Removed}
 )
 
-// A ConfigError is a posting that can't be used; it names the variable, or the file and the place.
+// A ConfigError reports an invalid start configuration. It names the environment variable, or the file and the key or line.
 type ConfigError string
 
-func (w ConfigError) Error() string { return string(w) }
+func (e ConfigError) Error() string { return string(e) }
 
-func configErrorf(format string, what ...any) error { return ConfigError(fmt.Sprintf(format, what...)) }
+func configErrorf(format string, args ...any) error { return ConfigError(fmt.Sprintf(format, args...)) }
 
-// ReadStartConfig reads what the environment and the file that it names tell.
+// ReadStartConfig reads the start configuration from the environment and from the file that it names.
 func ReadStartConfig(getenv func(string) string) (*StartConfig, error) {
 	file := getenv(EnvConfigFile)
 	if file == "" {
-		return nil, configErrorf("%s is not set: it names the file that tells a director what it is", EnvConfigFile)
+		return nil, configErrorf("%s is not set; it has to name the start configuration file", EnvConfigFile)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, configErrorf("%s: %v", EnvConfigFile, err)
 	}
-	p, err := parseStartConfig(text)
+	c, err := parseStartConfig(text)
 	if err != nil {
 		return nil, configErrorf("%s: %v", file, err)
 	}
 	if name := getenv(envName); name != "" {
-		p.Name = name
+		c.Name = name
 	}
 	if listen := getenv(envListen); listen != "" {
-		p.Listen = listen
+		c.Listen = listen
 	}
-	for _, x := range []struct{ what, address string }{{envListen + " or listen", p.Listen}, {"board", p.DiscoveryAddress}} {
+	for _, x := range []struct{ source, address string }{{envListen + " or listen", c.Listen}, {"board", c.DiscoveryAddress}} {
 		if _, _, err := net.SplitHostPort(x.address); err != nil {
-			return nil, configErrorf("%s: %s is %q; it has to be host:port", file, x.what, x.address)
+			return nil, configErrorf("%s: %s is %q; it has to be host:port", file, x.source, x.address)
 		}
 	}
-	if p.Name == "" {
-		return nil, configErrorf("%s: there is no name, and %s is not set", file, envName)
+	if c.Name == "" {
+		return nil, configErrorf("%s: name is missing, and %s is not set", file, envName)
 	}
-	return p, nil
+	return c, nil
 }
 
 func parseStartConfig(text []byte) (*StartConfig, error) {
-	p := &StartConfig{}
-	if err := json.Unmarshal(text, p); err != nil {
+	c := &StartConfig{}
+	if err := json.Unmarshal(text, c); err != nil {
 		var at int64
 		switch e := err.(type) {
 		case *json.SyntaxError:
@@ -122,44 +124,44 @@
 		}
 		return nil, fmt.Errorf("line %d: %w", 1+bytes.Count(text[:min(at, int64(len(text)))], []byte("\n")), err)
 	}
-	if len(p.Settings) == 0 {
-		return nil, fmt.Errorf("settings: there are none")
+	if len(c.Settings) == 0 {
+		return nil, fmt.Errorf("settings are missing")
 	}
-	trade, err := simwire.ParseConfig(p.Settings)
+	settings, err := simwire.ParseConfig(c.Settings)
 	if err != nil {
 		return nil, err
 	}
-	if err := trade.Check(); err != nil {
+	if err := settings.Check(); err != nil {
 		return nil, err
 	}
 	for _, x := range []struct {
 		key   string
 		value float64
-	}{{"cores", p.Limits.Cores}, {"memory_mb", float64(p.Limits.MemoryMB)}, {"sockets", float64(p.Limits.Sockets)}} {
+	}{{"cores", c.Limits.Cores}, {"memory_mb", float64(c.Limits.MemoryMB)}, {"sockets", float64(c.Limits.Sockets)}} {
 		if x.value < 0 {
 			return nil, fmt.Errorf("limits: %s is %v; it has to be at least 0", x.key, x.value)
 		}
 	}
-	p.parsedSettings = trade
-	return p, nil
+	c.parsedSettings = settings
+	return c, nil
 }
 
-// RandomSeed is what chance is drawn from: the seed, 16 hex digits.
-func (p *StartConfig) RandomSeed() (uint64, error) {
-	n, err := strconv.ParseUint(p.Seed, 16, 64)
+// RandomSeed returns the seed of the director's random numbers, which the file gives as 16 hex digits.
+func (c *StartConfig) RandomSeed() (uint64, error) {
+	n, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
-		return 0, configErrorf("seed is %q; it has to be hex digits", p.Seed)
+		return 0, configErrorf("seed is %q; it has to be hex digits", c.Seed)
 	}
 	return n, nil
 }
 
-// NewDecider starts the module with the settings, as on the simulator's wire.
-func (p *StartConfig) NewDecider(seed uint64) director.Decider {
-	return p.parsedSettings.NewDirector(seed)
+// NewDecider returns a decider, the decision module, with the settings. They have the format of the simulator's protocol.
+func (c *StartConfig) NewDecider(seed uint64) director.Decider {
+	return c.parsedSettings.NewDirector(seed)
 }
 
-// What a front's connections may cost, beside the limits that the platform states. A viewer's connection that has said
-// nothing whole within silentMost is closed; the platform closes its own after 4 s.
+// The limits of connections, beside those that the platform's settings state. A client connection that has sent no complete
+// message within firstMessageTimeout is closed; the platform itself closes such connections after 4 s.
 const (
 	firstMessageTimeout      = 2 * time.Second
 	writeTimeout             = time.Second
@@ -169,116 +171,120 @@
 	discoverySilenceTimeout  = 2200 * time.Millisecond
 	answerMargin             = 20 * time.Millisecond
 	maxRequestsPerConnection = 256
-	maxInboxPerPeer          = 2048 // what is handed over at a start comes at once
-	reservedDescriptors      = 40   // the program's files, pollers and listener, the board and who is being turned away
-	pendingDescriptorShare   = 8    // the part of the descriptors that viewers who have said nothing yet may hold
+	maxInboxPerPeer          = 2048 // the sessions that clients hand over when a director starts arrive all at once
+	reservedDescriptors      = 40   // for the program's files, pollers and listener, the discovery connection and connections being rejected
+	pendingDescriptorShare   = 8    // one in so many descriptors is for clients that have not sent a message yet
 	minPendingConnections    = 16
-	memoryFraction           = 0.8 // of the limit: what the program may hold before it takes nobody more
+	memoryFraction           = 0.8 // of the memory limit: beyond it the program accepts no more clients
 	pingDisabledInterval     = 24 * time.Hour
-	idleTimeoutFraction      = 0.8 // of the time after which nodes close an idle connection: what is sent must not cross that
+	idleTimeoutFraction      = 0.8 // of the time after which nodes close an idle connection: a message must not cross that close
 )
 
-// Config is what the loop and the daemon are told.
-func (p *StartConfig) Config(now time.Time) *conf.Config {
-	t := p.parsedSettings
-	tariffs := t.Tariffs()
-	h := &conf.Config{
-		Name: p.Name, ListenAddress: p.Listen, DiscoveryAddress: p.DiscoveryAddress, DiscoveryReadTimeout: discoverySilenceTimeout, Ladder: t.Ladder(), MachineKinds: t.Kinds,
+// Config returns the configuration of the loop and the daemon.
+func (c *StartConfig) Config(now time.Time) *conf.Config {
+	settings := c.parsedSettings
+	tariffs := settings.Tariffs()
+	config := &conf.Config{
+		Name: c.Name, ListenAddress: c.Listen, DiscoveryAddress: c.DiscoveryAddress, DiscoveryReadTimeout: discoverySilenceTimeout, Ladder: settings.Ladder(), MachineKinds: settings.Kinds,
 	}
 	goals := make([]time.Duration, len(tariffs))
 	for i, x := range tariffs {
-		h.Tariffs = append(h.Tariffs, director.Tariff{Name: t.Classes[i].Name, Tariff: x})
+		config.Tariffs = append(config.Tariffs, director.Tariff{Name: settings.Classes[i].Name, Tariff: x})
 		goals[i] = x.GoalTime
 	}
-	h.Peers.Index, h.Peers.Directors, h.Peers.Zone = t.Index, t.Directors, t.Zone
-	h.Fleet.Cells, h.Fleet.Racks = t.Family.Cells, t.Family.Racks
-	connect := simwire.SecondsToDuration(t.Permissions.Connect)
+	config.Peers.Index, config.Peers.Directors, config.Peers.Zone = settings.Index, settings.Directors, settings.Zone
+	config.Fleet.Cells, config.Fleet.Racks = settings.Family.Cells, settings.Family.Racks
+	connect := simwire.SecondsToDuration(settings.Permissions.Connect)
 	if connect <= 0 {
 		connect = time.Second
 	}
-	h.ProtocolOptions = director.Options{
+	config.ProtocolOptions = director.Options{
 		AnswerMargin: answerMargin, ConnectTimeout: connect, SessionsPerConnection: maxRequestsPerConnection, NoHello: true, Detached: true,
 	}
-	h.ReconnectPolicy = connector.ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 64}
-	h.ReconnectPolicy.IdleTimeout = time.Duration(idleTimeoutFraction * float64(simwire.SecondsToDuration(t.Permissions.Idle)))
-	if every := simwire.SecondsToDuration(t.Family.ReportInterval); every > 0 { // a node with sessions is heard so often
-		h.ReconnectPolicy.HeartbeatInterval = (every + time.Second) / 3
+	config.ReconnectPolicy = connector.ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 64}
+	config.ReconnectPolicy.IdleTimeout = time.Duration(idleTimeoutFraction * float64(simwire.SecondsToDuration(settings.Permissions.Idle)))
+	if interval := simwire.SecondsToDuration(settings.Family.ReportInterval); interval > 0 { // a node with sessions reports this often
+		config.ReconnectPolicy.HeartbeatInterval = (interval + time.Second) / 3
 	}
-	h.ShutdownPolicy = shutdown.Policy{Timeout: p.shutdownTimeout(), BatchInterval: 200 * time.Millisecond, MinDuration: p.minShutdownTime(), CloseTimeout: p.clientCloseTimeout()}
-	sockets := p.Limits.Sockets
+	config.ShutdownPolicy = shutdown.Policy{Timeout: c.shutdownTimeout(), BatchInterval: 200 * time.Millisecond, MinDuration: c.minShutdownTime(), CloseTimeout: c.clientCloseTimeout()}
+	sockets := c.Limits.Sockets
 	if sockets == 0 {
 		sockets = 1024
 	}
-	silent := max(minPendingConnections, sockets/pendingDescriptorShare)
-	h.Capacity = limits.Capacity{
+	pendingConnections := max(minPendingConnections, sockets/pendingDescriptorShare)
+	config.Capacity = limits.Capacity{
 		MaxConnections: sockets, MaxHandshakes: sockets, HeartbeatInterval: pingDisabledInterval, IdleTimeout: time.Second, HandshakeTimeout: firstMessageTimeout,
-		MaxRetryAfter: time.Second, DisplaceIdleAfter: 250 * time.Millisecond, MaxDescriptors: sockets, ReservedDescriptors: reservedDescriptors, PreHandshakeDescriptors: silent,
+		MaxRetryAfter: time.Second, DisplaceIdleAfter: 250 * time.Millisecond, MaxDescriptors: sockets, ReservedDescriptors: reservedDescriptors, PreHandshakeDescriptors: pendingConnections,
 	}
-	h.ReconnectPolicy.OnDemand = !h.Capacity.FitsNodes(t.Family.Cells)
-	if p.Limits.MemoryMB > 0 {
-		h.Capacity.MaxMemory = int64(float64(p.Limits.MemoryMB<<20) * memoryFraction)
+	config.ReconnectPolicy.OnDemand = !config.Capacity.FitsNodes(settings.Family.Cells)
+	if c.Limits.MemoryMB > 0 {
+		config.Capacity.MaxMemory = int64(float64(c.Limits.MemoryMB<<20) * memoryFraction)
 	}
-	h.Queue = limits.QueuePolicy{MaxWait: limits.MaxQueueWait(goals), MaxRetryAfter: time.Second}
-	h.ConnectionLimits = conf.ConnectionLimits{
+	config.Queue = limits.QueuePolicy{MaxWait: limits.MaxQueueWait(goals), MaxRetryAfter: time.Second}
+	config.ConnectionLimits = conf.ConnectionLimits{
 		Clients: transport.Limits{MaxMessageBytes: maxMessageSize, MaxQueuedBytes: clientQueueBytes, WriteTimeout: writeTimeout, HandshakeTimeout: firstMessageTimeout,
-			KernelBufferBytes: kernelBufferBytes, MaxPendingHandshakes: silent},
+			KernelBufferBytes: kernelBufferBytes, MaxPendingHandshakes: pendingConnections},
 		Nodes:     transport.Limits{MaxMessageBytes: maxMessageSize, MaxQueuedBytes: nodeQueueBytes, WriteTimeout: writeTimeout},
 		Discovery: transport.Limits{MaxMessageBytes: maxFrameSize, MaxQueuedBytes: nodeQueueBytes, WriteTimeout: writeTimeout},
 		InboxSize: maxInboxPerPeer,
 	}
-	named := map[string]int{}
-	for _, x := range p.InitialDiscovery.Updates { // the state that they come to
+	indexByName := map[string]int{}
+	for _, x := range c.InitialDiscovery.Updates { // applied in order; the result is the initial node list
 		if x.Pool.All {
-			h.Nodes, named = nil, map[string]int{}
+			config.Nodes, indexByName = nil, map[string]int{}
 		}
 		for _, e := range x.Pool.Targets {
 			entry := e.entry(now)
-			if i, ok := named[entry.Node]; ok {
-				h.Nodes[i] = entry
+			if i, ok := indexByName[entry.Node]; ok {
+				config.Nodes[i] = entry
 				continue
 			}
-			named[entry.Node] = len(h.Nodes)
-			h.Nodes = append(h.Nodes, entry)
+			indexByName[entry.Node] = len(config.Nodes)
+			config.Nodes = append(config.Nodes, entry)
 		}
 	}
-	return h
+	return config
 }
 
-// What the platform says of a director that is told to stop: it is killed no sooner than killAfter after the
-// longest hard stop, which counts as stopMost where it is longer; who comes until lastAfter the order is owed an answer.
+// The platform's rules for a director that is ordered to stop. It is killed no sooner than killAfter after the longest hard
+// stop has passed, where a hard stop longer than maxCountedHardStop counts as maxCountedHardStop. A request that arrives
+// within lateRequestWindow after the order must still be answered.
 const (
 	maxCountedHardStop = 3 * time.Second
 	killAfter          = 700 * time.Millisecond
 	lateRequestWindow  = 700 * time.Millisecond
-	shutdownMargin     = 300 * time.Millisecond // of killAfter: the rest is for what is still on its way out
-	maxClientCloseTime = 150 * time.Millisecond // for clients' connections to close
+	shutdownMargin     = 300 * time.Millisecond // part of killAfter; the rest is for data that is still being sent
+	maxClientCloseTime = 150 * time.Millisecond // for client connections to close
 )
 
-// maxHardStop is the longest hard stop, as it counts for an order to stop.
-func (p *StartConfig) maxHardStop() (longest time.Duration) {
-	for _, x := range p.parsedSettings.Tariffs() {
+// maxHardStop returns the longest hard stop of all tariffs, limited to maxCountedHardStop.
+func (c *StartConfig) maxHardStop() (longest time.Duration) {
+	for _, x := range c.parsedSettings.Tariffs() {
 		longest = max(longest, x.HardStop)
 	}
 	return min(longest, maxCountedHardStop)
 }
 
-// shutdownTimeout is how long a director that is told to stop may take until the last answer is out.
-func (p *StartConfig) shutdownTimeout() time.Duration { return p.maxHardStop() + shutdownMargin }
+// shutdownTimeout returns how long a director may take from the order to stop until the last answer is sent.
+func (c *StartConfig) shutdownTimeout() time.Duration { return c.maxHardStop() + shutdownMargin }
 
-// minShutdownTime is how long it stays for who still comes, and is gone by itself before it is killed.
-func (p *StartConfig) minShutdownTime() time.Duration {
-	return min(time.Second, lateRequestWindow+p.maxHardStop()/2)
+// minShutdownTime returns how long a director runs at least after the order to stop, in order to answer late requests. It
+// is short enough for the director to exit before it is killed.
+func (c *StartConfig) minShutdownTime() time.Duration {
+	return min(time.Second, lateRequestWindow+c.maxHardStop()/2)
 }
 
-// clientCloseTimeout is how long clients' connections may take to close at the end: half of what is left until it is killed.
-func (p *StartConfig) clientCloseTimeout() time.Duration {
-	return min(maxClientCloseTime, (p.maxHardStop()+killAfter-max(p.shutdownTimeout(), p.minShutdownTime()))/2)
+// clientCloseTimeout returns how long client connections may take to close at the end: half of the time that is left until
+// the director is killed, at most maxClientCloseTime.
+func (c *StartConfig) clientCloseTimeout() time.Duration {
+	return min(maxClientCloseTime, (c.maxHardStop()+killAfter-max(c.shutdownTimeout(), c.minShutdownTime()))/2)
 }
 
+// entry converts a target into an entry of the server list.
 func (e target) entry(now time.Time) wire.NodeEntry {
 	state, known := statesByName[e.State]
 	if !known {
-		state = wire.Draining // nothing is known to be allowed there
+		state = wire.Draining // an unknown state: new sessions may not be allowed there
 	}
 	return wire.NodeEntry{
 		Node: e.ID, Address: e.Endpoint, State: state, MachineKind: e.Kind, Zone: e.Zone, Incarnation: uint64(max(0, e.StartedMillis)),
@@ -286,7 +292,7 @@
 	}
 }
 
-// ageMillis is how long ago a Unix millisecond is, in ms; 0 where it is not told.
+// ageMillis returns the time since a Unix time in milliseconds, in ms, at least 1; 0 if the start is unknown (0).
 func ageMillis(started uint64, now time.Time) int64 {
 	if started == 0 {
 		return 0
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -12,17 +12,17 @@
 	"fordusher/internal/wire"
 )
 
-// TraceLevel is how much is written of each message that crosses a front.
+// TraceLevel is the level of detail of a trace of a protocol's messages.
 type TraceLevel int
 
-// The levels: the kind and the session of each message that begins or ends something, or the bytes of every message.
+// The levels: the kind and session of each message that starts or ends something, or the bytes of every message.
 const (
 	TraceKinds TraceLevel = iota
 	TraceBytes
 )
 
-// tracer is a front that writes down the messages that cross it, one a line: the Unix time in seconds, whom it is
-// from or to, and what it says. By it one compares what the director believes with what passes on the sockets.
+// A tracer is a protocol that logs the messages that it decodes and encodes, one a line: the Unix time in seconds, the
+// sender or receiver, and the content. The trace allows the director's state to be compared with the socket traffic.
 type tracer struct {
 	daemon.Protocol
 	level TraceLevel
@@ -31,9 +31,9 @@
 	now   func() time.Time
 }
 
-// NewTracer writes what crosses a front to out, in batches of a tenth of a second, until stop is closed.
-func NewTracer(f daemon.Protocol, level TraceLevel, out io.Writer, now func() time.Time, stop <-chan struct{}) daemon.Protocol {
-	t := &tracer{Protocol: f, level: level, out: bufio.NewWriter(out), now: now}
+// NewTracer returns a protocol that traces p's messages to out, flushed every 0.1 s, until stop is closed.
+func NewTracer(p daemon.Protocol, level TraceLevel, out io.Writer, now func() time.Time, stop <-chan struct{}) daemon.Protocol {
+	t := &tracer{Protocol: p, level: level, out: bufio.NewWriter(out), now: now}
 	go func() {
 		for ended := false; !ended; {
 			select {
@@ -42,16 +42,16 @@
 			case <-time.After(100 * time.Millisecond):
 			}
 			t.mu.Lock()
-			t.out.Flush() // what can't be written is not traced
+			t.out.Flush() // write errors only cost trace lines
 			t.mu.Unlock()
 		}
 	}()
 	return t
 }
 
-func (t *tracer) printf(format string, what ...any) {
+func (t *tracer) printf(format string, args ...any) {
 	t.mu.Lock()
-	fmt.Fprintf(t.out, "%.3f "+format+"\n", append([]any{float64(t.now().UnixMilli()) / 1000}, what...)...)
+	fmt.Fprintf(t.out, "%.3f "+format+"\n", append([]any{float64(t.now().UnixMilli()) / 1000}, args...)...)
 	t.mu.Unlock()
 }
 
