--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -114,6 +114,8 @@
 	return time.Since(d.startedAt) + time.Duration(d.clockOffset.Load())
 }
 
+// run is the loop's goroutine. It handles batches of inbox items and due timers until the loop has ended or the daemon is
+// killed.
 func (d *Daemon) run() {
 	defer close(d.done)
 	timer := time.NewTimer(0)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -36,19 +36,19 @@
 func newFixture(t testing.TB, nodes int, change ...string) *fixture {
 	t.Helper()
 	p := &fixture{t: t, recorder: &rulecheck.Recorder{}}
-	var machines []node.Spec
+	var specs []node.Spec
 	for i := range nodes {
-		machines = append(machines, node.Spec{Name: fmt.Sprint("n", i), Kind: "box", MaxStreams: 50, LinkRate: 1e5, Cores: 2, SetupTime: 2 * ms})
+		specs = append(specs, node.Spec{Name: fmt.Sprint("n", i), Kind: "box", MaxStreams: 50, LinkRate: 1e5, Cores: 2, SetupTime: 2 * ms})
 	}
-	site := node.Environment{Uplinks: []float64{1e6}, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4, OverloadWindow: time.Second,
+	environment := node.Environment{Uplinks: []float64{1e6}, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4, OverloadWindow: time.Second,
 		ReportDelay: 100 * ms, ReportInterval: time.Second, LoadRefresh: 100 * ms}
 	var err error
-	if p.host, err = node.StartHost(node.NewModel(1, site, machines), p.recorder, nil); err != nil {
+	if p.host, err = node.StartHost(node.NewModel(1, environment, specs), p.recorder, nil); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.host.Close)
 	var entries []wire.NodeEntry
-	for i, m := range machines {
+	for i, m := range specs {
 		entries = append(entries, wire.NodeEntry{Node: m.Name, Address: p.host.Address(m.Name), State: wire.Up, MachineKind: "box", Weight: 1, Cell: i, Incarnation: 1})
 	}
 	if p.discovery, err = discovery.Start(p.recorder, entries, []wire.TitlePlacement{{Title: "t", Copies: 8}}); err != nil {
@@ -90,11 +90,12 @@
 	time.Sleep(120 * ms) // a director is cautious for the ramp's warmup (100 ms here) after its start
 }
 
-func eventually(t testing.TB, what string, ok func() bool) {
+// eventually waits until ok returns true, or fails the test with the name of the condition.
+func eventually(t testing.TB, condition string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !ok(); time.Sleep(ms) {
 		if time.Now().After(deadline) {
-			t.Fatal("did not happen within 10 s: ", what)
+			t.Fatal("did not happen within 10 s: ", condition)
 		}
 	}
 }
@@ -105,9 +106,9 @@
 	closed   chan error
 }
 
-func (p *client) Opened(*transport.Conn)                          {}
-func (p *client) Message(_ *transport.Conn, m []byte)             { p.received <- string(m) }
-func (p *client) Closed(_ *transport.Conn, why error, _ []uint64) { p.closed <- why }
+func (p *client) Opened(*transport.Conn)                             {}
+func (p *client) Message(_ *transport.Conn, m []byte)                { p.received <- string(m) }
+func (p *client) Closed(_ *transport.Conn, reason error, _ []uint64) { p.closed <- reason }
 
 func dial(t testing.TB, address string) (*transport.Conn, *client) {
 	t.Helper()
@@ -133,8 +134,8 @@
 			t.Fatal(err)
 		}
 		return m
-	case why := <-p.closed:
-		t.Fatal("closed: ", why)
+	case reason := <-p.closed:
+		t.Fatal("the connection was closed: ", reason)
 	case <-time.After(10 * time.Second):
 		t.Fatal("no answer")
 	}
@@ -145,11 +146,11 @@
 	t.Helper()
 	for {
 		select {
-		case why := <-p.closed:
-			return why
+		case reason := <-p.closed:
+			return reason
 		case <-p.received:
 		case <-time.After(10 * time.Second):
-			t.Fatal("not closed")
+			t.Fatal("the connection was not closed")
 		}
 	}
 }
@@ -185,8 +186,8 @@
 	} {
 		c, in := dial(t, p.d.Address())
 		c.Send([]byte(text), 0)
-		if why := in.end(t); !strings.Contains(why.Error(), want) {
-			t.Errorf("%.30q: closed with %v, want %s", text, why, want)
+		if reason := in.end(t); !strings.Contains(reason.Error(), want) {
+			t.Errorf("%.30q: closed with %v, want %s", text, reason, want)
 		}
 	}
 	if n := p.d.malformedCounts[0].Load(); n != 2 {
@@ -208,8 +209,8 @@
 	for range 50 {
 		c, in := dial(t, p.d.Address())
 		c.Send([]byte(long), 0)
-		if why := in.end(t).Error(); !utf8.ValidString(why) {
-			t.Fatalf("closed with %q, which is not valid UTF-8", why)
+		if reason := in.end(t).Error(); !utf8.ValidString(reason) {
+			t.Fatalf("closed with %q, which is not valid UTF-8", reason)
 		}
 	}
 	if n := len(lines); n < 2 || n > 10 {
@@ -307,11 +308,11 @@
 	if _, played := got["2"+wire.Playing]; !played {
 		t.Fatal("the request with a set-up in progress was not answered with playing: ", got)
 	}
-	if why := got["1"+wire.SessionEnded]; why != "director closes" {
+	if reason := got["1"+wire.SessionEnded]; reason != "director closes" {
 		t.Fatal(got)
 	}
-	if why := in.end(t); !strings.Contains(why.Error(), "1001") {
-		t.Fatal(why)
+	if reason := in.end(t); !strings.Contains(reason.Error(), "1001") {
+		t.Fatal(reason)
 	}
 	select {
 	case <-p.d.Done():
--- a/internal/daemon/discovery.go
+++ b/internal/daemon/discovery.go
@@ -22,8 +22,8 @@
 func (d *Daemon) followDiscovery() {
 	policy := d.config.ReconnectPolicy
 	policy.OnDemand = false // the connection to discovery is needed all the time
-	dialer := connector.New(d.seed, policy)
-	plan := dialer.Step(d.now(), connector.Event{Kind: connector.Listed})
+	reconnector := connector.New(d.seed, policy)
+	plan := reconnector.Step(d.now(), connector.Event{Kind: connector.Listed})
 	for {
 		select {
 		case <-d.quit:
@@ -35,21 +35,21 @@
 			case <-d.quit:
 				return
 			case <-d.discoveryMoved: // the failed attempts were made at the old address
-				plan = dialer.Step(d.now(), connector.Event{Kind: connector.Listed})
+				plan = reconnector.Step(d.now(), connector.Event{Kind: connector.Listed})
 				continue
 			case <-time.After(max(0, plan.NextTimer-d.now())):
 			}
-			plan = dialer.Step(d.now(), connector.Event{Kind: connector.TimerFired})
+			plan = reconnector.Step(d.now(), connector.Event{Kind: connector.TimerFired})
 			continue
 		}
 		h := &discoveryHandler{d: d, closed: make(chan struct{})}
 		conn, err := d.protocol.DialDiscovery(*d.discoveryAddress.Load(), time.Second, h)
 		if err != nil {
 			d.log.Warn().Err(err).Msg("discovery is unreachable; the last server list stays in force")
-			plan = dialer.Step(d.now(), connector.Event{Kind: connector.ConnectFailed})
+			plan = reconnector.Step(d.now(), connector.Event{Kind: connector.ConnectFailed})
 			continue
 		}
-		dialer.Step(d.now(), connector.Event{Kind: connector.Connected})
+		reconnector.Step(d.now(), connector.Event{Kind: connector.Connected})
 		for ended := false; !ended; {
 			select {
 			case <-d.quit:
@@ -60,12 +60,12 @@
 				conn.Abort()
 			case <-time.After(snapshotInterval):
 				if timeout := d.config.DiscoveryReadTimeout; timeout > 0 && conn.ReadIdleTime() > timeout {
-					d.log.Warn().Dur("quiet", timeout).Msg("discovery sends nothing any more; reconnecting")
+					d.log.Warn().Dur("quiet", timeout).Msg("no data from discovery; reconnecting")
 					conn.Abort()
 				}
 			}
 		}
-		plan = dialer.Step(d.now(), connector.Event{Kind: connector.ConnectionLost})
+		plan = reconnector.Step(d.now(), connector.Event{Kind: connector.ConnectionLost})
 	}
 }
 
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -16,17 +16,18 @@
 	input      director.Input
 	conn       *transport.Conn
 	peer       *peer
-	receivedAt time.Time // set for items of the client queue
+	receivedAt time.Time // when a client's item was added to the inbox
 }
 
-// A peer counts the items of one connection that wait for the loop; the inbox is bounded peer by peer.
+// A peer is the inbox's record of one connection. It counts the connection's items that wait for the loop, because the
+// inbox is bounded peer by peer.
 type peer struct {
 	id           uint64
-	pending      atomic.Int32
-	disconnected atomic.Bool // the connection, a client's, has ended
-	queued       []item      // a client's items in the client queue; guarded by inbox.mu
-	inQueue      bool        // the peer is in inbox.queue; guarded by inbox.mu
-	cancelled    []string    // cancelled ids of requests that may be in the batch that the loop handles; at most batchSize; guarded by inbox.mu
+	pending      atomic.Int32 // items that the loop has not handled yet
+	disconnected atomic.Bool  // the connection, a client's, has ended
+	queued       []item       // a client's items in the client queue; guarded by inbox.mu
+	inQueue      bool         // the peer is in inbox.queue; guarded by inbox.mu
+	cancelled    []string     // ids of cancelled requests that may be in the batch that the loop handles; at most batchSize; guarded by inbox.mu
 }
 
 // inbox holds the inputs that other goroutines pass to the loop. Messages from connections are bounded peer by peer;
@@ -48,7 +49,7 @@
 // batchSize is the number of queued client items that the loop takes at a time.
 const batchSize = 64
 
-// put adds a priority item: any item but a client's.
+// put adds a priority item. A client's messages are added by enqueueClient and cancel instead.
 func (b *inbox) put(i item) {
 	b.mu.Lock()
 	b.priority = append(b.priority, i)
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -95,14 +95,14 @@
 		_, in := dial(t, p.d.Address())
 		idle = append(idle, in)
 	}
-	if why := idle[0].end(t).Error(); !strings.Contains(why, "1013 retry-ms=") {
-		t.Fatal(why)
+	if reason := idle[0].end(t).Error(); !strings.Contains(reason, "1013 retry-ms=") {
+		t.Fatal(reason)
 	}
 	select {
-	case why := <-playing.closed:
-		t.Fatal("the client that plays was evicted: ", why)
-	case why := <-idle[17].closed:
-		t.Fatal("the client that connected last was evicted first: ", why)
+	case reason := <-playing.closed:
+		t.Fatal("the client that plays was evicted: ", reason)
+	case reason := <-idle[17].closed:
+		t.Fatal("the client that connected last was evicted first: ", reason)
 	case <-time.After(100 * ms):
 	}
 }
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -200,7 +200,8 @@
 	return s, err
 }
 
-// parsePlacement parses the placement parameter: key:value pairs, separated by semicolons.
+// parsePlacement parses the placement parameter: values of the request and its client as key:value pairs, separated by
+// semicolons.
 func (s *setup) parsePlacement(text string) (err error) {
 	seen := map[string]bool{}
 	for part := range strings.SplitSeq(text, ";") {
--- a/internal/platform/daemon_test.go
+++ b/internal/platform/daemon_test.go
@@ -163,12 +163,12 @@
 	closedClients *atomic.Int32
 }
 
-func (h countingHandler) InputEnded(c *transport.Conn, why error) {
-	h.Handler.(transport.InputEnder).InputEnded(c, why)
+func (h countingHandler) InputEnded(c *transport.Conn, reason error) {
+	h.Handler.(transport.InputEnder).InputEnded(c, reason)
 }
 
-func (h countingHandler) Closed(c *transport.Conn, why error, unsent []uint64) {
-	h.Handler.Closed(c, why, unsent)
+func (h countingHandler) Closed(c *transport.Conn, reason error, unsent []uint64) {
+	h.Handler.Closed(c, reason, unsent)
 	h.closedClients.Add(1)
 }
 
@@ -399,7 +399,7 @@
 	correct := p.newClient()
 	correct.send(newClientMessage(kindProbe, 1).finish())
 	correct.expect(kindProbeReply, 1, codeCause)
-	place := map[byte]string{codePlacement: "home:0;copies:1;top:1"}
+	placement := map[byte]string{codePlacement: "home:0;copies:1;top:1"}
 	for name, raw := range map[string][]byte{
 		"noise":              []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"),
 		"a length of 0":      make([]byte, 64),
@@ -407,10 +407,10 @@
 		"a director's kind":  newClientMessage(kindAnswer, 9).finish(),
 		"an unknown class":   setupMessage(9, map[byte]string{codeClass: "none"}),
 		"a negative wait":    setupMessage(9, map[byte]string{codeWait: "-1"}),
-		"no id":              setupMessage(0, place),
+		"no id":              setupMessage(0, placement),
 		"an invalid cell":    setupMessage(9, map[byte]string{codePlacement: "home:99;copies:1;top:1"}),
 		"4 MB of zeros":      make([]byte, 4<<20),
-		"half a set-up":      setupMessage(9, place)[:40],
+		"half a set-up":      setupMessage(9, placement)[:40],
 		"silence":            nil,
 	} {
 		v := p.newClient()
@@ -424,11 +424,11 @@
 		}
 		v.c.Close()
 	}
-	correct.send(setupMessage(1, place))
+	correct.send(setupMessage(1, placement))
 	correct.expect(kindAnswer, 1, codeDescription)
 	intruder := p.newClient() // requests the same session id on another connection
 	for range 20 {
-		intruder.send(setupMessage(1, place))
+		intruder.send(setupMessage(1, placement))
 		intruder.expect(kindRelease, 1, codeCause)
 	}
 	p.nodes[0].send(teardownMessage(sessionID(1), causeEnded))
@@ -556,15 +556,15 @@
 	setupReceived.Add(1)
 	release := make(chan bool)
 	v := p.newClient()
-	place := map[byte]string{codePlacement: "home:0;copies:1;top:1"}
-	v.send(setupMessage(1, place))
+	placement := map[byte]string{codePlacement: "home:0;copies:1;top:1"}
+	v.send(setupMessage(1, placement))
 	v.expect(kindAnswer, 1, codeDescription)
 	p.nodes[0].setReply(func(s string) string { setupReceived.Done(); <-release; return acceptResponse(s) })
-	v.send(setupMessage(2, place))
+	v.send(setupMessage(2, placement))
 	setupReceived.Wait()
 	p.d.Stop()
 	late := p.newClient()
-	late.send(setupMessage(3, place))
+	late.send(setupMessage(3, placement))
 	if cause := late.expect(kindRelease, 3, codeCause); cause != string([]byte{causeNacked}) {
 		t.Fatalf("cause %q", cause)
 	}
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -153,11 +153,11 @@
 	drains chan struct{}
 }
 
-func (w drainObserver) Step(now time.Duration, event policy.Event) []policy.Action {
-	out := w.Decider.Step(now, event)
+func (o drainObserver) Step(now time.Duration, event policy.Event) []policy.Action {
+	out := o.Decider.Step(now, event)
 	if list, ok := event.(policy.ServerList); ok && slices.ContainsFunc(list.Entries, func(e policy.NodeEntry) bool { return e.State == policy.Draining }) {
 		select {
-		case w.drains <- struct{}{}:
+		case o.drains <- struct{}{}:
 		default:
 		}
 	}
@@ -177,14 +177,14 @@
 			<-drains                                                      // otherwise the second leg could go there at once
 			p.nodes[0].setReply(func(s string) string { return rtspResponse(s, 500, "") })
 			v, last := p.newClient(), p.newClient()
-			place := map[byte]string{codePlacement: "home:0;copies:2;top:1"}
-			v.send(setupMessage(2, place))
+			placement := map[byte]string{codePlacement: "home:0;copies:2;top:1"}
+			v.send(setupMessage(2, placement))
 			p.wait("no leg was sent", func() bool { return p.d.Counts().Legs == 1 })
 			v.roundTrip()
 			leave(v)
 			p.wait("the request was not abandoned", func() bool { return p.d.Counts().Abandoned == 1 })
 			conn.Write(nodeEvent(5, 1, 0, p.nodes[1].ln.Addr().String())) // the node is up again, so a leg could start there
-			last.send(setupMessage(3, place))
+			last.send(setupMessage(3, placement))
 			last.expect(kindAnswer, 3, codeDescription)
 			if n := p.nodes[1].countReceived("Session: " + sessionID(2)); n != 0 {
 				t.Fatalf("%d messages of session 2 were sent to the other node after its client had left", n)
