--- a/internal/platform/daemon_test.go
+++ b/internal/platform/daemon_test.go
@@ -157,6 +157,7 @@
 	return f.Protocol.Listen(countingHandler{h, h.(transport.AdmissionHandler), f.closedClients})
 }
 
+// A countingHandler passes events on to the daemon's handler and counts closed connections.
 type countingHandler struct {
 	transport.Handler
 	transport.AdmissionHandler
@@ -241,6 +242,7 @@
 	}
 }
 
+// An emulatedClient is a client connection of the platform.
 type emulatedClient struct {
 	t *testing.T
 	c net.Conn
@@ -364,6 +366,7 @@
 	}
 }
 
+// An answer for an unknown session or a second answer of a node must not keep sessions from being answered.
 func TestUnexpectedAndDuplicateNodeAnswers(t *testing.T) {
 	p := startFixture(t, 1, "")
 	p.nodes[0].setReply(func(s string) string {
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -106,6 +106,7 @@
 	ended       bool
 }
 
+// A modelRequest is the record of one request for a session.
 type modelRequest struct {
 	class                    policy.Tariff
 	name                     string
@@ -116,6 +117,7 @@
 	link                     uint64
 }
 
+// step passes an input to the loop and checks its outputs against the rules for set-ups, answers and deadlines.
 func (c *loopModel) step(in director.Input) {
 	outs := append([]director.Output(nil), c.loop.Step(c.now, in)...)
 	closed := false
@@ -193,6 +195,7 @@
 	c.step(director.ClientAccepted{Conn: c.conn})
 }
 
+// advance lets the clock run for a duration, and calls the loop whenever a timer is due.
 func (c *loopModel) advance(d time.Duration) {
 	for end := c.now + d; !c.ended; {
 		next := c.loop.Next()
