--- a/internal/director/node_restart_test.go
+++ b/internal/director/node_restart_test.go
@@ -8,72 +8,74 @@
 	"fordusher/policy"
 )
 
-// A node that told its age, and was then put elsewhere by a list that tells none, was taken for news from before:
-// the new address was dropped, and once the old connection broke it was sought at the old one for ever.
-func TestListWithoutAgesMovesANode(t *testing.T) {
-	s := newHarness(t, 1)
-	s.step(LinkReceived{Link: s.links["n0"], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 1, UptimeMS: 5000}})
+// A node's hello reports its age, and then a server list without ages gives the node a new address. This list was taken for
+// stale: the new address was dropped, and after the loss of the old connection the loop tried the old address for ever.
+func TestListWithoutAgesChangesAddress(t *testing.T) {
+	h := newHarness(t, 1)
+	h.step(LinkReceived{Link: h.links["n0"], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 1, UptimeMS: 5000}})
 	e := upEntry(0)
 	e.Incarnation, e.Address = 7, "b:n0"
-	s.clearOutputs()
-	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{e}}})
-	s.advance(time.Second)
-	for _, o := range s.outputs {
+	h.clearOutputs()
+	h.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{e}}})
+	h.advance(time.Second)
+	for _, o := range h.outputs {
 		if c, ok := o.(Connect); ok && c.Address == "b:n0" {
 			return
 		}
 	}
-	t.Fatal("the new address is not tried", s.outputs)
+	t.Fatal("the loop does not connect to the new address", h.outputs)
 }
 
-// News of the start before the last one is no reason to hang up, nor is a start never heard of at the same address.
+// A list without ages that names the previous incarnation, or an unknown one at the same address, is stale: it does not
+// close the node's link.
 func TestListWithoutAgesIsStale(t *testing.T) {
-	for _, start := range []uint64{1, 9} {
-		s := newHarness(t, 1)
-		s.step(LinkReceived{Link: s.links["n0"], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 2, UptimeMS: 500}})
+	for _, incarnation := range []uint64{1, 9} {
+		h := newHarness(t, 1)
+		h.step(LinkReceived{Link: h.links["n0"], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 2, UptimeMS: 500}})
 		e := upEntry(0)
-		e.Incarnation = start
-		s.clearOutputs()
-		s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{e}}})
-		for _, o := range s.outputs {
+		e.Incarnation = incarnation
+		h.clearOutputs()
+		h.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{e}}})
+		for _, o := range h.outputs {
 			if _, ok := o.(CloseLink); ok {
-				t.Fatal("hung up on a node that is there, for start", start)
+				t.Fatal("closed the link of a running node, for a list with incarnation", incarnation)
 			}
 		}
 	}
 }
 
-// An age too large for a span wrapped round into the future, and the node counted as cold for 290 years.
+// An age too large for a time.Duration overflowed into a start time in the future, and the node was in slow start for 290
+// years.
 func TestOversizedAgesAreIgnored(t *testing.T) {
-	const absurd = 9_000_000_000_000_000_000
-	s := newHarness(t, 1)
+	const oversizedMS = 9_000_000_000_000_000_000
+	h := newHarness(t, 1)
 	e := upEntry(0)
-	e.UptimeMS = absurd
-	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{e}}})
-	s.step(LinkReceived{Link: s.links["n0"], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 1, UptimeMS: absurd}})
-	if born := s.loop.nodes["n0"].startedAt; born != policy.UnknownStart {
-		t.Fatal("started at", born)
+	e.UptimeMS = oversizedMS
+	h.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Serial: 2, Nodes: []wire.NodeEntry{e}}})
+	h.step(LinkReceived{Link: h.links["n0"], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 1, UptimeMS: oversizedMS}})
+	if startedAt := h.loop.nodes["n0"].startedAt; startedAt != policy.UnknownStart {
+		t.Fatal("start time", startedAt)
 	}
 }
 
-// A node that was replaced under its name while a paid set-up was out: nothing that its successor says of that leg
-// proves that it never ran, and a set-up that waits for the successor is decided anew.
+// A node is replaced under its name while a paid setup is out on it. No reply of the new process about that leg proves that
+// the leg never ran.
 func TestRestartedNodeReplyIsNoProof(t *testing.T) {
-	s := newHarness(t, 1)
-	s.request("1", "exam")
-	g := s.onlySetup()
-	s.step(LinkLost{Link: g.Link})
-	s.onlyAnswer(wire.Errored)
-	s.advance(200 * ms)
-	s.step(LinkConnected{"n0", s.links["n0"]})
-	s.step(LinkReceived{Link: s.links["n0"], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 2, UptimeMS: 5}})
-	s.step(LinkReceived{Link: s.links["n0"], Message: wire.NodeMessage{Type: wire.Full, Leg: g.Setup}})
-	s.step(LinkReceived{Link: s.links["n0"], Message: wire.NodeMessage{Type: wire.Accepted, Leg: g.Setup}})
-	s.advance(5 * time.Second)
-	s.onlyAnswer(wire.Errored)
-	s.onlySetup()
-	if p := s.loop.counts.NeverRanByReason(); p["full"] != 0 {
-		t.Fatal("a proof out of a successor's word", p)
+	h := newHarness(t, 1)
+	h.request("1", "exam")
+	setup := h.onlySetup()
+	h.step(LinkLost{Link: setup.Link})
+	h.onlyAnswer(wire.Errored)
+	h.advance(200 * ms)
+	h.step(LinkConnected{"n0", h.links["n0"]})
+	h.step(LinkReceived{Link: h.links["n0"], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 2, UptimeMS: 5}})
+	h.step(LinkReceived{Link: h.links["n0"], Message: wire.NodeMessage{Type: wire.Full, Leg: setup.Setup}})
+	h.step(LinkReceived{Link: h.links["n0"], Message: wire.NodeMessage{Type: wire.Accepted, Leg: setup.Setup}})
+	h.advance(5 * time.Second)
+	h.onlyAnswer(wire.Errored)
+	h.onlySetup()
+	if p := h.loop.counts.NeverRanByReason(); p["full"] != 0 {
+		t.Fatal("the reply of the new process counts as a proof that the leg never ran", p)
 	}
-	s.requireNoState()
+	h.requireNoState()
 }
