--- a/internal/director/detached_test.go
+++ b/internal/director/detached_test.go
@@ -11,132 +11,134 @@
 	"fordusher/limits"
 )
 
-// newDetachedHarness is a stage where what plays belongs to no connection.
+// newDetachedHarness is a harness with Options.Detached: a playing session belongs to no connection.
 func newDetachedHarness(t testingT, nodes int) *harness {
-	s := newHarness(t, nodes)
-	s.loop.options.Detached, s.loop.options.NoHello, s.loop.options.Linger = true, true, 0
-	return s
+	h := newHarness(t, nodes)
+	h.loop.options.Detached, h.loop.options.NoHello, h.loop.options.Linger = true, true, 0
+	return h
 }
 
-// requestDetached is a request under its session's own name.
-func (s *harness) requestDetached(conn uint64, id, tariff string) {
-	s.t.Helper()
-	s.step(ClientReceived{Conn: conn, Message: wire.SessionMessage{Type: wire.Request, ID: id, Key: id, Tariff: tariff, Title: "t", WaitMS: 5000},
+// requestDetached sends a request whose id is the name of its session.
+func (h *harness) requestDetached(conn uint64, id, tariff string) {
+	h.t.Helper()
+	h.step(ClientReceived{Conn: conn, Message: wire.SessionMessage{Type: wire.Request, ID: id, Key: id, Tariff: tariff, Title: "t", WaitMS: 5000},
 		Details: &RequestDetails{Base: 0, Copies: 8, Description: []byte("as it came")}})
 }
 
-// detachedReply is what a node says of a session on a connection.
+// detachedReply is a node's message about a session, received on that link.
 func detachedReply(link uint64, session, kind string) LinkReceived {
 	return LinkReceived{Link: link, Message: wire.NodeMessage{Type: kind, Session: session}, Description: []byte("as the node has it")}
 }
 
-// playDetached sets a session up on the only node.
-func (s *harness) playDetached(id, tariff string) SendNode {
-	s.t.Helper()
-	s.clearOutputs()
-	s.requestDetached(1, id, tariff)
-	g := s.onlySetup()
-	s.step(detachedReply(g.Link, id, wire.Accepted))
-	s.onlyAnswer(wire.Playing)
-	s.clearOutputs()
-	return g
+// playDetached requests a session on client connection 1 and lets the only node accept it.
+func (h *harness) playDetached(id, tariff string) SendNode {
+	h.t.Helper()
+	h.clearOutputs()
+	h.requestDetached(1, id, tariff)
+	setup := h.onlySetup()
+	h.step(detachedReply(setup.Link, id, wire.Accepted))
+	h.onlyAnswer(wire.Playing)
+	h.clearOutputs()
+	return setup
 }
 
 func TestDescriptionsAreForwardedUnchanged(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	s.requestDetached(1, "a", "clip")
-	g := s.onlySetup()
-	if string(g.Description) != "as it came" || g.Message.Session != "a" {
-		t.Fatalf("%+v", g)
-	}
-	s.step(detachedReply(g.Link, "a", wire.Accepted))
-	for _, o := range s.lastOutputs {
+	h := newDetachedHarness(t, 1)
+	h.requestDetached(1, "a", "clip")
+	setup := h.onlySetup()
+	if string(setup.Description) != "as it came" || setup.Message.Session != "a" {
+		t.Fatalf("%+v", setup)
+	}
+	h.step(detachedReply(setup.Link, "a", wire.Accepted))
+	for _, o := range h.lastOutputs {
 		if m, ok := o.(SendClient); ok && string(m.Description) != "as the node has it" {
 			t.Fatalf("%+v", m)
 		}
 	}
-	s.onlyAnswer(wire.Playing)
+	h.onlyAnswer(wire.Playing)
 }
 
 func TestDetachedSessionOutlivesConnections(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	g := s.playDetached("a", "clip")
-	s.connectClient(2)
-	s.step(ClientLost{Conn: 1})
-	s.step(LinkLost{Link: g.Link})
-	if len(s.clientMessages(wire.SessionEnded)) != 0 || s.loop.playing != 1 {
-		t.Fatal("it ended with a connection")
-	}
-	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]})
-	s.step(detachedReply(s.links[nodeName(0)], "a", wire.Ended))
-	s.advance(anyClientDelay) // nothing has played on the only connection there is
-	if over := s.clientMessages(wire.SessionEnded); len(over) != 1 || over[0].ID != "a" || over[0].Reason != ReasonEnded {
-		t.Fatalf("%+v", over)
-	}
-	s.requireNoState()
+	h := newDetachedHarness(t, 1)
+	setup := h.playDetached("a", "clip")
+	h.connectClient(2)
+	h.step(ClientLost{Conn: 1})
+	h.step(LinkLost{Link: setup.Link})
+	if len(h.clientMessages(wire.SessionEnded)) != 0 || h.loop.playing != 1 {
+		t.Fatal("the session ended with a connection")
+	}
+	h.step(LinkConnected{nodeName(0), h.links[nodeName(0)]})
+	h.step(detachedReply(h.links[nodeName(0)], "a", wire.Ended))
+	h.advance(anyClientDelay) // no session of the only client connection has played
+	if ended := h.clientMessages(wire.SessionEnded); len(ended) != 1 || ended[0].ID != "a" || ended[0].Reason != ReasonEnded {
+		t.Fatalf("%+v", ended)
+	}
+	h.requireNoState()
 }
 
-// It guards the ending of a session that no viewer's connection is there for.
+// A session ends while no client is connected. The ending is sent on the next client connection, after anyClientDelay if no
+// session of that connection has played, and is dropped after undeliveredRetention.
 func TestUndeliveredEndingWaitsForConnection(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	g := s.playDetached("a", "clip")
-	s.step(ClientLost{Conn: 1})
-	s.step(detachedReply(g.Link, "a", wire.Ended))
-	if len(s.clientMessages(wire.SessionEnded)) != 0 {
-		t.Fatal("told to nobody")
-	}
-	s.connectClient(2)
-	if len(s.clientMessages(wire.SessionEnded)) != 0 {
-		t.Fatal("told at once to one who may only hold a connection")
-	}
-	s.advance(anyClientDelay - 1)
-	if len(s.clientMessages(wire.SessionEnded)) != 0 {
-		t.Fatal("told too soon to one who may only hold a connection")
-	}
-	s.advance(1)
-	if len(s.clientMessages(wire.SessionEnded)) != 1 {
-		t.Fatal("not told")
-	}
-	g = s.playDetachedOn(2, "b")
-	s.step(ClientLost{Conn: 2})
-	s.step(detachedReply(g.Link, "b", wire.Ended))
-	s.now += undeliveredRetention
-	s.connectClient(3)
-	if len(s.clientMessages(wire.SessionEnded)) != 0 || len(s.loop.undelivered) != 0 {
-		t.Fatal("kept for too long")
+	h := newDetachedHarness(t, 1)
+	setup := h.playDetached("a", "clip")
+	h.step(ClientLost{Conn: 1})
+	h.step(detachedReply(setup.Link, "a", wire.Ended))
+	if len(h.clientMessages(wire.SessionEnded)) != 0 {
+		t.Fatal("sent without a client connection")
+	}
+	h.connectClient(2)
+	if len(h.clientMessages(wire.SessionEnded)) != 0 {
+		t.Fatal("sent at once on an unproven connection")
+	}
+	h.advance(anyClientDelay - 1)
+	if len(h.clientMessages(wire.SessionEnded)) != 0 {
+		t.Fatal("sent on an unproven connection before anyClientDelay")
+	}
+	h.advance(1)
+	if len(h.clientMessages(wire.SessionEnded)) != 1 {
+		t.Fatal("ending not sent after anyClientDelay")
+	}
+	setup = h.playDetachedOn(2, "b")
+	h.step(ClientLost{Conn: 2})
+	h.step(detachedReply(setup.Link, "b", wire.Ended))
+	h.now += undeliveredRetention
+	h.connectClient(3)
+	if len(h.clientMessages(wire.SessionEnded)) != 0 || len(h.loop.undelivered) != 0 {
+		t.Fatal("ending kept longer than undeliveredRetention")
 	}
 }
 
-// It guards endings among hundreds who hold a connection and nothing else: one on which something has played is told.
+// Many clients only hold a connection and may not pass an ending on. It is sent on a connection of which a session has
+// played.
 func TestEndingPrefersProvenConnection(t *testing.T) {
-	s := newDetachedHarness(t, 1)
+	h := newDetachedHarness(t, 1)
 	for conn := uint64(2); conn < 20; conn++ {
-		s.connectClient(conn)
-	}
-	g := s.playDetached("a", "clip")
-	s.playDetachedOn(15, "b")
-	s.playDetachedOn(16, "c")
-	s.step(ClientLost{Conn: 1})
-	s.step(ClientLost{Conn: 16})
-	s.step(detachedReply(g.Link, "a", wire.Ended))
-	if at := s.endingConns(); len(at) != 1 || at[0] != 15 {
-		t.Fatalf("told on %v", at)
-	}
-	// Nobody is left on whose connection anything has played, until there is one.
-	s.step(ClientLost{Conn: 15})
-	s.step(detachedReply(g.Link, "b", wire.Ended))
-	s.requestDetached(17, "d", "clip")
-	d := s.onlySetup()
-	s.clearOutputs()
-	s.step(detachedReply(d.Link, "d", wire.Accepted))
-	if at := s.endingConns(); len(at) != 1 || at[0] != 17 {
-		t.Fatalf("told on %v", at)
+		h.connectClient(conn)
+	}
+	setup := h.playDetached("a", "clip")
+	h.playDetachedOn(15, "b")
+	h.playDetachedOn(16, "c")
+	h.step(ClientLost{Conn: 1})
+	h.step(ClientLost{Conn: 16})
+	h.step(detachedReply(setup.Link, "a", wire.Ended))
+	if conns := h.endingConns(); len(conns) != 1 || conns[0] != 15 {
+		t.Fatalf("ending sent on %v", conns)
+	}
+	// No proven connection is left; the ending waits until a session of another connection plays.
+	h.step(ClientLost{Conn: 15})
+	h.step(detachedReply(setup.Link, "b", wire.Ended))
+	h.requestDetached(17, "d", "clip")
+	d := h.onlySetup()
+	h.clearOutputs()
+	h.step(detachedReply(d.Link, "d", wire.Accepted))
+	if conns := h.endingConns(); len(conns) != 1 || conns[0] != 17 {
+		t.Fatalf("ending sent on %v", conns)
 	}
 }
 
-// endingConns is the connections on which an ending was told.
-func (s *harness) endingConns() (conns []uint64) {
-	for _, o := range s.lastOutputs {
+// endingConns returns the client connections on which the last step sent an ending.
+func (h *harness) endingConns() (conns []uint64) {
+	for _, o := range h.lastOutputs {
 		if m, ok := o.(SendClient); ok && m.Message.Type == wire.SessionEnded {
 			conns = append(conns, m.Conn)
 		}
@@ -144,502 +146,516 @@
 	return conns
 }
 
-// It guards the connection that a session came on, on which its ending is awaited, when room gets short.
+// When capacity runs short, the connection that a playing session was requested on is not evicted: its client awaits the
+// ending there.
 func TestConnectionWithPlayingSessionIsNotEvicted(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	s.loop.limits = limits.New(1, limits.Capacity{MaxConnections: 10, MaxHandshakes: 10, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
+	h := newDetachedHarness(t, 1)
+	h.loop.limits = limits.New(1, limits.Capacity{MaxConnections: 10, MaxHandshakes: 10, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
 		HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
-	s.step(ClientLost{Conn: 1})
-	s.connectClient(1)
-	g := s.playDetached("a", "clip")
-	s.advance(5 * time.Second)
-	let := map[uint64]bool{}
-	s.clearOutputs()
+	h.step(ClientLost{Conn: 1})
+	h.connectClient(1)
+	setup := h.playDetached("a", "clip")
+	h.advance(5 * time.Second)
+	evicted := map[uint64]bool{}
+	h.clearOutputs()
 	for conn := uint64(2); conn < 12; conn++ {
-		s.connectClient(conn)
-		s.advance(2 * time.Second)
+		h.connectClient(conn)
+		h.advance(2 * time.Second)
 	}
-	for _, o := range s.outputs {
+	for _, o := range h.outputs {
 		if m, ok := o.(CloseClient); ok {
-			let[m.Conn] = true
+			evicted[m.Conn] = true
 		}
 	}
-	if let[1] || !let[2] {
-		t.Fatalf("let go: %v", let)
+	if evicted[1] || !evicted[2] {
+		t.Fatalf("evicted: %v", evicted)
 	}
-	s.clearOutputs()
-	s.step(detachedReply(g.Link, "a", wire.Ended))
-	if at := s.endingConns(); len(at) != 1 || at[0] != 1 {
-		t.Fatalf("told on %v", at)
+	h.clearOutputs()
+	h.step(detachedReply(setup.Link, "a", wire.Ended))
+	if conns := h.endingConns(); len(conns) != 1 || conns[0] != 1 {
+		t.Fatalf("ending sent on %v", conns)
 	}
-	if _, busy, _ := s.loop.ConnectionUsage(); busy != 0 {
-		t.Fatalf("%d are busy", busy)
+	if _, busy, _ := h.loop.ConnectionUsage(); busy != 0 {
+		t.Fatalf("%d connections are busy", busy)
 	}
 }
 
-func (s *harness) playDetachedOn(conn uint64, id string) SendNode {
-	s.t.Helper()
-	s.clearOutputs()
-	s.requestDetached(conn, id, "clip")
-	g := s.onlySetup()
-	s.step(detachedReply(g.Link, id, wire.Accepted))
-	s.clearOutputs()
-	return g
+// playDetachedOn requests a session with the tariff clip on a client connection and lets its node accept it.
+func (h *harness) playDetachedOn(conn uint64, id string) SendNode {
+	h.t.Helper()
+	h.clearOutputs()
+	h.requestDetached(conn, id, "clip")
+	setup := h.onlySetup()
+	h.step(detachedReply(setup.Link, id, wire.Accepted))
+	h.clearOutputs()
+	return setup
 }
 
+// A node that refuses connections has ended its sessions.
 func TestRefusedNodeConnectionEndsSessions(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	g := s.playDetached("a", "clip")
-	s.step(LinkLost{Link: g.Link})
-	s.step(LinkFailed{Node: nodeName(0), Link: s.links[nodeName(0)], Refused: true})
-	if over := s.clientMessages(wire.SessionEnded); len(over) != 1 {
-		t.Fatalf("%+v", over)
-	}
-	s.requireNoState()
+	h := newDetachedHarness(t, 1)
+	setup := h.playDetached("a", "clip")
+	h.step(LinkLost{Link: setup.Link})
+	h.step(LinkFailed{Node: nodeName(0), Link: h.links[nodeName(0)], Refused: true})
+	if ended := h.clientMessages(wire.SessionEnded); len(ended) != 1 {
+		t.Fatalf("%+v", ended)
+	}
+	h.requireNoState()
 }
 
-// One try that fails proves nothing: it may be lost on the way.
+// One failed connect attempt does not prove that the node is gone, since packets may be lost. Several in a row end its
+// sessions.
 func TestRepeatedConnectFailuresEndSessions(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	g := s.playDetached("a", "clip")
-	s.step(LinkLost{Link: g.Link})
+	h := newDetachedHarness(t, 1)
+	setup := h.playDetached("a", "clip")
+	h.step(LinkLost{Link: setup.Link})
 	for i := range 3 {
-		if len(s.clientMessages(wire.SessionEnded)) != 0 {
-			t.Fatalf("ended after %d tries", i)
+		if len(h.clientMessages(wire.SessionEnded)) != 0 {
+			t.Fatalf("ended after %d connect attempts", i)
 		}
-		s.advance(2 * time.Second)
-		s.step(LinkFailed{Node: nodeName(0), Link: s.links[nodeName(0)]})
+		h.advance(2 * time.Second)
+		h.step(LinkFailed{Node: nodeName(0), Link: h.links[nodeName(0)]})
 	}
-	if len(s.clientMessages(wire.SessionEnded)) != 1 {
-		t.Fatal("it is held to play for ever")
+	if len(h.clientMessages(wire.SessionEnded)) != 1 {
+		t.Fatal("the session is never ended")
 	}
-	s.requireNoState()
+	h.requireNoState()
 }
 
-// It guards sessions on a machine that vanishes: its connections stay open and say nothing.
+// A machine disappears while its connections stay open and silent. A setup without an answer in time makes the link suspect:
+// it is probed by a second connection, and closed when that fails.
 func TestUnansweredSetupProbesLink(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	g := s.playDetached("a", "clip")
-	s.requestDetached(1, "b", "clip")
-	s.advance(500 * ms) // past the time of a leg
-	if s.links[nodeName(0)] == g.Link {
-		t.Fatal("it was not checked")
-	}
-	s.clearOutputs()
-	s.requestDetached(1, "c", "clip")
-	if len(s.setups()) != 0 {
-		t.Fatal("a set-up was sent on a connection in doubt")
-	}
-	s.step(LinkFailed{Node: nodeName(0), Link: s.links[nodeName(0)]})
-	hung := false
-	for _, o := range s.outputs {
-		if h, ok := o.(CloseLink); ok && h.Link == g.Link {
-			hung = true
+	h := newDetachedHarness(t, 1)
+	setup := h.playDetached("a", "clip")
+	h.requestDetached(1, "b", "clip")
+	h.advance(500 * ms) // past the leg's deadline
+	if h.links[nodeName(0)] == setup.Link {
+		t.Fatal("the link was not probed")
+	}
+	h.clearOutputs()
+	h.requestDetached(1, "c", "clip")
+	if len(h.setups()) != 0 {
+		t.Fatal("a setup was sent on a suspect link")
+	}
+	h.step(LinkFailed{Node: nodeName(0), Link: h.links[nodeName(0)]})
+	closed := false
+	for _, o := range h.outputs {
+		if c, ok := o.(CloseLink); ok && c.Link == setup.Link {
+			closed = true
 		}
 	}
-	if !hung {
-		t.Fatal("the connection in doubt was kept")
+	if !closed {
+		t.Fatal("the suspect link was not closed")
 	}
 }
 
+// A probe that connects replaces the suspect link. The old link stays until the setups sent on it have their answers, which
+// count on that link only.
 func TestProbeLinkReplacesSuspectLink(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	g := s.playDetached("a", "clip")
-	s.requestDetached(1, "b", "exam") // paid: it waits
-	s.requestDetached(1, "c", "clip")
-	s.advance(500 * ms)
-	check := s.links[nodeName(0)]
-	s.step(LinkConnected{nodeName(0), check})
-	s.clearOutputs()
-	s.step(detachedReply(check, "b", wire.Accepted)) // not on the connection that it was sent on
-	if len(s.answers()) != 0 {
-		t.Fatal("an answer on another connection was taken")
-	}
-	s.step(detachedReply(g.Link, "b", wire.Accepted))
-	s.onlyAnswer(wire.Playing)
-	hung := false
-	for _, o := range s.outputs {
-		if h, ok := o.(CloseLink); ok && h.Link == g.Link {
-			hung = true
+	h := newDetachedHarness(t, 1)
+	setup := h.playDetached("a", "clip")
+	h.requestDetached(1, "b", "exam") // paid: it waits for its answer
+	h.requestDetached(1, "c", "clip")
+	h.advance(500 * ms)
+	probe := h.links[nodeName(0)]
+	h.step(LinkConnected{nodeName(0), probe})
+	h.clearOutputs()
+	h.step(detachedReply(probe, "b", wire.Accepted)) // not on the link that its setup was sent on
+	if len(h.answers()) != 0 {
+		t.Fatal("an answer on another link was taken")
+	}
+	h.step(detachedReply(setup.Link, "b", wire.Accepted))
+	h.onlyAnswer(wire.Playing)
+	closed := false
+	for _, o := range h.outputs {
+		if c, ok := o.(CloseLink); ok && c.Link == setup.Link {
+			closed = true
 		}
 	}
-	if !hung {
-		t.Fatal("the old connection is kept though nothing waits on it")
+	if !closed {
+		t.Fatal("the old link is kept though no setup waits on it")
 	}
-	s.step(detachedReply(check, "a", wire.Ended))
-	if len(s.clientMessages(wire.SessionEnded)) != 1 {
-		t.Fatal("an ending on the new connection was not taken")
+	h.step(detachedReply(probe, "a", wire.Ended))
+	if len(h.clientMessages(wire.SessionEnded)) != 1 {
+		t.Fatal("an ending on the new link was not taken")
 	}
 }
 
+// A request or cancellation with the id of another connection's session must not affect that session. The same client's
+// duplicate is ignored.
 func TestDuplicateSessionIDIsRefused(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	s.connectClient(2)
-	s.clearOutputs()
-	s.requestDetached(1, "a", "clip")
-	g := s.onlySetup()
-	s.requestDetached(1, "a", "exam")
-	s.requestDetached(2, "a", "clip")
-	s.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
-	if len(s.setups()) != 1 || len(s.endedLegs()) != 0 {
-		t.Fatal("the first request noticed")
-	}
-	if told := s.answers(); len(told) != 1 || told[0].Type != wire.Errored {
-		t.Fatalf("%+v", told)
-	}
-	s.clearOutputs()
-	s.step(detachedReply(g.Link, "a", wire.Accepted))
-	s.step(detachedReply(g.Link, "a", wire.Accepted))
-	s.onlyAnswer(wire.Playing)
+	h := newDetachedHarness(t, 1)
+	h.connectClient(2)
+	h.clearOutputs()
+	h.requestDetached(1, "a", "clip")
+	setup := h.onlySetup()
+	h.requestDetached(1, "a", "exam")
+	h.requestDetached(2, "a", "clip")
+	h.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
+	if len(h.setups()) != 1 || len(h.endedLegs()) != 0 {
+		t.Fatal("the first request was affected")
+	}
+	if answers := h.answers(); len(answers) != 1 || answers[0].Type != wire.Errored {
+		t.Fatalf("%+v", answers)
+	}
+	h.clearOutputs()
+	h.step(detachedReply(setup.Link, "a", wire.Accepted))
+	h.step(detachedReply(setup.Link, "a", wire.Accepted))
+	h.onlyAnswer(wire.Playing)
 }
 
+// A client reports a session that already plays on a node. It is adopted without an answer; one on an unknown node is ended.
 func TestPlayingSessionsAreAdopted(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	hand := func(id, node string) {
-		s.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Request, ID: id, Key: id, Tariff: "exam", Title: "t"},
+	h := newDetachedHarness(t, 1)
+	adopt := func(id, node string) {
+		h.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Request, ID: id, Key: id, Tariff: "exam", Title: "t"},
 			Details: &RequestDetails{Copies: 8, PlayingOn: node}})
 	}
-	hand("a", nodeName(0))
-	hand("a", nodeName(0)) // told again
-	if s.loop.playing != 1 || len(s.answers()) != 0 {
-		t.Fatal("not held, or answered")
+	adopt("a", nodeName(0))
+	adopt("a", nodeName(0)) // reported again
+	if h.loop.playing != 1 || len(h.answers()) != 0 {
+		t.Fatal("not adopted once, or answered")
 	}
-	hand("b", "nobody")
-	if over := s.clientMessages(wire.SessionEnded); len(over) != 1 || over[0].ID != "b" {
-		t.Fatalf("%+v", over)
+	adopt("b", "nobody")
+	if ended := h.clientMessages(wire.SessionEnded); len(ended) != 1 || ended[0].ID != "b" {
+		t.Fatalf("%+v", ended)
 	}
-	s.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
-	if len(s.endedLegs()) != 1 {
-		t.Fatal("its node was not told")
+	h.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
+	if len(h.endedLegs()) != 1 {
+		t.Fatal("the node was not told to end the session")
 	}
-	s.requireNoState()
+	h.requireNoState()
 }
 
+// A node that the server list shows as restarted has lost its sessions.
 func TestNodeRestartEndsSessions(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	g := s.playDetached("a", "clip")
-	s.now += time.Second
+	h := newDetachedHarness(t, 1)
+	setup := h.playDetached("a", "clip")
+	h.now += time.Second
 	e := upEntry(0)
 	e.Incarnation, e.UptimeMS = 99, 100
-	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{e}}})
-	if len(s.clientMessages(wire.SessionEnded)) != 1 || s.links[nodeName(0)] == g.Link {
-		t.Fatal("it is held to play, or its connection is kept")
+	h.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{e}}})
+	if len(h.clientMessages(wire.SessionEnded)) != 1 || h.links[nodeName(0)] == setup.Link {
+		t.Fatal("the session was not ended, or the old link is kept")
 	}
-	s.requireNoState()
+	h.requireNoState()
 }
 
-// It guards sessions on a node that the list takes off while there is no connection to it: they were held to play for
-// ever, and their viewers never told (199 on one long day).
+// The server list removes a node while there is no connection to it. Its sessions counted as playing for ever and their
+// clients were never notified (199 on one long day).
 func TestUnlistedUnconnectedNodeEndsSessions(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	g := s.playDetached("a", "clip")
-	s.step(LinkLost{Link: g.Link})
-	gone := upEntry(0)
-	gone.State = wire.Removed
-	s.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{gone}}})
-	if len(s.clientMessages(wire.SessionEnded)) != 1 {
-		t.Fatal("it is held to play")
-	}
-	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]}) // somebody else, at its address
-	s.requireNoState()
-	if len(s.loop.nodes) != 0 || len(s.loop.links) != 0 {
-		t.Fatal("a node that is gone is kept")
+	h := newDetachedHarness(t, 1)
+	setup := h.playDetached("a", "clip")
+	h.step(LinkLost{Link: setup.Link})
+	removed := upEntry(0)
+	removed.State = wire.Removed
+	h.step(DiscoveryReceived{wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{removed}}})
+	if len(h.clientMessages(wire.SessionEnded)) != 1 {
+		t.Fatal("the session was not ended")
+	}
+	h.step(LinkConnected{nodeName(0), h.links[nodeName(0)]}) // another process, at the node's old address
+	h.requireNoState()
+	if len(h.loop.nodes) != 0 || len(h.loop.links) != 0 {
+		t.Fatal("state of the removed node is left")
 	}
 }
 
-// What is to be told to a node without a connection goes by the next one.
+// A session is cancelled while its node has no connection. The end message is sent on the next one.
 func TestNodeMessagesWaitForConnection(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	g := s.playDetached("a", "clip")
-	s.step(LinkLost{Link: g.Link})
-	s.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
-	if len(s.endedLegs()) != 0 {
-		t.Fatal("told on no connection")
-	}
-	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]})
-	if len(s.endedLegs()) != 1 {
-		t.Fatal("never told")
-	}
-	s.requireNoState()
+	h := newDetachedHarness(t, 1)
+	setup := h.playDetached("a", "clip")
+	h.step(LinkLost{Link: setup.Link})
+	h.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
+	if len(h.endedLegs()) != 0 {
+		t.Fatal("end message sent without a connection")
+	}
+	h.step(LinkConnected{nodeName(0), h.links[nodeName(0)]})
+	if len(h.endedLegs()) != 1 {
+		t.Fatal("end message not sent on the new connection")
+	}
+	h.requireNoState()
 }
 
-// Whatever happens in whatever order: one answer each, one leg out at a time, a paid set-up never sent again unless
-// all before provably never ran, an ending told once and only after an answer, and nothing left on the books.
+// For random inputs in random order: each request gets at most one answer; a session has at most one leg out; a paid session
+// is set up again only if all its legs so far provably never ran; an ending is sent at most once, and only for a session
+// that played; at the end the loop holds only sessions that play.
 func TestDetachedRulesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newDetachedHarness(t, 3)
-		s.connectClient(2)
-		s.clearOutputs()
-		type want struct {
-			tariff  string
-			conn    uint64
-			answers int
-			over    int
-			out     int // legs out
-			mayHave bool
-			plays   bool
+		h := newDetachedHarness(t, 3)
+		h.connectClient(2)
+		h.clearOutputs()
+		type requestState struct {
+			tariff     string
+			conn       uint64
+			answers    int
+			endings    int
+			legsOut    int
+			mayHaveRun bool
+			played     bool
 		}
-		wants := map[string]*want{}
+		states := map[string]*requestState{}
 		var ids []string
 		sent := map[string]SendNode{}
-		look := func() {
-			for _, o := range s.lastOutputs {
+		checkOutputs := func() {
+			for _, o := range h.lastOutputs {
 				switch o := o.(type) {
 				case SendNode:
-					w := wants[o.Message.Session]
+					state := states[o.Message.Session]
 					switch o.Message.Type {
 					case wire.Setup:
-						if w.out++; w.out > 1 {
-							t.Fatalf("two legs of %s: %+v then %+v, %+v", o.Message.Session, sent[o.Message.Session], o, w)
+						if state.legsOut++; state.legsOut > 1 {
+							t.Fatalf("two legs of %s: %+v, then %+v; %+v", o.Message.Session, sent[o.Message.Session], o, state)
 						}
-						if w.mayHave && w.tariff == "exam" {
-							t.Fatalf("paid %s sent again", o.Message.Session)
+						if state.mayHaveRun && state.tariff == "exam" {
+							t.Fatalf("paid %s was set up again", o.Message.Session)
 						}
 						sent[o.Message.Session] = o
 					case wire.End:
-						if w.out > 0 {
-							w.out, w.mayHave = 0, true
+						if state.legsOut > 0 {
+							state.legsOut, state.mayHaveRun = 0, true
 						}
 					}
 				case SendClient:
-					w := wants[o.Message.ID]
+					state := states[o.Message.ID]
 					switch o.Message.Type {
 					case wire.Playing:
-						w.answers++
-						w.plays = true
+						state.answers++
+						state.played = true
 					case wire.Nack:
-						if w.mayHave && w.tariff == "exam" {
-							t.Fatalf("paid %s nacked though it may have run", o.Message.ID)
+						if state.mayHaveRun && state.tariff == "exam" {
+							t.Fatalf("paid %s was nacked though it may have run", o.Message.ID)
 						}
-						w.answers++
+						state.answers++
 					case wire.Errored:
-						w.answers++
+						state.answers++
 					case wire.SessionEnded:
-						if w.over++; w.over > 1 || !w.plays {
-							t.Fatalf("%s: told over %d times, plays %v", o.Message.ID, w.over, w.plays)
+						if state.endings++; state.endings > 1 || !state.played {
+							t.Fatalf("%s: %d endings, played %v", o.Message.ID, state.endings, state.played)
 						}
 					}
-					if w.answers > 1 {
-						t.Fatalf("%s: %d answers", o.Message.ID, w.answers)
+					if state.answers > 1 {
+						t.Fatalf("%s: %d answers", o.Message.ID, state.answers)
 					}
 				}
 			}
 		}
-		do := func(in Input) {
-			s.step(in)
-			look()
+		step := func(in Input) {
+			h.step(in)
+			checkOutputs()
 		}
-		conns := uint64(2)
-		open := map[uint64]bool{1: true, 2: true}
+		lastConn := uint64(2)
+		openConns := map[uint64]bool{1: true, 2: true}
 		for range rapid.IntRange(5, 80).Draw(t, "steps") {
 			id := ""
 			if len(ids) > 0 {
 				id = rapid.SampledFrom(ids).Draw(t, "id")
 			}
-			g, w := sent[id], wants[id]
+			setup, state := sent[id], states[id]
 			node := nodeName(rapid.IntRange(0, 2).Draw(t, "node"))
-			switch k := rapid.IntRange(0, 12).Draw(t, "what"); {
-			case k <= 2:
+			switch action := rapid.IntRange(0, 12).Draw(t, "action"); {
+			case action <= 2:
 				id = fmt.Sprint("s", len(ids))
-				conn := rapid.SampledFrom([]uint64{1, 2, conns}).Draw(t, "conn")
-				if !open[conn] {
+				conn := rapid.SampledFrom([]uint64{1, 2, lastConn}).Draw(t, "conn")
+				if !openConns[conn] {
 					continue
 				}
 				ids = append(ids, id)
-				wants[id] = &want{tariff: rapid.SampledFrom([]string{"clip", "exam"}).Draw(t, "tariff"), conn: conn}
-				s.requestDetached(conn, id, wants[id].tariff)
-				look()
-			case k <= 4 && w != nil && g.Link != 0:
-				do(detachedReply(g.Link, id, wire.Accepted))
-				if w.out > 0 {
-					w.mayHave = true
+				states[id] = &requestState{tariff: rapid.SampledFrom([]string{"clip", "exam"}).Draw(t, "tariff"), conn: conn}
+				h.requestDetached(conn, id, states[id].tariff)
+				checkOutputs()
+			case action <= 4 && state != nil && setup.Link != 0:
+				step(detachedReply(setup.Link, id, wire.Accepted))
+				if state.legsOut > 0 {
+					state.mayHaveRun = true
 				}
-			case k == 5 && w != nil && w.out == 1 && !w.plays:
-				w.out = 0
-				do(detachedReply(g.Link, id, wire.Full))
-			case k == 6 && w != nil && w.out == 1 && !w.plays:
-				w.out, w.mayHave = 0, true
-				do(detachedReply(g.Link, id, wire.Failed))
-			case k == 7 && w != nil && w.plays:
-				do(detachedReply(s.links[node], id, wire.Ended))
-			case k == 8:
-				link := s.links[node]
-				for id, g := range sent {
-					if w := wants[id]; g.Link == link && w.out == 1 && !w.plays {
-						w.out, w.mayHave = 0, true
+			case action == 5 && state != nil && state.legsOut == 1 && !state.played:
+				state.legsOut = 0
+				step(detachedReply(setup.Link, id, wire.Full))
+			case action == 6 && state != nil && state.legsOut == 1 && !state.played:
+				state.legsOut, state.mayHaveRun = 0, true
+				step(detachedReply(setup.Link, id, wire.Failed))
+			case action == 7 && state != nil && state.played:
+				step(detachedReply(h.links[node], id, wire.Ended))
+			case action == 8:
+				link := h.links[node]
+				for id, setup := range sent {
+					if state := states[id]; setup.Link == link && state.legsOut == 1 && !state.played {
+						state.legsOut, state.mayHaveRun = 0, true
 					}
 				}
-				if s.loop.links[link] != nil && s.loop.links[link].connected && s.loop.links[link].link == link {
-					do(LinkLost{Link: link})
+				if h.loop.links[link] != nil && h.loop.links[link].connected && h.loop.links[link].link == link {
+					step(LinkLost{Link: link})
 				}
-			case k == 9:
-				if n := s.loop.links[s.links[node]]; n != nil && n.connecting {
-					if rapid.Bool().Draw(t, "made") {
-						do(LinkConnected{node, s.links[node]})
+			case action == 9:
+				if n := h.loop.links[h.links[node]]; n != nil && n.connecting {
+					if rapid.Bool().Draw(t, "connected") {
+						step(LinkConnected{node, h.links[node]})
 					} else {
 						link := n.link
-						for id, g := range sent {
-							if w := wants[id]; g.Link == link && w.out == 1 && !w.plays {
-								w.out, w.mayHave = 0, true
+						for id, setup := range sent {
+							if state := states[id]; setup.Link == link && state.legsOut == 1 && !state.played {
+								state.legsOut, state.mayHaveRun = 0, true
 							}
 						}
-						do(LinkFailed{Node: node, Link: s.links[node], Refused: rapid.Bool().Draw(t, "refused")})
+						step(LinkFailed{Node: node, Link: h.links[node], Refused: rapid.Bool().Draw(t, "refused")})
 					}
 				}
-			case k == 10:
-				conn := rapid.SampledFrom([]uint64{1, 2, conns}).Draw(t, "closed")
-				if open[conn] {
-					delete(open, conn)
-					do(ClientLost{Conn: conn})
-					conns++
-					open[conns] = true
-					do(ClientConnecting{Conn: conns})
-					do(ClientAccepted{conns})
+			case action == 10:
+				conn := rapid.SampledFrom([]uint64{1, 2, lastConn}).Draw(t, "closed")
+				if openConns[conn] {
+					delete(openConns, conn)
+					step(ClientLost{Conn: conn})
+					lastConn++
+					openConns[lastConn] = true
+					step(ClientConnecting{Conn: lastConn})
+					step(ClientAccepted{lastConn})
 				}
-			case k == 11 && w != nil && open[w.conn]:
-				do(ClientReceived{Conn: w.conn, Message: wire.SessionMessage{Type: wire.Cancel, ID: id}})
+			case action == 11 && state != nil && openConns[state.conn]:
+				step(ClientReceived{Conn: state.conn, Message: wire.SessionMessage{Type: wire.Cancel, ID: id}})
 			default:
-				end := s.now + time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms"))*ms
-				for next := s.loop.Next(); next <= end; next = s.loop.Next() {
-					s.now = max(s.now, next)
-					do(Tick{})
+				end := h.now + time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms"))*ms
+				for next := h.loop.Next(); next <= end; next = h.loop.Next() {
+					h.now = max(h.now, next)
+					step(Tick{})
 				}
-				s.now = end
+				h.now = end
 			}
 		}
-		for _, id := range ids { // what plays ends, what does not runs out of time
-			if !wants[id].plays {
+		for _, id := range ids { // playing sessions end; the others reach their deadline
+			if !states[id].played {
 				continue
 			}
-			do(detachedReply(s.links[nodeName(0)], id, wire.Ended))
-			do(detachedReply(s.links[nodeName(1)], id, wire.Ended))
-			do(detachedReply(s.links[nodeName(2)], id, wire.Ended))
+			step(detachedReply(h.links[nodeName(0)], id, wire.Ended))
+			step(detachedReply(h.links[nodeName(1)], id, wire.Ended))
+			step(detachedReply(h.links[nodeName(2)], id, wire.Ended))
 		}
 		for range 100 {
-			s.now += 50 * ms
-			do(Tick{})
+			h.now += 50 * ms
+			step(Tick{})
 		}
-		l := s.loop
+		l := h.loop
 		if l.owed != 0 || l.counts.IllegalTransitions != 0 || len(l.sessions) != l.playing || len(l.sessionsByKey) != l.playing || len(l.legs) != l.playing {
-			t.Fatalf("left: %d owed, %d odd, %d sessions, %d keys, %d legs, %d play", l.owed, l.counts.IllegalTransitions, len(l.sessions),
+			t.Fatalf("state left: %d answers owed, %d illegal transitions, %d sessions, %d keys, %d legs, %d playing", l.owed, l.counts.IllegalTransitions, len(l.sessions),
 				len(l.sessionsByKey), len(l.legs), l.playing)
 		}
 		for conn, c := range l.conns {
 			if len(c.requests) != 0 || c.activeRequests != 0 {
-				t.Fatalf("connection %d keeps %d requests, %d live", conn, len(c.requests), c.activeRequests)
+				t.Fatalf("connection %d keeps %d requests, %d active", conn, len(c.requests), c.activeRequests)
 			}
 		}
 	})
 }
 
-// It guards the ending of a session on a connection for which there is no room, or that has ended by then.
-func TestAnEndingNeedsNoConnection(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	s.playDetached("a", "clip")
-	s.requestDetached(1, "b", "clip")
-	stranger := ClientReceived{Conn: 77, Message: wire.SessionMessage{Type: wire.Cancel, ID: "b"}}
-	s.step(stranger)
-	if s.loop.owed != 1 {
-		t.Fatal("a stranger ended what another one waits for")
-	}
-	stranger.Message.ID = "a"
-	s.step(stranger)
-	if s.loop.playing != 0 {
-		t.Fatal("it plays on for nobody")
+// A cancellation may come on a connection that was rejected or has closed. It ends a playing session all the same, but not a
+// request that another connection awaits.
+func TestCancelOnUnknownConnectionEndsSession(t *testing.T) {
+	h := newDetachedHarness(t, 1)
+	h.playDetached("a", "clip")
+	h.requestDetached(1, "b", "clip")
+	cancel := ClientReceived{Conn: 77, Message: wire.SessionMessage{Type: wire.Cancel, ID: "b"}}
+	h.step(cancel)
+	if h.loop.owed != 1 {
+		t.Fatal("a cancellation on another connection ended a waiting request")
+	}
+	cancel.Message.ID = "a"
+	h.step(cancel)
+	if h.loop.playing != 0 {
+		t.Fatal("the session was not ended")
 	}
 }
 
-// It guards requests of newcomers against a close without an answer: beyond a few in a thousand those are lost.
+// The requests on a rejected connection are nacked before it is closed. Requests closed without an answer are lost beyond a few
+// in a thousand.
 func TestRejectedConnectionGetsRefusal(t *testing.T) {
-	s := newDetachedHarness(t, 1)
-	s.loop.limits = limits.New(1, limits.Capacity{MaxConnections: 1, MaxHandshakes: 1, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
+	h := newDetachedHarness(t, 1)
+	h.loop.limits = limits.New(1, limits.Capacity{MaxConnections: 1, MaxHandshakes: 1, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
 		HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
-	s.step(ClientLost{Conn: 1})
-	s.connectClient(1)
-	s.playDetached("a", "clip") // there is room for one
-	s.step(ClientConnecting{Conn: 2})
-	s.requestDetached(2, "b", "clip")
-	s.requestDetached(2, "c", "exam")
-	if got := s.clientMessages(wire.Nack); len(got) != 2 || got[0].ID != "b" || got[1].ID != "c" || len(s.setups()) != 0 {
-		t.Fatalf("%+v, %d set-ups", got, len(s.setups()))
-	}
-	s.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}}) // an ending needs no room
-	if s.loop.playing != 0 {
-		t.Fatal("it plays on")
-	}
-	s.advance(rejectionWindow)
+	h.step(ClientLost{Conn: 1})
+	h.connectClient(1)
+	h.playDetached("a", "clip") // the capacity is one connection
+	h.step(ClientConnecting{Conn: 2})
+	h.requestDetached(2, "b", "clip")
+	h.requestDetached(2, "c", "exam")
+	if nacks := h.clientMessages(wire.Nack); len(nacks) != 2 || nacks[0].ID != "b" || nacks[1].ID != "c" || len(h.setups()) != 0 {
+		t.Fatalf("%+v, %d setups", nacks, len(h.setups()))
+	}
+	h.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}}) // a cancellation is taken on a rejected connection too
+	if h.loop.playing != 0 {
+		t.Fatal("the session was not ended")
+	}
+	h.advance(rejectionWindow)
 	closed := 0
-	for _, o := range s.outputs {
+	for _, o := range h.outputs {
 		if m, ok := o.(CloseClient); ok && m.Conn == 2 {
 			closed++
 		}
 	}
-	s.step(ClientLost{Conn: 2})
-	if closed != 1 || len(s.loop.rejectedConns) != 0 || len(s.loop.conns) != 1 {
-		t.Fatalf("closed %d times, %d turned away, %d connections", closed, len(s.loop.rejectedConns), len(s.loop.conns))
+	h.step(ClientLost{Conn: 2})
+	if closed != 1 || len(h.loop.rejectedConns) != 0 || len(h.loop.conns) != 1 {
+		t.Fatalf("closed %d times, %d rejected, %d connections", closed, len(h.loop.rejectedConns), len(h.loop.conns))
 	}
 }
 
-// It guards a request that is on its way to the loop when its connection is let go for want of room.
+// A request is on its way to the loop when its idle connection is evicted for want of descriptors. It is served.
 func TestMessageDuringIdleCloseIsServed(t *testing.T) {
-	s := newOnDemandHarness(t, 1, 3)
-	s.advance(time.Second) // with room for one, it is full
-	var let []uint64
-	for _, o := range s.outputs {
+	h := newOnDemandHarness(t, 1, 3)
+	h.advance(time.Second) // the capacity is used up by one connection
+	var closed []uint64
+	for _, o := range h.outputs {
 		if m, ok := o.(CloseClient); ok && m.Idle {
-			let = append(let, m.Conn)
+			closed = append(closed, m.Conn)
 		}
 	}
-	if len(let) == 0 || let[0] != 1 {
-		t.Fatalf("let go: %v", let)
+	if len(closed) == 0 || closed[0] != 1 {
+		t.Fatalf("closed as idle: %v", closed)
 	}
-	s.clearOutputs()
-	s.step(ClientStillActive{1})
-	s.requestDetached(1, "b", "clip")
-	if len(s.connects()) != 1 {
-		t.Fatal("it was not taken")
+	h.clearOutputs()
+	h.step(ClientStillActive{1})
+	h.requestDetached(1, "b", "clip")
+	if len(h.connects()) != 1 {
+		t.Fatal("the request was not taken")
 	}
-	s.step(LinkConnected{nodeName(0), s.links[nodeName(0)]})
-	s.onlySetup()
+	h.step(LinkConnected{nodeName(0), h.links[nodeName(0)]})
+	h.onlySetup()
 }
 
-// Whoever says that a session is over, its client learns of it: on the connection that it came on, and once. Only who
-// ends it on that very connection is told nothing.
-func TestEveryEndReachesItsClient(t *testing.T) {
-	for name, end := range map[string]func(s *harness, g SendNode){
-		"its node, ended by itself": func(s *harness, g SendNode) { s.step(detachedReply(g.Link, "a", wire.Ended)) },
-		"its node, ended by its client": func(s *harness, g SendNode) {
-			m := detachedReply(g.Link, "a", wire.Ended)
+// A client is notified once of the end of its session, on the connection that the session was requested on, whether the node
+// or another client ended it. A client that cancels on that connection itself is not notified.
+func TestClientIsNotifiedOfEveryEnd(t *testing.T) {
+	for name, end := range map[string]func(h *harness, setup SendNode){
+		"node: finished": func(h *harness, setup SendNode) { h.step(detachedReply(setup.Link, "a", wire.Ended)) },
+		"node: cancelled by its client": func(h *harness, setup SendNode) {
+			m := detachedReply(setup.Link, "a", wire.Ended)
 			m.Message.Reason = wire.Canceled
-			s.step(m)
+			h.step(m)
 		},
-		"its node, cut": func(s *harness, g SendNode) {
-			m := detachedReply(g.Link, "a", wire.Ended)
+		"node: lost": func(h *harness, setup SendNode) {
+			m := detachedReply(setup.Link, "a", wire.Ended)
 			m.Message.Reason = wire.Lost
-			s.step(m)
+			h.step(m)
 		},
-		"a client on another connection": func(s *harness, g SendNode) {
-			s.connectClient(2)
-			s.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
+		"client on another connection": func(h *harness, setup SendNode) {
+			h.connectClient(2)
+			h.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
 		},
-		"a client on a connection that has ended": func(s *harness, g SendNode) {
-			s.step(ClientReceived{Conn: 7, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
+		"client on a closed connection": func(h *harness, setup SendNode) {
+			h.step(ClientReceived{Conn: 7, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newDetachedHarness(t, 1)
-			end(s, s.playDetached("a", "clip"))
-			if over := s.clientMessages(wire.SessionEnded); len(over) != 1 || over[0].ID != "a" {
-				t.Fatalf("told %+v", over)
+			h := newDetachedHarness(t, 1)
+			end(h, h.playDetached("a", "clip"))
+			if ended := h.clientMessages(wire.SessionEnded); len(ended) != 1 || ended[0].ID != "a" {
+				t.Fatalf("endings %+v", ended)
 			}
-			s.requireNoState()
+			h.requireNoState()
 		})
 	}
-	s := newDetachedHarness(t, 1)
-	s.playDetached("a", "clip")
-	s.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
-	if over := s.clientMessages(wire.SessionEnded); len(over) != 0 {
-		t.Fatalf("who has ended it was told %+v", over)
+	h := newDetachedHarness(t, 1)
+	h.playDetached("a", "clip")
+	h.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
+	if ended := h.clientMessages(wire.SessionEnded); len(ended) != 0 {
+		t.Fatalf("the client that cancelled was sent %+v", ended)
 	}
-	s.requireNoState()
+	h.requireNoState()
 }
