--- a/internal/director/simulation_test.go
+++ b/internal/director/simulation_test.go
@@ -16,8 +16,9 @@
 	"fordusher/shutdown"
 )
 
-// A simulation is several directors' loops with the real module, on nodes that they share, with a list and viewers that
-// do whatever a seed draws. What goes in and out is recorded, and the witness judges the rules from that alone.
+// A simulation runs the loops of several directors with the real policy module. They share emulated nodes and a server list.
+// The actions of nodes, list and clients are drawn from a seed. All inputs and outputs are recorded, and package rulecheck
+// checks the rules from these records alone.
 type simulation struct {
 	*rand.Rand
 	t             testingT
@@ -26,78 +27,80 @@
 	directors     []*simDirector
 	nodes         []*simNode
 	records       []rulecheck.Record
-	lastID        uint64 // of connections
-	opportunities int    // how often the rule that is looked at could have been broken
+	lastID        uint64 // of client and node connections and of requests
+	opportunities int    // how often the rule under test could have been violated
 }
 
-// A simConfig is what a town's directors are told, and what is broken in them on purpose.
+// A simConfig configures a simulation. The functions in it, and guardDisabled, break the directors on purpose.
 type simConfig struct {
-	rule          string
+	rule          string // under test
 	directors     int
 	nodes         int
 	steps         int
-	maxBurst      int // requests that come together at most
+	maxBurst      int // most requests in one step
 	tariffs       []Tariff
 	ramp          policy.Ramp
-	legs          policy.RetryPolicy
-	nodeReplies   []string // what nodes say of a leg
-	reportAges    bool     // nodes and list tell ages
+	retryPolicy   policy.RetryPolicy
+	nodeReplies   []string // types of the messages that nodes send about a leg
+	reportAges    bool     // nodes and server list report ages
 	alterEvent    func(policy.Event) policy.Event
 	dropOutput    func(Output) bool
 	alterPolicy   func(*policyConfig)
 	guardDisabled bool
 }
 
-// policyConfig is what a module is told at its start.
+// A policyConfig is the part of the policy module's configuration that a test can alter.
 type policyConfig struct {
-	tariffs []policy.Tariff
-	ramp    policy.Ramp
-	legs    policy.RetryPolicy
+	tariffs     []policy.Tariff
+	ramp        policy.Ramp
+	retryPolicy policy.RetryPolicy
 }
 
-// An alteredDecider is a module that is told something else than what happened.
+// An alteredDecider is a policy module that gets altered events.
 type alteredDecider struct {
 	Decider
 	alterEvent func(policy.Event) policy.Event
 }
 
-func (l alteredDecider) Step(now time.Duration, e policy.Event) []policy.Action {
-	return l.Decider.Step(now, l.alterEvent(e))
+func (d alteredDecider) Step(now time.Duration, e policy.Event) []policy.Action {
+	return d.Decider.Step(now, d.alterEvent(e))
 }
 
+// A simNode is an emulated node.
 type simNode struct {
 	name          string
 	incarnation   uint64
-	startedAt     time.Duration // under 0: long ago
+	startedAt     time.Duration // negative: before the run
 	up            bool
-	entry         wire.NodeEntry // as the list has it
-	previousEntry wire.NodeEntry // as it had it before
+	entry         wire.NodeEntry // in the server list
+	previousEntry wire.NodeEntry // the entry before that
 	startedInRun  bool
 }
 
-// A simDirector is a director at work.
+// A simDirector is one director of a simulation.
 type simDirector struct {
 	*simulation
-	number, boot   int
+	index, boot    int
 	loop           *Loop
 	startedAt      time.Duration
-	stalledUntil   time.Duration // it stands still until then
+	stalledUntil   time.Duration // it takes no timer before that time
 	inbox          []Input
 	stepping       bool
-	nodeLinks      map[uint64]*nodeLink // by link, connected or being connected
-	conns          []uint64
-	requests       []clientRequest
-	unackedEntries map[uint64][]wire.NodeEntry // by serial
+	nodeLinks      map[uint64]*nodeLink        // by link number, connected or connecting
+	conns          []uint64                    // open client connections
+	requests       []clientRequest             // of open connections, to be repeated, cancelled or resumed
+	unackedEntries map[uint64][]wire.NodeEntry // sent in lists that are not acknowledged yet, by serial
 	serial         uint64
 	ended          bool
 }
 
+// A clientRequest is a message of a client on its connection.
 type clientRequest struct {
 	conn    uint64
 	message wire.SessionMessage
 }
 
-// A nodeLink is a connection to a node. While it is stuck, what is sent stays with the director.
+// A nodeLink is a connection to a node. While it is blocked, sent messages stay queued at the director.
 type nodeLink struct {
 	node      *simNode
 	conn      uint64
@@ -107,163 +110,167 @@
 	legs      map[uint64]simLeg
 }
 
-// simLeg is a leg as its node has it.
+// A simLeg is a leg in the state that its node holds.
 type simLeg struct {
 	plays     bool
-	expiresAt time.Duration // it is not started later
+	expiresAt time.Duration // the node does not start it after that time
 }
 
+// newSimulation starts the nodes and directors of a simulation.
 func newSimulation(t testingT, seed uint64, c simConfig) *simulation {
-	w := &simulation{Rand: rand.New(rand.NewPCG(seed, 2026)), t: t, config: c}
+	s := &simulation{Rand: rand.New(rand.NewPCG(seed, 2026)), t: t, config: c}
 	for i := range c.nodes {
-		m := &simNode{name: nodeName(i), incarnation: uint64(i + 1), startedAt: -1, up: true}
-		m.entry = upEntry(i)
-		m.previousEntry = m.entry
-		w.nodes = append(w.nodes, m)
+		n := &simNode{name: nodeName(i), incarnation: uint64(i + 1), startedAt: -1, up: true}
+		n.entry = upEntry(i)
+		n.previousEntry = n.entry
+		s.nodes = append(s.nodes, n)
 	}
 	for i := range c.directors {
-		p := &simDirector{simulation: w, number: i}
-		w.directors = append(w.directors, p)
-		p.start()
+		d := &simDirector{simulation: s, index: i}
+		s.directors = append(s.directors, d)
+		d.start()
 	}
-	return w
+	return s
 }
 
-func (w *simulation) record(r rulecheck.Record) {
-	r.At = w.now
-	w.records = append(w.records, r)
+// record adds a record with the current time.
+func (s *simulation) record(r rulecheck.Record) {
+	r.At = s.now
+	s.records = append(s.records, r)
 }
 
-// oneIn says yes once in so many times.
-func (w *simulation) oneIn(n int) bool { return w.IntN(n) == 0 }
+// oneIn is true with probability 1/n.
+func (s *simulation) oneIn(n int) bool { return s.IntN(n) == 0 }
 
-func pick[V any](w *simulation, all []V) V { return all[w.IntN(len(all))] }
+// pick draws one of several values.
+func pick[V any](s *simulation, all []V) V { return all[s.IntN(len(all))] }
 
-// start starts a director that knows nothing.
-func (p *simDirector) start() {
-	c := p.config
-	p.boot++
-	p.startedAt, p.stalledUntil, p.ended = p.now, p.now, false
-	p.nodeLinks, p.conns, p.requests, p.unackedEntries, p.inbox = map[uint64]*nodeLink{}, nil, nil, map[uint64][]wire.NodeEntry{}, nil
-	g := policyConfig{ramp: c.ramp, legs: c.legs}
-	for _, x := range c.tariffs {
-		g.tariffs = append(g.tariffs, x.Tariff)
+// start starts the director without any state of an earlier run.
+func (d *simDirector) start() {
+	c := d.config
+	d.boot++
+	d.startedAt, d.stalledUntil, d.ended = d.now, d.now, false
+	d.nodeLinks, d.conns, d.requests, d.unackedEntries, d.inbox = map[uint64]*nodeLink{}, nil, nil, map[uint64][]wire.NodeEntry{}, nil
+	policyCfg := policyConfig{ramp: c.ramp, retryPolicy: c.retryPolicy}
+	for _, tariff := range c.tariffs {
+		policyCfg.tariffs = append(policyCfg.tariffs, tariff.Tariff)
 	}
 	if c.alterPolicy != nil {
-		c.alterPolicy(&g)
+		c.alterPolicy(&policyCfg)
 	}
 	ladder := policy.Ladder{Rates: []float64{100, 200, 400}, JoinCost: 1}
-	seed := p.Uint64()
-	var module Decider = policy.New(seed, policy.Peers{Index: p.number, Directors: c.directors}, g.tariffs, ladder,
-		policy.Fleet{Cells: 8, Racks: 2, LinkUnit: 10_000, Uplink: 100_000}, g.ramp, g.legs,
+	seed := d.Uint64()
+	var module Decider = policy.New(seed, policy.Peers{Index: d.index, Directors: c.directors}, policyCfg.tariffs, ladder,
+		policy.Fleet{Cells: 8, Racks: 2, LinkUnit: 10_000, Uplink: 100_000}, policyCfg.ramp, policyCfg.retryPolicy,
 		policy.ReportTiming{Delay: 500 * ms, Interval: 2 * time.Second, MaxBackoff: time.Second})
 	if c.alterEvent != nil {
 		module = alteredDecider{module, c.alterEvent}
 	}
-	p.loop = New(p.name(), fmt.Sprint(p.boot), seed, module, c.tariffs, []string{"box"}, ladder,
+	d.loop = New(d.name(), fmt.Sprint(d.boot), seed, module, c.tariffs, []string{"box"}, ladder,
 		Options{AnswerMargin: 50 * ms, Linger: time.Second, ConnectTimeout: 250 * ms, SessionsPerConnection: 4},
 		connector.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second}, shutdown.Policy{Timeout: 2 * time.Second, BatchInterval: 100 * ms},
 		limits.Capacity{MaxConnections: 1000, MaxHandshakes: 100, HeartbeatInterval: 10 * time.Second, IdleTimeout: time.Minute, HandshakeTimeout: time.Second, MaxRetryAfter: 10 * time.Second},
 		limits.QueuePolicy{MaxWait: 200 * ms, MaxRetryAfter: 10 * time.Second})
-	p.loop.guardDisabled = c.guardDisabled
-	p.record(rulecheck.Record{Kind: rulecheck.DirectorStarted, Director: p.name()})
-	p.step(DiscoveryConnected{})
+	d.loop.guardDisabled = c.guardDisabled
+	d.record(rulecheck.Record{Kind: rulecheck.DirectorStarted, Director: d.name()})
+	d.step(DiscoveryConnected{})
 }
 
-func (p *simDirector) name() string { return fmt.Sprint("d", p.number) }
+func (d *simDirector) name() string { return fmt.Sprint("d", d.index) }
 
-// step lets a director hear something, and all that follows from it at once.
-func (p *simDirector) step(in Input) {
-	p.inbox = append(p.inbox, in)
-	if p.stepping {
+// step hands the director one input, and then every input that follows from its outputs at the same time.
+func (d *simDirector) step(in Input) {
+	d.inbox = append(d.inbox, in)
+	if d.stepping {
 		return
 	}
-	p.stepping = true
-	for len(p.inbox) > 0 {
-		next := p.inbox[0]
-		p.inbox = p.inbox[1:]
-		for _, o := range slices.Clone(p.loop.Step(p.now-p.startedAt, next)) {
-			if p.config.dropOutput == nil || !p.config.dropOutput(o) {
-				p.apply(o)
+	d.stepping = true
+	for len(d.inbox) > 0 {
+		next := d.inbox[0]
+		d.inbox = d.inbox[1:]
+		for _, o := range slices.Clone(d.loop.Step(d.now-d.startedAt, next)) {
+			if d.config.dropOutput == nil || !d.config.dropOutput(o) {
+				d.apply(o)
 			}
 		}
 	}
-	p.stepping = false
+	d.stepping = false
 }
 
-func (p *simDirector) apply(o Output) {
+// apply carries out one output of the director.
+func (d *simDirector) apply(o Output) {
 	switch o := o.(type) {
 	case SendClient:
-		if k := o.Message.Type; k == wire.Playing || k == wire.Nack || k == wire.Errored {
-			p.record(rulecheck.Record{Kind: k, Director: p.name(), Conn: o.Conn, RequestID: o.Message.ID, Session: o.Message.Session})
-			if p.config.rule == rulecheck.RuleAnswer && k != wire.Playing {
-				p.opportunities++
+		if kind := o.Message.Type; kind == wire.Playing || kind == wire.Nack || kind == wire.Errored {
+			d.record(rulecheck.Record{Kind: kind, Director: d.name(), Conn: o.Conn, RequestID: o.Message.ID, Session: o.Message.Session})
+			if d.config.rule == rulecheck.RuleAnswer && kind != wire.Playing {
+				d.opportunities++
 			}
 		}
 	case AcceptClient:
-		p.step(ClientAccepted(o))
+		d.step(ClientAccepted(o))
 	case RejectClient:
-		p.conns = slices.DeleteFunc(p.conns, func(x uint64) bool { return x == o.Conn })
+		d.conns = slices.DeleteFunc(d.conns, func(x uint64) bool { return x == o.Conn })
 	case CloseClient:
-		p.record(rulecheck.Record{Kind: rulecheck.ConnClosed, Conn: o.Conn, ClosedBy: rulecheck.ClosedByPeer, Reason: fmt.Sprintf("%d %s", o.Code, o.Reason)})
-		p.disconnectClient(o.Conn)
+		d.record(rulecheck.Record{Kind: rulecheck.ConnClosed, Conn: o.Conn, ClosedBy: rulecheck.ClosedByPeer, Reason: fmt.Sprintf("%d %s", o.Code, o.Reason)})
+		d.disconnectClient(o.Conn)
 	case Connect:
-		p.nodeLinks[o.Link] = &nodeLink{node: p.nodes[slices.IndexFunc(p.nodes, func(m *simNode) bool { return m.name == o.Node })], legs: map[uint64]simLeg{}}
+		d.nodeLinks[o.Link] = &nodeLink{node: d.nodes[slices.IndexFunc(d.nodes, func(n *simNode) bool { return n.name == o.Node })], legs: map[uint64]simLeg{}}
 	case SendNode:
-		l := p.nodeLinks[o.Link]
-		if l != nil && o.Message.Type == wire.End { // from now on it is no leg of this director, whenever the node hears of it
-			p.record(rulecheck.Record{Kind: wire.End, Node: l.node.name, Conn: l.conn, Director: p.name(), Leg: o.Message.Leg})
+		l := d.nodeLinks[o.Link]
+		if l != nil && o.Message.Type == wire.End { // the director's leg ends here, even if the node is notified later
+			d.record(rulecheck.Record{Kind: wire.End, Node: l.node.name, Conn: l.conn, Director: d.name(), Leg: o.Message.Leg})
 		}
 		switch {
 		case l == nil || !l.connected:
 			if o.Setup != 0 {
-				p.step(Withdrawn{o.Setup})
+				d.step(Withdrawn{o.Setup})
 			}
 		case l.blocked:
 			l.queued = append(l.queued, o)
 		default:
-			p.deliver(l, o)
+			d.deliver(l, o)
 		}
 	case Withdraw:
-		if l := p.nodeLinks[o.Link]; l != nil {
+		if l := d.nodeLinks[o.Link]; l != nil {
 			if i := slices.IndexFunc(l.queued, func(q SendNode) bool { return q.Setup == o.Leg }); i >= 0 {
 				l.queued = slices.Delete(l.queued, i, i+1)
-				p.step(Withdrawn{o.Leg})
+				d.step(Withdrawn{o.Leg})
 			}
 		}
 	case ProbeLink:
-		p.step(LinkAlive{Link: o.Link})
+		d.step(LinkAlive{Link: o.Link})
 	case CloseLink:
-		p.removeLink(o.Link)
+		d.removeLink(o.Link)
 	case SendDiscovery:
 		switch o.Message.Type {
 		case wire.Subscribe:
-			p.record(rulecheck.Record{Kind: rulecheck.ListRequested, Director: p.name()})
-			p.sendFullList(false)
+			d.record(rulecheck.Record{Kind: rulecheck.ListRequested, Director: d.name()})
+			d.sendFullList(false)
 		case wire.Acknowledge:
-			for _, e := range p.unackedEntries[o.Message.Serial] {
-				p.record(rulecheck.Record{Kind: rulecheck.ListReceived, Director: p.name(), Node: e.Node, State: e.State})
-				if p.config.rule == rulecheck.RuleDrain && e.State != wire.Up {
-					p.opportunities++
+			for _, e := range d.unackedEntries[o.Message.Serial] {
+				d.record(rulecheck.Record{Kind: rulecheck.ListReceived, Director: d.name(), Node: e.Node, State: e.State})
+				if d.config.rule == rulecheck.RuleDrain && e.State != wire.Up {
+					d.opportunities++
 				}
 			}
-			delete(p.unackedEntries, o.Message.Serial)
+			delete(d.unackedEntries, o.Message.Serial)
 		}
 	case ShutdownComplete:
-		p.ended = true
+		d.ended = true
 	}
 }
 
-// deliver is a message that has reached its node.
-func (p *simDirector) deliver(l *nodeLink, o SendNode) {
+// deliver hands a message to its node.
+func (d *simDirector) deliver(l *nodeLink, o SendNode) {
 	m := o.Message
-	r := rulecheck.Record{Kind: m.Type, Node: l.node.name, Conn: l.conn, Director: p.name(), Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
+	r := rulecheck.Record{Kind: m.Type, Node: l.node.name, Conn: l.conn, Director: d.name(), Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
 		Title: m.Title, Rung: m.Rung, StartTimeout: time.Duration(m.StartWithinMS) * ms}
 	switch m.Type {
 	case wire.Setup:
-		l.legs[m.Leg] = simLeg{expiresAt: p.now + r.StartTimeout}
-		if l.node.startedInRun && p.now < l.node.startedAt+p.config.ramp.Warmup && p.config.rule == rulecheck.RuleSlowStart {
-			p.opportunities++
+		l.legs[m.Leg] = simLeg{expiresAt: d.now + r.StartTimeout}
+		if l.node.startedInRun && d.now < l.node.startedAt+d.config.ramp.Warmup && d.config.rule == rulecheck.RuleSlowStart {
+			d.opportunities++
 		}
 	case wire.Rung:
 	case wire.End:
@@ -272,98 +279,100 @@
 	default:
 		return
 	}
-	p.record(r)
+	d.record(r)
 }
 
-// disconnectClient takes a player's connection off a director.
-func (p *simDirector) disconnectClient(conn uint64) {
-	p.conns = slices.DeleteFunc(p.conns, func(x uint64) bool { return x == conn })
-	p.requests = slices.DeleteFunc(p.requests, func(v clientRequest) bool { return v.conn == conn })
-	p.step(ClientLost{Conn: conn})
+// disconnectClient ends a client connection.
+func (d *simDirector) disconnectClient(conn uint64) {
+	d.conns = slices.DeleteFunc(d.conns, func(x uint64) bool { return x == conn })
+	d.requests = slices.DeleteFunc(d.requests, func(request clientRequest) bool { return request.conn == conn })
+	d.step(ClientLost{Conn: conn})
 }
 
-// removeLink is a connection's end as its node sees it.
-func (p *simDirector) removeLink(link uint64) (l *nodeLink) {
-	if l = p.nodeLinks[link]; l != nil && l.connected {
-		p.record(rulecheck.Record{Kind: rulecheck.ConnClosed, Node: l.node.name, Conn: l.conn})
+// removeLink removes a node connection and records its end at the node.
+func (d *simDirector) removeLink(link uint64) (l *nodeLink) {
+	if l = d.nodeLinks[link]; l != nil && l.connected {
+		d.record(rulecheck.Record{Kind: rulecheck.ConnClosed, Node: l.node.name, Conn: l.conn})
 	}
-	delete(p.nodeLinks, link)
+	delete(d.nodeLinks, link)
 	return l
 }
 
-// loseLink ends a connection from the node's side: what is still queued never left.
-func (p *simDirector) loseLink(link uint64) {
+// loseLink ends a node connection from the node's side. Setups that are still queued are reported as unsent.
+func (d *simDirector) loseLink(link uint64) {
 	var unsent []uint64
-	for _, q := range p.removeLink(link).queued {
+	for _, q := range d.removeLink(link).queued {
 		if q.Setup != 0 {
 			unsent = append(unsent, q.Setup)
 		}
 	}
-	p.step(LinkLost{Link: link, Unsent: unsent})
+	d.step(LinkLost{Link: link, Unsent: unsent})
 }
 
-// withAge is the list's line of a node as a director hears it now.
-func (p *simDirector) withAge(m *simNode, e wire.NodeEntry) wire.NodeEntry {
-	if p.config.reportAges && m.startedAt >= 0 && e.Incarnation == m.incarnation && p.now > m.startedAt {
-		e.UptimeMS = max(1, (p.now - m.startedAt).Milliseconds())
+// withAge returns a node's list entry with its current age, if ages are reported and known.
+func (d *simDirector) withAge(n *simNode, e wire.NodeEntry) wire.NodeEntry {
+	if d.config.reportAges && n.startedAt >= 0 && e.Incarnation == n.incarnation && d.now > n.startedAt {
+		e.UptimeMS = max(1, (d.now - n.startedAt).Milliseconds())
 	}
 	return e
 }
 
-func (p *simDirector) sendFullList(behind bool) {
-	word := wire.DiscoveryMessage{Type: wire.Snapshot, Titles: []wire.TitlePlacement{{Title: "t", FirstCell: 0, Copies: 8}, {Title: "u", FirstCell: 1, Copies: 7}}}
-	var gone []wire.NodeEntry
-	for _, m := range p.nodes {
-		e := m.entry
-		if behind {
-			e = m.previousEntry
+// sendFullList sends the director a snapshot of the server list; a stale one has the previous entries.
+func (d *simDirector) sendFullList(stale bool) {
+	message := wire.DiscoveryMessage{Type: wire.Snapshot, Titles: []wire.TitlePlacement{{Title: "t", FirstCell: 0, Copies: 8}, {Title: "u", FirstCell: 1, Copies: 7}}}
+	var removed []wire.NodeEntry
+	for _, n := range d.nodes {
+		e := n.entry
+		if stale {
+			e = n.previousEntry
 		}
 		if e.State == wire.Removed {
-			gone = append(gone, e)
+			removed = append(removed, e)
 		} else {
-			word.Nodes = append(word.Nodes, p.withAge(m, e))
+			message.Nodes = append(message.Nodes, d.withAge(n, e))
 		}
 	}
-	p.sendList(word, gone...)
+	d.sendList(message, removed...)
 }
 
-// sendList hands a director a word of the list, by way of the codec.
-func (p *simDirector) sendList(word wire.DiscoveryMessage, unnamed ...wire.NodeEntry) {
-	p.serial++
-	word.Serial = p.serial
-	p.unackedEntries[p.serial] = append(unnamed, word.Nodes...)
-	m, err := wire.DecodeDiscoveryMessage(wire.Encode(word))
+// sendList encodes and decodes a discovery message and hands it to the director. The unnamed entries are those that a
+// snapshot reports as removed by leaving them out.
+func (d *simDirector) sendList(message wire.DiscoveryMessage, unnamed ...wire.NodeEntry) {
+	d.serial++
+	message.Serial = d.serial
+	d.unackedEntries[d.serial] = append(unnamed, message.Nodes...)
+	decoded, err := wire.DecodeDiscoveryMessage(wire.Encode(message))
 	if err != nil {
-		p.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	p.step(DiscoveryReceived{m})
+	d.step(DiscoveryReceived{decoded})
 }
 
-// advance lets time go by; a director that stands still catches up when its time has come.
-func (w *simulation) advance(d time.Duration) {
-	for end := w.now + d; ; {
+// advance moves the time forward and ticks the directors. A stalled director catches up when its stall is over.
+func (s *simulation) advance(duration time.Duration) {
+	for end := s.now + duration; ; {
 		var first *simDirector
 		at := end + 1
-		for _, p := range w.directors {
-			if next := p.loop.Next(); !p.ended && next <= end {
-				if next = max(p.startedAt+next, p.stalledUntil, w.now); next < at {
-					first, at = p, next
+		for _, d := range s.directors {
+			if next := d.loop.Next(); !d.ended && next <= end {
+				if next = max(d.startedAt+next, d.stalledUntil, s.now); next < at {
+					first, at = d, next
 				}
 			}
 		}
 		if first == nil || at > end {
-			w.now = end
+			s.now = end
 			return
 		}
-		w.now = at
+		s.now = at
 		first.step(Tick{})
 	}
 }
 
-// links of a director in order, of those that are made or not.
-func (p *simDirector) links(made bool) (all []uint64) {
-	for link, l := range p.nodeLinks {
-		if l.connected == made {
+// links returns the numbers of the node connections that are connected, or of those still connecting, in order.
+func (d *simDirector) links(connected bool) (all []uint64) {
+	for link, l := range d.nodeLinks {
+		if l.connected == connected {
 			all = append(all, link)
 		}
 	}
@@ -371,145 +380,147 @@
 	return all
 }
 
-// step is one thing that happens to a director, a node or the list.
-func (w *simulation) step() {
-	p := pick(w, w.directors)
-	if p.ended { // the next one takes its place
-		p.kill()
-		p.start()
+// step draws one event at a director, a node or the server list, and then advances the time by up to 250 ms.
+func (s *simulation) step() {
+	d := pick(s, s.directors)
+	if d.ended { // start its successor
+		d.kill()
+		d.start()
 	}
-	if p.stalledUntil > w.now {
-		p = pick(w, w.directors)
+	if d.stalledUntil > s.now {
+		d = pick(s, s.directors)
 	}
-	switch w.IntN(24) {
+	switch s.IntN(24) {
 	case 0, 1, 2, 3, 4:
-		p.sendRequests()
+		d.sendRequests()
 	case 5:
-		if len(p.requests) > 0 { // again, or leaving
-			v := pick(w, p.requests)
-			if w.oneIn(2) {
-				v.message = wire.SessionMessage{Type: wire.Cancel, ID: v.message.ID}
-				p.requests = slices.DeleteFunc(p.requests, func(x clientRequest) bool { return x.conn == v.conn && x.message.ID == v.message.ID })
+		if len(d.requests) > 0 { // repeat or cancel a request
+			request := pick(s, d.requests)
+			if s.oneIn(2) {
+				request.message = wire.SessionMessage{Type: wire.Cancel, ID: request.message.ID}
+				d.requests = slices.DeleteFunc(d.requests, func(x clientRequest) bool { return x.conn == request.conn && x.message.ID == request.message.ID })
 			}
-			p.sendClientMessage(v)
+			d.sendClientMessage(request)
 		}
 	case 6:
-		if len(p.conns) > 0 && w.oneIn(2) {
-			conn := pick(w, p.conns)
-			w.record(rulecheck.Record{Kind: rulecheck.ConnClosed, Conn: conn, ClosedBy: rulecheck.ClosedByRecorder})
-			p.disconnectClient(conn)
+		if len(d.conns) > 0 && s.oneIn(2) {
+			conn := pick(s, d.conns)
+			s.record(rulecheck.Record{Kind: rulecheck.ConnClosed, Conn: conn, ClosedBy: rulecheck.ClosedByRecorder})
+			d.disconnectClient(conn)
 		}
 	case 7, 8, 9, 10, 11, 12:
-		p.sendNodeReplies()
+		d.sendNodeReplies()
 	case 13, 14, 15:
-		for _, link := range p.links(false) {
-			p.finishConnect(link)
+		for _, link := range d.links(false) {
+			d.finishConnect(link)
 		}
 	case 16:
-		if made := p.links(true); len(made) > 0 {
-			link := pick(w, made)
-			l := p.nodeLinks[link]
-			if l.blocked = !l.blocked && w.oneIn(2); !l.blocked {
+		if links := d.links(true); len(links) > 0 {
+			link := pick(s, links)
+			l := d.nodeLinks[link]
+			if l.blocked = !l.blocked && s.oneIn(2); !l.blocked {
 				for len(l.queued) > 0 {
 					o := l.queued[0]
 					l.queued = l.queued[1:]
-					p.deliver(l, o)
+					d.deliver(l, o)
 				}
 			}
 		}
 	case 17:
-		if made := p.links(true); len(made) > 0 && w.oneIn(2) {
-			p.loseLink(pick(w, made))
+		if links := d.links(true); len(links) > 0 && s.oneIn(2) {
+			d.loseLink(pick(s, links))
 		}
 	case 18:
-		m := pick(w, w.nodes)
-		if i := slices.IndexFunc(w.nodes, func(m *simNode) bool { return !m.up }); i >= 0 {
-			m = w.nodes[i]
+		n := pick(s, s.nodes)
+		if i := slices.IndexFunc(s.nodes, func(n *simNode) bool { return !n.up }); i >= 0 {
+			n = s.nodes[i]
 		}
-		w.toggleNode(m)
+		s.toggleNode(n)
 	case 19, 20:
-		w.changeEntry(pick(w, w.nodes))
-	case 21: // a list that is behind, or repeats itself
-		p.sendFullList(w.oneIn(3))
+		s.changeEntry(pick(s, s.nodes))
+	case 21: // a stale or repeated list
+		d.sendFullList(s.oneIn(3))
 	case 22:
-		p.stalledUntil = w.now + time.Duration(w.IntN(40))*ms
+		d.stalledUntil = s.now + time.Duration(s.IntN(40))*ms
 	case 23:
-		if w.oneIn(6) {
-			p.step(Stop{})
-		} else if w.oneIn(4) {
-			p.kill()
-			p.start()
+		if s.oneIn(6) {
+			d.step(Stop{})
+		} else if s.oneIn(4) {
+			d.kill()
+			d.start()
 		}
 	}
-	w.advance(time.Duration(w.IntN(250)) * ms)
+	s.advance(time.Duration(s.IntN(250)) * ms)
 }
 
-// kill ends a director at once, with all its connections.
-func (p *simDirector) kill() {
-	p.record(rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: p.name()})
-	for _, made := range []bool{true, false} {
-		for _, link := range p.links(made) {
-			p.removeLink(link)
+// kill ends the director at once, together with its node connections.
+func (d *simDirector) kill() {
+	d.record(rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: d.name()})
+	for _, connected := range []bool{true, false} {
+		for _, link := range d.links(connected) {
+			d.removeLink(link)
 		}
 	}
 }
 
-// sendRequests lets viewers want something, some of them with a key that another has, some after a wait in line.
-func (p *simDirector) sendRequests() {
-	for range 1 + p.IntN(p.config.maxBurst) {
-		if len(p.conns) == 0 || p.oneIn(2) && len(p.conns) < 40 {
-			p.lastID++
-			p.conns = append(p.conns, p.lastID)
-			p.step(ClientConnecting{Conn: p.lastID, Address: netip.AddrFrom4([4]byte{10, 0, 0, byte(p.IntN(3))})})
+// sendRequests sends requests of clients, some on new connections and some with the key of an earlier request.
+func (d *simDirector) sendRequests() {
+	for range 1 + d.IntN(d.config.maxBurst) {
+		if len(d.conns) == 0 || d.oneIn(2) && len(d.conns) < 40 {
+			d.lastID++
+			d.conns = append(d.conns, d.lastID)
+			d.step(ClientConnecting{Conn: d.lastID, Address: netip.AddrFrom4([4]byte{10, 0, 0, byte(d.IntN(3))})})
 		}
-		if len(p.conns) == 0 {
-			return // turned away: the director closes
+		if len(d.conns) == 0 {
+			return // rejected: the director is shutting down
 		}
-		p.lastID++
-		v := clientRequest{pick(p.simulation, p.conns), wire.SessionMessage{Type: wire.Request, ID: fmt.Sprint(p.lastID), Tariff: pick(p.simulation, p.config.tariffs).Name,
-			Title: pick(p.simulation, []string{"t", "t", "t", "u", "none"}), Key: fmt.Sprint("k", p.lastID), WaitMS: int64(100 + p.IntN(3900)), LengthMS: 60_000}}
-		if len(p.requests) > 0 && p.oneIn(5) {
-			v.message.Key = pick(p.simulation, p.requests).message.Key
+		d.lastID++
+		request := clientRequest{pick(d.simulation, d.conns), wire.SessionMessage{Type: wire.Request, ID: fmt.Sprint(d.lastID), Tariff: pick(d.simulation, d.config.tariffs).Name,
+			Title: pick(d.simulation, []string{"t", "t", "t", "u", "none"}), Key: fmt.Sprint("k", d.lastID), WaitMS: int64(100 + d.IntN(3900)), LengthMS: 60_000}}
+		if len(d.requests) > 0 && d.oneIn(5) {
+			request.message.Key = pick(d.simulation, d.requests).message.Key
 		}
-		p.requests = append(p.requests, v)
-		p.sendClientMessage(v)
+		d.requests = append(d.requests, request)
+		d.sendClientMessage(request)
 	}
 }
 
-// sendClientMessage lets a viewer say something, by way of the codec.
-func (p *simDirector) sendClientMessage(v clientRequest) {
-	m, err := wire.DecodeSessionMessage(wire.Encode(v.message))
+// sendClientMessage encodes and decodes a client's message and hands it to the director, in some cases after a wait in its
+// queue.
+func (d *simDirector) sendClientMessage(request clientRequest) {
+	m, err := wire.DecodeSessionMessage(wire.Encode(request.message))
 	if err != nil {
-		p.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	if !slices.Contains(p.conns, v.conn) {
+	if !slices.Contains(d.conns, request.conn) {
 		return
 	}
-	waited := time.Duration(pick(p.simulation, []int{0, 0, 0, 0, 120, 300})) * ms
-	r := rulecheck.Record{Kind: m.Type, Director: p.name(), Conn: v.conn, RequestID: m.ID, Tariff: m.Tariff, Title: m.Title, Wait: time.Duration(m.WaitMS) * ms}
-	for _, t := range p.config.tariffs {
-		if t.Name == m.Tariff { // what has stood in line for longer than the viewer waits is answered in the same step
+	waited := time.Duration(pick(d.simulation, []int{0, 0, 0, 0, 120, 300})) * ms
+	r := rulecheck.Record{Kind: m.Type, Director: d.name(), Conn: request.conn, RequestID: m.ID, Tariff: m.Tariff, Title: m.Title, Wait: time.Duration(m.WaitMS) * ms}
+	for _, t := range d.config.tariffs {
+		if t.Name == m.Tariff { // a request that was queued for longer than its client waits is answered in the same step
 			r.Wait = max(waited, min(r.Wait, t.HardStop)) - waited
 		}
 	}
-	// A key that is shown again takes the session over, and excuses the request that had it.
-	if s := p.loop.sessionsByKey[m.Key]; m.Type == wire.Request && s != nil && s.conn != nil && s.conn.requests[m.ID] == nil {
-		p.record(rulecheck.Record{Kind: wire.Cancel, Director: p.name(), Conn: s.conn.id, RequestID: s.request})
+	// A request with the key of a session takes that session over. The earlier request then needs no answer and is recorded as
+	// cancelled.
+	if s := d.loop.sessionsByKey[m.Key]; m.Type == wire.Request && s != nil && s.conn != nil && s.conn.requests[m.ID] == nil {
+		d.record(rulecheck.Record{Kind: wire.Cancel, Director: d.name(), Conn: s.conn.id, RequestID: s.request})
 	}
-	p.record(r)
-	p.step(ClientReceived{Conn: v.conn, Message: m, Waited: waited})
+	d.record(r)
+	d.step(ClientReceived{Conn: request.conn, Message: m, Waited: waited})
 }
 
-// sendNodeReplies lets a node say something of a leg, or of none that is known any more.
-func (p *simDirector) sendNodeReplies() {
+// sendNodeReplies sends one or two messages of nodes about their legs, or one on an unknown link if there is no leg.
+func (d *simDirector) sendNodeReplies() {
 	var links, legs []uint64
-	for _, link := range p.links(true) {
-		for leg := range p.nodeLinks[link].legs {
+	for _, link := range d.links(true) {
+		for leg := range d.nodeLinks[link].legs {
 			links, legs = append(links, link), append(legs, leg)
 		}
 	}
 	if len(legs) == 0 {
-		p.step(LinkReceived{Link: p.lastID, Message: wire.NodeMessage{Type: wire.Accepted, Leg: 1}}) // of a connection that is no more
+		d.step(LinkReceived{Link: d.lastID, Message: wire.NodeMessage{Type: wire.Accepted, Leg: 1}}) // on a connection that does not exist
 		return
 	}
 	order := make([]int, len(legs))
@@ -517,144 +528,144 @@
 		order[i] = i
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(legs[a], legs[b]) })
-	for range 1 + p.IntN(2) {
-		i := pick(p.simulation, order)
-		l := p.nodeLinks[links[i]]
+	for range 1 + d.IntN(2) {
+		i := pick(d.simulation, order)
+		l := d.nodeLinks[links[i]]
 		if l == nil {
 			return
 		}
-		was, there := l.legs[legs[i]]
-		if !there {
+		state, found := l.legs[legs[i]]
+		if !found {
 			return
 		}
-		m := wire.NodeMessage{Type: pick(p.simulation, p.config.nodeReplies), Leg: legs[i]}
+		m := wire.NodeMessage{Type: pick(d.simulation, d.config.nodeReplies), Leg: legs[i]}
 		switch {
 		case m.Type == wire.Measurement:
-			m.MeasurementKind, m.MeasurementValue = 1+p.IntN(4), pick(p.simulation, []float64{0, 0.3, 0.9, 1.2, 3, 1e6})
+			m.MeasurementKind, m.MeasurementValue = 1+d.IntN(4), pick(d.simulation, []float64{0, 0.3, 0.9, 1.2, 3, 1e6})
 		case m.Type == wire.Accepted:
-			if was.plays || p.now > was.expiresAt {
+			if state.plays || d.now > state.expiresAt {
 				return
 			}
 			l.legs[legs[i]] = simLeg{plays: true}
-		case m.Type == wire.Full && was.plays: // no node takes that back
+		case m.Type == wire.Full && state.plays: // a node does not report full for a leg that it has accepted
 			return
 		default:
 			delete(l.legs, legs[i])
-			if p.config.rule == rulecheck.RuleSetupOnce && !was.plays {
-				p.opportunities++
+			if d.config.rule == rulecheck.RuleSetupOnce && !state.plays {
+				d.opportunities++
 			}
 		}
 		if m.Type != wire.Measurement {
-			p.record(rulecheck.Record{Kind: m.Type, Node: l.node.name, Conn: l.conn, Director: p.name(), Leg: m.Leg})
+			d.record(rulecheck.Record{Kind: m.Type, Node: l.node.name, Conn: l.conn, Director: d.name(), Leg: m.Leg})
 		}
-		if p.oneIn(3) {
-			m.Load = &wire.NodeLoad{Streams: new(pick(p.simulation, []float64{0, 5, 1e6})), Link: new(p.Float64() * 2)}
+		if d.oneIn(3) {
+			m.Load = &wire.NodeLoad{Streams: new(pick(d.simulation, []float64{0, 5, 1e6})), Link: new(d.Float64() * 2)}
 		}
-		p.step(LinkReceived{Link: links[i], Message: m})
+		d.step(LinkReceived{Link: links[i], Message: m})
 	}
 }
 
-// finishConnect ends a try to reach a node.
-func (p *simDirector) finishConnect(link uint64) {
-	l := p.nodeLinks[link]
+// finishConnect completes a connect attempt, with success or failure.
+func (d *simDirector) finishConnect(link uint64) {
+	l := d.nodeLinks[link]
 	if l == nil {
 		return
 	}
-	if !l.node.up || p.oneIn(5) {
-		delete(p.nodeLinks, link)
-		p.step(LinkFailed{Node: l.node.name, Link: link})
+	if !l.node.up || d.oneIn(5) {
+		delete(d.nodeLinks, link)
+		d.step(LinkFailed{Node: l.node.name, Link: link})
 		return
 	}
-	p.lastID++
-	l.connected, l.conn = true, p.lastID
-	p.step(LinkConnected{Node: l.node.name, Link: link})
-	if p.nodeLinks[link] == nil || p.oneIn(12) { // no greeting: what waits for it is cut off in its time
+	d.lastID++
+	l.connected, l.conn = true, d.lastID
+	d.step(LinkConnected{Node: l.node.name, Link: link})
+	if d.nodeLinks[link] == nil || d.oneIn(12) { // no hello: the legs that wait for it end at their deadlines
 		return
 	}
 	hello := wire.NodeMessage{Type: wire.Hello, Incarnation: l.node.incarnation}
-	if p.config.reportAges && l.node.startedAt >= 0 {
-		hello.UptimeMS = max(1, (p.now - l.node.startedAt).Milliseconds())
+	if d.config.reportAges && l.node.startedAt >= 0 {
+		hello.UptimeMS = max(1, (d.now - l.node.startedAt).Milliseconds())
 	}
-	p.step(LinkReceived{Link: link, Message: hello})
+	d.step(LinkReceived{Link: link, Message: hello})
 }
 
-// toggleNode ends a node's process or starts it anew, under the same name.
-func (w *simulation) toggleNode(m *simNode) {
-	if m.up {
-		m.up = false
-		w.record(rulecheck.Record{Kind: rulecheck.NodeExited, Node: m.name})
-		for _, p := range w.directors {
-			for _, link := range p.links(true) {
-				if l := p.nodeLinks[link]; l != nil && l.node == m {
-					p.loseLink(link)
+// toggleNode ends a node's process, or starts a new one under the same name.
+func (s *simulation) toggleNode(n *simNode) {
+	if n.up {
+		n.up = false
+		s.record(rulecheck.Record{Kind: rulecheck.NodeExited, Node: n.name})
+		for _, d := range s.directors {
+			for _, link := range d.links(true) {
+				if l := d.nodeLinks[link]; l != nil && l.node == n {
+					d.loseLink(link)
 				}
 			}
 		}
 		return
 	}
-	m.up, m.startedAt, m.startedInRun = true, w.now, true
-	if m.incarnation += uint64(1 + w.IntN(3)); w.oneIn(4) { // another number, not a higher one
-		m.incarnation = w.Uint64N(50) + 100
+	n.up, n.startedAt, n.startedInRun = true, s.now, true
+	if n.incarnation += uint64(1 + s.IntN(3)); s.oneIn(4) { // any other number, not always a higher one
+		n.incarnation = s.Uint64N(50) + 100
 	}
-	w.record(rulecheck.Record{Kind: rulecheck.NodeStarted, Node: m.name, MaxStreams: w.config.ramp.MaxStreams[0]})
+	s.record(rulecheck.Record{Kind: rulecheck.NodeStarted, Node: n.name, MaxStreams: s.config.ramp.MaxStreams[0]})
 }
 
-// changeEntry lets the list say something new of a node, to some directors now and to the others later.
-func (w *simulation) changeEntry(m *simNode) {
-	m.previousEntry = m.entry
-	m.entry.State = wire.Up
-	if m.previousEntry.State == wire.Up {
-		m.entry.State = pick(w, []string{wire.Up, wire.Draining, wire.Removed})
+// changeEntry changes a node's entry in the server list. Some directors get it now, the others with the next full list.
+func (s *simulation) changeEntry(n *simNode) {
+	n.previousEntry = n.entry
+	n.entry.State = wire.Up
+	if n.previousEntry.State == wire.Up {
+		n.entry.State = pick(s, []string{wire.Up, wire.Draining, wire.Removed})
 	}
-	if m.entry.Incarnation = m.incarnation; w.oneIn(6) { // somewhere else, or of another size, under the same name
-		m.entry.Cell, m.entry.Weight = w.IntN(8), 0.5+2*w.Float64()
-		m.entry.Address = fmt.Sprint("a:", w.IntN(100))
+	if n.entry.Incarnation = n.incarnation; s.oneIn(6) { // moved and resized under the same name
+		n.entry.Cell, n.entry.Weight = s.IntN(8), 0.5+2*s.Float64()
+		n.entry.Address = fmt.Sprint("a:", s.IntN(100))
 	}
-	for _, p := range w.directors {
+	for _, d := range s.directors {
 		switch {
-		case p.ended || w.oneIn(3): // it hears with the next whole list
-		case w.oneIn(4): // twice, the earlier word last
-			p.sendList(wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{p.withAge(m, m.entry)}})
-			p.sendList(wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{p.withAge(m, m.previousEntry)}})
+		case d.ended || s.oneIn(3): // it gets the entry with the next full list
+		case s.oneIn(4): // the new entry, then the previous one
+			d.sendList(wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{d.withAge(n, n.entry)}})
+			d.sendList(wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{d.withAge(n, n.previousEntry)}})
 		default:
-			p.sendList(wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{p.withAge(m, m.entry)}})
+			d.sendList(wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{d.withAge(n, n.entry)}})
 		}
 	}
 }
 
-// run goes through a town's days and lets the witness judge them.
-func (w *simulation) run() rulecheck.Findings {
-	w.advance(1100 * ms)
-	for range w.config.steps {
-		w.step()
+// run runs all steps of the simulation and checks its records against the rules.
+func (s *simulation) run() rulecheck.Findings {
+	s.advance(1100 * ms)
+	for range s.config.steps {
+		s.step()
 	}
-	w.advance(5 * time.Second)
-	c := w.config
-	terms := rulecheck.Limits{Tariffs: map[string]rulecheck.TariffLimits{}, DrainGrace: 0, Warmup: c.ramp.Warmup, InitialShare: c.ramp.InitialShare, OverloadMultiple: c.ramp.OverloadMultiple,
-		OverloadWindow: c.ramp.OverloadWindow, MaxLegs: c.legs.MaxLegs, MinRetries: c.legs.MinRetries, RetryRatio: c.legs.RetryRatio, RetryWindow: c.legs.Window}
+	s.advance(5 * time.Second)
+	c := s.config
+	ruleLimits := rulecheck.Limits{Tariffs: map[string]rulecheck.TariffLimits{}, DrainGrace: 0, Warmup: c.ramp.Warmup, InitialShare: c.ramp.InitialShare, OverloadMultiple: c.ramp.OverloadMultiple,
+		OverloadWindow: c.ramp.OverloadWindow, MaxLegs: c.retryPolicy.MaxLegs, MinRetries: c.retryPolicy.MinRetries, RetryRatio: c.retryPolicy.RetryRatio, RetryWindow: c.retryPolicy.Window}
 	for _, t := range c.tariffs {
-		terms.Tariffs[t.Name] = rulecheck.TariffLimits{Paid: t.AtMostOnce, MinRung: t.Floor, Seats: t.Seats}
+		ruleLimits.Tariffs[t.Name] = rulecheck.TariffLimits{Paid: t.AtMostOnce, MinRung: t.Floor, Seats: t.Seats}
 	}
-	rulecheck.Sort(w.records)
-	return rulecheck.Check(terms, w.records)
+	rulecheck.Sort(s.records)
+	return rulecheck.Check(ruleLimits, s.records)
 }
 
-// shutDown lets everybody go and looks for what is left on the books.
-func (w *simulation) shutDown() {
-	for _, p := range w.directors {
-		for _, conn := range slices.Clone(p.conns) {
-			p.disconnectClient(conn)
+// shutDown closes all connections and fails the test if a director still holds a session or a leg.
+func (s *simulation) shutDown() {
+	for _, d := range s.directors {
+		for _, conn := range slices.Clone(d.conns) {
+			d.disconnectClient(conn)
 		}
 	}
-	w.advance(5 * time.Second)
-	for _, p := range w.directors {
-		for _, link := range p.links(true) {
-			if p.nodeLinks[link] != nil {
-				p.loseLink(link)
+	s.advance(5 * time.Second)
+	for _, d := range s.directors {
+		for _, link := range d.links(true) {
+			if d.nodeLinks[link] != nil {
+				d.loseLink(link)
 			}
 		}
-		if l := p.loop; len(l.sessions)+len(l.sessionsByKey)+len(l.legs)+l.owed+l.playing != 0 || l.counts.IllegalTransitions != 0 {
-			w.t.Fatalf("%s: left on the books: %d sessions, %d keys, %d legs, %d owed, %d playing; %d odd moves", p.name(), len(l.sessions),
+		if l := d.loop; len(l.sessions)+len(l.sessionsByKey)+len(l.legs)+l.owed+l.playing != 0 || l.counts.IllegalTransitions != 0 {
+			s.t.Fatalf("%s: state left: %d sessions, %d keys, %d legs, %d answers owed, %d playing; %d illegal transitions", d.name(), len(l.sessions),
 				len(l.sessionsByKey), len(l.legs), l.owed, l.playing, l.counts.IllegalTransitions)
 		}
 	}
