--- a/internal/rulecheck/counts.go
+++ b/internal/rulecheck/counts.go
@@ -6,38 +6,39 @@
 	"fordusher/internal/wire"
 )
 
-// OutcomeCounts are how the requests of a record ended: each in exactly one way.
+// OutcomeCounts count the requests in a list of records by outcome; each request has exactly one. Retries are the
+// requests that are not their client's first, Legs the set-ups that reached nodes.
 type OutcomeCounts struct {
 	Received, Played, Nacked, Errored, Abandoned, Unanswered, Retries, Legs int
 }
 
-// CountOutcomes counts how requests ended. Gone are those whose viewer left, whose connection the viewer ended, or
-// whose director was killed.
+// CountOutcomes counts requests by outcome. Abandoned are unanswered requests that the client cancelled, whose connection
+// the client ended or the director closed for lack of capacity, or whose director was killed.
 func CountOutcomes(records []Record) (c OutcomeCounts) {
-	type state struct {
-		answered bool
-		gone     bool
-		director string
+	type requestState struct {
+		answered  bool
+		abandoned bool
+		director  string
 	}
-	wants := map[wantKey]*state{}
-	byConn := map[uint64][]*state{}
-	down := map[string]bool{}
+	requests := map[requestKey]*requestState{}
+	byConn := map[uint64][]*requestState{}
+	killed := map[string]bool{}
 	for _, r := range records {
-		k := wantKey{r.Conn, r.RequestID}
+		k := requestKey{r.Conn, r.RequestID}
 		switch r.Kind {
 		case wire.Request:
-			if wants[k] != nil {
+			if requests[k] != nil {
 				continue
 			}
-			s := &state{director: r.Director, gone: down[r.Director]}
-			wants[k] = s
+			s := &requestState{director: r.Director, abandoned: killed[r.Director]}
+			requests[k] = s
 			byConn[r.Conn] = append(byConn[r.Conn], s)
 			c.Received++
 			if r.Retry {
 				c.Retries++
 			}
 		case wire.Playing, wire.Nack, wire.Errored:
-			s := wants[k]
+			s := requests[k]
 			if s == nil || s.answered {
 				continue
 			}
@@ -51,39 +52,39 @@
 				c.Errored++
 			}
 		case wire.Cancel:
-			if s := wants[k]; s != nil {
-				s.gone = true
+			if s := requests[k]; s != nil {
+				s.abandoned = true
 			}
 		case wire.Setup:
 			c.Legs++
 		case ConnClosed:
-			if r.Node == "" && (r.ClosedBy == ClosedByRecorder || strings.Contains(r.Reason, wentForRoom)) {
+			if r.Node == "" && (r.ClosedBy == ClosedByRecorder || strings.Contains(r.Reason, capacityCloseMark)) {
 				for _, s := range byConn[r.Conn] {
-					s.gone = true
+					s.abandoned = true
 				}
 			}
 		case DirectorKilled:
-			down[r.Director] = true
-			for _, s := range wants {
+			killed[r.Director] = true
+			for _, s := range requests {
 				if s.director == r.Director {
-					s.gone = true
+					s.abandoned = true
 				}
 			}
 		case DirectorStarted:
-			delete(down, r.Director)
+			delete(killed, r.Director)
 		}
 		if r.Kind == ClientTimedOut {
-			if s := wants[k]; s != nil && !s.answered && !s.gone {
-				s.gone = false
+			if s := requests[k]; s != nil && !s.answered && !s.abandoned {
+				s.abandoned = false
 				c.Unanswered++
 				s.answered = true
 			}
 		}
 	}
-	for _, s := range wants {
+	for _, s := range requests {
 		switch {
 		case s.answered:
-		case s.gone:
+		case s.abandoned:
 			c.Abandoned++
 		default:
 			c.Unanswered++
--- a/internal/rulecheck/recorder.go
+++ b/internal/rulecheck/recorder.go
@@ -1,5 +1,5 @@
-// Package rulecheck keeps what crossed the sockets, as the stand-ins at their far ends saw it, and checks the
-// six rules from that record alone. It knows nothing of a director's books.
+// Package rulecheck records the messages that cross the sockets, as the emulated nodes, clients and discovery at the
+// far ends see them, and checks the six rules from these records alone. It uses no internal state of a director.
 package rulecheck
 
 import (
@@ -20,33 +20,34 @@
 	return time.Duration(ts.Nano())
 }
 
-// What a Record tells of. The words of the wire stand for messages of that name.
+// Kinds of records, with the recorder's side. A message is recorded under its type on the wire.
 const (
-	ConnClosed      = "closed"   // player, node: a connection has ended; By tells who ended it
-	ListReceived    = "told"     // list: a director has taken a list in which the node stands so (State)
-	ListRequested   = "listens"  // list: a director has connected and knows nothing yet
-	NodeStarted     = "started"  // day: a node has started, cold
-	NodeExited      = "died"     // day: a node's process has ended
-	DirectorKilled  = "killed"   // day: a director was killed; it owes nothing any more
-	ClientTimedOut  = "gave up"  // player: the time to wait is up
-	DirectorStarted = "returned" // day: a director has started again
-	RunStarted      = "scripted" // day: it begins; ID is its seed, Why its script
-	ActionApplied   = "acted"    // day: something of its timeline was done; Why is what, as JSON
-	SessionEarned   = "earned"   // node: what a session has earned by its end (Seconds)
+	ConnClosed      = "closed"   // client, node: a connection has ended; ClosedBy has the side that ended it
+	ListReceived    = "told"     // discovery: a director has acknowledged a list in which the node is in State
+	ListRequested   = "listens"  // discovery: a director has connected and subscribed, and has no list yet
+	NodeStarted     = "started"  // node: its process has started and is in slow start
+	NodeExited      = "died"     // node: its process has ended
+	DirectorKilled  = "killed"   // run: a director was killed; its open requests need no answer
+	ClientTimedOut  = "gave up"  // client: it has stopped waiting for an answer
+	DirectorStarted = "returned" // run: a director has started again
+	RunStarted      = "scripted" // run: it begins; RequestID has its seed, Reason its script
+	ActionApplied   = "acted"    // run: an action of its timeline was applied; Reason has the action as JSON
+	SessionEarned   = "earned"   // node: a session has ended; Seconds has what it earned
 )
 
-// Who may end a connection.
+// Sides that end a connection.
 const (
 	ClosedByPeer     = "peer"
-	ClosedByRecorder = "us" // the stand-in that keeps the record
+	ClosedByRecorder = "us" // the emulated side, which records
 )
 
-// A Record is one thing that a stand-in saw, at the moment when it sent or received it.
+// A Record is one event at an emulated node, client or discovery, or of the run. A message has the time at which the
+// emulated side sent or received it.
 type Record struct {
 	At           time.Duration `json:"at"`
 	Kind         string        `json:"what"`
-	Client       int           `json:"viewer,omitempty"` // player records
-	Conn         uint64        `json:"conn,omitempty"`   // the stand-in's number of the connection
+	Client       int           `json:"viewer,omitempty"` // in client records: the client's number
+	Conn         uint64        `json:"conn,omitempty"`   // the emulated side's number of the connection
 	Director     string        `json:"director,omitempty"`
 	Node         string        `json:"node,omitempty"`
 	RequestID    string        `json:"id,omitempty"`
@@ -55,26 +56,26 @@
 	Tariff       string        `json:"tariff,omitempty"`
 	Title        string        `json:"title,omitempty"`
 	Rung         int           `json:"rung,omitempty"`
-	Wait         time.Duration `json:"wait,omitempty"`   // want
-	StartTimeout time.Duration `json:"within,omitempty"` // setup
+	Wait         time.Duration `json:"wait,omitempty"`   // of requests
+	StartTimeout time.Duration `json:"within,omitempty"` // of set-ups
 	Retry        bool          `json:"again,omitempty"`
 	State        string        `json:"state,omitempty"`
 	ClosedBy     string        `json:"by,omitempty"`
-	MaxStreams   float64       `json:"places,omitempty"` // started
+	MaxStreams   float64       `json:"places,omitempty"` // of NodeStarted
 	Reason       string        `json:"why,omitempty"`
-	Seconds      float64       `json:"seconds,omitempty"` // earned
+	Seconds      float64       `json:"seconds,omitempty"` // of SessionEarned
 }
 
-// A Recorder takes records from many goroutines.
+// A Recorder collects records. It can be used by several goroutines at once.
 type Recorder struct {
 	mu      sync.Mutex
 	records []Record
 }
 
-// DiscardRecorder is a recorder that keeps nothing, for loads that nobody judges.
+// DiscardRecorder is a recorder that drops all records, for loads on which no rules are checked.
 var DiscardRecorder = (*Recorder)(nil)
 
-// Add keeps a record; its time is now unless it has one.
+// Add adds a record; its time is now unless it has one.
 func (r *Recorder) Add(x Record) {
 	if r == nil {
 		return
@@ -87,7 +88,7 @@
 	r.mu.Unlock()
 }
 
-// Records returns what was kept so far, by time.
+// Records returns the records so far, sorted by time.
 func (r *Recorder) Records() []Record {
 	r.mu.Lock()
 	all := slices.Clone(r.records)
@@ -96,7 +97,7 @@
 	return all
 }
 
-// Sort puts records in the order of their times.
+// Sort sorts records by time.
 func Sort(all []Record) {
 	slices.SortStableFunc(all, func(a, b Record) int { return int(min(1, max(-1, a.At-b.At))) })
 }
--- a/internal/rulecheck/rules.go
+++ b/internal/rulecheck/rules.go
@@ -11,22 +11,22 @@
 	"fordusher/internal/wire"
 )
 
-// Limits are the figures of the rules.
+// Limits are the bounds that the rules check against.
 type Limits struct {
 	Tariffs          map[string]TariffLimits `json:"tariffs"`
-	DrainGrace       time.Duration           `json:"grace"` // of drains
+	DrainGrace       time.Duration           `json:"grace"` // set-ups sent so long after the director knows of a drain are allowed
 	Warmup           time.Duration           `json:"warmup"`
 	InitialShare     float64                 `json:"cold_from"`
-	OverloadMultiple float64                 `json:"multiple"`
+	OverloadMultiple float64                 `json:"multiple"` // largest set-up rate in slow start, as a multiple of MaxStreams/Warmup
 	OverloadWindow   time.Duration           `json:"tip_after"`
-	MaxLegs          int                     `json:"most"` // legs of a session
+	MaxLegs          int                     `json:"most"` // of a session; 0: unlimited
 	MinRetries       float64                 `json:"spare"`
 	RetryRatio       float64                 `json:"share"`
-	RetryWindow      time.Duration           `json:"span"`  // 0: further legs are not rationed
-	Tolerance        time.Duration           `json:"slack"` // what crosses a socket may be seen so much out of order or late
+	RetryWindow      time.Duration           `json:"span"`  // 0: further legs are not limited
+	Tolerance        time.Duration           `json:"slack"` // messages may be recorded so much out of order or late
 }
 
-// TariffLimits is what the rules say of a tariff.
+// TariffLimits are the limits of one tariff.
 type TariffLimits struct {
 	Paid      bool          `json:"paid,omitempty"`
 	MinRung   int           `json:"floor,omitempty"`
@@ -48,20 +48,20 @@
 // Rules are the names of all rules.
 var Rules = []string{RuleAnswer, RuleSetupOnce, RuleDrain, RuleSlowStart, RuleTariffLimits, RuleRetryBudget}
 
-// Finding is how one rule fared.
+// Finding is the result of checking one rule.
 type Finding struct {
 	Checked    int      `json:"checked"`
 	Violations int      `json:"broken"`
-	Examples   []string `json:"examples,omitempty"` // the first few breaches
-	MinMargin  float64  `json:"least"`              // smallest part of what the rule allows that was left over; 1: it never came near
+	Examples   []string `json:"examples,omitempty"` // of violations, the first few
+	MinMargin  float64  `json:"least"`              // smallest share of the allowance that was left unused; 1: the whole
 }
 
-// Findings is how all rules fared.
+// Findings are the results of all rules, by rule name.
 type Findings map[string]*Finding
 
-// Passed tells whether no rule was broken.
-func (v Findings) Passed() bool {
-	for _, f := range v {
+// Passed reports whether no rule was violated.
+func (fs Findings) Passed() bool {
+	for _, f := range fs {
 		if f.Violations > 0 {
 			return false
 		}
@@ -69,40 +69,42 @@
 	return true
 }
 
-const exampleMost = 5
+const maxExamples = 5
 
-// left notes what part of what a rule allows was left over.
-func (v Findings) left(rule string, part float64) {
-	v[rule].MinMargin = max(0, min(v[rule].MinMargin, part))
+// recordMargin lowers a rule's smallest margin to share, the part of its allowance that is left unused.
+func (fs Findings) recordMargin(rule string, share float64) {
+	fs[rule].MinMargin = max(0, min(fs[rule].MinMargin, share))
 }
 
-func (v Findings) check(rule string, ok bool, format string, args ...any) {
-	f := v[rule]
+// check counts one check of a rule and, unless ok, a violation with its example text.
+func (fs Findings) check(rule string, ok bool, format string, args ...any) {
+	f := fs[rule]
 	f.Checked++
 	if ok {
 		return
 	}
 	f.Violations++
-	if len(f.Examples) < exampleMost {
+	if len(f.Examples) < maxExamples {
 		f.Examples = append(f.Examples, fmt.Sprintf(format, args...))
 	}
 }
 
-// wentForRoom marks a close for want of room: its code, as the stand-ins note it.
-const wentForRoom = "1013 retry-ms="
+// capacityCloseMark is the part of a recorded close reason, code and retry delay, that marks a close for lack of capacity.
+const capacityCloseMark = "1013 retry-ms="
 
-type wantKey struct {
+type requestKey struct {
 	conn uint64
 	id   string
 }
 
-type want struct {
+// A request is a client's request for a session, with its answer.
+type request struct {
 	Record
-	answered time.Duration // 0: not yet
-	answer   string
-	excused  time.Duration // no answer is owed since then; 0: it is
-	repeats  int
-	session  string
+	answeredAt time.Duration // 0: no answer yet
+	answer     string
+	waivedAt   time.Duration // no answer is required from then on; 0: one is required
+	duplicates int
+	session    string
 }
 
 type legKey struct {
@@ -111,333 +113,339 @@
 	leg  uint64
 }
 
+// A leg is one attempt of a session at a node.
 type leg struct {
 	Record
-	over   time.Duration // 0: still out at the end of the record
-	full   bool          // the node has said that it never ran
-	plays  bool
-	played int
+	endedAt       time.Duration // 0: not yet
+	neverRan      bool          // the node answered full before anything else, so the set-up never ran
+	accepted      bool
+	acceptedCount int
 }
 
-// An account is everything that is looked at while records are gone through, in the order of their times.
-type account struct {
-	terms    Limits
-	verdict  Findings
-	wants    map[wantKey]*want
-	order    []*want
-	sessions map[string]*want // by the director's name of the session
-	legs     map[legKey]*leg
-	sent     []*leg
-	byLeg    map[string][]*leg    // legs of a session
-	told     map[[2]string]toldAt // director and node
-	doubts   map[[2]string][]doubt
-	starts   map[string]Record   // of nodes that are cold
-	cold     map[string][]Record // set-ups since the node's start
-	conns    map[uint64][]*want  // of a player's connection
-	outs     map[string][]*leg   // legs out on a node
-	killed   map[string]bool     // directors that are down
-	end      time.Duration
+// A checker holds the state that is built up while records are processed in order of time.
+type checker struct {
+	limits             Limits
+	findings           Findings
+	requests           map[requestKey]*request
+	requestOrder       []*request
+	sessions           map[string]*request // answered with a nack or an error, by session name
+	legsByKey          map[legKey]*leg
+	sentLegs           []*leg
+	legsBySession      map[string][]*leg                 // in the order of their records, then of their numbers
+	listStates         map[[2]string]listState           // by director and node
+	pendingDrainChecks map[[2]string][]pendingDrainCheck // by director and node
+	nodeStarts         map[string]Record                 // of nodes that run since a recorded start
+	recentSetups       map[string][]Record               // set-ups within the overload window, of nodes in slow start
+	requestsByConn     map[uint64][]*request             // by client connection
+	outstandingLegs    map[string][]*leg                 // by node
+	killedDirectors    map[string]bool                   // killed and not started again
+	end                time.Duration                     // time of the last record
 }
 
-// A doubt is a set-up to a node of which its director had no word yet that it is up again: that word may
-// have crossed the set-up.
-type doubt struct {
+// A pendingDrainCheck is a set-up to a draining node after the grace time. It is no violation if the director had
+// received the node's return to up by then: its acknowledgement is recorded apart from the set-up and may come later.
+type pendingDrainCheck struct {
 	at      time.Duration
 	example string
 }
 
-// cleared settles doubts about a director and a node: it has said by now that it had the word, and may have had
-// it a moment before.
-func (a *account) cleared(k [2]string, now time.Duration) {
-	for _, d := range a.doubts[k] {
-		a.verdict.check(RuleDrain, d.at >= now-a.terms.Tolerance, "%s", d.example)
+// settleDrainChecks decides the pending checks of a director and a node once the director has acknowledged that the
+// node is up or has subscribed anew. The director may have received the state earlier, by up to the tolerance.
+func (c *checker) settleDrainChecks(k [2]string, now time.Duration) {
+	for _, d := range c.pendingDrainChecks[k] {
+		c.findings.check(RuleDrain, d.at >= now-c.limits.Tolerance, "%s", d.example)
 	}
-	delete(a.doubts, k)
+	delete(c.pendingDrainChecks, k)
 }
 
-type toldAt struct {
+// A listState is a node's state that a director has acknowledged, with the time of the first acknowledgement.
+type listState struct {
 	at    time.Duration
 	state string
 }
 
-// Check goes through records, which have to be in the order of their times, and says how each rule fared.
-func Check(terms Limits, records []Record) Findings {
-	a := &account{
-		terms: terms, verdict: Findings{}, wants: map[wantKey]*want{}, sessions: map[string]*want{},
-		legs: map[legKey]*leg{}, byLeg: map[string][]*leg{}, told: map[[2]string]toldAt{}, doubts: map[[2]string][]doubt{},
-		starts: map[string]Record{}, cold: map[string][]Record{}, conns: map[uint64][]*want{},
-		outs: map[string][]*leg{}, killed: map[string]bool{},
+// Check checks records, which must be sorted by time, against all rules.
+func Check(limits Limits, records []Record) Findings {
+	c := &checker{
+		limits: limits, findings: Findings{}, requests: map[requestKey]*request{}, sessions: map[string]*request{},
+		legsByKey: map[legKey]*leg{}, legsBySession: map[string][]*leg{}, listStates: map[[2]string]listState{}, pendingDrainChecks: map[[2]string][]pendingDrainCheck{},
+		nodeStarts: map[string]Record{}, recentSetups: map[string][]Record{}, requestsByConn: map[uint64][]*request{},
+		outstandingLegs: map[string][]*leg{}, killedDirectors: map[string]bool{},
 	}
 	for _, rule := range Rules {
-		a.verdict[rule] = &Finding{MinMargin: 1}
+		c.findings[rule] = &Finding{MinMargin: 1}
 	}
 	for _, r := range records {
-		a.end = max(a.end, r.At)
-		a.take(r)
+		c.end = max(c.end, r.At)
+		c.process(r)
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(a.doubts), func(x, y [2]string) int { return cmp.Or(cmp.Compare(x[0], y[0]), cmp.Compare(x[1], y[1])) }) {
-		for _, d := range a.doubts[k] {
-			a.verdict.check(RuleDrain, false, "%s", d.example)
+	for _, k := range slices.SortedFunc(maps.Keys(c.pendingDrainChecks), func(x, y [2]string) int { return cmp.Or(cmp.Compare(x[0], y[0]), cmp.Compare(x[1], y[1])) }) {
+		for _, d := range c.pendingDrainChecks[k] {
+			c.findings.check(RuleDrain, false, "%s", d.example)
 		}
 	}
-	a.answers()
-	a.once()
-	a.seats()
-	a.budget()
-	return a.verdict
+	c.checkAnswers()
+	c.checkSetupOnce()
+	c.checkSeats()
+	c.checkRetryBudget()
+	return c.findings
 }
 
-func (a *account) take(r Record) {
+func (c *checker) process(r Record) {
 	switch r.Kind {
 	case wire.Request:
-		k := wantKey{r.Conn, r.RequestID}
-		if w := a.wants[k]; w != nil {
-			w.repeats++
+		k := requestKey{r.Conn, r.RequestID}
+		if req := c.requests[k]; req != nil {
+			req.duplicates++
 			return
 		}
-		w := &want{Record: r}
-		if a.killed[r.Director] {
-			w.excused = r.At
+		req := &request{Record: r}
+		if c.killedDirectors[r.Director] {
+			req.waivedAt = r.At
 		}
-		a.wants[k] = w
-		a.order = append(a.order, w)
-		a.conns[r.Conn] = append(a.conns[r.Conn], w)
+		c.requests[k] = req
+		c.requestOrder = append(c.requestOrder, req)
+		c.requestsByConn[r.Conn] = append(c.requestsByConn[r.Conn], req)
 	case wire.Playing, wire.Nack, wire.Errored:
-		a.answer(r)
+		c.recordAnswer(r)
 	case wire.Cancel:
-		if w := a.wants[wantKey{r.Conn, r.RequestID}]; w != nil && w.excused == 0 {
-			w.excused = r.At
+		if req := c.requests[requestKey{r.Conn, r.RequestID}]; req != nil && req.waivedAt == 0 {
+			req.waivedAt = r.At
 		}
 	case wire.Setup:
-		a.setup(r)
+		c.recordSetup(r)
 	case wire.Rung:
 		if r.Node != "" && r.Leg != 0 {
-			if g := a.legs[legKey{r.Node, r.Conn, r.Leg}]; g != nil {
-				a.floor(g.Tariff, r)
+			if l := c.legsByKey[legKey{r.Node, r.Conn, r.Leg}]; l != nil {
+				c.checkMinRung(l.Tariff, r)
 			}
 		}
 	case wire.Accepted:
-		if g := a.legs[legKey{r.Node, r.Conn, r.Leg}]; g != nil {
-			g.plays = true
-			g.played++
+		if l := c.legsByKey[legKey{r.Node, r.Conn, r.Leg}]; l != nil {
+			l.accepted = true
+			l.acceptedCount++
 		}
 	case wire.Full, wire.Failed, wire.Ended, wire.End:
-		if g := a.legs[legKey{r.Node, r.Conn, r.Leg}]; g != nil {
-			g.full = g.full || r.Kind == wire.Full && !g.plays && g.over == 0
-			a.over(g, r.At)
+		if l := c.legsByKey[legKey{r.Node, r.Conn, r.Leg}]; l != nil {
+			l.neverRan = l.neverRan || r.Kind == wire.Full && !l.accepted && l.endedAt == 0
+			c.endLeg(l, r.At)
 		}
 	case ConnClosed:
 		if r.Node != "" {
-			for _, g := range a.outs[r.Node] {
-				if g.Conn == r.Conn {
-					a.over(g, r.At)
+			for _, l := range c.outstandingLegs[r.Node] {
+				if l.Conn == r.Conn {
+					c.endLeg(l, r.At)
 				}
 			}
 			return
 		}
-		for _, w := range a.conns[r.Conn] {
-			// A close that says when to come back is an answer to what crosses it.
-			if (r.ClosedBy == ClosedByRecorder || strings.Contains(r.Reason, wentForRoom)) && w.excused == 0 {
-				w.excused = r.At
+		for _, req := range c.requestsByConn[r.Conn] {
+			// A close that names a retry delay counts as the answer to requests that cross it.
+			if (r.ClosedBy == ClosedByRecorder || strings.Contains(r.Reason, capacityCloseMark)) && req.waivedAt == 0 {
+				req.waivedAt = r.At
 			}
 		}
-		delete(a.conns, r.Conn)
+		delete(c.requestsByConn, r.Conn)
 	case DirectorStarted:
-		delete(a.killed, r.Director)
+		delete(c.killedDirectors, r.Director)
 	case DirectorKilled:
-		a.killed[r.Director] = true
-		for _, w := range a.order {
-			if w.Director == r.Director && w.answered == 0 && w.excused == 0 {
-				w.excused = r.At
+		c.killedDirectors[r.Director] = true
+		for _, req := range c.requestOrder {
+			if req.Director == r.Director && req.answeredAt == 0 && req.waivedAt == 0 {
+				req.waivedAt = r.At
 			}
 		}
 	case ListRequested:
-		for k := range a.told {
+		for k := range c.listStates {
 			if k[0] == r.Director {
-				delete(a.told, k)
-				a.cleared(k, r.At)
+				delete(c.listStates, k)
+				c.settleDrainChecks(k, r.At)
 			}
 		}
 	case ListReceived:
 		k := [2]string{r.Director, r.Node}
-		if a.told[k].state != r.State {
-			a.told[k] = toldAt{r.At, r.State}
+		if c.listStates[k].state != r.State {
+			c.listStates[k] = listState{r.At, r.State}
 		}
 		if r.State == wire.Up {
-			a.cleared(k, r.At)
+			c.settleDrainChecks(k, r.At)
 		}
 	case NodeStarted:
-		a.starts[r.Node] = r
-		a.cold[r.Node] = nil
+		c.nodeStarts[r.Node] = r
+		c.recentSetups[r.Node] = nil
 	case NodeExited:
-		delete(a.starts, r.Node)
-		for _, g := range a.outs[r.Node] {
-			a.over(g, r.At)
+		delete(c.nodeStarts, r.Node)
+		for _, l := range c.outstandingLegs[r.Node] {
+			c.endLeg(l, r.At)
 		}
 	}
 }
 
-func (a *account) over(g *leg, at time.Duration) {
-	if g.over == 0 {
-		g.over = at
+func (c *checker) endLeg(l *leg, at time.Duration) {
+	if l.endedAt == 0 {
+		l.endedAt = at
 	}
 }
 
-// answer is rule 1's other half: an answer that nobody asked for, or a second one.
-func (a *account) answer(r Record) {
-	w := a.wants[wantKey{r.Conn, r.RequestID}]
-	if w == nil {
-		a.verdict.check(RuleAnswer, false, "%s: answer %s to %q, which was never asked", at(r.At), r.Kind, r.RequestID)
+// recordAnswer records a request's answer. It checks the part of rule 1 on answers without a request and on second
+// answers, which are allowed to a duplicate request if they are of the same kind.
+func (c *checker) recordAnswer(r Record) {
+	req := c.requests[requestKey{r.Conn, r.RequestID}]
+	if req == nil {
+		c.findings.check(RuleAnswer, false, "%s: answer %s to %q, for which there is no request", formatTime(r.At), r.Kind, r.RequestID)
 		return
 	}
-	if w.answered != 0 {
-		a.verdict.check(RuleAnswer, w.repeats > 0 && w.answer == r.Kind, "%s: viewer %d got %s after %s from %s", at(r.At),
-			w.Client, r.Kind, w.answer, w.Director)
-		w.repeats--
+	if req.answeredAt != 0 {
+		c.findings.check(RuleAnswer, req.duplicates > 0 && req.answer == r.Kind, "%s: client %d got a second answer %s after %s from %s", formatTime(r.At),
+			req.Client, r.Kind, req.answer, req.Director)
+		req.duplicates--
 		return
 	}
-	w.answered, w.answer, w.session = r.At, r.Kind, r.Session
+	req.answeredAt, req.answer, req.session = r.At, r.Kind, r.Session
 	if r.Session != "" && r.Kind != wire.Playing {
-		a.sessions[r.Session] = w
+		c.sessions[r.Session] = req
 	}
 }
 
-// answers is rule 1: exactly one final answer, before the hard stop, unless nothing is owed.
-func (a *account) answers() {
-	for _, w := range a.order {
-		stop := w.At + w.Wait + a.terms.Tolerance
+// checkAnswers checks rule 1: each request gets exactly one final answer before its deadline, unless none is required.
+func (c *checker) checkAnswers() {
+	for _, req := range c.requestOrder {
+		deadline := req.At + req.Wait + c.limits.Tolerance
 		switch {
-		case w.answered != 0:
-			a.verdict.left(RuleAnswer, float64(stop-w.answered)/float64(w.Wait+a.terms.Tolerance))
-			a.verdict.check(RuleAnswer, w.answered <= stop, "viewer %d was answered %v after the hard stop by %s", w.Client,
-				w.answered-w.At-w.Wait, w.Director)
-		case w.excused != 0 && w.excused <= stop:
-		case a.end <= stop: // the record ends before
+		case req.answeredAt != 0:
+			c.findings.recordMargin(RuleAnswer, float64(deadline-req.answeredAt)/float64(req.Wait+c.limits.Tolerance))
+			c.findings.check(RuleAnswer, req.answeredAt <= deadline, "client %d was answered %v after the deadline by %s", req.Client,
+				req.answeredAt-req.At-req.Wait, req.Director)
+		case req.waivedAt != 0 && req.waivedAt <= deadline:
+		case c.end <= deadline: // the records end before the deadline
 		default:
-			a.verdict.check(RuleAnswer, false, "viewer %d was never answered by %s (%s, asked at %s)", w.Client, w.Director,
-				w.Tariff, at(w.At))
+			c.findings.check(RuleAnswer, false, "client %d was never answered by %s (%s, requested at %s)", req.Client, req.Director,
+				req.Tariff, formatTime(req.At))
 		}
 	}
 }
 
-func at(t time.Duration) string { return fmt.Sprintf("%.3fs", t.Seconds()) }
-
-func (a *account) setup(r Record) {
-	g := &leg{Record: r}
-	a.legs[legKey{r.Node, r.Conn, r.Leg}] = g
-	a.sent = append(a.sent, g)
-	a.outs[r.Node] = append(slices.DeleteFunc(a.outs[r.Node], func(x *leg) bool { return x.over != 0 }), g)
-	a.byLeg[r.Session] = append(a.byLeg[r.Session], g)
-	a.floor(r.Tariff, r)
-	// Rule 3. What was told and taken is what the director knows.
-	if t, ok := a.told[[2]string{r.Director, r.Node}]; ok && t.state != wire.Up {
-		if r.At <= t.at+a.terms.DrainGrace+a.terms.Tolerance {
-			a.verdict.left(RuleDrain, 1-float64(r.At-t.at)/float64(a.terms.DrainGrace+a.terms.Tolerance))
-			a.verdict.check(RuleDrain, true, "")
+// formatTime formats the time of a record for an example.
+func formatTime(t time.Duration) string { return fmt.Sprintf("%.3fs", t.Seconds()) }
+
+func (c *checker) recordSetup(r Record) {
+	l := &leg{Record: r}
+	c.legsByKey[legKey{r.Node, r.Conn, r.Leg}] = l
+	c.sentLegs = append(c.sentLegs, l)
+	c.outstandingLegs[r.Node] = append(slices.DeleteFunc(c.outstandingLegs[r.Node], func(x *leg) bool { return x.endedAt != 0 }), l)
+	c.legsBySession[r.Session] = append(c.legsBySession[r.Session], l)
+	c.checkMinRung(r.Tariff, r)
+	// Rule 3: a director knows the node states that it has acknowledged.
+	if t, ok := c.listStates[[2]string{r.Director, r.Node}]; ok && t.state != wire.Up {
+		if r.At <= t.at+c.limits.DrainGrace+c.limits.Tolerance {
+			c.findings.recordMargin(RuleDrain, 1-float64(r.At-t.at)/float64(c.limits.DrainGrace+c.limits.Tolerance))
+			c.findings.check(RuleDrain, true, "")
 		} else {
 			k := [2]string{r.Director, r.Node}
-			a.doubts[k] = append(a.doubts[k], doubt{r.At, fmt.Sprintf("%s: %s sent to %s %v after it was told that it is %s", at(r.At), r.Director, r.Node,
+			c.pendingDrainChecks[k] = append(c.pendingDrainChecks[k], pendingDrainCheck{r.At, fmt.Sprintf("%s: %s sent a set-up to %s %v after it received that the node is %s", formatTime(r.At), r.Director, r.Node,
 				r.At-t.at, t.state)})
 		}
 	} else {
-		a.verdict.check(RuleDrain, true, "")
+		c.findings.check(RuleDrain, true, "")
 	}
-	// Rule 4, all directors together.
-	start, cold := a.starts[r.Node]
-	if age := r.At - start.At; cold && age < a.terms.Warmup {
-		a.cold[r.Node] = slices.DeleteFunc(append(a.cold[r.Node], r), func(x Record) bool { return x.At <= r.At-a.terms.OverloadWindow })
-		warmth := a.terms.InitialShare + (1-a.terms.InitialShare)*age.Seconds()/a.terms.Warmup.Seconds()
-		budget := a.terms.OverloadMultiple * start.MaxStreams / a.terms.Warmup.Seconds() * warmth * a.terms.OverloadWindow.Seconds()
-		a.verdict.left(RuleSlowStart, 1-float64(len(a.cold[r.Node]))/(budget+1))
-		a.verdict.check(RuleSlowStart, float64(len(a.cold[r.Node])) <= budget+1, "%s: %d set-ups within %v on %s, %v after its start (budget %.1f)",
-			at(r.At), len(a.cold[r.Node]), a.terms.OverloadWindow, r.Node, age, budget)
+	// Rule 4: the set-up rate of a node in slow start, from all directors together.
+	start, started := c.nodeStarts[r.Node]
+	if age := r.At - start.At; started && age < c.limits.Warmup {
+		c.recentSetups[r.Node] = slices.DeleteFunc(append(c.recentSetups[r.Node], r), func(x Record) bool { return x.At <= r.At-c.limits.OverloadWindow })
+		rampShare := c.limits.InitialShare + (1-c.limits.InitialShare)*age.Seconds()/c.limits.Warmup.Seconds()
+		budget := c.limits.OverloadMultiple * start.MaxStreams / c.limits.Warmup.Seconds() * rampShare * c.limits.OverloadWindow.Seconds()
+		c.findings.recordMargin(RuleSlowStart, 1-float64(len(c.recentSetups[r.Node]))/(budget+1))
+		c.findings.check(RuleSlowStart, float64(len(c.recentSetups[r.Node])) <= budget+1, "%s: %d set-ups within %v on %s, %v after its start (budget %.1f)",
+			formatTime(r.At), len(c.recentSetups[r.Node]), c.limits.OverloadWindow, r.Node, age, budget)
 	}
 }
 
-func (a *account) floor(tariff string, r Record) {
-	if t := a.terms.Tariffs[tariff]; t.MinRung > 0 {
-		a.verdict.check(RuleTariffLimits, r.Rung >= t.MinRung, "%s: %s set rung %d of %s on %s, under the floor %d", at(r.At), r.Director, r.Rung,
+// checkMinRung checks the part of rule 5 on rungs: none is below the tariff's lowest.
+func (c *checker) checkMinRung(tariff string, r Record) {
+	if t := c.limits.Tariffs[tariff]; t.MinRung > 0 {
+		c.findings.check(RuleTariffLimits, r.Rung >= t.MinRung, "%s: %s set rung %d of %s on %s, below the lowest rung %d", formatTime(r.At), r.Director, r.Rung,
 			tariff, r.Node, t.MinRung)
 	}
 }
 
-// ended is when a leg was no longer out: when its node said so, when it was called off, or when its time
-// to start was up and it had not.
-func (a *account) ended(g *leg) time.Duration {
-	over := g.over
-	if over == 0 {
-		over = 1 << 62
+// legEnd is when a leg is no longer outstanding: when its node reports its end, when the director ends it, when its
+// connection or node ends, or when its start time-out expires before it is accepted.
+func (c *checker) legEnd(l *leg) time.Duration {
+	end := l.endedAt
+	if end == 0 {
+		end = 1 << 62
 	}
-	if !g.plays && g.StartTimeout > 0 {
-		over = min(over, g.At+g.StartTimeout)
+	if !l.accepted && l.StartTimeout > 0 {
+		end = min(end, l.At+l.StartTimeout)
 	}
-	return over
+	return end
 }
 
-// once is rule 2: one leg at a time, a paid set-up sent again or nacked only if it provably never ran, and
-// nothing sent for a session that has its answer.
-func (a *account) once() {
-	// In the order in which the director sent them, which their numbers tell: what was sent to different nodes
-	// a moment apart may have come the other way round.
-	for _, all := range a.byLeg {
+// checkSetupOnce checks rule 2: a session has one leg at a time and at most MaxLegs, a paid set-up is sent again or
+// nacked only if it provably never ran, and no set-up is sent for a session that has been nacked or has failed.
+func (c *checker) checkSetupOnce() {
+	// Leg numbers give the order in which the director sent them. Set-ups sent to different nodes in quick succession
+	// may be recorded in the reverse order.
+	for _, all := range c.legsBySession {
 		slices.SortStableFunc(all, func(x, y *leg) int { return cmp.Compare(x.Leg, y.Leg) })
 	}
-	for _, g := range a.sent {
-		all := a.byLeg[g.Session]
-		if all[0] != g {
+	for _, l := range c.sentLegs {
+		all := c.legsBySession[l.Session]
+		if all[0] != l {
 			continue
 		}
-		paid := a.terms.Tariffs[g.Tariff].Paid
-		played := 0
+		paid := c.limits.Tariffs[l.Tariff].Paid
+		accepted := 0
 		for i, x := range all {
-			played += x.played
+			accepted += x.acceptedCount
 			if i == 0 {
-				a.verdict.check(RuleSetupOnce, true, "")
+				c.findings.check(RuleSetupOnce, true, "")
 				continue
 			}
-			before := all[i-1]
-			a.verdict.check(RuleSetupOnce, x.At >= a.ended(before)-a.terms.Tolerance, "%s: %s has two legs out, on %s and %s", at(x.At), x.Session,
-				before.Node, x.Node)
-			a.verdict.check(RuleSetupOnce, !paid || before.full, "%s: paid %s is sent again to %s, though its leg on %s may have run", at(x.At),
-				x.Session, x.Node, before.Node)
+			previous := all[i-1]
+			c.findings.check(RuleSetupOnce, x.At >= c.legEnd(previous)-c.limits.Tolerance, "%s: %s has two legs at once, on %s and %s", formatTime(x.At), x.Session,
+				previous.Node, x.Node)
+			c.findings.check(RuleSetupOnce, !paid || previous.neverRan, "%s: paid %s is sent again to %s, although its leg on %s may have run", formatTime(x.At),
+				x.Session, x.Node, previous.Node)
 		}
-		if a.terms.MaxLegs > 0 {
-			a.verdict.check(RuleSetupOnce, len(all) <= a.terms.MaxLegs, "%s had %d legs", g.Session, len(all))
+		if c.limits.MaxLegs > 0 {
+			c.findings.check(RuleSetupOnce, len(all) <= c.limits.MaxLegs, "%s had %d legs", l.Session, len(all))
 		}
-		a.verdict.check(RuleSetupOnce, !paid || played <= 1, "paid %s played %d times", g.Session, played)
-		w := a.sessions[g.Session]
-		if w == nil {
+		c.findings.check(RuleSetupOnce, !paid || accepted <= 1, "paid %s was accepted %d times", l.Session, accepted)
+		req := c.sessions[l.Session]
+		if req == nil {
 			continue
 		}
 		for _, x := range all {
-			a.verdict.check(RuleSetupOnce, x.At <= w.answered+a.terms.Tolerance, "%s: %s is sent to %s after its answer %s", at(x.At), x.Session, x.Node, w.answer)
-			if paid && w.answer == wire.Nack {
-				a.verdict.check(RuleSetupOnce, x.full, "%s: paid %s is nacked, though its leg on %s may have run", at(w.answered), x.Session, x.Node)
+			c.findings.check(RuleSetupOnce, x.At <= req.answeredAt+c.limits.Tolerance, "%s: %s is sent to %s after its answer %s", formatTime(x.At), x.Session, x.Node, req.answer)
+			if paid && req.answer == wire.Nack {
+				c.findings.check(RuleSetupOnce, x.neverRan, "%s: paid %s is nacked, although its leg on %s may have run", formatTime(req.answeredAt), x.Session, x.Node)
 			}
 		}
 	}
 }
 
-// seats is the second half of rule 5: the legs of one title and tariff that a run of a director has out.
-func (a *account) seats() {
-	type hall struct{ boot, title, tariff string }
-	outs := map[hall][]*leg{}
-	for _, g := range a.sent {
-		seats := a.terms.Tariffs[g.Tariff].Seats
+// checkSeats checks the part of rule 5 on seats: one run of a director has no more legs of a title and tariff at a time
+// than the tariff has seats.
+func (c *checker) checkSeats() {
+	type seatKey struct{ run, title, tariff string }
+	outstanding := map[seatKey][]*leg{}
+	for _, l := range c.sentLegs {
+		seats := c.limits.Tariffs[l.Tariff].Seats
 		if seats == 0 {
 			continue
 		}
-		h := hall{boot(g.Session), g.Title, g.Tariff}
-		outs[h] = slices.DeleteFunc(outs[h], func(x *leg) bool { return a.ended(x)-a.terms.Tolerance <= g.At })
-		outs[h] = append(outs[h], g)
-		a.verdict.left(RuleTariffLimits, 1-float64(len(outs[h]))/float64(seats+1))
-		a.verdict.check(RuleTariffLimits, len(outs[h]) <= seats, "%s: %s holds %d sessions of %s in %s; there are %d seats", at(g.At), h.boot,
-			len(outs[h]), h.title, h.tariff, seats)
+		k := seatKey{runOf(l.Session), l.Title, l.Tariff}
+		outstanding[k] = slices.DeleteFunc(outstanding[k], func(x *leg) bool { return c.legEnd(x)-c.limits.Tolerance <= l.At })
+		outstanding[k] = append(outstanding[k], l)
+		c.findings.recordMargin(RuleTariffLimits, 1-float64(len(outstanding[k]))/float64(seats+1))
+		c.findings.check(RuleTariffLimits, len(outstanding[k]) <= seats, "%s: %s holds %d sessions of %s in %s; there are %d seats", formatTime(l.At), k.run,
+			len(outstanding[k]), k.title, k.tariff, seats)
 	}
 }
 
-// boot is the run of a director that a session's name tells.
-func boot(session string) string {
+// runOf is the run of a director, which a session's name has before its last dot.
+func runOf(session string) string {
 	for i := len(session) - 1; i >= 0; i-- {
 		if session[i] == '.' {
 			return session[:i]
@@ -446,33 +454,34 @@
 	return session
 }
 
-// budget is rule 6: further legs within a span, of one run of a director.
-func (a *account) budget() {
-	if a.terms.RetryWindow == 0 {
+// checkRetryBudget checks rule 6: the further legs that one run of a director sends within the retry window.
+func (c *checker) checkRetryBudget() {
+	if c.limits.RetryWindow == 0 {
 		return
 	}
-	var taken []Record
-	for _, w := range a.order {
-		taken = append(taken, w.Record)
+	var requests []Record
+	for _, req := range c.requestOrder {
+		requests = append(requests, req.Record)
 	}
 	further := map[string][]time.Duration{}
-	for _, g := range a.sent {
-		if a.byLeg[g.Session][0] == g {
+	for _, l := range c.sentLegs {
+		if c.legsBySession[l.Session][0] == l {
 			continue
 		}
-		b := boot(g.Session)
-		// One way may have been longer than the other: what was sent a span apart can come closer together.
-		spent := slices.DeleteFunc(append(further[b], g.At), func(t time.Duration) bool { return t <= g.At-a.terms.RetryWindow+a.terms.Tolerance })
-		further[b] = spent
+		run := runOf(l.Session)
+		// Transit times vary: legs sent a whole window apart may be recorded closer together, so the window is
+		// shorter by the tolerance.
+		recent := slices.DeleteFunc(append(further[run], l.At), func(t time.Duration) bool { return t <= l.At-c.limits.RetryWindow+c.limits.Tolerance })
+		further[run] = recent
 		n := 0
-		for _, w := range taken {
-			if w.Director == g.Director && w.At > g.At-a.terms.RetryWindow-a.terms.Tolerance && w.At <= g.At {
+		for _, req := range requests {
+			if req.Director == l.Director && req.At > l.At-c.limits.RetryWindow-c.limits.Tolerance && req.At <= l.At {
 				n++
 			}
 		}
-		budget := a.terms.MinRetries + a.terms.RetryRatio*float64(n)
-		a.verdict.left(RuleRetryBudget, 1-float64(len(spent))/(budget+1))
-		a.verdict.check(RuleRetryBudget, float64(len(spent)) <= budget+1, "%s: %s sent %d further legs within %v (budget %.1f)", at(g.At), b,
-			len(spent), a.terms.RetryWindow, budget)
+		budget := c.limits.MinRetries + c.limits.RetryRatio*float64(n)
+		c.findings.recordMargin(RuleRetryBudget, 1-float64(len(recent))/(budget+1))
+		c.findings.check(RuleRetryBudget, float64(len(recent)) <= budget+1, "%s: %s sent %d further legs within %v (budget %.1f)", formatTime(l.At), run,
+			len(recent), c.limits.RetryWindow, budget)
 	}
 }
