--- a/internal/emulated/client/client.go
+++ b/internal/emulated/client/client.go
@@ -1,5 +1,5 @@
-// Package client is the stand-in for players and the viewers before them: each connects, asks, waits as
-// long as it will, plays, leaves, and comes again as viewers do.
+// Package client emulates clients. Each connects to a director, requests a session, waits for the answer for a limited
+// time, plays, and retries or disconnects as its behavior says.
 package client
 
 import (
@@ -16,18 +16,18 @@
 	"fordusher/internal/wire"
 )
 
-// Behavior is how viewers behave.
+// Behavior is how clients behave. Its shares are probabilities.
 type Behavior struct {
-	RetryShare         float64       `json:"returns"`   // share that come again after a break or a nack
-	MinRetryDelay      time.Duration `json:"pause_low"` // before they do
+	RetryShare         float64       `json:"returns"`   // share that retry after a failed request or an interrupted session
+	MinRetryDelay      time.Duration `json:"pause_low"` // least delay before a retry
 	MaxRetryDelay      time.Duration `json:"pause_high"`
-	HonorsBackoffShare float64       `json:"heeds"`   // share that wait as long as a nack asks
-	CancelShare        float64       `json:"hasty"`   // share that leave at some moment while they wait
+	HonorsBackoffShare float64       `json:"heeds"`   // share that wait at least for the back-off of a nack
+	CancelShare        float64       `json:"hasty"`   // share that cancel within 60 ms of their request
 	DuplicateShare     float64       `json:"repeats"` // share that send their request twice
-	DisconnectShare    float64       `json:"drops"`   // share whose connection breaks while they wait or play
+	DisconnectShare    float64       `json:"drops"`   // share whose connection is reset while they play
 }
 
-// Request is one viewer's wish.
+// Request is one client's request for a session.
 type Request struct {
 	ClientNumber  int
 	Tariff        string
@@ -35,217 +35,218 @@
 	Title         string
 	Key           string
 	MaxRung       *int
-	BestRungValue float64 // worth of the best rung that the viewer can use in its tariff
-	Wait          time.Duration
-	StartGoal     time.Duration
-	Length        time.Duration
+	BestRungValue float64       // value of the best rung that the client can use in its tariff
+	Wait          time.Duration // for the answer
+	StartGoal     time.Duration // from the first request, or an interruption, to the start of the session
+	Length        time.Duration // of the session
 }
 
-// Population is all viewers of a day, and how they fared.
+// Population is all clients of a run, with their results.
 type Population struct {
 	Behavior     Behavior
 	Recorder     *rulecheck.Recorder
-	PickDirector func(r *rand.Rand) (name, address string) // of a director that viewers go to now
-	Deadline     time.Time                                 // nobody comes again after it
+	PickDirector func(r *rand.Rand) (name, address string) // of a director to connect to; no address: there is none
+	Deadline     time.Time                                 // no client retries after it
 
-	conns          atomic.Uint64
+	lastConn       atomic.Uint64 // number of the last connection
 	mu             sync.Mutex
-	Requests       int                // requests
-	Retries        int                // of these, not the viewer's first
-	Latency        []time.Duration    // from request to "plays"
-	StartedInTime  map[string]bool    // sessions that played within the goal time since their viewer first asked, or was interrupted
-	RequestedValue map[string]float64 // seconds asked for, by tariff, at the worth of the best rung that the viewer can use
-	Clients        int
+	Requests       int                // sent, without duplicates
+	Retries        int                // of these, all but each client's first
+	Latency        []time.Duration    // from a request to its answer that the session plays
+	StartedInTime  map[string]bool    // by session: it played within the goal time since the client's first request or last interruption
+	RequestedValue map[string]float64 // by tariff, the requested seconds, multiplied by the value of the client's best rung
+	Clients        int                // started
 }
 
-var bounds = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 10, WriteTimeout: time.Second, HandshakeTimeout: time.Second}
-
-// A seat is a viewer's connection.
-type seat struct {
-	conn   *transport.Conn
-	number uint64
-	in     chan wire.SessionMessage
-	closed chan struct{}
-	ours   atomic.Bool
-	crowd  *Population
-	viewer int
-	name   string // of the director
+var connLimits = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 10, WriteTimeout: time.Second, HandshakeTimeout: time.Second}
+
+// A clientConn is a client's connection to a director.
+type clientConn struct {
+	conn           *transport.Conn
+	number         uint64
+	messages       chan wire.SessionMessage
+	closed         chan struct{}
+	closedByClient atomic.Bool
+	population     *Population
+	client         int
+	director       string // its name
 }
 
-func (s *seat) Opened(*transport.Conn) {}
+func (c *clientConn) Opened(*transport.Conn) {}
 
-func (s *seat) Message(_ *transport.Conn, raw []byte) {
+func (c *clientConn) Message(_ *transport.Conn, raw []byte) {
 	m, err := wire.DecodeSessionMessage(raw)
 	if err != nil {
 		return
 	}
 	switch m.Type {
 	case wire.Playing, wire.Nack, wire.Errored:
-		s.crowd.Recorder.Add(rulecheck.Record{Kind: m.Type, Client: s.viewer, Conn: s.number, Director: s.name, RequestID: m.ID,
+		c.population.Recorder.Add(rulecheck.Record{Kind: m.Type, Client: c.client, Conn: c.number, Director: c.director, RequestID: m.ID,
 			Session: m.Session, Node: m.Node, Rung: m.Rung, Reason: m.Reason})
 	}
 	select {
-	case s.in <- m:
-	default: // a stand-in that is busy elsewhere; the record has it
+	case c.messages <- m:
+	default: // the client no longer reads; the message is recorded above
 	}
 }
 
-func (s *seat) Closed(_ *transport.Conn, why error, _ []uint64) {
-	by := rulecheck.ClosedByPeer
-	if s.ours.Load() {
-		by = rulecheck.ClosedByRecorder
+func (c *clientConn) Closed(_ *transport.Conn, reason error, _ []uint64) {
+	closedBy := rulecheck.ClosedByPeer
+	if c.closedByClient.Load() {
+		closedBy = rulecheck.ClosedByRecorder
 	}
-	s.crowd.Recorder.Add(rulecheck.Record{Kind: rulecheck.ConnClosed, Client: s.viewer, Conn: s.number, Director: s.name, ClosedBy: by, Reason: why.Error()})
-	close(s.closed)
+	c.population.Recorder.Add(rulecheck.Record{Kind: rulecheck.ConnClosed, Client: c.client, Conn: c.number, Director: c.director, ClosedBy: closedBy, Reason: reason.Error()})
+	close(c.closed)
 }
 
-// leave ends the connection from the viewer's side.
-func (s *seat) leave() {
-	s.ours.Store(true)
-	s.conn.Close(1000, "bye")
+// close closes the connection from the client's side.
+func (c *clientConn) close() {
+	c.closedByClient.Store(true)
+	c.conn.Close(1000, "bye")
 }
 
-// RunClient is one viewer's whole evening: it ends when the viewer has watched to the end or has given up.
-func (c *Population) RunClient(ctx context.Context, v Request, r *rand.Rand) {
-	c.mu.Lock()
-	if c.StartedInTime == nil {
-		c.StartedInTime, c.RequestedValue = map[string]bool{}, map[string]float64{}
+// RunClient runs one client, retries included. It returns when the client has played its session to the end or stops
+// retrying.
+func (p *Population) RunClient(ctx context.Context, req Request, r *rand.Rand) {
+	p.mu.Lock()
+	if p.StartedInTime == nil {
+		p.StartedInTime, p.RequestedValue = map[string]bool{}, map[string]float64{}
 	}
-	c.Clients++
-	c.RequestedValue[v.Tariff] += v.Length.Seconds() * v.BestRungValue
-	c.mu.Unlock()
-	began := time.Now()
-	left := v.Length
-	key := 0 // a viewer whose connection broke asks for the same session again, any other for a new one
-	for try := 0; ; try++ {
-		end := c.try(ctx, v, r, try, fmt.Sprintf("%s-%d", v.Key, key), left, began)
-		left -= end.played
-		if end.played > 0 {
-			began = time.Now()
+	p.Clients++
+	p.RequestedValue[req.Tariff] += req.Length.Seconds() * req.BestRungValue
+	p.mu.Unlock()
+	waitingSince := time.Now()
+	remaining := req.Length
+	key := 0 // part of the session's key: a client whose connection was reset requests the same session again, any other a new one
+	for retries := 0; ; retries++ {
+		outcome := p.request(ctx, req, r, retries, fmt.Sprintf("%s-%d", req.Key, key), remaining, waitingSince)
+		remaining -= outcome.played
+		if outcome.played > 0 {
+			waitingSince = time.Now()
 		}
-		backoff := end.backoff
-		if !end.same {
+		backoff := outcome.backoff
+		if !outcome.sameSession {
 			key++
 		}
-		if !end.again || left < 200*time.Millisecond || r.Float64() >= c.Behavior.RetryShare || time.Now().After(c.Deadline) {
+		if !outcome.retry || remaining < 200*time.Millisecond || r.Float64() >= p.Behavior.RetryShare || time.Now().After(p.Deadline) {
 			return
 		}
-		pause := c.Behavior.MinRetryDelay + time.Duration(r.Int64N(int64(max(1, c.Behavior.MaxRetryDelay-c.Behavior.MinRetryDelay))))
-		if backoff > 0 && r.Float64() < c.Behavior.HonorsBackoffShare {
-			pause = max(pause, backoff)
+		delay := p.Behavior.MinRetryDelay + time.Duration(r.Int64N(int64(max(1, p.Behavior.MaxRetryDelay-p.Behavior.MinRetryDelay))))
+		if backoff > 0 && r.Float64() < p.Behavior.HonorsBackoffShare {
+			delay = max(delay, backoff)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// An ending is how a try ended.
-type ending struct {
-	played  time.Duration
-	backoff time.Duration // told by a nack
-	again   bool          // the viewer would come again,
-	same    bool          // for the same session
+// A requestOutcome is how a request ended, or the session that it started.
+type requestOutcome struct {
+	played      time.Duration
+	backoff     time.Duration // from a nack
+	retry       bool          // the client may retry
+	sameSession bool          // a retry is for the same session
 }
 
-// try asks once.
-func (c *Population) try(ctx context.Context, v Request, r *rand.Rand, n int, key string, left time.Duration, began time.Time) ending {
-	name, address := c.PickDirector(r)
+// request connects to a director, sends one request and plays the session that it gets.
+func (p *Population) request(ctx context.Context, req Request, r *rand.Rand, retries int, key string, remaining time.Duration, waitingSince time.Time) requestOutcome {
+	name, address := p.PickDirector(r)
 	if address == "" {
-		return ending{again: true} // nobody there
+		return requestOutcome{retry: true} // no director is known
 	}
-	s := &seat{number: c.conns.Add(1), in: make(chan wire.SessionMessage, 32), closed: make(chan struct{}), crowd: c, viewer: v.ClientNumber, name: name}
-	conn, err := transport.Dial(address, wire.SessionProtocol, time.Second, bounds, s, nil)
+	c := &clientConn{number: p.lastConn.Add(1), messages: make(chan wire.SessionMessage, 32), closed: make(chan struct{}), population: p, client: req.ClientNumber, director: name}
+	conn, err := transport.Dial(address, wire.SessionProtocol, time.Second, connLimits, c, nil)
 	if err != nil {
-		return ending{again: true} // the director is not there: nothing was asked
+		return requestOutcome{retry: true} // the director is down; no request was sent
 	}
-	s.conn = conn
-	defer s.leave()
-	id := strconv.Itoa(n + 1)
-	want := wire.SessionMessage{Type: wire.Request, ID: id, Tariff: v.Tariff, Title: v.Title, Key: key, MaxRung: v.MaxRung,
-		WaitMS: v.Wait.Milliseconds(), LengthMS: left.Milliseconds(), Retry: n > 0}
-	c.Recorder.Add(rulecheck.Record{Kind: wire.Request, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id, Tariff: v.Tariff,
-		Title: v.Title, Wait: v.Wait, Retry: n > 0})
-	asked := time.Now()
-	conn.Send(wire.Encode(want), 0)
-	c.mu.Lock()
-	c.Requests++
-	if n > 0 {
-		c.Retries++
+	c.conn = conn
+	defer c.close()
+	id := strconv.Itoa(retries + 1)
+	request := wire.SessionMessage{Type: wire.Request, ID: id, Tariff: req.Tariff, Title: req.Title, Key: key, MaxRung: req.MaxRung,
+		WaitMS: req.Wait.Milliseconds(), LengthMS: remaining.Milliseconds(), Retry: retries > 0}
+	p.Recorder.Add(rulecheck.Record{Kind: wire.Request, Client: req.ClientNumber, Conn: c.number, Director: name, RequestID: id, Tariff: req.Tariff,
+		Title: req.Title, Wait: req.Wait, Retry: retries > 0})
+	sentAt := time.Now()
+	conn.Send(wire.Encode(request), 0)
+	p.mu.Lock()
+	p.Requests++
+	if retries > 0 {
+		p.Retries++
 	}
-	c.mu.Unlock()
-	if r.Float64() < c.Behavior.DuplicateShare {
-		c.Recorder.Add(rulecheck.Record{Kind: wire.Request, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id, Tariff: v.Tariff})
-		conn.Send(wire.Encode(want), 0)
+	p.mu.Unlock()
+	if r.Float64() < p.Behavior.DuplicateShare {
+		p.Recorder.Add(rulecheck.Record{Kind: wire.Request, Client: req.ClientNumber, Conn: c.number, Director: name, RequestID: id, Tariff: req.Tariff})
+		conn.Send(wire.Encode(request), 0)
 	}
-	patience := time.NewTimer(v.Wait + 400*time.Millisecond) // an answer that comes late is still seen
-	defer patience.Stop()
-	hasty := make(<-chan time.Time)
-	if r.Float64() < c.Behavior.CancelShare { // around the time of an answer, so that the two often cross
-		hasty = time.After(time.Duration(r.Int64N(int64(60 * time.Millisecond))))
+	waitTimer := time.NewTimer(req.Wait + 400*time.Millisecond) // waits on to record a late answer
+	defer waitTimer.Stop()
+	cancelTimer := make(<-chan time.Time)
+	if r.Float64() < p.Behavior.CancelShare { // about when the answer is expected, so that the two often cross
+		cancelTimer = time.After(time.Duration(r.Int64N(int64(60 * time.Millisecond))))
 	}
 	for {
 		select {
 		case <-ctx.Done():
-			return ending{}
-		case <-s.closed:
-			return ending{again: true}
-		case <-hasty:
-			c.Recorder.Add(rulecheck.Record{Kind: wire.Cancel, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id})
+			return requestOutcome{}
+		case <-c.closed:
+			return requestOutcome{retry: true}
+		case <-cancelTimer:
+			p.Recorder.Add(rulecheck.Record{Kind: wire.Cancel, Client: req.ClientNumber, Conn: c.number, Director: name, RequestID: id})
 			conn.Send(wire.Encode(wire.SessionMessage{Type: wire.Cancel, ID: id}), 0)
-			select { // what crosses is still seen
+			select { // messages that cross the cancellation are recorded
 			case <-time.After(100 * time.Millisecond):
-			case <-s.closed:
+			case <-c.closed:
 			}
-			return ending{}
-		case <-patience.C:
-			c.Recorder.Add(rulecheck.Record{Kind: rulecheck.ClientTimedOut, Client: v.ClientNumber, Conn: s.number, Director: name, RequestID: id})
-			return ending{again: !v.Paid}
-		case m := <-s.in:
+			return requestOutcome{}
+		case <-waitTimer.C:
+			p.Recorder.Add(rulecheck.Record{Kind: rulecheck.ClientTimedOut, Client: req.ClientNumber, Conn: c.number, Director: name, RequestID: id})
+			return requestOutcome{retry: !req.Paid}
+		case m := <-c.messages:
 			switch m.Type {
 			case wire.Nack:
-				return ending{backoff: time.Duration(m.BackoffMS) * time.Millisecond, again: true}
+				return requestOutcome{backoff: time.Duration(m.BackoffMS) * time.Millisecond, retry: true}
 			case wire.Errored:
-				return ending{again: !v.Paid}
+				return requestOutcome{retry: !req.Paid}
 			case wire.Playing:
-				c.mu.Lock()
-				c.Latency = append(c.Latency, time.Since(asked))
-				if time.Since(began) <= v.StartGoal {
-					c.StartedInTime[m.Session] = true
+				p.mu.Lock()
+				p.Latency = append(p.Latency, time.Since(sentAt))
+				if time.Since(waitingSince) <= req.StartGoal {
+					p.StartedInTime[m.Session] = true
 				}
-				c.mu.Unlock()
-				return c.play(ctx, s, r, left)
+				p.mu.Unlock()
+				return p.playSession(ctx, c, r, remaining)
 			}
 		}
 	}
 }
 
-// play watches until the session ends, one way or the other.
-func (c *Population) play(ctx context.Context, s *seat, r *rand.Rand, left time.Duration) ending {
-	began := time.Now()
-	end := time.NewTimer(left + time.Second) // the node ends it; this is for one that does not
-	defer end.Stop()
-	drop := make(<-chan time.Time)
-	if r.Float64() < c.Behavior.DisconnectShare {
-		drop = time.After(time.Duration(r.Int64N(int64(left))))
+// playSession plays until the session ends, its connection ends, or the client resets it.
+func (p *Population) playSession(ctx context.Context, c *clientConn, r *rand.Rand, remaining time.Duration) requestOutcome {
+	startedAt := time.Now()
+	endTimer := time.NewTimer(remaining + time.Second) // limits the wait for a node that doesn't end the session
+	defer endTimer.Stop()
+	resetTimer := make(<-chan time.Time)
+	if r.Float64() < p.Behavior.DisconnectShare {
+		resetTimer = time.After(time.Duration(r.Int64N(int64(remaining))))
 	}
 	for {
 		select {
 		case <-ctx.Done():
-			return ending{}
-		case <-s.closed:
-			return ending{played: time.Since(began), again: true}
-		case <-drop:
-			s.ours.Store(true)
-			s.conn.Reset()
-			return ending{played: time.Since(began), again: true, same: true}
-		case <-end.C:
-			return ending{played: left}
-		case m := <-s.in:
+			return requestOutcome{}
+		case <-c.closed:
+			return requestOutcome{played: time.Since(startedAt), retry: true}
+		case <-resetTimer:
+			c.closedByClient.Store(true)
+			c.conn.Reset()
+			return requestOutcome{played: time.Since(startedAt), retry: true, sameSession: true}
+		case <-endTimer.C:
+			return requestOutcome{played: remaining}
+		case m := <-c.messages:
 			if m.Type == wire.SessionEnded {
-				return ending{played: time.Since(began), again: m.Reason != "ended"}
+				return requestOutcome{played: time.Since(startedAt), retry: m.Reason != "ended"}
 			}
 		}
 	}
--- a/internal/emulated/discovery/model.go
+++ b/internal/emulated/discovery/model.go
@@ -8,95 +8,101 @@
 	"fordusher/internal/wire"
 )
 
-// A Model is the model of the list's source, without sockets or a clock: what is told of each node, what is to be
-// told later, and what was told under which serial. The source on sockets and the emulator keep one each.
+// A Model is a model of discovery without sockets or a clock. It has the published list of nodes, the updates that are to
+// be published later, and the entries of each serial. Source and the emulator each have one.
 type Model struct {
-	nodes   map[string]line // as it is told
-	changes []change        // not told yet, by time
-	lag     time.Duration
-	serial  uint64
-	told    map[uint64][]wire.NodeEntry // by serial, until every director has heard it; at most keepSerials
+	nodes           map[string]listEntry // the published list, by node
+	pending         []pendingUpdate      // updates to be published, by time
+	lag             time.Duration
+	serial          uint64
+	entriesBySerial map[uint64][]wire.NodeEntry // by serial, the last maxSerials, for acknowledgements
 }
 
-type line struct {
+// A listEntry is the entry of a node in the list, with the time of its start.
+type listEntry struct {
 	wire.NodeEntry
-	born time.Duration // 0: long ago
+	startedAt time.Duration // 0: long ago
 }
 
-type change struct {
-	at   time.Duration
-	line line
+// A pendingUpdate is an entry that is published at a time, or later by the lag.
+type pendingUpdate struct {
+	at    time.Duration
+	entry listEntry
 }
 
-const keepSerials = 4096
+// maxSerials is the number of latest serials whose entries are stored until they are acknowledged.
+const maxSerials = 4096
 
-// NewModel starts with nodes that have long been there.
+// NewModel returns a model whose list has nodes that started long ago.
 func NewModel(nodes []wire.NodeEntry) *Model {
-	b := &Model{nodes: map[string]line{}, told: map[uint64][]wire.NodeEntry{}}
+	m := &Model{nodes: map[string]listEntry{}, entriesBySerial: map[uint64][]wire.NodeEntry{}}
 	for _, e := range nodes {
-		b.nodes[e.Node] = line{NodeEntry: e}
+		m.nodes[e.Node] = listEntry{NodeEntry: e}
 	}
-	return b
+	return m
 }
 
-// ScheduleUpdate changes a node's line, to be told at a time and the lag that there is then.
-func (b *Model) ScheduleUpdate(e wire.NodeEntry, born, at time.Duration) {
-	b.changes = append(b.changes, change{at, line{e, born}})
-	slices.SortStableFunc(b.changes, func(x, y change) int { return int(min(1, max(-1, x.at-y.at))) })
+// ScheduleUpdate schedules a change of a node's entry, with the node's start (0: long ago). It is published at a time, or
+// later by the lag of that time.
+func (m *Model) ScheduleUpdate(e wire.NodeEntry, startedAt, at time.Duration) {
+	m.pending = append(m.pending, pendingUpdate{at, listEntry{e, startedAt}})
+	slices.SortStableFunc(m.pending, func(x, y pendingUpdate) int { return int(min(1, max(-1, x.at-y.at))) })
 }
 
-// SetLag makes the source run so much further behind.
-func (b *Model) SetLag(by time.Duration) { b.lag = by }
+// SetLag sets the delay that is added to all updates.
+func (m *Model) SetLag(lag time.Duration) { m.lag = lag }
 
-// NextDeadline is when something is due to be told; ok is false where nothing is.
-func (b *Model) NextDeadline() (at time.Duration, ok bool) {
-	if len(b.changes) == 0 {
+// NextDeadline is the time of the next update; ok is false if there is none.
+func (m *Model) NextDeadline() (at time.Duration, ok bool) {
+	if len(m.pending) == 0 {
 		return 0, false
 	}
-	return b.changes[0].at + b.lag, true
+	return m.pending[0].at + m.lag, true
 }
 
-// TakeDue is the update that is to be told now; ok is false where there is none.
-func (b *Model) TakeDue(now time.Duration) (m wire.DiscoveryMessage, ok bool) {
+// TakeDue applies the updates that are due to the list and returns them as one message; ok is false if there is none.
+func (m *Model) TakeDue(now time.Duration) (msg wire.DiscoveryMessage, ok bool) {
 	var entries []wire.NodeEntry
-	for at, some := b.NextDeadline(); some && at <= now; at, some = b.NextDeadline() {
-		l := b.changes[0].line
-		b.changes = b.changes[1:]
-		b.nodes[l.Node] = l
-		entries = append(entries, l.aged(now))
-		if l.State == wire.Removed {
-			delete(b.nodes, l.Node)
+	for at, found := m.NextDeadline(); found && at <= now; at, found = m.NextDeadline() {
+		next := m.pending[0].entry
+		m.pending = m.pending[1:]
+		m.nodes[next.Node] = next
+		entries = append(entries, next.withUptime(now))
+		if next.State == wire.Removed {
+			delete(m.nodes, next.Node)
 		}
 	}
 	if len(entries) == 0 {
-		return m, false
+		return msg, false
 	}
-	return wire.DiscoveryMessage{Type: wire.Update, Serial: b.keep(entries), Nodes: entries}, true
+	return wire.DiscoveryMessage{Type: wire.Update, Serial: m.store(entries), Nodes: entries}, true
 }
 
-// Snapshot is all that there is now.
-func (b *Model) Snapshot(now time.Duration, titles []wire.TitlePlacement) wire.DiscoveryMessage {
+// Snapshot returns the whole list as a message.
+func (m *Model) Snapshot(now time.Duration, titles []wire.TitlePlacement) wire.DiscoveryMessage {
 	var all []wire.NodeEntry
-	for _, name := range slices.Sorted(maps.Keys(b.nodes)) {
-		all = append(all, b.nodes[name].aged(now))
+	for _, name := range slices.Sorted(maps.Keys(m.nodes)) {
+		all = append(all, m.nodes[name].withUptime(now))
 	}
-	return wire.DiscoveryMessage{Type: wire.Snapshot, Serial: b.keep(all), Nodes: all, Titles: titles}
+	return wire.DiscoveryMessage{Type: wire.Snapshot, Serial: m.store(all), Nodes: all, Titles: titles}
 }
 
-// EntriesOf is what was told under a serial.
-func (b *Model) EntriesOf(serial uint64) []wire.NodeEntry { return b.told[serial] }
+// EntriesOf returns the entries that were sent under a serial.
+func (m *Model) EntriesOf(serial uint64) []wire.NodeEntry { return m.entriesBySerial[serial] }
 
-func (b *Model) keep(entries []wire.NodeEntry) uint64 {
-	b.serial++
-	b.told[b.serial] = entries
-	delete(b.told, b.serial-keepSerials)
-	return b.serial
+// store stores the entries of a message and returns its serial.
+func (m *Model) store(entries []wire.NodeEntry) uint64 {
+	m.serial++
+	m.entriesBySerial[m.serial] = entries
+	delete(m.entriesBySerial, m.serial-maxSerials)
+	return m.serial
 }
 
-func (l line) aged(now time.Duration) wire.NodeEntry {
-	e := l.NodeEntry
-	if l.born != 0 {
-		e.UptimeMS = max(1, (now - l.born).Milliseconds())
+// withUptime returns the entry with the node's uptime, unless it started long ago.
+func (e listEntry) withUptime(now time.Duration) wire.NodeEntry {
+	entry := e.NodeEntry
+	if e.startedAt != 0 {
+		entry.UptimeMS = max(1, (now - e.startedAt).Milliseconds())
 	}
-	return e
+	return entry
 }
--- a/internal/emulated/discovery/source.go
+++ b/internal/emulated/discovery/source.go
@@ -1,5 +1,5 @@
-// Package discovery is the stand-in for the list's source: it pushes changes to every director, late, further
-// behind when it lags, and starts again with nothing but the truth.
+// Package discovery emulates discovery. It pushes the list of nodes and its changes to every director, with a delay that
+// grows by the lag.
 package discovery
 
 import (
@@ -11,80 +11,83 @@
 	"fordusher/internal/wire"
 )
 
-// Source is a list of nodes and titles that directors follow.
+// Source serves the list of nodes and titles to the directors that subscribe.
 type Source struct {
-	mu       sync.Mutex
-	server   *transport.Server
-	record   *rulecheck.Recorder
-	book     *Model
-	titles   []wire.TitlePlacement
-	wake     chan struct{}
-	quit     chan struct{}
-	watchers map[*transport.Conn]string // emptied as connections end
+	mu          sync.Mutex
+	server      *transport.Server
+	recorder    *rulecheck.Recorder
+	model       *Model
+	titles      []wire.TitlePlacement
+	wake        chan struct{}
+	quit        chan struct{}
+	subscribers map[*transport.Conn]string // directors' names by open connection
 }
 
-var bounds = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 20, WriteTimeout: 10 * time.Second, HandshakeTimeout: 10 * time.Second}
+var connLimits = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 20, WriteTimeout: 10 * time.Second, HandshakeTimeout: 10 * time.Second}
 
 // Start starts a source on a loopback port of its own.
-func Start(record *rulecheck.Recorder, nodes []wire.NodeEntry, titles []wire.TitlePlacement) (*Source, error) {
+func Start(recorder *rulecheck.Recorder, nodes []wire.NodeEntry, titles []wire.TitlePlacement) (*Source, error) {
 	s := &Source{
-		record: record, book: NewModel(nodes), titles: titles,
-		wake: make(chan struct{}, 1), quit: make(chan struct{}), watchers: map[*transport.Conn]string{},
+		recorder: recorder, model: NewModel(nodes), titles: titles,
+		wake: make(chan struct{}, 1), quit: make(chan struct{}), subscribers: map[*transport.Conn]string{},
 	}
 	var err error
-	if s.server, err = transport.Serve("127.0.0.1:0", wire.DiscoveryProtocol, bounds, s); err != nil {
+	if s.server, err = transport.Serve("127.0.0.1:0", wire.DiscoveryProtocol, connLimits, s); err != nil {
 		return nil, err
 	}
 	go s.run()
 	return s, nil
 }
 
-// Address is where directors connect.
+// Address is the address to which directors connect.
 func (s *Source) Address() string { return s.server.Address() }
 
-// Close ends the source.
+// Close closes the listener and all connections.
 func (s *Source) Close() {
 	close(s.quit)
 	s.server.Close()
 }
 
-// UpdateNode changes a node's line; directors are told after the delay, and the lag that there is then.
-func (s *Source) UpdateNode(e wire.NodeEntry, born, after time.Duration) {
+// UpdateNode changes a node's entry, with the node's start (0: long ago). Directors are notified after a delay and the lag
+// of that time.
+func (s *Source) UpdateNode(e wire.NodeEntry, startedAt, delay time.Duration) {
 	s.mu.Lock()
-	s.book.ScheduleUpdate(e, born, rulecheck.MonotonicNow()+after)
+	s.model.ScheduleUpdate(e, startedAt, rulecheck.MonotonicNow()+delay)
 	s.mu.Unlock()
-	s.stir()
+	s.wakeUp()
 }
 
-// SetLag makes the source run so much further behind.
-func (s *Source) SetLag(by time.Duration) {
+// SetLag sets the delay that is added to all updates.
+func (s *Source) SetLag(lag time.Duration) {
 	s.mu.Lock()
-	s.book.SetLag(by)
+	s.model.SetLag(lag)
 	s.mu.Unlock()
-	s.stir()
+	s.wakeUp()
 }
 
-// ResetConnections cuts every director off; they come back and are told everything.
+// ResetConnections resets all connections. Directors reconnect and get the whole list.
 func (s *Source) ResetConnections() { s.server.Each((*transport.Conn).Reset) }
 
-func (s *Source) stir() {
+// wakeUp makes run determine the next deadline anew.
+func (s *Source) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
+// run sends the updates that are due to all subscribers.
 func (s *Source) run() {
 	for {
 		s.mu.Lock()
 		now, wait := rulecheck.MonotonicNow(), time.Second
-		if m, ok := s.book.TakeDue(now); ok {
+		if m, ok := s.model.TakeDue(now); ok {
 			raw := wire.Encode(m)
-			for c := range s.watchers {
+			for c := range s.subscribers {
 				c.Send(raw, 0)
 			}
 		}
-		if at, ok := s.book.NextDeadline(); ok {
+		if at, ok := s.model.NextDeadline(); ok {
 			wait = min(wait, max(time.Millisecond, at-now))
 		}
 		s.mu.Unlock()
@@ -97,10 +100,10 @@
 	}
 }
 
-// Opened waits for the director to say who it is.
+// Opened does nothing: the list is sent once the director subscribes.
 func (s *Source) Opened(*transport.Conn) {}
 
-// Message takes a director's word.
+// Message handles a subscription, which is answered with the whole list, or an acknowledgement of a serial.
 func (s *Source) Message(c *transport.Conn, raw []byte) {
 	m, err := wire.DecodeDiscoveryMessage(raw)
 	if err != nil {
@@ -111,21 +114,21 @@
 	defer s.mu.Unlock()
 	switch m.Type {
 	case wire.Subscribe:
-		if s.watchers[c] == "" {
-			s.record.Add(rulecheck.Record{Kind: rulecheck.ListRequested, Director: m.Director})
+		if s.subscribers[c] == "" {
+			s.recorder.Add(rulecheck.Record{Kind: rulecheck.ListRequested, Director: m.Director})
 		}
-		s.watchers[c] = m.Director
-		c.Send(wire.Encode(s.book.Snapshot(rulecheck.MonotonicNow(), s.titles)), 0)
+		s.subscribers[c] = m.Director
+		c.Send(wire.Encode(s.model.Snapshot(rulecheck.MonotonicNow(), s.titles)), 0)
 	case wire.Acknowledge:
-		for _, e := range s.book.EntriesOf(m.Serial) {
-			s.record.Add(rulecheck.Record{Kind: rulecheck.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
+		for _, e := range s.model.EntriesOf(m.Serial) {
+			s.recorder.Add(rulecheck.Record{Kind: rulecheck.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
 		}
 	}
 }
 
-// Closed forgets a director.
+// Closed removes a subscriber.
 func (s *Source) Closed(c *transport.Conn, _ error, _ []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.watchers, c)
+	delete(s.subscribers, c)
 }
--- a/internal/emulated/node/host.go
+++ b/internal/emulated/node/host.go
@@ -9,32 +9,33 @@
 	"fordusher/internal/wire"
 )
 
-// Host puts a farm behind sockets, one listener a node, and keeps the record of what crosses them.
+// Host serves the nodes of a model on sockets, with one listener for each, and records the messages that cross them.
 type Host struct {
-	mu      sync.Mutex // the farm, and what is below
-	farm    *Model
-	began   time.Duration
-	servers map[string]*transport.Server
-	links   map[uint64]*transport.Conn // emptied as connections end
-	last    uint64
-	wake    chan struct{}
-	quit    chan struct{}
-	record  *rulecheck.Recorder
-	silent  map[string]bool
-	fell    func(node string)
+	mu         sync.Mutex // guards the model and the fields below
+	model      *Model
+	startedAt  time.Duration
+	servers    map[string]*transport.Server
+	conns      map[uint64]*transport.Conn // open connections by number
+	lastConn   uint64
+	wake       chan struct{}
+	quit       chan struct{}
+	recorder   *rulecheck.Recorder
+	silent     map[string]bool
+	onOverload func(node string)
 }
 
-// bounds are the stand-in's own: it is generous, so that it is never what limits a director.
-var bounds = transport.Limits{MaxMessageBytes: wire.MaxNodeMessageBytes, MaxQueuedBytes: 16 << 20, WriteTimeout: 5 * time.Second, HandshakeTimeout: 10 * time.Second}
+// connLimits are the emulated nodes' connection limits. They are so wide that they never limit a director.
+var connLimits = transport.Limits{MaxMessageBytes: wire.MaxNodeMessageBytes, MaxQueuedBytes: 16 << 20, WriteTimeout: 5 * time.Second, HandshakeTimeout: 10 * time.Second}
 
-// StartHost starts every node of a farm on a loopback port of its own. Fell is called when a node was pushed over.
-func StartHost(farm *Model, record *rulecheck.Recorder, fell func(node string)) (*Host, error) {
+// StartHost starts every node of a model on a loopback port of its own. It calls onOverload, if it isn't nil, when a
+// node's process ends because of too many set-ups in slow start.
+func StartHost(model *Model, recorder *rulecheck.Recorder, onOverload func(node string)) (*Host, error) {
 	h := &Host{
-		farm: farm, began: rulecheck.MonotonicNow(), servers: map[string]*transport.Server{}, links: map[uint64]*transport.Conn{},
-		wake: make(chan struct{}, 1), quit: make(chan struct{}), record: record, silent: map[string]bool{}, fell: fell,
+		model: model, startedAt: rulecheck.MonotonicNow(), servers: map[string]*transport.Server{}, conns: map[uint64]*transport.Conn{},
+		wake: make(chan struct{}, 1), quit: make(chan struct{}), recorder: recorder, silent: map[string]bool{}, onOverload: onOverload,
 	}
-	for _, n := range farm.order {
-		s, err := transport.Serve("127.0.0.1:0", wire.NodeProtocol, bounds, &door{h, n.Name})
+	for _, n := range model.nodeOrder {
+		s, err := transport.Serve("127.0.0.1:0", wire.NodeProtocol, connLimits, &nodeListener{h, n.Name})
 		if err != nil {
 			h.Close()
 			return nil, err
@@ -45,20 +46,20 @@
 	return h, nil
 }
 
-// Address is where a node listens.
+// Address is the address on which a node listens.
 func (h *Host) Address(node string) string { return h.servers[node].Address() }
 
-// Start tells which start a node is in and how long ago that was.
+// Start returns the number of a node's last start and its age (0: long ago).
 func (h *Host) Start(node string) (start uint64, age time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.farm.Start(h.now(), node)
+	return h.model.Start(h.now(), node)
 }
 
-// Records are none: what the host sees goes to the recorder that it was given.
+// Records returns no records: the host adds them to the recorder that it was given.
 func (h *Host) Records() ([]rulecheck.Record, error) { return nil, nil }
 
-// Close ends all nodes.
+// Close closes all listeners and connections.
 func (h *Host) Close() {
 	close(h.quit)
 	for _, s := range h.servers {
@@ -66,16 +67,17 @@
 	}
 }
 
-func (h *Host) now() time.Duration { return rulecheck.MonotonicNow() - h.began }
+func (h *Host) now() time.Duration { return rulecheck.MonotonicNow() - h.startedAt }
 
+// run handles the model's events as they come due.
 func (h *Host) run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		h.mu.Lock()
-		h.carryOut(h.farm.Step(h.now()))
+		h.deliver(h.model.Step(h.now()))
 		wait := time.Second
-		if at, ok := h.farm.NextDeadline(); ok {
+		if at, ok := h.model.NextDeadline(); ok {
 			wait = min(wait, max(0, at-h.now()))
 		}
 		h.mu.Unlock()
@@ -89,60 +91,62 @@
 	}
 }
 
-// carryOut sends what the farm wants sent; the lock is held.
-func (h *Host) carryOut(outs []Output) {
-	for _, o := range outs {
+// deliver carries out the model's outputs. Callers hold the lock.
+func (h *Host) deliver(outputs []Output) {
+	for _, o := range outputs {
 		if o.Overloaded {
-			h.record.Add(rulecheck.Record{Kind: rulecheck.NodeExited, Node: o.Node, Reason: "pushed over"})
-			if h.fell != nil {
-				go h.fell(o.Node)
+			h.recorder.Add(rulecheck.Record{Kind: rulecheck.NodeExited, Node: o.Node, Reason: "pushed over"})
+			if h.onOverload != nil {
+				go h.onOverload(o.Node)
 			}
 			h.servers[o.Node].SetRefusing(true)
 			continue
 		}
 		if o.Earning != nil {
-			h.record.Add(rulecheck.Record{Kind: rulecheck.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
+			h.recorder.Add(rulecheck.Record{Kind: rulecheck.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
 			continue
 		}
-		c := h.links[o.Link]
+		c := h.conns[o.Link]
 		if c == nil {
 			continue
 		}
 		if o.Reset {
-			delete(h.links, o.Link)
+			delete(h.conns, o.Link)
 			go c.Reset()
 			continue
 		}
 		if h.silent[o.Node] {
 			continue
 		}
-		h.seen(o.Node, c, o.Link, o.Message)
+		h.recordMessage(o.Node, c, o.Link, o.Message)
 		c.Send(wire.Encode(o.Message), 0)
 	}
 }
 
-// stir lets the run look again at when something is due; the run itself looks anyway.
-func (h *Host) stir() {
+// wakeUp makes run determine the next deadline anew. Without it run does so when the last known deadline is over, after
+// a second at the latest.
+func (h *Host) wakeUp() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
-// seen records a message that is sent or was received; notes and greetings prove nothing.
-func (h *Host) seen(node string, c *transport.Conn, link uint64, m wire.NodeMessage) {
+// recordMessage records a message that is sent or was received. Hello messages and measurements aren't recorded, since
+// no rule depends on them.
+func (h *Host) recordMessage(node string, c *transport.Conn, conn uint64, m wire.NodeMessage) {
 	switch m.Type {
 	case wire.Hello, wire.Measurement:
 		return
 	}
-	name, _ := c.UserData().(string)
-	h.record.Add(rulecheck.Record{
-		Kind: m.Type, Node: node, Conn: link, Director: name, Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
+	director, _ := c.UserData().(string)
+	h.recorder.Add(rulecheck.Record{
+		Kind: m.Type, Node: node, Conn: conn, Director: director, Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
 		Title: m.Title, Rung: m.Rung, StartTimeout: time.Duration(m.StartWithinMS) * time.Millisecond, Reason: m.Reason,
 	})
 }
 
-// Inject does a fault: to the model and to the sockets.
+// Inject applies a fault to the model and to the sockets.
 func (h *Host) Inject(x Fault) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -150,73 +154,73 @@
 		if x.Node != "" && x.Node != name {
 			continue
 		}
-		if x.Hang != nil { // a process that stands still greets nobody either
+		if x.Hang != nil { // a hung process doesn't answer handshakes either
 			s.SetSilent(*x.Hang)
 		}
 		switch {
 		case x.Crash:
-			h.record.Add(rulecheck.Record{Kind: rulecheck.NodeExited, Node: name})
+			h.recorder.Add(rulecheck.Record{Kind: rulecheck.NodeExited, Node: name})
 			s.SetRefusing(true)
 		case x.Silent != nil && *x.Silent:
 			h.silent[name] = true
 			s.SetSilent(true)
 		case x.Start:
 			if h.silent[name] {
-				h.record.Add(rulecheck.Record{Kind: rulecheck.NodeExited, Node: name, Reason: "came back anew"})
+				h.recorder.Add(rulecheck.Record{Kind: rulecheck.NodeExited, Node: name, Reason: "came back anew"})
 			}
 			delete(h.silent, name)
 			s.SetSilent(false)
 			s.SetRefusing(false)
-			h.record.Add(rulecheck.Record{Kind: rulecheck.NodeStarted, Node: name, MaxStreams: float64(h.farm.nodes[name].MaxStreams)})
+			h.recorder.Add(rulecheck.Record{Kind: rulecheck.NodeStarted, Node: name, MaxStreams: float64(h.model.nodes[name].MaxStreams)})
 		}
 	}
-	h.carryOut(h.farm.Apply(h.now(), x))
-	h.stir()
+	h.deliver(h.model.Apply(h.now(), x))
+	h.wakeUp()
 }
 
-// A door takes the connections of one node.
-type door struct {
-	h    *Host
+// A nodeListener handles the connections of one node.
+type nodeListener struct {
+	host *Host
 	node string
 }
 
-func (d *door) Opened(c *transport.Conn) {
-	d.h.mu.Lock()
-	defer d.h.mu.Unlock()
-	d.h.last++
-	d.h.links[d.h.last] = c
-	c.SetID(d.h.last)
+func (l *nodeListener) Opened(c *transport.Conn) {
+	l.host.mu.Lock()
+	defer l.host.mu.Unlock()
+	l.host.lastConn++
+	l.host.conns[l.host.lastConn] = c
+	c.SetID(l.host.lastConn)
 	c.SetUserData("")
-	d.h.carryOut(d.h.farm.ConnOpened(d.h.now(), d.node, d.h.last))
-	d.h.stir()
+	l.host.deliver(l.host.model.ConnOpened(l.host.now(), l.node, l.host.lastConn))
+	l.host.wakeUp()
 }
 
-func (d *door) Message(c *transport.Conn, raw []byte) {
+func (l *nodeListener) Message(c *transport.Conn, raw []byte) {
 	m, err := wire.DecodeNodeMessage(raw)
 	if err != nil {
 		c.Close(1007, err.Error())
 		return
 	}
-	d.h.mu.Lock()
-	defer d.h.mu.Unlock()
+	l.host.mu.Lock()
+	defer l.host.mu.Unlock()
 	if m.Type == wire.Hello {
 		c.SetUserData(m.Director)
 	}
-	d.h.seen(d.node, c, c.ID(), m)
-	if !d.h.silent[d.node] {
-		d.h.carryOut(d.h.farm.Receive(d.h.now(), d.node, c.ID(), m))
-		d.h.stir()
+	l.host.recordMessage(l.node, c, c.ID(), m)
+	if !l.host.silent[l.node] {
+		l.host.deliver(l.host.model.Receive(l.host.now(), l.node, c.ID(), m))
+		l.host.wakeUp()
 	}
 }
 
-func (d *door) Closed(c *transport.Conn, _ error, _ []uint64) {
-	d.h.mu.Lock()
-	defer d.h.mu.Unlock()
-	delete(d.h.links, c.ID())
+func (l *nodeListener) Closed(c *transport.Conn, _ error, _ []uint64) {
+	l.host.mu.Lock()
+	defer l.host.mu.Unlock()
+	delete(l.host.conns, c.ID())
 	if c.ID() == 0 {
 		return
 	}
-	d.h.record.Add(rulecheck.Record{Kind: rulecheck.ConnClosed, Node: d.node, Conn: c.ID()})
-	d.h.carryOut(d.h.farm.ConnClosed(d.h.now(), d.node, c.ID()))
-	d.h.stir()
+	l.host.recorder.Add(rulecheck.Record{Kind: rulecheck.ConnClosed, Node: l.node, Conn: c.ID()})
+	l.host.deliver(l.host.model.ConnClosed(l.host.now(), l.node, c.ID()))
+	l.host.wakeUp()
 }
--- a/internal/emulated/node/model.go
+++ b/internal/emulated/node/model.go
@@ -1,5 +1,5 @@
-// Package node is the stand-in for media nodes: a model of nodes, their links and their racks' uplinks that
-// does no I/O and has no clock (Farm), and a host that puts it behind real sockets (Host).
+// Package node emulates streaming servers. Model is a model of nodes, their links and their racks' uplinks, which does
+// no I/O and has no clock; Host serves it on real sockets.
 package node
 
 import (
@@ -13,570 +13,588 @@
 	"fordusher/internal/wire"
 )
 
-// Spec is one node as it is built.
+// Spec is the hardware of a node, which is a streaming server.
 type Spec struct {
 	Name       string        `json:"name"`
 	Kind       string        `json:"kind"`
 	Rack       int           `json:"rack"`
-	MaxStreams int           `json:"places"`  // streams that it runs at most
+	MaxStreams int           `json:"places"`  // at one time
 	LinkRate   float64       `json:"link_kb"` // kB a second
-	Cores      int           `json:"cores"`   // set-ups worked on at one time
-	SetupTime  time.Duration `json:"work"`    // of one core for a set-up
+	Cores      int           `json:"cores"`   // of these each processes one set-up at a time
+	SetupTime  time.Duration `json:"work"`    // of one core for a set-up, on average and after slow start
 }
 
-// Environment is what all nodes have in common.
+// Environment are the parameters that all nodes share.
 type Environment struct {
-	Uplinks          []float64     `json:"uplinks_kb"`   // of the racks, kB a second
-	RejectThreshold  float64       `json:"refuses_from"` // a node answers full from so much of its link asked; 0: never
+	Uplinks          []float64     `json:"uplinks_kb"`   // by rack, kB a second
+	RejectThreshold  float64       `json:"refuses_from"` // utilization of its link from which a node answers full; 0: never
 	Warmup           time.Duration `json:"warmup"`
 	InitialShare     float64       `json:"cold_from"`
-	OverloadMultiple float64       `json:"multiple"`
+	OverloadMultiple float64       `json:"multiple"` // set-up rate that a node in slow start bears, as a multiple of MaxStreams/Warmup
 	OverloadWindow   time.Duration `json:"tip_after"`
-	ReportDelay      time.Duration `json:"late"`                 // of notes
-	ReportInterval   time.Duration `json:"every"`                // between notes of links
-	LoadRefresh      time.Duration `json:"refresh"`              // of the load in answers
-	RungValues       []float64     `json:"worth,omitempty"`      // of a second at each rung; empty: nothing is earned
-	StallCost        float64       `json:"stall_cost,omitempty"` // points of worth lost for each point of the rate missing under 98 in 100
+	ReportDelay      time.Duration `json:"late"`                 // of measurements
+	ReportInterval   time.Duration `json:"every"`                // between measurements of link and uplink
+	LoadRefresh      time.Duration `json:"refresh"`              // age from which the load in answers is computed anew
+	RungValues       []float64     `json:"worth,omitempty"`      // value of a second at each rung; empty: sessions earn nothing
+	StallCost        float64       `json:"stall_cost,omitempty"` // percentage points of the value lost for each point of the delivered share below 98
 }
 
-// Fault is something done to a node, or to all nodes' links and a rack's uplink. What it does not name
-// stays as it is.
+// Fault is a change of the state of a node, of all nodes (Node is empty) or of a rack's uplink. Fields that are not set
+// leave the state as it is.
 type Fault struct {
 	Node             string   `json:"node,omitempty"`
 	Rack             *int     `json:"rack,omitempty"`
-	Hang             *bool    `json:"hang,omitempty"`       // takes work, answers nothing
-	SlowFactor       *float64 `json:"slow,omitempty"`       // set-ups take so many times as long
+	Hang             *bool    `json:"hang,omitempty"`       // true: the process accepts messages but sends nothing; false: it sends what it deferred
+	SlowFactor       *float64 `json:"slow,omitempty"`       // factor of the set-up time
 	FailShare        *float64 `json:"fail,omitempty"`       // share of set-ups that fail at once
-	LossShare        *float64 `json:"lose,omitempty"`       // share of answers that get lost
-	ResetOnLoss      bool     `json:"lose_reset,omitempty"` // the connection is reset instead of silence
-	DuplicateShare   *float64 `json:"twice,omitempty"`      // share of answers that come twice
-	BandwidthDivisor *float64 `json:"shrink,omitempty"`     // the link (or the rack's uplink) gives so many times less
+	LossShare        *float64 `json:"lose,omitempty"`       // share of answers that are lost
+	ResetOnLoss      bool     `json:"lose_reset,omitempty"` // a lost answer resets the connection
+	DuplicateShare   *float64 `json:"twice,omitempty"`      // share of answers that are sent twice
+	BandwidthDivisor *float64 `json:"shrink,omitempty"`     // divisor of the bandwidth of the link or of the rack's uplink
 	Crash            bool     `json:"die,omitempty"`        // the process ends, its connections are reset
-	Silent           *bool    `json:"silent,omitempty"`     // the machine falls silent, or comes back
-	Start            bool     `json:"start,omitempty"`      // a process starts, cold
+	Silent           *bool    `json:"silent,omitempty"`     // true: the machine receives and sends nothing; false: it does again
+	Start            bool     `json:"start,omitempty"`      // a new process starts, in slow start
 }
 
-// An Output is a message to a director, or, with Cut, the reset of its connection, or, with Fell, word that the
-// node was pushed over, or, with Earned, what a session has earned.
+// An Output is a message to a director; or with Reset, the reset of its connection; or with Overloaded, the end of a
+// node's process that got too many set-ups in slow start; or with Earning, what a session earned until it ended.
 type Output struct {
 	Node       string
-	Link       uint64
+	Link       uint64 // the number of the connection
 	Message    wire.NodeMessage
 	Reset      bool
 	Overloaded bool
 	Earning    *Earning
 }
 
-// Earning is what a session has earned by its end: seconds, each times its rung's worth and what is left of
-// that where the rate was short.
+// Earning is what a session earned until it ended: its seconds, each multiplied by the value of its rung, which is
+// reduced while the session gets less than 0.98 of its rate.
 type Earning struct {
 	Session string
 	Tariff  string
 	Seconds float64
 }
 
+// A stream is a session on its node, from its set-up on.
 type stream struct {
-	link    uint64
+	conn    uint64
 	leg     uint64
 	rate    float64
 	rung    int
-	plays   bool
-	ends    time.Duration // of a session, once it plays; 0: when called off
+	playing bool
+	endsAt  time.Duration // once it plays; 0: it plays until the director ends it
 	length  time.Duration
-	expires time.Duration // a set-up is not started later than this
+	expires time.Duration // latest start of the session; 0: any time
 	session string
 	tariff  string
 	earned  float64
 }
 
+// A director is one director's connection to a node.
 type director struct {
-	link    uint64
-	next    time.Duration // note of link and uplink
-	nextPer time.Duration // note of the share delivered
-	short   bool          // the last one was under 0.98
+	conn               uint64
+	nextLoadReport     time.Duration // next measurement of link and uplink
+	nextDeliveryReport time.Duration // next measurement of the delivered share
+	lastBelowTarget    bool          // the last delivered share was below 0.98
 }
 
-type machine struct {
+// A nodeState is a node with its process, streams and injected faults.
+type nodeState struct {
 	Spec
-	alive, silent bool
-	start         uint64
-	born          time.Duration // under 0: long ago
-	hung          bool
-	slow          float64
-	fail, lose    float64
-	loseReset     bool
-	twice         float64
-	shrink        float64
-	streams       map[[2]uint64]*stream // by link and leg
-	asked         float64               // of the link, by all streams
-	directors     []*director
-	noting        bool            // its notes are under way
-	free          []time.Duration // when each core is next free
-	sends         []time.Duration // set-ups within the tipping time
-	load          wire.NodeLoad   // as last refreshed
-	loadAt        time.Duration
-	held          []due // what would have happened while it hung
-}
-
-type dueKind int
+	alive, silent        bool
+	start                uint64
+	startedAt            time.Duration // below 0: long ago
+	hung                 bool
+	slowFactor           float64
+	failShare, lossShare float64
+	resetOnLoss          bool
+	duplicateShare       float64
+	bandwidthDivisor     float64
+	streams              map[[2]uint64]*stream // by connection and leg
+	demand               float64               // for the link by all streams, kB a second
+	directors            []*director
+	reporting            bool            // a check for measurements is scheduled
+	coreFreeAt           []time.Duration // by core
+	recentSetups         []time.Duration // times of set-ups within the overload window, in slow start
+	load                 wire.NodeLoad   // as last computed
+	loadRefreshedAt      time.Duration
+	deferred             []event // events that came due while it hung
+}
+
+// An eventKind is the kind of a scheduled event.
+type eventKind int
 
 const (
-	dueSetup dueKind = iota
-	dueEnd
-	dueNote
-	dueTell
-	dueEarn
+	eventSetupDone  eventKind = iota // a core has processed a set-up
+	eventSessionEnd                  // a session has played its whole length
+	eventReport                      // a node checks whether measurements are due
+	eventSend                        // a delayed message is sent
+	eventAccrue                      // the earnings of a node's sessions are counted
 )
 
-// earnEvery is how often it is looked at what sessions get.
-const earnEvery = 100 * time.Millisecond
+// accrualInterval is the interval at which the earnings of sessions are counted.
+const accrualInterval = 100 * time.Millisecond
 
-type due struct {
-	at   time.Duration
-	kind dueKind
-	node *machine
-	key  [2]uint64
-	out  Output
+// An event happens to a node at a time.
+type event struct {
+	at     time.Duration
+	kind   eventKind
+	node   *nodeState
+	key    [2]uint64
+	output Output
 }
 
-// Model is the model of all nodes of a place.
+// Model is a model of nodes, their links and their racks' uplinks.
 type Model struct {
-	site   Environment
-	chance *rand.Rand
-	nodes  map[string]*machine
-	order  []*machine
-	racks  []rack
-	queue  timerqueue.Queue[due]
-	now    time.Duration
-	out    []Output
-	starts uint64
-}
-
+	env       Environment
+	random    *rand.Rand
+	nodes     map[string]*nodeState
+	nodeOrder []*nodeState
+	racks     []rack
+	events    timerqueue.Queue[event]
+	now       time.Duration
+	outputs   []Output
+	lastStart uint64
+}
+
+// A rack is a group of nodes that share an uplink.
 type rack struct {
-	uplink float64
-	shrink float64
-	asked  float64
-}
-
-// NewModel starts with warm nodes that run.
-func NewModel(seed uint64, site Environment, machines []Spec) *Model {
-	f := &Model{site: site, chance: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*machine{}}
-	for _, u := range site.Uplinks {
-		f.racks = append(f.racks, rack{uplink: u, shrink: 1})
-	}
-	for _, m := range machines {
-		n := &machine{Spec: m, alive: true, born: -1, slow: 1, shrink: 1, streams: map[[2]uint64]*stream{},
-			free: make([]time.Duration, max(1, m.Cores))}
-		f.starts++
-		n.start = f.starts
-		f.nodes[m.Name] = n
-		f.order = append(f.order, n)
-		if len(site.RungValues) > 0 {
-			f.push(due{at: earnEvery, kind: dueEarn, node: n})
+	uplink           float64
+	bandwidthDivisor float64
+	demand           float64
+}
+
+// NewModel returns a model in which all nodes run and are past slow start.
+func NewModel(seed uint64, env Environment, specs []Spec) *Model {
+	m := &Model{env: env, random: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*nodeState{}}
+	for _, u := range env.Uplinks {
+		m.racks = append(m.racks, rack{uplink: u, bandwidthDivisor: 1})
+	}
+	for _, spec := range specs {
+		n := &nodeState{Spec: spec, alive: true, startedAt: -1, slowFactor: 1, bandwidthDivisor: 1, streams: map[[2]uint64]*stream{},
+			coreFreeAt: make([]time.Duration, max(1, spec.Cores))}
+		m.lastStart++
+		n.start = m.lastStart
+		m.nodes[spec.Name] = n
+		m.nodeOrder = append(m.nodeOrder, n)
+		if len(env.RungValues) > 0 {
+			m.schedule(event{at: accrualInterval, kind: eventAccrue, node: n})
 		}
 	}
-	return f
+	return m
 }
 
-// Start tells which start a node is in, and how long ago that was (0: long ago).
-func (f *Model) Start(now time.Duration, name string) (start uint64, age time.Duration) {
-	n := f.nodes[name]
-	if n.born < 0 {
+// Start returns the number of a node's last start and its age (0: long ago).
+func (m *Model) Start(now time.Duration, name string) (start uint64, age time.Duration) {
+	n := m.nodes[name]
+	if n.startedAt < 0 {
 		return n.start, 0
 	}
-	return n.start, max(time.Millisecond, now-n.born)
+	return n.start, max(time.Millisecond, now-n.startedAt)
 }
 
-// NextDeadline is when Step wants to be called at the latest; ok is false where nothing is due.
-func (f *Model) NextDeadline() (at time.Duration, ok bool) {
-	return f.queue.NextDeadline()
+// NextDeadline is the time of the next event, at which Step has to be called; ok is false if there is none.
+func (m *Model) NextDeadline() (at time.Duration, ok bool) {
+	return m.events.NextDeadline()
 }
 
-func (f *Model) push(d due) { f.queue.Add(d.at, d) }
+func (m *Model) schedule(e event) { m.events.Add(e.at, e) }
 
-// Step works off what is due until now. The result is valid until the next call of any method.
-func (f *Model) Step(now time.Duration) []Output {
-	f.out = f.out[:0]
-	f.advance(now)
-	return f.out
+// Step handles the events that are due. Its result, like that of every other method, is valid until the next call.
+func (m *Model) Step(now time.Duration) []Output {
+	m.outputs = m.outputs[:0]
+	m.advance(now)
+	return m.outputs
 }
 
-func (f *Model) advance(now time.Duration) {
-	for at, ok := f.queue.NextDeadline(); ok && at <= now; at, ok = f.queue.NextDeadline() {
-		d := f.queue.Pop()
-		f.now = max(f.now, d.at)
-		f.happen(d)
+// advance handles the events that are due and moves the model's time forward.
+func (m *Model) advance(now time.Duration) {
+	for at, ok := m.events.NextDeadline(); ok && at <= now; at, ok = m.events.NextDeadline() {
+		e := m.events.Pop()
+		m.now = max(m.now, e.at)
+		m.handleEvent(e)
 	}
-	f.now = max(f.now, now)
+	m.now = max(m.now, now)
 }
 
-func (f *Model) happen(d due) {
-	n := d.node
-	if d.kind == dueEarn {
-		f.earn(n)
-		f.push(due{at: d.at + earnEvery, kind: dueEarn, node: n})
+// handleEvent handles an event; a hung node defers it until it continues.
+func (m *Model) handleEvent(e event) {
+	n := e.node
+	if e.kind == eventAccrue {
+		m.accrueEarnings(n)
+		m.schedule(event{at: e.at + accrualInterval, kind: eventAccrue, node: n})
 		return
 	}
 	if n.hung {
-		n.held = append(n.held, d)
+		n.deferred = append(n.deferred, e)
 		return
 	}
-	switch d.kind {
-	case dueTell:
-		f.out = append(f.out, d.out)
-	case dueSetup:
-		f.ready(n, d.key)
-	case dueEnd:
-		if s := n.streams[d.key]; s != nil && s.plays && s.ends <= f.now {
-			f.drop(n, d.key)
-			f.tell(n, s.link, wire.NodeMessage{Type: wire.Ended, Leg: s.leg, Reason: "done", Load: f.loadOf(n)})
+	switch e.kind {
+	case eventSend:
+		m.outputs = append(m.outputs, e.output)
+	case eventSetupDone:
+		m.finishSetup(n, e.key)
+	case eventSessionEnd:
+		if s := n.streams[e.key]; s != nil && s.playing && s.endsAt <= m.now {
+			m.endStream(n, e.key)
+			m.send(n, s.conn, wire.NodeMessage{Type: wire.Ended, Leg: s.leg, Reason: "done", Load: m.reportedLoad(n)})
 		}
-	case dueNote:
-		f.notes(n)
+	case eventReport:
+		m.sendReports(n)
 	}
 }
 
-// ConnOpened takes a new connection of a director.
-func (f *Model) ConnOpened(now time.Duration, node string, link uint64) []Output {
-	f.out = f.out[:0]
-	f.advance(now)
-	n := f.nodes[node]
-	n.directors = append(n.directors, &director{link: link, next: f.now + f.site.ReportInterval, nextPer: f.now + time.Second})
-	if !n.noting {
-		n.noting = true
-		f.push(due{at: f.now + min(noteEvery, max(time.Millisecond, f.site.ReportInterval)), kind: dueNote, node: n})
+// ConnOpened adds a connection of a director to a node.
+func (m *Model) ConnOpened(now time.Duration, node string, conn uint64) []Output {
+	m.outputs = m.outputs[:0]
+	m.advance(now)
+	n := m.nodes[node]
+	n.directors = append(n.directors, &director{conn: conn, nextLoadReport: m.now + m.env.ReportInterval, nextDeliveryReport: m.now + time.Second})
+	if !n.reporting {
+		n.reporting = true
+		m.schedule(event{at: m.now + min(reportCheckInterval, max(time.Millisecond, m.env.ReportInterval)), kind: eventReport, node: n})
 	}
-	return f.out
+	return m.outputs
 }
 
-// ConnClosed ends a connection, and with it every stream of that director.
-func (f *Model) ConnClosed(now time.Duration, node string, link uint64) []Output {
-	f.out = f.out[:0]
-	f.advance(now)
-	n := f.nodes[node]
-	n.directors = slices.DeleteFunc(n.directors, func(d *director) bool { return d.link == link })
-	for _, k := range n.keys() {
-		if k[0] == link {
-			f.drop(n, k)
+// ConnClosed removes a connection and ends all streams on it.
+func (m *Model) ConnClosed(now time.Duration, node string, conn uint64) []Output {
+	m.outputs = m.outputs[:0]
+	m.advance(now)
+	n := m.nodes[node]
+	n.directors = slices.DeleteFunc(n.directors, func(d *director) bool { return d.conn == conn })
+	for _, k := range n.sortedKeys() {
+		if k[0] == conn {
+			m.endStream(n, k)
 		}
 	}
-	return f.out
+	return m.outputs
 }
 
-// keys are a machine's streams in the order of their numbers: what is done to all of them is done in the same
-// order each time.
-func (n *machine) keys() [][2]uint64 {
+// sortedKeys are the keys of a node's streams in order, so that every run handles the streams in the same order.
+func (n *nodeState) sortedKeys() [][2]uint64 {
 	return slices.SortedFunc(maps.Keys(n.streams), func(a, b [2]uint64) int {
 		return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1]))
 	})
 }
 
-// Receive takes a director's message.
-func (f *Model) Receive(now time.Duration, node string, link uint64, m wire.NodeMessage) []Output {
-	f.out = f.out[:0]
-	f.advance(now)
-	n := f.nodes[node]
+// Receive handles a message of a director.
+func (m *Model) Receive(now time.Duration, node string, conn uint64, msg wire.NodeMessage) []Output {
+	m.outputs = m.outputs[:0]
+	m.advance(now)
+	n := m.nodes[node]
 	if !n.alive || n.silent {
-		return f.out
+		return m.outputs
 	}
-	key := [2]uint64{link, m.Leg}
-	switch m.Type {
+	key := [2]uint64{conn, msg.Leg}
+	switch msg.Type {
 	case wire.Hello:
-		hello := wire.NodeMessage{Type: wire.Hello, Incarnation: n.start, Load: f.loadOf(n)}
-		if n.born >= 0 {
-			hello.UptimeMS = max(1, (f.now - n.born).Milliseconds())
+		hello := wire.NodeMessage{Type: wire.Hello, Incarnation: n.start, Load: m.reportedLoad(n)}
+		if n.startedAt >= 0 {
+			hello.UptimeMS = max(1, (m.now - n.startedAt).Milliseconds())
 		}
-		f.tell(n, link, hello)
+		m.send(n, conn, hello)
 	case wire.Setup:
-		f.setup(n, key, m)
+		m.startSetup(n, key, msg)
 	case wire.Rung:
 		if s := n.streams[key]; s != nil {
-			f.ask(n, m.RateKB-s.rate)
-			s.rung, s.rate = m.Rung, m.RateKB
-			if s.plays {
-				f.tell(n, link, wire.NodeMessage{Type: wire.Measurement, Leg: s.leg, MeasurementKind: 2, MeasurementValue: float64(s.rung)})
+			m.addDemand(n, msg.RateKB-s.rate)
+			s.rung, s.rate = msg.Rung, msg.RateKB
+			if s.playing {
+				m.send(n, conn, wire.NodeMessage{Type: wire.Measurement, Leg: s.leg, MeasurementKind: 2, MeasurementValue: float64(s.rung)})
 			}
 		}
 	case wire.End:
-		f.drop(n, key)
+		m.endStream(n, key)
 	}
-	return f.out
+	return m.outputs
 }
 
-func (f *Model) warmth(n *machine) float64 {
-	if n.born < 0 || f.now-n.born >= f.site.Warmup {
+// rampShare is the share of its full set-up speed that a node has in slow start; 1 afterwards.
+func (m *Model) rampShare(n *nodeState) float64 {
+	if n.startedAt < 0 || m.now-n.startedAt >= m.env.Warmup {
 		return 1
 	}
-	return f.site.InitialShare + (1-f.site.InitialShare)*float64(f.now-n.born)/float64(f.site.Warmup)
+	return m.env.InitialShare + (1-m.env.InitialShare)*float64(m.now-n.startedAt)/float64(m.env.Warmup)
 }
 
-func (f *Model) setup(n *machine, key [2]uint64, m wire.NodeMessage) {
-	if warmth := f.warmth(n); warmth < 1 {
-		n.sends = append(slices.DeleteFunc(n.sends, func(t time.Duration) bool { return t <= f.now-f.site.OverloadWindow }), f.now)
-		can := f.site.OverloadMultiple * float64(n.MaxStreams) / f.site.Warmup.Seconds() * warmth * f.site.OverloadWindow.Seconds()
-		if float64(len(n.sends)) > can+2 {
-			f.out = append(f.out, Output{Node: n.Name, Overloaded: true})
-			f.die(n)
+// startSetup schedules a set-up on the core that is free first, or rejects it. The process of a node in slow start ends if
+// it gets too many set-ups within the overload window.
+func (m *Model) startSetup(n *nodeState, key [2]uint64, msg wire.NodeMessage) {
+	if rampShare := m.rampShare(n); rampShare < 1 {
+		n.recentSetups = append(slices.DeleteFunc(n.recentSetups, func(t time.Duration) bool { return t <= m.now-m.env.OverloadWindow }), m.now)
+		allowed := m.env.OverloadMultiple * float64(n.MaxStreams) / m.env.Warmup.Seconds() * rampShare * m.env.OverloadWindow.Seconds()
+		if float64(len(n.recentSetups)) > allowed+2 {
+			m.outputs = append(m.outputs, Output{Node: n.Name, Overloaded: true})
+			m.endProcess(n)
 			return
 		}
 	}
-	link, _ := f.asked(n)
+	link, _ := m.utilization(n)
 	switch {
-	case n.fail > 0 && f.chance.Float64() < n.fail:
-		f.answer(n, key, wire.NodeMessage{Type: wire.Failed, Leg: key[1], Load: f.loadOf(n)})
+	case n.failShare > 0 && m.random.Float64() < n.failShare:
+		m.answerSetup(n, key, wire.NodeMessage{Type: wire.Failed, Leg: key[1], Load: m.reportedLoad(n)})
 		return
-	case len(n.streams) >= n.MaxStreams, f.site.RejectThreshold > 0 && link >= f.site.RejectThreshold:
-		f.answer(n, key, wire.NodeMessage{Type: wire.Full, Leg: key[1], Load: f.loadOf(n)})
+	case len(n.streams) >= n.MaxStreams, m.env.RejectThreshold > 0 && link >= m.env.RejectThreshold:
+		m.answerSetup(n, key, wire.NodeMessage{Type: wire.Full, Leg: key[1], Load: m.reportedLoad(n)})
 		return
 	}
-	s := &stream{session: m.Session, tariff: m.Tariff, link: key[0], leg: key[1], rate: m.RateKB, rung: m.Rung, length: time.Duration(m.LengthMS) * time.Millisecond}
-	if m.StartWithinMS > 0 {
-		s.expires = f.now + time.Duration(m.StartWithinMS)*time.Millisecond
+	s := &stream{session: msg.Session, tariff: msg.Tariff, conn: key[0], leg: key[1], rate: msg.RateKB, rung: msg.Rung, length: time.Duration(msg.LengthMS) * time.Millisecond}
+	if msg.StartWithinMS > 0 {
+		s.expires = m.now + time.Duration(msg.StartWithinMS)*time.Millisecond
 	}
-	f.drop(n, key)
+	m.endStream(n, key)
 	n.streams[key] = s
-	f.ask(n, s.rate)
+	m.addDemand(n, s.rate)
 	core := 0
-	for i, free := range n.free {
-		if free < n.free[core] {
+	for i, free := range n.coreFreeAt {
+		if free < n.coreFreeAt[core] {
 			core = i
 		}
 	}
-	work := time.Duration(float64(n.SetupTime) * n.slow / f.warmth(n) * (0.8 + 0.4*f.chance.Float64()))
-	n.free[core] = max(n.free[core], f.now) + work
-	f.push(due{at: n.free[core], kind: dueSetup, node: n, key: key})
+	work := time.Duration(float64(n.SetupTime) * n.slowFactor / m.rampShare(n) * (0.8 + 0.4*m.random.Float64()))
+	n.coreFreeAt[core] = max(n.coreFreeAt[core], m.now) + work
+	m.schedule(event{at: n.coreFreeAt[core], kind: eventSetupDone, node: n, key: key})
 }
 
-// ready starts a session whose set-up is done.
-func (f *Model) ready(n *machine, key [2]uint64) {
+// finishSetup starts a session whose set-up is done, unless the director has ended it or its start time-out is over.
+func (m *Model) finishSetup(n *nodeState, key [2]uint64) {
 	s := n.streams[key]
-	if s == nil || s.plays {
-		return // called off meanwhile
+	if s == nil || s.playing {
+		return // the director has ended it
 	}
-	if s.expires > 0 && f.now > s.expires {
-		f.drop(n, key)
-		f.answer(n, key, wire.NodeMessage{Type: wire.Failed, Leg: s.leg, Load: f.loadOf(n)})
+	if s.expires > 0 && m.now > s.expires {
+		m.endStream(n, key)
+		m.answerSetup(n, key, wire.NodeMessage{Type: wire.Failed, Leg: s.leg, Load: m.reportedLoad(n)})
 		return
 	}
-	s.plays = true
+	s.playing = true
 	if s.length > 0 {
-		s.ends = f.now + s.length
-		f.push(due{at: s.ends, kind: dueEnd, node: n, key: key})
+		s.endsAt = m.now + s.length
+		m.schedule(event{at: s.endsAt, kind: eventSessionEnd, node: n, key: key})
 	}
-	f.answer(n, key, wire.NodeMessage{Type: wire.Accepted, Leg: s.leg, Load: f.loadOf(n)})
+	m.answerSetup(n, key, wire.NodeMessage{Type: wire.Accepted, Leg: s.leg, Load: m.reportedLoad(n)})
 }
 
-// answer tells how a set-up ended, unless that gets lost.
-func (f *Model) answer(n *machine, key [2]uint64, m wire.NodeMessage) {
-	if n.lose > 0 && f.chance.Float64() < n.lose {
-		if n.loseReset {
-			f.out = append(f.out, Output{Node: n.Name, Link: key[0], Reset: true})
+// answerSetup sends the answer to a set-up. With the injected faults the answer can be lost or sent twice.
+func (m *Model) answerSetup(n *nodeState, key [2]uint64, msg wire.NodeMessage) {
+	if n.lossShare > 0 && m.random.Float64() < n.lossShare {
+		if n.resetOnLoss {
+			m.outputs = append(m.outputs, Output{Node: n.Name, Link: key[0], Reset: true})
 		}
 		return
 	}
-	f.tell(n, key[0], m)
-	if n.twice > 0 && f.chance.Float64() < n.twice {
-		f.tell(n, key[0], m)
+	m.send(n, key[0], msg)
+	if n.duplicateShare > 0 && m.random.Float64() < n.duplicateShare {
+		m.send(n, key[0], msg)
 	}
 }
 
-func (f *Model) tell(n *machine, link uint64, m wire.NodeMessage) {
-	out := Output{Node: n.Name, Link: link, Message: m}
+// send sends a message, or defers it while the node hangs.
+func (m *Model) send(n *nodeState, conn uint64, msg wire.NodeMessage) {
+	out := Output{Node: n.Name, Link: conn, Message: msg}
 	if n.hung {
-		n.held = append(n.held, due{kind: dueTell, node: n, out: out})
+		n.deferred = append(n.deferred, event{kind: eventSend, node: n, output: out})
 		return
 	}
-	f.out = append(f.out, out)
+	m.outputs = append(m.outputs, out)
 }
 
-// ask counts what a stream asks, or no longer asks, of the link and the uplink.
-func (f *Model) ask(n *machine, rate float64) {
-	n.asked += rate
-	f.racks[n.Rack].asked += rate
+// addDemand adds a rate, which can be negative, to the demand on the node's link and its rack's uplink.
+func (m *Model) addDemand(n *nodeState, rate float64) {
+	n.demand += rate
+	m.racks[n.Rack].demand += rate
 }
 
-// drop ends a stream.
-func (f *Model) drop(n *machine, key [2]uint64) {
+// endStream ends a stream and reports what it earned.
+func (m *Model) endStream(n *nodeState, key [2]uint64) {
 	if s := n.streams[key]; s != nil {
-		f.ask(n, -s.rate)
+		m.addDemand(n, -s.rate)
 		delete(n.streams, key)
-		f.pay(n, s)
+		m.emitEarning(n, s)
 	}
 }
 
-func (f *Model) pay(n *machine, s *stream) {
+// emitEarning reports what a stream earned, if anything.
+func (m *Model) emitEarning(n *nodeState, s *stream) {
 	if s.earned > 0 {
-		f.out = append(f.out, Output{Node: n.Name, Earning: &Earning{s.session, s.tariff, s.earned}})
+		m.outputs = append(m.outputs, Output{Node: n.Name, Earning: &Earning{s.session, s.tariff, s.earned}})
 	}
 }
 
-// earn counts what a node's sessions got since the last look.
-func (f *Model) earn(n *machine) {
+// accrueEarnings adds what a node's sessions earned during the last accrual interval.
+func (m *Model) accrueEarnings(n *nodeState) {
 	if !n.alive || n.silent || n.hung {
 		return
 	}
-	quality := max(0, 1-f.site.StallCost*max(0, 0.98-f.share(n)))
+	quality := max(0, 1-m.env.StallCost*max(0, 0.98-m.deliveredShare(n)))
 	for _, s := range n.streams {
-		if s.plays {
-			s.earned += earnEvery.Seconds() * quality * f.site.RungValues[min(s.rung, len(f.site.RungValues)-1)]
+		if s.playing {
+			s.earned += accrualInterval.Seconds() * quality * m.env.RungValues[min(s.rung, len(m.env.RungValues)-1)]
 		}
 	}
 }
 
-// asked is what is asked of a node's link and of its rack's uplink, over what they give.
-func (f *Model) asked(n *machine) (link, uplink float64) {
-	r := &f.racks[n.Rack]
-	return max(0, n.asked) / (n.LinkRate / n.shrink), max(0, r.asked) / (r.uplink / r.shrink)
+// utilization is the demand on a node's link and on its rack's uplink, each divided by its bandwidth.
+func (m *Model) utilization(n *nodeState) (link, uplink float64) {
+	r := &m.racks[n.Rack]
+	return max(0, n.demand) / (n.LinkRate / n.bandwidthDivisor), max(0, r.demand) / (r.uplink / r.bandwidthDivisor)
 }
 
-// share is the share of its rate that a session on a node gets: what is short on the link or the uplink
-// is shared evenly.
-func (f *Model) share(n *machine) float64 {
-	link, uplink := f.asked(n)
+// deliveredShare is the share of its rate that each session on a node gets. A shortage on the link or the uplink reduces
+// all rates by the same factor.
+func (m *Model) deliveredShare(n *nodeState) float64 {
+	link, uplink := m.utilization(n)
 	return 1 / max(1, link, uplink)
 }
 
-func (f *Model) loadOf(n *machine) *wire.NodeLoad {
-	if n.load.Link == nil || f.now >= n.loadAt+f.site.LoadRefresh {
-		link, uplink := f.asked(n)
-		noisy := func(x float64) *float64 { return new(x * (0.95 + 0.1*f.chance.Float64())) }
+// reportedLoad is the load that a node reports in its answers: as of the last refresh, with up to 5 in 100 of random
+// error on link and uplink.
+func (m *Model) reportedLoad(n *nodeState) *wire.NodeLoad {
+	if n.load.Link == nil || m.now >= n.loadRefreshedAt+m.env.LoadRefresh {
+		link, uplink := m.utilization(n)
+		noisy := func(x float64) *float64 { return new(x * (0.95 + 0.1*m.random.Float64())) }
 		n.load = wire.NodeLoad{Streams: new(float64(len(n.streams))), Link: noisy(link), Uplink: noisy(uplink)}
-		n.loadAt = f.now
+		n.loadRefreshedAt = m.now
 	}
 	load := n.load
 	return &load
 }
 
-// noteEvery is how often a node looks whether it has something to note.
-const noteEvery = 250 * time.Millisecond
+// reportCheckInterval is the interval at which a node checks whether measurements are due.
+const reportCheckInterval = 250 * time.Millisecond
 
-// notes tells a node's directors how their sessions there fare: late, each on its oldest session.
-func (f *Model) notes(n *machine) {
+// sendReports sends each director on a node the measurements that are due, with the report delay and on the director's
+// oldest session there. The delivered share is sent every second while it is below 0.98, and once after that.
+func (m *Model) sendReports(n *nodeState) {
 	if !n.alive || len(n.directors) == 0 {
-		n.noting = false
+		n.reporting = false
 		return
 	}
 	oldest := map[uint64]*stream{}
 	for _, s := range n.streams {
-		if on := oldest[s.link]; s.plays && (on == nil || s.leg < on.leg) {
-			oldest[s.link] = s
+		if other := oldest[s.conn]; s.playing && (other == nil || s.leg < other.leg) {
+			oldest[s.conn] = s
 		}
 	}
-	share := f.share(n)
-	link, uplink := f.asked(n)
+	share := m.deliveredShare(n)
+	link, uplink := m.utilization(n)
 	for _, d := range n.directors {
-		on := oldest[d.link]
-		if on == nil {
+		session := oldest[d.conn]
+		if session == nil {
 			continue
 		}
-		later := func(kind int, value float64) {
-			f.push(due{at: f.now + f.site.ReportDelay, kind: dueTell, node: n, out: Output{Node: n.Name, Link: d.link,
-				Message: wire.NodeMessage{Type: wire.Measurement, Leg: on.leg, MeasurementKind: kind, MeasurementValue: value}}})
+		reportLater := func(kind int, value float64) {
+			m.schedule(event{at: m.now + m.env.ReportDelay, kind: eventSend, node: n, output: Output{Node: n.Name, Link: d.conn,
+				Message: wire.NodeMessage{Type: wire.Measurement, Leg: session.leg, MeasurementKind: kind, MeasurementValue: value}}})
 		}
-		if f.now >= d.nextPer {
-			d.nextPer = f.now + time.Second
-			if share < 0.98 || d.short {
-				later(1, share)
+		if m.now >= d.nextDeliveryReport {
+			d.nextDeliveryReport = m.now + time.Second
+			if share < 0.98 || d.lastBelowTarget {
+				reportLater(1, share)
 			}
-			d.short = share < 0.98
+			d.lastBelowTarget = share < 0.98
 		}
-		if f.site.ReportInterval > 0 && f.now >= d.next {
-			d.next = f.now + f.site.ReportInterval
-			later(3, link)
-			later(4, uplink)
+		if m.env.ReportInterval > 0 && m.now >= d.nextLoadReport {
+			d.nextLoadReport = m.now + m.env.ReportInterval
+			reportLater(3, link)
+			reportLater(4, uplink)
 		}
 	}
-	f.push(due{at: f.now + noteEvery, kind: dueNote, node: n})
+	m.schedule(event{at: m.now + reportCheckInterval, kind: eventReport, node: n})
 }
 
-// Apply does a fault.
-func (f *Model) Apply(now time.Duration, x Fault) []Output {
-	f.out = f.out[:0]
-	f.advance(now)
+// Apply applies a fault.
+func (m *Model) Apply(now time.Duration, x Fault) []Output {
+	m.outputs = m.outputs[:0]
+	m.advance(now)
 	if x.Rack != nil && x.BandwidthDivisor != nil {
-		f.racks[*x.Rack%len(f.racks)].shrink = *x.BandwidthDivisor
-		return f.out
+		m.racks[*x.Rack%len(m.racks)].bandwidthDivisor = *x.BandwidthDivisor
+		return m.outputs
 	}
-	for _, n := range f.order {
+	for _, n := range m.nodeOrder {
 		if x.Node == "" || x.Node == n.Name {
-			f.apply(n, x)
+			m.applyFault(n, x)
 		}
 	}
-	return f.out
+	return m.outputs
 }
 
-func (f *Model) apply(n *machine, x Fault) {
+// applyFault applies a fault to a node.
+func (m *Model) applyFault(n *nodeState, x Fault) {
 	set := func(to *float64, from *float64) {
 		if from != nil {
 			*to = *from
 		}
 	}
-	set(&n.slow, x.SlowFactor)
-	set(&n.fail, x.FailShare)
-	set(&n.lose, x.LossShare)
-	set(&n.twice, x.DuplicateShare)
-	set(&n.shrink, x.BandwidthDivisor)
+	set(&n.slowFactor, x.SlowFactor)
+	set(&n.failShare, x.FailShare)
+	set(&n.lossShare, x.LossShare)
+	set(&n.duplicateShare, x.DuplicateShare)
+	set(&n.bandwidthDivisor, x.BandwidthDivisor)
 	if x.LossShare != nil {
-		n.loseReset = x.ResetOnLoss
+		n.resetOnLoss = x.ResetOnLoss
 	}
 	if x.Hang != nil && n.hung != *x.Hang {
 		n.hung = *x.Hang
-		held := n.held
-		n.held = nil
-		for _, d := range held {
-			d.at = f.now
-			f.push(d)
+		deferred := n.deferred
+		n.deferred = nil
+		for _, e := range deferred {
+			e.at = m.now
+			m.schedule(e)
 		}
-		f.advance(f.now)
+		m.advance(m.now)
 	}
 	if x.Crash {
-		f.die(n)
+		m.endProcess(n)
 	}
 	if x.Silent != nil {
 		n.silent = *x.Silent
 	}
 	if x.Start {
-		f.die(n)
-		f.starts++
-		n.alive, n.silent, n.hung, n.start, n.born = true, false, false, f.starts, f.now
-		n.slow, n.fail, n.lose, n.twice, n.sends = 1, 0, 0, 0, nil
+		m.endProcess(n)
+		m.lastStart++
+		n.alive, n.silent, n.hung, n.start, n.startedAt = true, false, false, m.lastStart, m.now
+		n.slowFactor, n.failShare, n.lossShare, n.duplicateShare, n.recentSetups = 1, 0, 0, 0, nil
 		n.load = wire.NodeLoad{}
 	}
 }
 
-func (f *Model) die(n *machine) {
+// endProcess resets a node's connections and ends its streams.
+func (m *Model) endProcess(n *nodeState) {
 	for _, d := range n.directors {
-		f.out = append(f.out, Output{Node: n.Name, Link: d.link, Reset: true})
+		m.outputs = append(m.outputs, Output{Node: n.Name, Link: d.conn, Reset: true})
 	}
-	if slices.ContainsFunc(n.held, func(d due) bool { return d.kind == dueNote }) {
-		n.noting = false
+	if slices.ContainsFunc(n.deferred, func(e event) bool { return e.kind == eventReport }) {
+		n.reporting = false
 	}
-	n.alive, n.directors, n.held = false, nil, nil
-	f.ask(n, -n.asked)
-	for _, k := range n.keys() {
-		f.pay(n, n.streams[k])
+	n.alive, n.directors, n.deferred = false, nil, nil
+	m.addDemand(n, -n.demand)
+	for _, k := range n.sortedKeys() {
+		m.emitEarning(n, n.streams[k])
 	}
 	clear(n.streams)
-	clear(n.free)
+	clear(n.coreFreeAt)
 }
 
-// EarningRate is what all sessions earn at this moment, a second: each its tariff's credit, times the worth of its
-// rung and what is left of that where the rate is short.
-func (f *Model) EarningRate(credit map[string]float64) (rate float64, playing int) {
-	for _, n := range f.order {
+// EarningRate is what all sessions earn a second at this moment, with the number of playing sessions. Each earns its
+// tariff's credit multiplied by the value of its rung, which is reduced while it gets less than 0.98 of
+// its rate.
+func (m *Model) EarningRate(credit map[string]float64) (rate float64, playing int) {
+	for _, n := range m.nodeOrder {
 		if !n.alive || n.silent || n.hung {
 			continue
 		}
-		quality := max(0, 1-f.site.StallCost*max(0, 0.98-f.share(n)))
-		for _, k := range n.keys() { // in order, so that the sum is the same each time
-			if s := n.streams[k]; s.plays {
+		quality := max(0, 1-m.env.StallCost*max(0, 0.98-m.deliveredShare(n)))
+		for _, k := range n.sortedKeys() { // in order, so that rounding gives the same sum in every run
+			if s := n.streams[k]; s.playing {
 				playing++
-				rate += credit[s.tariff] * quality * f.site.RungValues[min(s.rung, len(f.site.RungValues)-1)]
+				rate += credit[s.tariff] * quality * m.env.RungValues[min(s.rung, len(m.env.RungValues)-1)]
 			}
 		}
 	}
 	return rate, playing
 }
 
-// Streams counts a node's streams.
-func (f *Model) Streams(name string) int { return len(f.nodes[name].streams) }
+// Streams is the number of streams on a node.
+func (m *Model) Streams(name string) int { return len(m.nodes[name].streams) }
