--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -6,249 +6,253 @@
 	"time"
 )
 
-// What the rules allow beyond their own figures: for answers by the protocol's page, for the rest what a busy machine
-// takes between a write and the read of it.
+// Tolerances of the checks. The one for answers is from the protocol's specification; the others are the time that a
+// busy machine takes between a write and its read.
 const (
 	answerSlack   = 500 * time.Millisecond
 	releaseSlack  = 1500 * time.Millisecond
-	leftSlack     = 250 * time.Millisecond // an attempt may begin so long after its client has left
+	cancelSlack   = 250 * time.Millisecond // an attempt may begin so long after its client has cancelled
 	drainSlack    = 250 * time.Millisecond
 	deadlineSlack = 150 * time.Millisecond
 	overlapSlack  = 100 * time.Millisecond
 )
 
-// An attempt is a set-up that has reached a server.
+// An attempt is a set-up of a request that has reached a server.
 type attempt struct {
-	server string
-	began  time.Time
-	out    bool
-	ended  time.Time
-	mayRun bool // false once the server has said that it never ran
+	server      string
+	startedAt   time.Time
+	outstanding bool
+	endedAt     time.Time
+	mayRun      bool // false once the server has answered that it never ran
 }
 
-// A request is one that a client has asked.
+// A request is a client's request, with its answers and attempts.
 type request struct {
-	director  *director
-	life      int // of the director's processes
-	paid      bool
-	sent      time.Time
-	wait      time.Duration
-	answers   int
-	stood     bool
-	over      time.Time // its server said that it is over
-	released  bool
-	left      time.Time // its client has cancelled it, or closed its connection
-	void      bool      // its director was killed
-	attempts  []*attempt
-	condemned bool // a violation of it is noted already
-}
-
-// A ledger holds what crossed the sockets, and judges the rules from it. Its methods may be called by any goroutine.
-type ledger struct {
+	director      *director
+	generation    int // number of the director's process
+	paid          bool
+	sentAt        time.Time
+	wait          time.Duration
+	answers       int
+	served        bool
+	serverEndedAt time.Time // its server has released the session or was killed
+	released      bool
+	cancelledAt   time.Time // its client has cancelled it or closed its connection
+	void          bool      // its director was killed, or it was not sent whole
+	attempts      []*attempt
+	violated      bool // a violation of it is recorded
+}
+
+// A checker records the messages on the sockets and checks the rules from them. Its methods can be called by several
+// goroutines at once.
+type checker struct {
 	mu         sync.Mutex
 	requests   map[uint64]*request
 	violations []string
 	attempts   int
-	next       uint64
+	lastID     uint64
 }
 
-func newLedger() *ledger { return &ledger{requests: map[uint64]*request{}} }
+// newChecker returns a checker without requests.
+func newChecker() *checker { return &checker{requests: map[uint64]*request{}} }
 
-// violate notes a violation, one for each request.
-func (l *ledger) violate(id uint64, r *request, format string, figures ...any) {
-	if r != nil && r.condemned {
+// addViolation records a violation, at most one for each request. Callers hold the lock.
+func (c *checker) addViolation(id uint64, r *request, format string, args ...any) {
+	if r != nil && r.violated {
 		return
 	}
 	if r != nil {
-		r.condemned = true
+		r.violated = true
 	}
-	l.violations = append(l.violations, fmt.Sprintf("request %016x: %s", id, fmt.Sprintf(format, figures...)))
+	c.violations = append(c.violations, fmt.Sprintf("request %016x: %s", id, fmt.Sprintf(format, args...)))
 }
 
-// fault notes a violation of no request.
-func (l *ledger) fault(format string, figures ...any) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.violations = append(l.violations, fmt.Sprintf(format, figures...))
+// addRunViolation records a violation that belongs to no request.
+func (c *checker) addRunViolation(format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// ask notes a request before it is written and returns its id.
-func (l *ledger) ask(d *director, paid bool, wait time.Duration) uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.next++
-	id := l.next<<8 | 0xa5
-	l.requests[id] = &request{director: d, life: d.currentLife(), paid: paid, sent: time.Now(), wait: wait}
+// addRequest records a request before it is sent and returns its id.
+func (c *checker) addRequest(d *director, paid bool, wait time.Duration) uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastID++
+	id := c.lastID<<8 | 0xa5
+	c.requests[id] = &request{director: d, generation: d.currentGeneration(), paid: paid, sentAt: time.Now(), wait: wait}
 	return id
 }
 
-// unsent takes a request back that could not be written whole.
-func (l *ledger) unsent(id uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if r := l.requests[id]; r != nil {
+// markUnsent marks a request that was not sent whole; it needs no answer.
+func (c *checker) markUnsent(id uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r := c.requests[id]; r != nil {
 		r.void = true
 	}
 }
 
-// leave notes that a request's client goes.
-func (l *ledger) leave(id uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if r := l.requests[id]; r != nil && r.left.IsZero() {
-		r.left = time.Now()
+// markCancelled records that the client cancels a request or closes its connection.
+func (c *checker) markCancelled(id uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r := c.requests[id]; r != nil && r.cancelledAt.IsZero() {
+		r.cancelledAt = time.Now()
 	}
 }
 
-// told notes a message of a director to a client, and whether it came on the connection of its request: what comes on
-// another may overtake it.
-func (l *ledger) told(id uint64, kind byte, own bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r := l.requests[id]
+// recordMessage records a message of a director to a client. A release counts as an answer only on the connection of the
+// request: on another one it may overtake the answer that the session plays.
+func (c *checker) recordMessage(id uint64, kind byte, ownConn bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[id]
 	if r == nil {
-		return // of a client that means harm
+		return // of a client that sends malformed data
 	}
 	switch kind {
 	case kindAnswer:
 		if r.answers > 0 {
-			l.violate(id, r, "a second answer, that it stands")
+			c.addViolation(id, r, "a second answer, that the session plays")
 		}
 		r.answers++
-		r.stood = true
+		r.served = true
 	case kindRelease:
-		if r.stood || !own {
+		if r.served || !ownConn {
 			r.released = true
 			return
 		}
 		if r.answers > 0 {
-			l.violate(id, r, "a second answer, a refusal")
+			c.addViolation(id, r, "a second answer, that the request is refused")
 		}
 		r.answers++
 	}
 }
 
-// setup notes that a set-up has reached a server, and returns its attempt; nil where no client has asked for it.
-func (l *ledger) setup(id uint64, server string, drainingSince func(*director) time.Time, within time.Duration) *attempt {
-	l.mu.Lock()
-	l.attempts++
-	r, now := l.requests[id], time.Now()
-	l.mu.Unlock()
+// recordSetup records that a set-up has reached a server and checks it. It returns the attempt; nil if there is no such
+// request.
+func (c *checker) recordSetup(id uint64, server string, drainSentTime func(*director) time.Time, answerTimeout time.Duration) *attempt {
+	c.mu.Lock()
+	c.attempts++
+	r, now := c.requests[id], time.Now()
+	c.mu.Unlock()
 	if r == nil {
 		return nil
 	}
-	since := drainingSince(r.director) // a server's lock is taken before the ledger's
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	slack := r.director.pausedSince(r.sent)
-	if !r.left.IsZero() && now.Sub(r.left) > leftSlack+slack {
-		l.violate(id, r, "an attempt at %s begins %v after its client has left", server, now.Sub(r.left))
+	since := drainSentTime(r.director) // takes the server's lock, which comes before the checker's in the lock order
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	slack := r.director.pausedSince(r.sentAt)
+	if !r.cancelledAt.IsZero() && now.Sub(r.cancelledAt) > cancelSlack+slack {
+		c.addViolation(id, r, "an attempt at %s begins %v after its client has cancelled", server, now.Sub(r.cancelledAt))
 	}
 	if !since.IsZero() && now.Sub(since) > drainSlack+slack {
-		l.violate(id, r, "an attempt begins at %s, which drains since %v", server, now.Sub(since))
+		c.addViolation(id, r, "an attempt begins at %s, which has been draining for %v", server, now.Sub(since))
 	}
-	if left := r.sent.Add(r.wait).Sub(now); within > max(0, left)+deadlineSlack+slack {
-		l.violate(id, r, "%s is told to answer within %v, the client has %v left", server, within, left)
+	if remaining := r.sentAt.Add(r.wait).Sub(now); answerTimeout > max(0, remaining)+deadlineSlack+slack {
+		c.addViolation(id, r, "%s has to answer within %v, but the client waits only %v more", server, answerTimeout, remaining)
 	}
 	for _, a := range r.attempts {
 		if r.paid && a.mayRun {
-			l.violate(id, r, "a paid request that may have run at %s is sent to %s", a.server, server)
+			c.addViolation(id, r, "a paid request that may have run at %s is sent again to %s", a.server, server)
 		}
-		if a.out && now.Sub(a.began) > overlapSlack {
-			time.AfterFunc(overlapSlack+slack, func() { l.overlaps(id, a, server) })
+		if a.outstanding && now.Sub(a.startedAt) > overlapSlack {
+			time.AfterFunc(overlapSlack+slack, func() { c.checkOverlap(id, a, server) })
 		}
 	}
-	a := &attempt{server: server, began: now, out: true, mayRun: true}
+	a := &attempt{server: server, startedAt: now, outstanding: true, mayRun: true}
 	r.attempts = append(r.attempts, a)
 	return a
 }
 
-// overlaps notes a violation if an attempt was still out some time after another had begun.
-func (l *ledger) overlaps(id uint64, a *attempt, other string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if a.out {
-		l.violate(id, l.requests[id], "an attempt is out at %s and at %s", a.server, other)
+// checkOverlap records a violation if an attempt is still outstanding some time after the start of another.
+func (c *checker) checkOverlap(id uint64, a *attempt, other string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if a.outstanding {
+		c.addViolation(id, c.requests[id], "attempts are outstanding at %s and %s at once", a.server, other)
 	}
 }
 
-// end notes that an attempt is out no more, and whether it may have run.
-func (l *ledger) end(a *attempt, mayRun bool) {
+// endAttempt records that an attempt is no longer outstanding, and whether it may have run.
+func (c *checker) endAttempt(a *attempt, mayRun bool) {
 	if a == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a.out, a.ended = false, time.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	a.outstanding, a.endedAt = false, time.Now()
 	a.mayRun = a.mayRun && mayRun
 }
 
-// over notes that a server has said that a session which stood is over.
-func (l *ledger) over(id uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if r := l.requests[id]; r != nil && r.over.IsZero() {
-		r.over = time.Now()
+// recordServerEnd records that a server has released a session that played, or was killed.
+func (c *checker) recordServerEnd(id uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r := c.requests[id]; r != nil && r.serverEndedAt.IsZero() {
+		r.serverEndedAt = time.Now()
 	}
 }
 
-// died notes that a director's process was killed: what it had is void.
-func (l *ledger) died(d *director, life int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, r := range l.requests {
-		if r.director == d && r.life == life {
+// markKilled records that a director's process was killed. Its requests without an answer or a release are void.
+func (c *checker) markKilled(d *director, generation int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, r := range c.requests {
+		if r.director == d && r.generation == generation {
 			r.void = r.void || r.answers == 0 || !r.released
 		}
 	}
 }
 
-// closed notes that a director has ended a client's connection on which requests were asked.
-func (l *ledger) closed(ids []uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// recordClose records that a director has closed a client's connection, whose requests must have been answered.
+func (c *checker) recordClose(ids []uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, id := range ids {
-		if r := l.requests[id]; r.answers == 0 && r.left.IsZero() && !r.void {
-			l.violate(id, r, "its connection ended without an answer, %v after it was asked", time.Since(r.sent))
+		if r := c.requests[id]; r.answers == 0 && r.cancelledAt.IsZero() && !r.void {
+			c.addViolation(id, r, "its connection ended without an answer, %v after the request", time.Since(r.sentAt))
 		}
 	}
 }
 
-// result judges what is left at the end of a run.
-func (l *ledger) result(seed uint64, faults int) Result {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	result := Result{Seed: seed, Requests: len(l.requests), Attempts: l.attempts, Faults: faults}
-	for id, r := range l.requests {
+// result counts the requests by outcome at the end of a run and checks that each has an answer and each ended session a
+// release.
+func (c *checker) result(seed uint64, faults int) Result {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	result := Result{Seed: seed, Requests: len(c.requests), Attempts: c.attempts, Faults: faults}
+	for id, r := range c.requests {
 		switch {
 		case r.void:
 			result.Void++
-		case !r.left.IsZero():
+		case !r.cancelledAt.IsZero():
 			result.Cancelled++
-		case r.stood:
+		case r.served:
 			result.Served++
-			if !r.over.IsZero() && !r.released {
-				l.violate(id, r, "it is over since %v and its client was not told", time.Since(r.over))
+			if !r.serverEndedAt.IsZero() && !r.released {
+				c.addViolation(id, r, "its session ended %v ago and the client has no release", time.Since(r.serverEndedAt))
 			}
 		case r.answers > 0:
 			result.Refused++
 		default:
-			l.violate(id, r, "no final answer in %v of %v, %d attempts", time.Since(r.sent), r.wait, len(r.attempts))
+			c.addViolation(id, r, "no final answer %v after the request (wait %v, %d attempts)", time.Since(r.sentAt), r.wait, len(r.attempts))
 		}
 	}
-	result.Violations = l.violations
+	result.Violations = c.violations
 	return result
 }
 
-// late notes a violation if a request has no answer by its time.
-func (l *ledger) late(id uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r := l.requests[id]
-	if r.answers > 0 || !r.left.IsZero() || r.void {
+// checkDeadline records a violation if a request has no answer by its deadline. Pauses of the director extend it.
+func (c *checker) checkDeadline(id uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[id]
+	if r.answers > 0 || !r.cancelledAt.IsZero() || r.void {
 		return
 	}
-	if slack := r.director.pausedSince(r.sent); time.Since(r.sent) > r.wait+answerSlack+slack {
-		l.violate(id, r, "no final answer in its time, %v of %v, %d attempts", time.Since(r.sent), r.wait, len(r.attempts))
+	if slack := r.director.pausedSince(r.sentAt); time.Since(r.sentAt) > r.wait+answerSlack+slack {
+		c.addViolation(id, r, "no final answer in time, %v after the request (wait %v, %d attempts)", time.Since(r.sentAt), r.wait, len(r.attempts))
 	}
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -8,155 +8,159 @@
 	"time"
 )
 
-// A clientConnection is one of clients to a director, with the requests that were asked on it.
+// A clientConnection is a connection of clients to a director, with the requests that were sent on it.
 type clientConnection struct {
-	ledger *ledger
-	conn   net.Conn
+	checker *checker
+	conn    net.Conn
 
-	mu     sync.Mutex
-	ids    []uint64
-	closed bool // by the client
-	ended  chan struct{}
+	mu         sync.Mutex
+	requestIDs []uint64
+	closed     bool // by the client
+	ended      chan struct{}
 }
 
+// dialClient connects to a director and reads its messages.
 func dialClient(d *director) (*clientConnection, error) {
-	c, err := net.DialTimeout("tcp", d.address.String(), time.Second)
+	conn, err := net.DialTimeout("tcp", d.address.String(), time.Second)
 	if err != nil {
 		return nil, err
 	}
-	k := &clientConnection{ledger: d.ledger, conn: c, ended: make(chan struct{})}
-	go k.read(d, d.currentLife())
-	return k, nil
+	c := &clientConnection{checker: d.checker, conn: conn, ended: make(chan struct{})}
+	go c.read(d, d.currentGeneration())
+	return c, nil
 }
 
-func (k *clientConnection) read(d *director, life int) {
-	defer close(k.ended)
+// read records the messages of the director until the connection ends. An end that neither the client nor the run has
+// caused is recorded with the requests on the connection.
+func (c *clientConnection) read(d *director, generation int) {
+	defer close(c.ended)
 	for {
-		kind, id, err := readClient(k.conn)
+		kind, id, err := readClientMessage(c.conn)
 		if err != nil {
 			break
 		}
-		if kind != kindHeard {
-			k.ledger.told(id, kind, k.owns(id))
+		if kind != kindAck {
+			c.checker.recordMessage(id, kind, c.owns(id))
 		}
 	}
-	k.conn.Close()
-	k.mu.Lock()
-	closed, ids := k.closed, k.ids
-	k.mu.Unlock()
-	if closed || !d.lives(life) {
+	c.conn.Close()
+	c.mu.Lock()
+	closed, ids := c.closed, c.requestIDs
+	c.mu.Unlock()
+	if closed || !d.isRunning(generation) {
 		return
 	}
-	k.ledger.closed(ids)
+	c.checker.recordClose(ids)
 }
 
-// lives tells whether a process of the director was neither killed nor has ended.
-func (d *director) lives(life int) bool {
+// isRunning reports whether a process is the director's current one and the run hasn't ended it.
+func (d *director) isRunning(generation int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.life == life && !d.asked
+	return d.generation == generation && !d.exitExpected
 }
 
-// owns tells whether a request was asked on this connection.
-func (k *clientConnection) owns(id uint64) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.Contains(k.ids, id)
+// owns reports whether a request was sent on this connection.
+func (c *clientConnection) owns(id uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Contains(c.requestIDs, id)
 }
 
-// ask writes a request that any server may serve, and returns its id.
-func (k *clientConnection) ask(d *director, paid bool, wait time.Duration) uint64 {
-	return k.askFor(d, paid, wait, 0, d.options.Servers)
+// sendRequest sends a request that any server may serve, and returns its id.
+func (c *clientConnection) sendRequest(d *director, paid bool, wait time.Duration) uint64 {
+	return c.sendRequestFor(d, paid, wait, 0, d.options.Servers)
 }
 
-// askFor writes a request that some servers may serve: so many from a first one on.
-func (k *clientConnection) askFor(d *director, paid bool, wait time.Duration, home, copies int) uint64 {
-	id := d.ledger.ask(d, paid, wait)
+// sendRequestFor sends a request that only the servers of some cells may serve: as many as there are copies, from the
+// first cell on.
+func (c *clientConnection) sendRequestFor(d *director, paid bool, wait time.Duration, firstCell, copies int) uint64 {
+	id := d.checker.addRequest(d, paid, wait)
 	class := "clip"
 	if paid {
 		class = "exam"
 	}
-	k.mu.Lock()
-	k.ids = append(k.ids, id)
-	k.mu.Unlock()
-	if _, err := k.conn.Write(setup(id, class, wait, home, copies)); err != nil {
-		k.ledger.unsent(id)
+	c.mu.Lock()
+	c.requestIDs = append(c.requestIDs, id)
+	c.mu.Unlock()
+	if _, err := c.conn.Write(requestMessage(id, class, wait, firstCell, copies)); err != nil {
+		c.checker.markUnsent(id)
 	}
-	time.AfterFunc(wait+answerSlack+50*time.Millisecond, func() { k.ledger.late(id) })
+	time.AfterFunc(wait+answerSlack+50*time.Millisecond, func() { c.checker.checkDeadline(id) })
 	return id
 }
 
-// close ends the connection; who has asked on it has gone.
-func (k *clientConnection) close() {
-	k.mu.Lock()
-	k.closed = true
-	ids := k.ids
-	k.mu.Unlock()
+// close closes the connection, which cancels its requests.
+func (c *clientConnection) close() {
+	c.mu.Lock()
+	c.closed = true
+	ids := c.requestIDs
+	c.mu.Unlock()
 	for _, id := range ids {
-		k.ledger.leave(id)
+		c.checker.markCancelled(id)
 	}
-	k.conn.Close()
+	c.conn.Close()
 }
 
-// gone tells whether the connection has ended.
-func (k *clientConnection) gone() bool {
+// hasEnded reports whether the connection has ended.
+func (c *clientConnection) hasEnded() bool {
 	select {
-	case <-k.ended:
+	case <-c.ended:
 		return true
 	default:
 		return false
 	}
 }
 
-// ask sends a director's requests until the context ends. Most go on one connection that stays; some clients come on
-// their own, and cancel, close, or send what can't be read after their request.
-func (r *run) ask(ctx context.Context, d *director) {
-	const gap = 60 * time.Millisecond // in the mean half of it
+// sendRequests sends requests to a director until the context ends. Most are sent on one shared connection, where some are
+// cancelled. The other clients have connections of their own, which they close or on which they send malformed data.
+func (r *run) sendRequests(ctx context.Context, d *director) {
+	const maxInterval = 60 * time.Millisecond // largest time between two requests; the mean is half of it
 	var shared *clientConnection
-	for sleep(ctx, r.span(gap)) {
-		if !d.takes() {
+	for sleep(ctx, r.randomDuration(maxInterval)) {
+		if !d.acceptsRequests() {
 			continue
 		}
-		if shared == nil || shared.gone() {
-			k, err := dialClient(d)
+		if shared == nil || shared.hasEnded() {
+			c, err := dialClient(d)
 			if err != nil {
-				continue // it is being started anew
+				continue // the director is being started again
 			}
-			shared = k
+			shared = c
 		}
-		paid, wait := r.draw(4) == 0, longest-r.span(longest/2)
-		switch n := r.draw(100); {
+		paid, wait := r.randomInt(4) == 0, maxWait-r.randomDuration(maxWait/2)
+		switch n := r.randomInt(100); {
 		case n < 80:
-			shared.ask(d, paid, wait)
+			shared.sendRequest(d, paid, wait)
 		case n < 88:
-			k := shared
-			id := k.ask(d, paid, wait)
-			time.AfterFunc(r.span(100*time.Millisecond), func() {
-				d.ledger.leave(id)
-				k.conn.Write(cancel(id))
+			c := shared
+			id := c.sendRequest(d, paid, wait)
+			time.AfterFunc(r.randomDuration(100*time.Millisecond), func() {
+				d.checker.markCancelled(id)
+				c.conn.Write(cancelMessage(id))
 			})
 		default:
-			r.stranger(d, n, paid, wait)
+			r.requestOnOwnConnection(d, n, paid, wait)
 		}
 	}
 }
 
-// stranger is a client on a connection of its own.
-func (r *run) stranger(d *director, n int, paid bool, wait time.Duration) {
-	k, err := dialClient(d)
+// requestOnOwnConnection sends a request on a connection of its own. Its kind is a random number from 88 to 99.
+func (r *run) requestOnOwnConnection(d *director, kind int, paid bool, wait time.Duration) {
+	c, err := dialClient(d)
 	if err != nil {
 		return
 	}
-	k.ask(d, paid, wait)
-	after := r.span(100 * time.Millisecond)
+	c.sendRequest(d, paid, wait)
+	delay := r.randomDuration(100 * time.Millisecond)
 	switch {
-	case n < 92: // closes before or after its answer
-		time.AfterFunc(after, k.close)
+	case kind < 92: // closes before or after its answer
+		time.AfterFunc(delay, c.close)
 		return
-	case n < 96: // what can't be read behind a request: that is owed its answer all the same
-		time.AfterFunc(after, func() { k.conn.Write([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10}) })
-	case n < 98: // half a message
-		time.AfterFunc(after, func() { k.conn.Write(setup(1, "clip", wait, 0, 1)[:20]) })
+	case kind < 96: // sends malformed data after its request, which still has to be answered
+		time.AfterFunc(delay, func() { c.conn.Write([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10}) })
+	case kind < 98: // sends half a message
+		time.AfterFunc(delay, func() { c.conn.Write(requestMessage(1, "clip", wait, 0, 1)[:20]) })
 	}
-	time.AfterFunc(wait+2*answerSlack+2*time.Second, k.close)
+	time.AfterFunc(wait+2*answerSlack+2*time.Second, c.close)
 }
--- a/internal/soak/director.go
+++ b/internal/soak/director.go
@@ -19,45 +19,47 @@
 	"fordusher/internal/loopback"
 )
 
-// A director is one process of the program, started anew after each end.
+// A director is one instance of the program. Its process is started again each time it ends.
 type director struct {
 	ctx       context.Context
 	number    int
 	options   Options
-	fleet     *fleet
-	ledger    *ledger
+	pool      *serverPool
+	checker   *checker
 	discovery *discovery
 	address   *loopback.ReservedAddress
 	config    string
-	folder    string
+	dir       string
 
-	mu      sync.Mutex
-	life    int
-	cmd     *exec.Cmd
-	log     *bytes.Buffer
-	ended   chan struct{}
-	stopped time.Time // told to stop
-	paused  []pause
-	asked   bool // it was told to end, or killed, by the run
+	mu              sync.Mutex
+	generation      int // number of the process
+	cmd             *exec.Cmd
+	log             *bytes.Buffer
+	ended           chan struct{}
+	stopRequestedAt time.Time // zero: the process has no order to stop
+	pauses          []pause
+	exitExpected    bool // the run has killed the process
 }
 
+// A pause is a time during which the process was stopped by SIGSTOP.
 type pause struct{ from, to time.Time }
 
-func newDirector(ctx context.Context, number int, o Options, f *fleet, l *ledger) (*director, error) {
-	d := &director{ctx: ctx, number: number, options: o, fleet: f, ledger: l}
+// newDirector prepares a director's address, directory and discovery; start runs its process.
+func newDirector(ctx context.Context, number int, o Options, pool *serverPool, checker *checker) (*director, error) {
+	d := &director{ctx: ctx, number: number, options: o, pool: pool, checker: checker}
 	var err error
 	if d.address, err = loopback.Reserve(); err != nil {
 		return nil, err
 	}
-	if d.folder, err = os.MkdirTemp("", "soak"); err != nil {
+	if d.dir, err = os.MkdirTemp("", "soak"); err != nil {
 		return nil, err
 	}
-	d.config = filepath.Join(d.folder, "config.json")
+	d.config = filepath.Join(d.dir, "config.json")
 	d.discovery, err = newDiscovery(d)
 	return d, err
 }
 
-// settings are those of a small deployment with a free and a paid class.
+// settings are the directors' settings: a small deployment with a free and a paid class.
 const settings = `{"balancers":%d,"me":%d,"zone":"z","zones":["z"],"flavors":["box"],
  "classes":[{"name":"clip","target_s":0.8,"give_up_s":1.5,"semantics":"free","credit":1},
   {"name":"exam","target_s":0.8,"give_up_s":1.5,"semantics":"single_shot","credit":3}],
@@ -66,8 +68,9 @@
  "permissions":{"max_attempts":3,"connect_timeout_s":0.4,"conn_idle_s":4},"report":{"fields":["x0","x1"]},
  "rules":{"cold_from":0.5,"fall_multiple":4,"ramp_time_s":0.2,"tip_after_s":0.05}}`
 
-// posting is the director's configuration, with what discovery knows now. It is called with the fleet's lock held.
-func (d *director) posting() []byte {
+// startConfig is the director's start configuration, with the servers that discovery has now. Callers hold the pool's
+// lock.
+func (d *director) startConfig() []byte {
 	type target struct {
 		UID      string  `json:"uid"`
 		Endpoint string  `json:"endpoint"`
@@ -79,30 +82,30 @@
 		Boot     int64   `json:"boot_ms"`
 	}
 	var targets []target
-	for _, s := range d.fleet.servers {
+	for _, s := range d.pool.servers {
 		targets = append(targets, target{s.name(), s.ln.Addr().String(), "z", "box", s.cell,
 			[]string{"ready", "draining", "gone"}[s.state], 1, s.started})
 	}
-	known, _ := json.Marshal(targets) // strings and numbers alone: it can't fail
+	targetsJSON, _ := json.Marshal(targets) // encoding strings and numbers can't fail
 	return fmt.Appendf(nil, `{"name":"n%d","listen":%q,"seed":"%x","board":%q,"limits":{"cores":1,"memory_mb":192,"sockets":512},
  "known":{"rev":%d,"notices":[{"rev":%d,"pool":{"rev":%d,"all":true,"targets":%s}}]},"settings":%s}`,
-		d.number, d.address.String(), d.options.Seed+uint64(d.number)+1, d.discovery.ln.Addr(), d.fleet.number, d.fleet.number, d.fleet.number, known,
+		d.number, d.address.String(), d.options.Seed+uint64(d.number)+1, d.discovery.ln.Addr(), d.pool.lastEvent, d.pool.lastEvent, d.pool.lastEvent, targetsJSON,
 		fmt.Sprintf(settings, cmp.Or(d.options.Directors, d.options.Processes), d.number, d.options.Servers))
 }
 
-// start runs the process and returns once it accepts clients.
+// start starts a process and returns once it accepts connections of clients.
 func (d *director) start() error {
-	d.fleet.mu.Lock()
-	err := os.WriteFile(d.config, d.posting(), 0o600)
-	delete(d.fleet.watchers, d.discovery)
-	d.discovery.forget()
-	d.fleet.watchers[d.discovery] = true
-	for _, s := range d.fleet.servers {
+	d.pool.mu.Lock()
+	err := os.WriteFile(d.config, d.startConfig(), 0o600)
+	delete(d.pool.subscribers, d.discovery)
+	d.discovery.clearEvents()
+	d.pool.subscribers[d.discovery] = true
+	for _, s := range d.pool.servers {
 		if s.state != stateReady {
-			s.told(d)
+			s.markDrainSent(d)
 		}
 	}
-	d.fleet.mu.Unlock()
+	d.pool.mu.Unlock()
 	if err != nil {
 		return err
 	}
@@ -119,89 +122,90 @@
 	}
 	ended := make(chan struct{})
 	d.mu.Lock()
-	d.life++
-	d.cmd, d.log, d.ended, d.asked = cmd, log, ended, false
-	life := d.life
+	d.generation++
+	d.cmd, d.log, d.ended, d.exitExpected = cmd, log, ended, false
+	generation := d.generation
 	d.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
-		d.judge(life, log, err)
+		d.checkExit(generation, log, err)
 		close(ended)
 	}()
-	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if c, err := net.Dial("tcp", d.address.String()); err == nil {
 			c.Close()
 			d.mu.Lock()
-			d.stopped = time.Time{} // only now: an order that comes before it listens for any ends it
+			d.stopRequestedAt = time.Time{} // not earlier: a SIGTERM before the process handles signals would end it at once
 			d.mu.Unlock()
 			return nil
 		}
 	}
-	return fmt.Errorf("director %d does not listen within 10 s", d.number)
+	return fmt.Errorf("director %d does not accept connections within 10 s", d.number)
 }
 
-// judge looks at how a process has ended, and at what it says of its invariants.
-func (d *director) judge(life int, log *bytes.Buffer, err error) {
+// checkExit reports a process that has exited unexpectedly, and panics and violated invariants in its log.
+func (d *director) checkExit(generation int, log *bytes.Buffer, err error) {
 	d.mu.Lock()
-	asked := d.asked
+	exitExpected := d.exitExpected
 	d.mu.Unlock()
 	var exit *exec.ExitError
 	killed := errors.As(err, &exit) && exit.ProcessState.Sys().(syscall.WaitStatus).Signaled()
-	if err != nil && !(killed && asked) {
-		d.ledger.fault("director %d ended by itself: %v", d.number, err)
+	if err != nil && !(killed && exitExpected) {
+		d.checker.addRunViolation("director %d exited unexpectedly: %v", d.number, err)
 	}
 	text := log.String()
 	for line := range strings.Lines(text) {
 		if strings.Contains(line, "would have been violated") || strings.HasPrefix(line, "panic") {
-			d.ledger.fault("director %d: %s", d.number, strings.TrimSpace(line))
+			d.checker.addRunViolation("director %d: %s", d.number, strings.TrimSpace(line))
 		}
 	}
 	if d.options.Logs != "" {
-		name := filepath.Join(d.options.Logs, fmt.Sprintf("seed-%d-n%d-%d.log", d.options.Seed, d.number, life))
+		name := filepath.Join(d.options.Logs, fmt.Sprintf("seed-%d-n%d-%d.log", d.options.Seed, d.number, generation))
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
-			d.ledger.fault("%v", err)
+			d.checker.addRunViolation("%v", err)
 		}
 	}
 }
 
-func (d *director) currentLife() int {
+// currentGeneration is the number of the current process.
+func (d *director) currentGeneration() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.life
+	return d.generation
 }
 
-// takes tells whether clients may still ask it for something.
-func (d *director) takes() bool {
-	const stopTakes = 500 * time.Millisecond // after the order to stop clients go on for a while
+// acceptsRequests reports whether clients send the director requests now.
+func (d *director) acceptsRequests() bool {
+	const acceptAfterStop = 500 * time.Millisecond // clients go on for a while after the order to stop
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.asked && (d.stopped.IsZero() || time.Since(d.stopped) < stopTakes)
+	return !d.exitExpected && (d.stopRequestedAt.IsZero() || time.Since(d.stopRequestedAt) < acceptAfterStop)
 }
 
-// kill ends the process as a crash does and starts it anew.
+// kill kills the process, as a crash does, and starts it again.
 func (d *director) kill() error {
 	d.mu.Lock()
-	d.asked = true
-	cmd, ended, life := d.cmd, d.ended, d.life
+	d.exitExpected = true
+	cmd, ended, generation := d.cmd, d.ended, d.generation
 	d.mu.Unlock()
 	cmd.Process.Kill()
 	<-ended
-	d.ledger.died(d, life)
+	d.checker.markKilled(d, generation)
 	return d.start()
 }
 
-// restart orders the process to stop, waits until it has ended by itself, and starts it anew.
+// restart stops the process and starts it again.
 func (d *director) restart() error {
-	d.order()
+	d.stopProcess()
 	return d.start()
 }
 
-// order tells the process to stop and waits for its end; it is killed, and that noted, where it takes too long.
-func (d *director) order() {
+// stopProcess sends the process SIGTERM and waits until it exits. A process that takes too long is reported and killed.
+func (d *director) stopProcess() {
 	const killAfter = 3*time.Second + 700*time.Millisecond
 	d.mu.Lock()
-	d.stopped = time.Now()
-	cmd, ended, life := d.cmd, d.ended, d.life
+	d.stopRequestedAt = time.Now()
+	cmd, ended, generation := d.cmd, d.ended, d.generation
 	d.mu.Unlock()
 	if cmd == nil {
 		return
@@ -210,17 +214,17 @@
 	select {
 	case <-ended:
 	case <-time.After(killAfter):
-		d.ledger.fault("director %d has not ended %v after the order to stop", d.number, killAfter)
+		d.checker.addRunViolation("director %d has not exited %v after SIGTERM", d.number, killAfter)
 		cmd.Process.Kill()
 		<-ended
-		d.ledger.died(d, life)
+		d.checker.markKilled(d, generation)
 	}
 }
 
-// freeze stops the process for a while and lets it go on.
-func (d *director) freeze(length time.Duration) {
+// pauseFor stops the process by SIGSTOP for a while and lets it continue.
+func (d *director) pauseFor(length time.Duration) {
 	d.mu.Lock()
-	cmd, ok := d.cmd, !d.asked && d.stopped.IsZero()
+	cmd, ok := d.cmd, !d.exitExpected && d.stopRequestedAt.IsZero()
 	d.mu.Unlock()
 	if !ok {
 		return
@@ -230,15 +234,15 @@
 	time.Sleep(length)
 	cmd.Process.Signal(syscall.SIGCONT)
 	d.mu.Lock()
-	d.paused = append(d.paused, pause{from, time.Now()})
+	d.pauses = append(d.pauses, pause{from, time.Now()})
 	d.mu.Unlock()
 }
 
-// pausedSince is how long the process stood still since a time, one that stands still now included.
+// pausedSince is the total length of the pauses that ended after a time.
 func (d *director) pausedSince(since time.Time) (total time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, p := range d.paused {
+	for _, p := range d.pauses {
 		if p.to.After(since) {
 			total += p.to.Sub(p.from)
 		}
@@ -246,23 +250,25 @@
 	return total
 }
 
-// drains notes that the director was told that a server drains or is gone.
-func (d *director) drains(id uint32) {
-	if s, ok := d.fleet.byID.Load(id); ok {
-		s.(*server).told(d)
+// markDrainSent records that the director was sent that a server drains or is gone.
+func (d *director) markDrainSent(id uint32) {
+	if s, ok := d.pool.byID.Load(id); ok {
+		s.(*server).markDrainSent(d)
 	}
 }
 
-func (s *server) told(d *director) {
+// markDrainSent records that a director is sent that the server drains or is gone.
+func (s *server) markDrainSent(d *director) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drains[d] = time.Now() // one that is told again may not have reached it before
+	s.drainSentAt[d] = time.Now() // also if it was sent before: that may not have arrived
 }
 
+// finish stops the process and discovery and removes the director's files.
 func (d *director) finish() {
-	d.order()
+	d.stopProcess()
 	d.discovery.ln.Close()
-	d.discovery.cut()
+	d.discovery.closeConnection()
 	d.address.Close()
-	os.RemoveAll(d.folder)
+	os.RemoveAll(d.dir)
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -6,122 +6,129 @@
 	"time"
 )
 
-// A fault is done to one party; it returns once that is over. Faults overlap in time.
+// A fault is injected into one director, server or discovery. Its function returns once the fault is over. Faults overlap
+// in time.
 type fault struct {
-	share int // of all
-	do    func(r *run, ctx context.Context)
+	weight int // relative to the other faults
+	inject func(r *run, ctx context.Context)
 }
 
 var faults = []fault{
 	{10, (*run).killDirector},
 	{10, (*run).restartDirector},
-	{20, (*run).freezeDirector},
+	{20, (*run).pauseDirector},
 	{15, (*run).resetServer},
 	{15, (*run).hangServer},
 	{8, (*run).killServer},
 	{12, (*run).replaceServer},
-	{10, (*run).hushDiscovery},
-	{10, (*run).cutDiscovery},
+	{10, (*run).silenceDiscovery},
+	{10, (*run).disconnectDiscovery},
 }
 
-// disturb begins faults until the context ends, and returns once all are over.
-func (r *run) disturb(ctx context.Context) {
-	const gap = 250 * time.Millisecond // in the mean half of it
+// injectFaults starts random faults until the context ends, and returns once all are over.
+func (r *run) injectFaults(ctx context.Context) {
+	const maxInterval = 250 * time.Millisecond // largest time between the starts of two faults; the mean is half of it
 	total := 0
 	for _, f := range faults {
-		total += f.share
+		total += f.weight
 	}
-	var under sync.WaitGroup
-	for sleep(ctx, r.span(gap)) {
-		n := r.draw(total)
+	var running sync.WaitGroup
+	for sleep(ctx, r.randomDuration(maxInterval)) {
+		n := r.randomInt(total)
 		for _, f := range faults {
-			if n -= f.share; n < 0 {
-				r.faults++
-				under.Go(func() { f.do(r, ctx) })
+			if n -= f.weight; n < 0 {
+				r.faultCount++
+				running.Go(func() { f.inject(r, ctx) })
 				break
 			}
 		}
 	}
-	under.Wait()
+	running.Wait()
 }
 
-func (r *run) director() *director { return r.directors[r.draw(len(r.directors))] }
+// randomDirector is a random director.
+func (r *run) randomDirector() *director { return r.directors[r.randomInt(len(r.directors))] }
 
-// claim takes a director for a fault that ends its process; nil where one is under way.
-func (r *run) claim() *director {
-	d := r.director()
+// claimDirector chooses a director for a fault that ends its process; nil if the director is in such a fault already.
+func (r *run) claimDirector() *director {
+	d := r.randomDirector()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.asked || !d.stopped.IsZero() {
+	if d.exitExpected || !d.stopRequestedAt.IsZero() {
 		return nil
 	}
-	d.stopped = time.Now()
+	d.stopRequestedAt = time.Now()
 	return d
 }
 
 func (r *run) killDirector(context.Context) {
-	if d := r.claim(); d != nil {
+	if d := r.claimDirector(); d != nil {
 		if err := d.kill(); err != nil {
-			r.ledger.fault("%v", err)
+			r.checker.addRunViolation("%v", err)
 		}
 	}
 }
 
 func (r *run) restartDirector(context.Context) {
-	if d := r.claim(); d != nil {
+	if d := r.claimDirector(); d != nil {
 		if err := d.restart(); err != nil {
-			r.ledger.fault("%v", err)
+			r.checker.addRunViolation("%v", err)
 		}
 	}
 }
 
-func (r *run) freezeDirector(context.Context) { r.director().freeze(r.span(200 * time.Millisecond)) }
+func (r *run) pauseDirector(context.Context) {
+	r.randomDirector().pauseFor(r.randomDuration(200 * time.Millisecond))
+}
 
-// server is one that is ready; there is always one.
-func (r *run) server() *server {
-	all := r.fleet.ready()
-	return all[r.draw(len(all))]
+// randomServer is a random server that is ready; there always is one.
+func (r *run) randomServer() *server {
+	all := r.pool.readyServers()
+	return all[r.randomInt(len(all))]
 }
 
-func (r *run) resetServer(context.Context) { r.server().resetConnections() }
+func (r *run) resetServer(context.Context) { r.randomServer().resetConnections() }
 
-func (r *run) hangServer(context.Context) { r.server().hang(r.span(600 * time.Millisecond)) }
+func (r *run) hangServer(context.Context) {
+	r.randomServer().hang(r.randomDuration(600 * time.Millisecond))
+}
 
-// killServer ends a server; discovery tells of it later, and of another in its place.
+// killServer kills a server. Discovery sends that it is gone later, and then a new server that replaces it.
 func (r *run) killServer(ctx context.Context) {
-	if len(r.fleet.ready()) <= r.Servers/2 {
+	if len(r.pool.readyServers()) <= r.Servers/2 {
 		return
 	}
-	s := r.server()
-	s.die()
-	sleep(ctx, r.span(time.Second))
-	r.fleet.tell(stateGone, s)
+	s := r.randomServer()
+	s.kill()
+	sleep(ctx, r.randomDuration(time.Second))
+	r.pool.publishState(stateGone, s)
 	r.addServer()
 }
 
-// replaceServer drains a server, ends it, and starts another.
+// replaceServer drains a server, starts another, and kills the first after discovery has sent that it is gone.
 func (r *run) replaceServer(ctx context.Context) {
-	if len(r.fleet.ready()) <= r.Servers/2 {
+	if len(r.pool.readyServers()) <= r.Servers/2 {
 		return
 	}
-	s := r.server()
-	r.fleet.tell(stateDraining, s)
+	s := r.randomServer()
+	r.pool.publishState(stateDraining, s)
 	r.addServer()
-	sleep(ctx, r.span(1500*time.Millisecond))
-	r.fleet.tell(stateGone, s)
-	sleep(ctx, r.span(200*time.Millisecond))
-	s.die()
+	sleep(ctx, r.randomDuration(1500*time.Millisecond))
+	r.pool.publishState(stateGone, s)
+	sleep(ctx, r.randomDuration(200*time.Millisecond))
+	s.kill()
 }
 
+// addServer starts a server and sends it to the directors as ready.
 func (r *run) addServer() {
-	s, err := r.fleet.add(time.Now())
+	s, err := r.pool.add(time.Now())
 	if err != nil {
-		r.ledger.fault("%v", err)
+		r.checker.addRunViolation("%v", err)
 		return
 	}
-	r.fleet.tell(stateReady, s)
+	r.pool.publishState(stateReady, s)
 }
 
-func (r *run) hushDiscovery(context.Context) { r.director().discovery.hush() }
+func (r *run) silenceDiscovery(context.Context) { r.randomDirector().discovery.silence() }
 
-func (r *run) cutDiscovery(context.Context) { r.director().discovery.cut() }
+func (r *run) disconnectDiscovery(context.Context) { r.randomDirector().discovery.closeConnection() }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -9,53 +9,54 @@
 	"time"
 )
 
-// A fleet is the emulated servers, and what discovery says of them.
-type fleet struct {
-	ledger *ledger
-	draw   func(int) int
-	cells  int
-	// faultless servers answer every set-up.
-	faultless bool
-	counted   counters
+// A serverPool is the emulated servers, with their states in discovery.
+type serverPool struct {
+	checker   *checker
+	randomInt func(int) int
+	cells     int  // positions of servers in the directors' settings
+	faultless bool // the servers serve every set-up
+	counters  counters
 
-	mu       sync.Mutex
-	servers  []*server // also those that are gone
-	number   uint64    // of the last event
-	watchers map[*discovery]bool
-	byID     sync.Map // *server by its id
+	mu          sync.Mutex
+	servers     []*server // those that are gone included
+	lastEvent   uint64    // number of the last discovery event
+	subscribers map[*discovery]bool
+	byID        sync.Map // *server by id
 }
 
-func newFleet(l *ledger, draw func(int) int, cells int, faultless bool) *fleet {
-	return &fleet{ledger: l, draw: draw, cells: cells, faultless: faultless, watchers: map[*discovery]bool{}}
+// newServerPool returns an empty pool.
+func newServerPool(checker *checker, randomInt func(int) int, cells int, faultless bool) *serverPool {
+	return &serverPool{checker: checker, randomInt: randomInt, cells: cells, faultless: faultless, subscribers: map[*discovery]bool{}}
 }
 
-// add starts a server; one with a time of its start is told as cold.
-func (f *fleet) add(started time.Time) (*server, error) {
+// add starts a server. One with a start time is in slow start for directors and takes the cell of an earlier server.
+func (p *serverPool) add(started time.Time) (*server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	f.mu.Lock()
-	s := &server{fleet: f, ln: ln, id: uint32(len(f.servers) + 1), cell: len(f.servers), sessions: map[uint64]*sessionAt{},
-		conns: map[net.Conn]bool{}, drains: map[*director]time.Time{}}
+	p.mu.Lock()
+	s := &server{pool: p, ln: ln, id: uint32(len(p.servers) + 1), cell: len(p.servers), sessions: map[uint64]*serverSession{},
+		conns: map[net.Conn]bool{}, drainSentAt: map[*director]time.Time{}}
 	if !started.IsZero() {
 		s.started = started.UnixMilli()
-		s.cell = s.cell % f.cells // it takes the place of another
+		s.cell = s.cell % p.cells // it replaces another server
 	}
-	f.servers = append(f.servers, s)
-	f.byID.Store(s.id, s)
-	f.mu.Unlock()
+	p.servers = append(p.servers, s)
+	p.byID.Store(s.id, s)
+	p.mu.Unlock()
 	go s.accept(ln)
 	return s, nil
 }
 
+// name is the server's name in violations and start configurations.
 func (s *server) name() string { return fmt.Sprintf("s-%08x", s.id) }
 
-// ready are the servers that discovery names as ready.
-func (f *fleet) ready() (all []*server) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, s := range f.servers {
+// readyServers are the servers that are ready in discovery.
+func (p *serverPool) readyServers() (all []*server) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, s := range p.servers {
 		if s.state == stateReady {
 			all = append(all, s)
 		}
@@ -63,34 +64,36 @@
 	return all
 }
 
-// tell sends an event that servers are in a state to whoever watches.
-func (f *fleet) tell(state byte, servers ...*server) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.number++
+// publishState sets the state of servers and sends it to the subscribers as one event.
+func (p *serverPool) publishState(state byte, servers ...*server) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastEvent++
 	var records []serverRecord
 	for _, s := range servers {
 		s.state = state
 		records = append(records, s.record())
 	}
-	for d := range f.watchers {
-		d.event(f.number, records)
+	for d := range p.subscribers {
+		d.publish(p.lastEvent, records)
 	}
 }
 
-func (f *fleet) close() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, s := range f.servers {
-		s.die()
+// close kills all servers.
+func (p *serverPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, s := range p.servers {
+		s.kill()
 	}
 }
 
+// record is the server as discovery sends it.
 func (s *server) record() serverRecord {
 	return serverRecord{id: s.id, port: s.ln.Addr().(*net.TCPAddr).Port, cell: s.cell, state: s.state, startedMilli: s.started}
 }
 
-// A discovery is one director's source of the list.
+// A discovery is the emulated discovery of one director.
 type discovery struct {
 	director *director
 	ln       net.Listener
@@ -98,17 +101,19 @@
 	mu     sync.Mutex
 	silent bool
 	conn   net.Conn
-	events []event // since the director's start: it asks for those after the last it has
+	events []event // since the start of the director's process, which requests those after the last that it has
 }
 
+// An event is a change of the states of servers.
 type event struct {
 	number  uint64
 	records []serverRecord
 }
 
-// heartbeatEvery is how often discovery says that nothing is new.
-const heartbeatEvery = time.Second
+// heartbeatInterval is the interval at which discovery sends a heartbeat.
+const heartbeatInterval = time.Second
 
+// newDiscovery starts the discovery of a director on a loopback port.
 func newDiscovery(d *director) (*discovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -119,15 +124,16 @@
 	return v, nil
 }
 
+// serve accepts connections. A director sends the number of the last event that it has, and gets all later ones.
 func (v *discovery) serve() {
 	for {
 		c, err := v.ln.Accept()
 		if err != nil {
 			return
 		}
-		asked := make([]byte, 8)
+		position := make([]byte, 8)
 		c.SetReadDeadline(time.Now().Add(time.Second))
-		if _, err := io.ReadFull(c, asked); err != nil {
+		if _, err := io.ReadFull(c, position); err != nil {
 			c.Close()
 			continue
 		}
@@ -136,20 +142,21 @@
 			v.conn.Close()
 		}
 		v.conn, v.silent = c, false
-		last := binary.BigEndian.Uint64(asked)
+		last := binary.BigEndian.Uint64(position)
 		for _, e := range v.events {
 			if e.number > last {
 				v.write(e)
 			}
 		}
 		v.mu.Unlock()
-		go v.beat(c)
+		go v.sendHeartbeats(c)
 	}
 }
 
-func (v *discovery) beat(c net.Conn) {
+// sendHeartbeats sends heartbeats on a connection until there is another.
+func (v *discovery) sendHeartbeats(c net.Conn) {
 	for {
-		time.Sleep(heartbeatEvery)
+		time.Sleep(heartbeatInterval)
 		v.mu.Lock()
 		if v.conn != c {
 			v.mu.Unlock()
@@ -162,8 +169,8 @@
 	}
 }
 
-// event tells the director of an event, now or once it is connected again.
-func (v *discovery) event(number uint64, records []serverRecord) {
+// publish sends an event to the director, now or once it has reconnected.
+func (v *discovery) publish(number uint64, records []serverRecord) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	e := event{number, records}
@@ -173,29 +180,29 @@
 	}
 }
 
-// write is called with the lock held.
+// write sends an event. Callers hold the lock.
 func (v *discovery) write(e event) {
 	frame := discoveryFrame(e.number, e.records)
-	v.director.fleet.counted.listBytes.Add(int64(len(frame)))
+	v.director.pool.counters.listBytes.Add(int64(len(frame)))
 	if _, err := v.conn.Write(frame); err != nil {
-		return // the director asks for it again
+		return // the director requests it again
 	}
 	for _, x := range e.records {
 		if x.state != stateReady {
-			v.director.drains(x.id)
+			v.director.markDrainSent(x.id)
 		}
 	}
 }
 
-// hush makes discovery say nothing on its open connection until the director asks again.
-func (v *discovery) hush() {
+// silence makes discovery send nothing on its open connection until the director connects again.
+func (v *discovery) silence() {
 	v.mu.Lock()
 	v.silent = true
 	v.mu.Unlock()
 }
 
-// cut closes the connection to the director.
-func (v *discovery) cut() {
+// closeConnection closes the connection to the director.
+func (v *discovery) closeConnection() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.conn != nil {
@@ -204,8 +211,8 @@
 	}
 }
 
-// forget drops what a process that is started anew knows by its configuration.
-func (v *discovery) forget() {
+// clearEvents drops the events. A process that is started next has them in its start configuration.
+func (v *discovery) clearEvents() {
 	v.mu.Lock()
 	v.events = nil
 	v.mu.Unlock()
--- a/internal/soak/messages.go
+++ b/internal/soak/messages.go
@@ -11,18 +11,20 @@
 	"time"
 )
 
-// The kinds of clients' messages, their parameters and the causes of releases, by the protocol's page.
+// Kinds and parameters of the messages between clients and directors, and causes of releases, as in the protocol's
+// specification.
 const (
 	kindSetup   = 1
 	kindAnswer  = 9
 	kindRelease = 12
-	kindHeard   = 16
+	kindAck     = 16
 
-	codeClass, codeWait, codeTitle, codePlace, codeHint, codeCause, codeDescription = 33, 36, 45, 48, 63, 75, 78
+	codeClass, codeWait, codeTitle, codePlacement, codeHint, codeCause, codeDescription = 33, 36, 45, 48, 63, 75, 78
 
-	causeEnded, causeMoved, causeCut = 16, 31, 41
+	causeEnded, causeMoved, causeLost = 16, 31, 41
 )
 
+// clientMessage is a message of a client with pairs of parameter codes and values.
 func clientMessage(kind byte, session uint64, parameters ...any) []byte {
 	raw := binary.BigEndian.AppendUint64([]byte{0, 0, kind}, session)
 	for i := 0; i < len(parameters); i += 2 {
@@ -34,19 +36,20 @@
 	return raw
 }
 
-// setup asks for a session at any of so many cells from a first one on.
-func setup(session uint64, class string, wait time.Duration, home, copies int) []byte {
+// requestMessage is a client's request for a session at one of the cells from firstCell on, as many as copies.
+func requestMessage(session uint64, class string, wait time.Duration, firstCell, copies int) []byte {
 	return clientMessage(kindSetup, session, codeClass, class, codeWait, strconv.FormatInt(wait.Milliseconds(), 10), codeTitle,
-		fmt.Sprintf("%016x", session%64), codeHint, "1000.0", codePlace,
-		fmt.Sprintf("home:%d;copies:%d;top:1;viewer:%016x", home, copies, session), codeDescription, "there\r\n")
+		fmt.Sprintf("%016x", session%64), codeHint, "1000.0", codePlacement,
+		fmt.Sprintf("home:%d;copies:%d;top:1;viewer:%016x", firstCell, copies, session), codeDescription, "there\r\n")
 }
 
-func cancel(session uint64) []byte {
+// cancelMessage is a client's cancellation of its request.
+func cancelMessage(session uint64) []byte {
 	return clientMessage(kindRelease, session, codeCause, string([]byte{causeEnded}))
 }
 
-// readClient reads one message of a director to a client.
-func readClient(r io.Reader) (kind byte, session uint64, err error) {
+// readClientMessage reads one message of a director to a client.
+func readClientMessage(r io.Reader) (kind byte, session uint64, err error) {
 	head := make([]byte, 2)
 	if _, err := io.ReadFull(r, head); err != nil {
 		return 0, 0, err
@@ -56,58 +59,61 @@
 		return 0, 0, err
 	}
 	if len(raw) < 9 {
-		return 0, 0, fmt.Errorf("a message of %d bytes", len(raw))
+		return 0, 0, fmt.Errorf("message of %d bytes is too short", len(raw))
 	}
 	return raw[0], binary.BigEndian.Uint64(raw[1:]), nil
 }
 
-// A serverRequest is what a director asks of a server.
+// A serverRequest is a director's request to a server.
 type serverRequest struct {
-	method  string
-	session uint64
-	within  time.Duration
-	cseq    string
+	method        string
+	session       uint64
+	answerTimeout time.Duration
+	cseq          string
 }
 
-func readServer(r *textproto.Reader) (q serverRequest, err error) {
+// readServerRequest reads one message of a director to a server.
+func readServerRequest(r *textproto.Reader) (req serverRequest, err error) {
 	first, err := r.ReadLine()
 	if err != nil {
-		return q, err
+		return req, err
 	}
 	head, err := r.ReadMIMEHeader()
 	if err != nil {
-		return q, err
+		return req, err
 	}
 	length, _ := strconv.Atoi(head.Get("Content-Length"))
 	if _, err := io.CopyN(io.Discard, r.R, int64(length)); err != nil {
-		return q, err
+		return req, err
 	}
-	q.method, _, _ = strings.Cut(first, " ")
-	q.cseq = head.Get("CSeq")
-	q.session, _ = strconv.ParseUint(head.Get("Session"), 16, 64)
+	req.method, _, _ = strings.Cut(first, " ")
+	req.cseq = head.Get("CSeq")
+	req.session, _ = strconv.ParseUint(head.Get("Session"), 16, 64)
 	ms, _ := strconv.Atoi(head.Get("X-Setup-Ms"))
-	q.within = time.Duration(ms) * time.Millisecond
-	return q, nil
+	req.answerTimeout = time.Duration(ms) * time.Millisecond
+	return req, nil
 }
 
+// rtspReader reads RTSP messages from a connection.
 func rtspReader(r io.Reader) *textproto.Reader { return textproto.NewReader(bufio.NewReader(r)) }
 
-// serverAnswer words a server's answer to a set-up.
+// serverAnswer is a server's answer to a set-up.
 func serverAnswer(session uint64, status int, body string) string {
 	return fmt.Sprintf("RTSP/1.0 %d X\r\nCSeq: 1\r\nSession: %016x\r\nContent-Length: %d\r\n\r\n%s", status, session, len(body), body)
 }
 
-// serverRelease words a server's release of a session.
+// serverRelease is a server's release of a session.
 func serverRelease(session uint64, cause int) string {
 	return fmt.Sprintf("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: %016x\r\nReason: cause=%d\r\nContent-Length: 0\r\n\r\n",
 		session, cause)
 }
 
-func heard(q serverRequest) string {
-	return fmt.Sprintf("RTSP/1.0 200 OK\r\nCSeq: %s\r\nSession: %016x\r\nContent-Length: 0\r\n\r\n", q.cseq, q.session)
+// acknowledgement is a server's answer to a request that needs no other.
+func acknowledgement(req serverRequest) string {
+	return fmt.Sprintf("RTSP/1.0 200 OK\r\nCSeq: %s\r\nSession: %016x\r\nContent-Length: 0\r\n\r\n", req.cseq, req.session)
 }
 
-// discoveryFrame is an event that servers are in a state; without any it says that nothing is new.
+// discoveryFrame is an event with the states of servers, or a heartbeat if there are none.
 func discoveryFrame(number uint64, records []serverRecord) []byte {
 	const recordSize, headSize = 27, 9
 	raw := binary.BigEndian.AppendUint32(nil, uint32(headSize+len(records)*recordSize))
@@ -129,12 +135,12 @@
 	return raw
 }
 
-// The states of a server in discovery.
+// States of a server in discovery.
 const (
 	stateReady, stateDraining, stateGone = 0, 1, 2
 )
 
-// A serverRecord is a server as discovery names it.
+// A serverRecord is a server as discovery sends it.
 type serverRecord struct {
 	id           uint32
 	port, cell   int
--- a/internal/soak/scale.go
+++ b/internal/soak/scale.go
@@ -12,131 +12,132 @@
 	"time"
 )
 
-// ScaleOptions are those of one measurement: a director as a process between so many servers.
+// ScaleOptions are the options of one measurement: one director process with a number of servers.
 type ScaleOptions struct {
 	Servers   int
-	Directors int           // that its settings name
-	Length    time.Duration // how long clients ask
+	Directors int           // number of directors in its settings
+	Length    time.Duration // time during which clients send requests
 	Program   string
 }
 
-// Usage is what a director's process needed.
+// Usage is the resource usage of a director's process, with the requests of the measurement.
 type Usage struct {
 	Servers     int
 	CPU         time.Duration // user and system
-	PeakMemory  int64         // bytes, resident
-	Descriptors int           // most at once
+	PeakMemory  int64         // resident, in bytes
+	Descriptors int           // largest number at one time
 	Connections int64         // made to servers
-	ListBytes   int64         // from discovery, after the start
+	ListBytes   int64         // received from discovery after the start
 	Requests    int
 	Served      int
 	Violations  []string
 }
 
-// What happens during a measurement, whatever the number of servers: the traffic of a small director, and a replacement of
-// servers in steps.
+// Load of a measurement, which doesn't depend on the number of servers: the traffic of a small director, and a
+// replacement of servers in steps.
 const (
-	scaleGap        = 100 * time.Millisecond // between requests
-	scaleWait       = time.Second
-	scaleCopies     = 4 // servers that hold a title
-	replaceEvery    = time.Second
-	replacedPercent = 2
-	scaleClients    = 4 // connections
-	sampleEvery     = 100 * time.Millisecond
+	scaleRequestInterval = 100 * time.Millisecond
+	scaleWait            = time.Second
+	scaleCopies          = 4 // servers that hold each title
+	replaceInterval      = time.Second
+	replacedPercent      = 2
+	scaleClients         = 4 // connections of clients
+	sampleInterval       = 100 * time.Millisecond
 )
 
-// counters are what the emulated side counts.
+// counters are the counts of the emulated servers and discovery.
 type counters struct {
 	connections atomic.Int64
 	listBytes   atomic.Int64
 }
 
-// MeasureUsage runs a director for a time and tells what it needed.
+// MeasureUsage runs a director for a time and returns its resource usage.
 func MeasureUsage(ctx context.Context, o ScaleOptions) (Usage, error) {
 	r := &run{Options: Options{Seed: 1, Processes: 1, Servers: o.Servers, Directors: o.Directors, Length: o.Length, Program: o.Program, Faultless: true},
-		chance: rand.New(rand.NewPCG(1, 1)), ledger: newLedger()}
+		random: rand.New(rand.NewPCG(1, 1)), checker: newChecker()}
 	defer r.stop()
 	if err := r.start(ctx); err != nil {
 		return Usage{}, err
 	}
-	time.Sleep(settle)
-	asking, enough := context.WithTimeout(ctx, o.Length)
-	defer enough()
-	go r.replace(asking)
+	time.Sleep(startupDelay)
+	requestCtx, cancel := context.WithTimeout(ctx, o.Length)
+	defer cancel()
+	go r.replaceServers(requestCtx)
 	d := r.directors[0]
 	descriptors := 0
-	go r.askSteadily(asking, d)
-	for sleep(asking, sampleEvery) {
-		open, err := os.ReadDir(d.proc("fd"))
+	go r.sendSteadyRequests(requestCtx, d)
+	for sleep(requestCtx, sampleInterval) {
+		open, err := os.ReadDir(d.procPath("fd"))
 		if err != nil {
 			return Usage{}, err
 		}
 		descriptors = max(descriptors, len(open))
 	}
 	time.Sleep(scaleWait + answerSlack)
-	usage, err := d.usage()
+	usage, err := d.readUsage()
 	if err != nil {
 		return Usage{}, err
 	}
-	result := r.ledger.result(1, 0)
+	result := r.checker.result(1, 0)
 	usage.Servers, usage.Descriptors = o.Servers, descriptors
-	usage.Connections, usage.ListBytes = r.fleet.counted.connections.Load(), r.fleet.counted.listBytes.Load()
+	usage.Connections, usage.ListBytes = r.pool.counters.connections.Load(), r.pool.counters.listBytes.Load()
 	usage.Requests, usage.Served, usage.Violations = result.Requests, result.Served, result.Violations
 	return usage, ctx.Err()
 }
 
-// askSteadily sends requests one after the other, each for a title of its own, on a few connections that stay.
-func (r *run) askSteadily(ctx context.Context, d *director) {
+// sendSteadyRequests sends requests at a fixed interval on a few connections, each for a random first cell.
+func (r *run) sendSteadyRequests(ctx context.Context, d *director) {
 	clients := make([]*clientConnection, scaleClients)
-	for i := 0; sleep(ctx, scaleGap); i++ {
-		k := clients[i%scaleClients]
-		if k == nil || k.gone() {
+	for i := 0; sleep(ctx, scaleRequestInterval); i++ {
+		c := clients[i%scaleClients]
+		if c == nil || c.hasEnded() {
 			var err error
-			if k, err = dialClient(d); err != nil {
-				r.ledger.fault("connect: %v", err)
+			if c, err = dialClient(d); err != nil {
+				r.checker.addRunViolation("connect: %v", err)
 				return
 			}
-			clients[i%scaleClients] = k
+			clients[i%scaleClients] = c
 		}
-		k.askFor(d, false, scaleWait, r.draw(r.Servers), scaleCopies)
+		c.sendRequestFor(d, false, scaleWait, r.randomInt(r.Servers), scaleCopies)
 	}
 }
 
-// replace drains some servers at a time and starts others in their places.
-func (r *run) replace(ctx context.Context) {
-	for sleep(ctx, replaceEvery) {
-		ready := r.fleet.ready()
+// replaceServers repeatedly drains some servers and starts others to replace them.
+func (r *run) replaceServers(ctx context.Context) {
+	for sleep(ctx, replaceInterval) {
+		ready := r.pool.readyServers()
 		n := max(1, r.Servers*replacedPercent/100)
-		r.fleet.tell(stateDraining, ready[:n]...)
-		var fresh []*server
+		r.pool.publishState(stateDraining, ready[:n]...)
+		var added []*server
 		for range n {
-			s, err := r.fleet.add(time.Now())
+			s, err := r.pool.add(time.Now())
 			if err != nil {
-				r.ledger.fault("%v", err)
+				r.checker.addRunViolation("%v", err)
 				return
 			}
-			fresh = append(fresh, s)
+			added = append(added, s)
 		}
-		r.fleet.tell(stateReady, fresh...)
+		r.pool.publishState(stateReady, added...)
 	}
 }
 
-func (d *director) proc(name string) string {
+// procPath is the path of a file of the process in /proc.
+func (d *director) procPath(name string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return filepath.Join("/proc", strconv.Itoa(d.cmd.Process.Pid), name)
 }
 
-// usage reads what the process has used so far.
-func (d *director) usage() (u Usage, err error) {
-	stat, err := os.ReadFile(d.proc("stat"))
+// readUsage reads the CPU time and the peak memory of the process so far.
+func (d *director) readUsage() (u Usage, err error) {
+	stat, err := os.ReadFile(d.procPath("stat"))
 	if err != nil {
 		return u, err
 	}
 	if u.CPU, err = cpuTime(string(stat)); err != nil {
 		return u, err
 	}
-	status, err := os.ReadFile(d.proc("status"))
+	status, err := os.ReadFile(d.procPath("status"))
 	if err != nil {
 		return u, err
 	}
@@ -144,12 +145,12 @@
 	return u, err
 }
 
-// clockTick is the unit of times in /proc/PID/stat; Linux gives it as 100 a second on all its platforms.
+// clockTick is the unit of times in /proc/PID/stat. Linux has 100 of them a second on all its platforms.
 const clockTick = 10 * time.Millisecond
 
 // cpuTime reads user and system time from /proc/PID/stat.
 func cpuTime(stat string) (time.Duration, error) {
-	const user, system = 11, 12 // fields after the command's name, which may hold blanks
+	const user, system = 11, 12 // indexes of the fields after the command's name, which may contain blanks
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) <= system {
 		return 0, fmt.Errorf("/proc/PID/stat has %d fields after the name", len(fields))
@@ -165,7 +166,7 @@
 	return total, nil
 }
 
-// peakMemory reads the greatest resident size from /proc/PID/status.
+// peakMemory reads the largest resident size from /proc/PID/status.
 func peakMemory(status string) (int64, error) {
 	for line := range strings.Lines(status) {
 		if value, ok := strings.CutPrefix(line, "VmHWM:"); ok {
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -9,274 +9,286 @@
 
 // A server is an emulated streaming server.
 type server struct {
-	fleet   *fleet
+	pool    *serverPool
 	ln      net.Listener
 	id      uint32
-	cell    int
-	started int64 // ms of the Unix clock; 0: long ago
-	state   byte  // the fleet's lock
+	cell    int   // position in the directors' settings
+	started int64 // of the process, in ms of the Unix clock; 0: long ago
+	state   byte  // in discovery; guarded by the pool's lock
 
-	mu       sync.Mutex
-	sessions map[uint64]*sessionAt
-	conns    map[net.Conn]bool
-	drains   map[*director]time.Time // since when each director was told
-	hangs    time.Time               // it says nothing until then
-	dead     bool
+	mu          sync.Mutex
+	sessions    map[uint64]*serverSession
+	conns       map[net.Conn]bool
+	drainSentAt map[*director]time.Time // when each director was last sent that the server drains or is gone
+	hangUntil   time.Time               // the server sends nothing until then
+	killed      bool
 }
 
-// A sessionAt is a session at its server, from its set-up on.
-type sessionAt struct {
+// A serverSession is a session at a server, from its set-up on.
+type serverSession struct {
 	attempt *attempt
 	conn    net.Conn
-	stands  bool
+	playing bool
 }
 
+// accept accepts connections until the listener is closed.
 func (s *server) accept(ln net.Listener) {
 	for {
-		c, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		if s.dead {
+		if s.killed {
 			s.mu.Unlock()
-			c.Close()
+			conn.Close()
 			continue
 		}
-		s.conns[c] = true
+		s.conns[conn] = true
 		s.mu.Unlock()
-		s.fleet.counted.connections.Add(1)
-		go s.serve(c)
+		s.pool.counters.connections.Add(1)
+		go s.serve(conn)
 	}
 }
 
-// drainingSince is when a director was told that the server drains or is gone.
-func (s *server) drainingSince(d *director) time.Time {
+// drainSentTime is when a director was last sent that the server drains or is gone.
+func (s *server) drainSentTime(d *director) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.drains[d]
+	return s.drainSentAt[d]
 }
 
-func (s *server) serve(c net.Conn) {
-	r := rtspReader(c)
+// serve handles the messages of a connection.
+func (s *server) serve(conn net.Conn) {
+	r := rtspReader(conn)
 	for {
-		q, err := readServer(r)
+		req, err := readServerRequest(r)
 		if err != nil {
-			s.disconnected(c)
+			s.connectionClosed(conn)
 			return
 		}
 		s.mu.Lock()
-		hangs := max(0, time.Until(s.hangs))
+		hangTime := max(0, time.Until(s.hangUntil))
 		s.mu.Unlock()
-		switch q.method { // what has reached it counts at once, also while it hangs
+		switch req.method { // requests take effect when they arrive, also while the server hangs
 		case "SETUP":
-			s.setup(c, q, hangs)
+			s.setup(conn, req, hangTime)
 		case "TEARDOWN":
-			s.teardown(q.session)
-			time.AfterFunc(hangs, func() { io.WriteString(c, heard(q)) })
+			s.teardown(req.session)
+			time.AfterFunc(hangTime, func() { io.WriteString(conn, acknowledgement(req)) })
 		}
 	}
 }
 
-// disconnected ends the set-ups of a connection; what stands goes on.
-func (s *server) disconnected(c net.Conn) {
-	c.Close()
+// connectionClosed removes a connection and ends its pending set-ups. Sessions that play continue.
+func (s *server) connectionClosed(conn net.Conn) {
+	conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.conns, c)
-	for id, x := range s.sessions {
-		if x.conn == c && !x.stands {
-			s.fleet.ledger.end(x.attempt, true)
+	delete(s.conns, conn)
+	for id, session := range s.sessions {
+		if session.conn == conn && !session.playing {
+			s.pool.checker.endAttempt(session.attempt, true)
 			delete(s.sessions, id)
 		}
 	}
 }
 
-func (s *server) teardown(session uint64) {
+// teardown ends a session at the director's request.
+func (s *server) teardown(id uint64) {
 	s.mu.Lock()
-	x := s.sessions[session]
-	delete(s.sessions, session)
+	session := s.sessions[id]
+	delete(s.sessions, id)
 	s.mu.Unlock()
-	if x != nil {
-		s.fleet.ledger.end(x.attempt, true)
+	if session != nil {
+		s.pool.checker.endAttempt(session.attempt, true)
 	}
 }
 
-// What a server does with a set-up, by its share of a thousand.
-var behaviours = []struct {
-	share int
-	do    func(s *server, c net.Conn, id uint64, x *sessionAt)
+// setupResponses are the responses of a server to a set-up, each with its share of a thousand. A faultless server always
+// gives the first.
+var setupResponses = []struct {
+	share   int
+	respond func(s *server, conn net.Conn, id uint64, session *serverSession)
 }{
 	{600, (*server).serveSession},
-	{60, (*server).releaseAtOnce},
-	{20, (*server).releaseFirst},
-	{60, func(s *server, c net.Conn, id uint64, x *sessionAt) { s.refuse(c, id, 453, x) }},
-	{60, func(s *server, c net.Conn, id uint64, x *sessionAt) { s.refuse(c, id, 500, x) }},
-	{30, func(s *server, c net.Conn, id uint64, x *sessionAt) { s.refuse(c, id, 454, x) }},
-	{30, func(s *server, c net.Conn, id uint64, x *sessionAt) { s.refuse(c, id, 504, x) }},
-	{40, (*server).sayNothing},
-	{20, (*server).spoil},
-	{20, (*server).truncate},
-	{20, (*server).reset},
+	{60, (*server).answerAndRelease},
+	{20, (*server).releaseBeforeAnswer},
+	{60, func(s *server, conn net.Conn, id uint64, session *serverSession) { s.refuse(conn, id, 453, session) }},
+	{60, func(s *server, conn net.Conn, id uint64, session *serverSession) { s.refuse(conn, id, 500, session) }},
+	{30, func(s *server, conn net.Conn, id uint64, session *serverSession) { s.refuse(conn, id, 454, session) }},
+	{30, func(s *server, conn net.Conn, id uint64, session *serverSession) { s.refuse(conn, id, 504, session) }},
+	{40, (*server).leaveUnanswered},
+	{20, (*server).answerMalformed},
+	{20, (*server).truncateAnswer},
+	{20, (*server).resetConnection},
 	{40, (*server).answerTwice},
 }
 
-func (s *server) setup(c net.Conn, q serverRequest, hangs time.Duration) {
-	x := &sessionAt{attempt: s.fleet.ledger.setup(q.session, s.name(), s.drainingSince, q.within), conn: c}
+// setup records a set-up and responds to it after a random delay and the time that the server still hangs.
+func (s *server) setup(conn net.Conn, req serverRequest, hangTime time.Duration) {
+	session := &serverSession{attempt: s.pool.checker.recordSetup(req.session, s.name(), s.drainSentTime, req.answerTimeout), conn: conn}
 	s.mu.Lock()
-	s.sessions[q.session] = x
+	s.sessions[req.session] = session
 	s.mu.Unlock()
-	n := 0 // the first of the behaviours
-	if !s.fleet.faultless {
-		n = s.fleet.draw(1000)
+	n := 0 // the first of the responses
+	if !s.pool.faultless {
+		n = s.pool.randomInt(1000)
 	}
-	delay := time.Duration(s.fleet.draw(40)) * time.Millisecond
-	for _, b := range behaviours {
-		if n -= b.share; n < 0 {
-			time.AfterFunc(hangs+delay, func() { b.do(s, c, q.session, x) })
+	delay := time.Duration(s.pool.randomInt(40)) * time.Millisecond
+	for _, response := range setupResponses {
+		if n -= response.share; n < 0 {
+			time.AfterFunc(hangTime+delay, func() { response.respond(s, conn, req.session, session) })
 			return
 		}
 	}
 }
 
+// description is the body of the answer to a set-up that succeeds.
 const description = "here\r\n"
 
-// takes makes a session stand, if it was not given up meanwhile, and tells whether it does.
-func (s *server) takes(id uint64, x *sessionAt) bool {
+// acceptSession makes a session play. It returns false if the session has been ended meanwhile or the server was killed.
+func (s *server) acceptSession(id uint64, session *serverSession) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.sessions[id] != x || s.dead {
+	if s.sessions[id] != session || s.killed {
 		return false
 	}
-	x.stands = true
-	s.fleet.ledger.end(x.attempt, true) // its answer is about to be written
+	session.playing = true
+	s.pool.checker.endAttempt(session.attempt, true) // its answer is written next
 	return true
 }
 
-// ends takes a session that stands off the server.
-func (s *server) ends(id uint64, x *sessionAt) bool {
+// removeSession removes a session from the server. It returns false if it has been removed before.
+func (s *server) removeSession(id uint64, session *serverSession) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.sessions[id] != x {
+	if s.sessions[id] != session {
 		return false
 	}
 	delete(s.sessions, id)
 	return true
 }
 
-func (s *server) serveSession(c net.Conn, id uint64, x *sessionAt) {
-	if !s.takes(id, x) {
+// serveSession accepts a session and releases it after a random time and with a random cause.
+func (s *server) serveSession(conn net.Conn, id uint64, session *serverSession) {
+	if !s.acceptSession(id, session) {
 		return
 	}
-	io.WriteString(c, serverAnswer(id, 200, description))
-	length := time.Duration(50+s.fleet.draw(1200)) * time.Millisecond
-	cause := []int{causeEnded, causeEnded, causeMoved, causeCut}[s.fleet.draw(4)]
-	time.AfterFunc(length, func() { s.release(c, id, x, cause) })
+	io.WriteString(conn, serverAnswer(id, 200, description))
+	length := time.Duration(50+s.pool.randomInt(1200)) * time.Millisecond
+	cause := []int{causeEnded, causeEnded, causeMoved, causeLost}[s.pool.randomInt(4)]
+	time.AfterFunc(length, func() { s.release(conn, id, session, cause) })
 }
 
-// release says on its connection that a session is over.
-func (s *server) release(c net.Conn, id uint64, x *sessionAt, cause int) {
-	if !s.ends(id, x) {
+// release removes a session and sends its release on the connection.
+func (s *server) release(conn net.Conn, id uint64, session *serverSession, cause int) {
+	if !s.removeSession(id, session) {
 		return
 	}
-	if _, err := io.WriteString(c, serverRelease(id, cause)); err == nil {
-		s.fleet.ledger.over(id)
+	if _, err := io.WriteString(conn, serverRelease(id, cause)); err == nil {
+		s.pool.checker.recordServerEnd(id)
 	}
 }
 
-// releaseAtOnce says that a session stands and that it is over in one write.
-func (s *server) releaseAtOnce(c net.Conn, id uint64, x *sessionAt) {
-	if !s.takes(id, x) || !s.ends(id, x) {
+// answerAndRelease sends the answer that a session plays and its release in one write.
+func (s *server) answerAndRelease(conn net.Conn, id uint64, session *serverSession) {
+	if !s.acceptSession(id, session) || !s.removeSession(id, session) {
 		return
 	}
-	cause := []int{causeEnded, causeMoved, causeCut}[s.fleet.draw(3)]
-	if _, err := io.WriteString(c, serverAnswer(id, 200, description)+serverRelease(id, cause)); err == nil {
-		s.fleet.ledger.over(id)
+	cause := []int{causeEnded, causeMoved, causeLost}[s.pool.randomInt(3)]
+	if _, err := io.WriteString(conn, serverAnswer(id, 200, description)+serverRelease(id, cause)); err == nil {
+		s.pool.checker.recordServerEnd(id)
 	}
 }
 
-// releaseFirst says that a session is over that it has not said to stand.
-func (s *server) releaseFirst(c net.Conn, id uint64, x *sessionAt) {
-	if !s.ends(id, x) {
+// releaseBeforeAnswer sends the release of a session ahead of its answer.
+func (s *server) releaseBeforeAnswer(conn net.Conn, id uint64, session *serverSession) {
+	if !s.removeSession(id, session) {
 		return
 	}
-	s.fleet.ledger.end(x.attempt, true)
-	io.WriteString(c, serverRelease(id, causeMoved)+serverAnswer(id, 200, description))
+	s.pool.checker.endAttempt(session.attempt, true)
+	io.WriteString(conn, serverRelease(id, causeMoved)+serverAnswer(id, 200, description))
 }
 
-func (s *server) refuse(c net.Conn, id uint64, status int, x *sessionAt) {
-	if !s.ends(id, x) {
+// refuse answers a set-up with an error status. With 453 and 454 the set-up provably never ran.
+func (s *server) refuse(conn net.Conn, id uint64, status int, session *serverSession) {
+	if !s.removeSession(id, session) {
 		return
 	}
-	s.fleet.ledger.end(x.attempt, status != 453 && status != 454)
-	io.WriteString(c, serverAnswer(id, status, ""))
+	s.pool.checker.endAttempt(session.attempt, status != 453 && status != 454)
+	io.WriteString(conn, serverAnswer(id, status, ""))
 }
 
-func (s *server) sayNothing(net.Conn, uint64, *sessionAt) {}
+// leaveUnanswered sends no answer.
+func (s *server) leaveUnanswered(net.Conn, uint64, *serverSession) {}
 
-func (s *server) spoil(c net.Conn, id uint64, x *sessionAt) {
-	if s.takes(id, x) {
-		io.WriteString(c, "\x16\x03\x01 no message")
+// answerMalformed accepts a session and answers with bytes that are no message.
+func (s *server) answerMalformed(conn net.Conn, id uint64, session *serverSession) {
+	if s.acceptSession(id, session) {
+		io.WriteString(conn, "\x16\x03\x01 no message")
 	}
 }
 
-// truncate gives a length that is too short, the rest in a write of its own.
-func (s *server) truncate(c net.Conn, id uint64, x *sessionAt) {
-	if s.takes(id, x) {
-		whole := serverAnswer(id, 200, description)
-		io.WriteString(c, whole[:len(whole)-2])
+// truncateAnswer accepts a session and leaves out the last two bytes of the answer's body.
+func (s *server) truncateAnswer(conn net.Conn, id uint64, session *serverSession) {
+	if s.acceptSession(id, session) {
+		answer := serverAnswer(id, 200, description)
+		io.WriteString(conn, answer[:len(answer)-2])
 	}
 }
 
-func (s *server) reset(c net.Conn, _ uint64, _ *sessionAt) {
-	c.(*net.TCPConn).SetLinger(0)
-	c.Close()
+// resetConnection resets the connection of a set-up.
+func (s *server) resetConnection(conn net.Conn, _ uint64, _ *serverSession) {
+	conn.(*net.TCPConn).SetLinger(0)
+	conn.Close()
 }
 
-func (s *server) answerTwice(c net.Conn, id uint64, x *sessionAt) {
-	if !s.takes(id, x) {
+// answerTwice accepts a session and sends its answer a second time a few milliseconds later.
+func (s *server) answerTwice(conn net.Conn, id uint64, session *serverSession) {
+	if !s.acceptSession(id, session) {
 		return
 	}
-	io.WriteString(c, serverAnswer(id, 200, description))
-	time.Sleep(time.Duration(s.fleet.draw(8)) * time.Millisecond)
-	io.WriteString(c, serverAnswer(id, 200, description))
-	time.AfterFunc(300*time.Millisecond, func() { s.release(c, id, x, causeEnded) })
+	io.WriteString(conn, serverAnswer(id, 200, description))
+	time.Sleep(time.Duration(s.pool.randomInt(8)) * time.Millisecond)
+	io.WriteString(conn, serverAnswer(id, 200, description))
+	time.AfterFunc(300*time.Millisecond, func() { s.release(conn, id, session, causeEnded) })
 }
 
-// die ends the server as a process that is killed: its connections are reset and new ones refused.
-func (s *server) die() {
+// kill ends the server like a process that is killed: its connections are reset and new ones are refused.
+func (s *server) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dead {
+	if s.killed {
 		return
 	}
-	s.dead = true
+	s.killed = true
 	s.ln.Close()
-	for id, x := range s.sessions {
-		s.fleet.ledger.end(x.attempt, true)
-		if x.stands {
-			s.fleet.ledger.over(id)
+	for id, session := range s.sessions {
+		s.pool.checker.endAttempt(session.attempt, true)
+		if session.playing {
+			s.pool.checker.recordServerEnd(id)
 		}
 	}
-	for c := range s.conns {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+	for conn := range s.conns {
+		conn.(*net.TCPConn).SetLinger(0)
+		conn.Close()
 	}
 }
 
-// resetConnections resets all connections; the server goes on.
+// resetConnections resets all connections; the server and its listener continue.
 func (s *server) resetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+	for conn := range s.conns {
+		conn.(*net.TCPConn).SetLinger(0)
+		conn.Close()
 	}
 }
 
-// hang makes the server say nothing for a while.
+// hang makes the server send no answers for a while.
 func (s *server) hang(d time.Duration) {
 	s.mu.Lock()
-	s.hangs = time.Now().Add(d)
+	s.hangUntil = time.Now().Add(d)
 	s.mu.Unlock()
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,6 +1,6 @@
 // Package soak runs directors on the operators' platform as real processes over loopback, between emulated servers,
-// discovery and clients, while faults that overlap in time are done to all of them, and judges the rules from what
-// crossed the sockets alone. What is drawn, and when, follows from a seed.
+// discovery and clients. It injects faults, which overlap in time, into all of them, and checks the rules from the
+// messages on the sockets alone. A seed determines the random choices and times.
 package soak
 
 import (
@@ -11,82 +11,83 @@
 	"time"
 )
 
-// Options are one run's.
+// Options are the options of one run.
 type Options struct {
 	Seed      uint64
-	Processes int           // directors
-	Servers   int           // emulated servers at one time
-	Length    time.Duration // how long clients ask
+	Processes int           // number of director processes
+	Servers   int           // number of emulated servers at one time
+	Length    time.Duration // time during which clients send requests
 	Program   string        // the program to run as a director
-	Directors int           // that the directors' settings name; 0: as many as there are processes
-	Faultless bool          // servers answer every set-up, and directors log little
-	Logs      string        // a folder for the directors' logs; empty: they are dropped
+	Directors int           // number of directors in their settings; 0: as many as processes
+	Faultless bool          // servers serve every set-up, and directors log at level info
+	Logs      string        // directory for the directors' logs; empty: they are dropped
 }
 
-// Result is what one run came to.
+// Result is the result of one run.
 type Result struct {
 	Seed                                       uint64
-	Requests, Served, Refused, Cancelled, Void int // Void: their director was killed
+	Requests, Served, Refused, Cancelled, Void int // Void: the director was killed, or the request wasn't written whole
 	Attempts, Faults                           int
 	Violations                                 []string
 }
 
 func (r Result) String() string {
-	return fmt.Sprintf("seed %d: %d requests, %d stood, %d refused or failed, %d left, %d void, %d attempts, %d faults, %d violations",
+	return fmt.Sprintf("seed %d: %d requests, %d served, %d refused or failed, %d cancelled, %d void, %d attempts, %d faults, %d violations",
 		r.Seed, r.Requests, r.Served, r.Refused, r.Cancelled, r.Void, r.Attempts, r.Faults, len(r.Violations))
 }
 
-// The spans of a run, beside Options.Length.
+// Durations of a run, besides Options.Length.
 const (
-	settle     = 300 * time.Millisecond // a director that has just started is careful for the ramp's time
-	longest    = 1500 * time.Millisecond
-	afterwards = longest + answerSlack + time.Second // the last requests get their answers
+	startupDelay = 300 * time.Millisecond              // longer than the ramp time, in which a director that has just started limits its set-ups
+	maxWait      = 1500 * time.Millisecond             // of a request for its answer
+	finalDelay   = maxWait + answerSlack + time.Second // until the last requests are answered
 )
 
-// A run is one seed's.
+// A run is the state of one run.
 type run struct {
 	Options
-	chance    *rand.Rand
-	mu        sync.Mutex // guards chance
-	ledger    *ledger
-	fleet     *fleet
-	directors []*director
-	faults    int
+	random     *rand.Rand
+	mu         sync.Mutex // guards random
+	checker    *checker
+	pool       *serverPool
+	directors  []*director
+	faultCount int
 }
 
-// Run plays one seed.
+// Run runs the directors with the random choices of one seed and returns the result.
 func Run(ctx context.Context, o Options) (Result, error) {
-	r := &run{Options: o, chance: rand.New(rand.NewPCG(o.Seed, 1)), ledger: newLedger()}
+	r := &run{Options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), checker: newChecker()}
 	if err := r.start(ctx); err != nil {
 		r.stop()
 		return Result{}, err
 	}
-	time.Sleep(settle)
-	asking, enough := context.WithTimeout(ctx, o.Length)
-	defer enough()
-	var work sync.WaitGroup
+	time.Sleep(startupDelay)
+	requestCtx, cancel := context.WithTimeout(ctx, o.Length)
+	defer cancel()
+	var group sync.WaitGroup
 	for _, d := range r.directors {
-		work.Go(func() { r.ask(asking, d) })
+		group.Go(func() { r.sendRequests(requestCtx, d) })
 	}
-	work.Go(func() { r.disturb(asking) })
-	work.Wait()
+	group.Go(func() { r.injectFaults(requestCtx) })
+	group.Wait()
 	select {
-	case <-time.After(afterwards):
+	case <-time.After(finalDelay):
 	case <-ctx.Done():
 	}
 	r.stop()
-	return r.ledger.result(o.Seed, r.faults), ctx.Err()
+	return r.checker.result(o.Seed, r.faultCount), ctx.Err()
 }
 
+// start starts the servers and the directors.
 func (r *run) start(ctx context.Context) error {
-	r.fleet = newFleet(r.ledger, r.draw, r.Servers, r.Faultless)
+	r.pool = newServerPool(r.checker, r.randomInt, r.Servers, r.Faultless)
 	for range r.Servers {
-		if _, err := r.fleet.add(time.Time{}); err != nil {
+		if _, err := r.pool.add(time.Time{}); err != nil {
 			return err
 		}
 	}
 	for i := range r.Processes {
-		d, err := newDirector(ctx, i, r.Options, r.fleet, r.ledger)
+		d, err := newDirector(ctx, i, r.Options, r.pool, r.checker)
 		if err != nil {
 			return err
 		}
@@ -98,25 +99,27 @@
 	return nil
 }
 
+// stop stops the directors and the servers.
 func (r *run) stop() {
 	for _, d := range r.directors {
 		d.finish()
 	}
-	r.fleet.close()
+	r.pool.close()
 }
 
-// draw is a number from 0 up to most.
-func (r *run) draw(most int) int {
+// randomInt returns a random number from 0 up to limit, without it.
+func (r *run) randomInt(limit int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.chance.IntN(most)
+	return r.random.IntN(limit)
 }
 
-func (r *run) span(most time.Duration) time.Duration {
-	return time.Duration(r.draw(int(most/time.Microsecond))) * time.Microsecond
+// randomDuration returns a random duration from 0 up to limit, in whole microseconds.
+func (r *run) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(r.randomInt(int(limit/time.Microsecond))) * time.Microsecond
 }
 
-// sleep waits, and says false where the run has ended meanwhile.
+// sleep waits; it returns false if the context ends before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
