--- a/internal/emulated/node/model.go
+++ b/internal/emulated/node/model.go
@@ -29,9 +29,9 @@
 	Uplinks          []float64     `json:"uplinks_kb"`   // by rack, kB a second
 	RejectThreshold  float64       `json:"refuses_from"` // utilization of its link from which a node answers full; 0: never
 	Warmup           time.Duration `json:"warmup"`
-	InitialShare     float64       `json:"cold_from"`
-	OverloadMultiple float64       `json:"multiple"` // set-up rate that a node in slow start bears, as a multiple of MaxStreams/Warmup
-	OverloadWindow   time.Duration `json:"tip_after"`
+	InitialShare     float64       `json:"cold_from"`            // share of the full set-up speed right after a start; it grows linearly to 1 over Warmup
+	OverloadMultiple float64       `json:"multiple"`             // set-up rate that a node in slow start bears, as a multiple of MaxStreams/Warmup
+	OverloadWindow   time.Duration `json:"tip_after"`            // over which the set-up rate is measured
 	ReportDelay      time.Duration `json:"late"`                 // of measurements
 	ReportInterval   time.Duration `json:"every"`                // between measurements of link and uplink
 	LoadRefresh      time.Duration `json:"refresh"`              // age from which the load in answers is computed anew
