--- a/internal/haproxy/condition.go
+++ b/internal/haproxy/condition.go
@@ -6,16 +6,17 @@
 	"strings"
 )
 
-// A truth is what can be told of a condition.
-type truth int
+// A truthValue is the value of a condition in three-valued logic. It is unknown where the condition depends on
+// facts that the input does not contain, such as the build of HAProxy.
+type truthValue int
 
 const (
-	no truth = iota
+	no truthValue = iota
 	yes
 	unknown
 )
 
-func not(t truth) truth {
+func not(t truthValue) truthValue {
 	switch t {
 	case yes:
 		return no
@@ -25,58 +26,58 @@
 	return unknown
 }
 
-func truthOf(b bool) truth {
+func truthOf(b bool) truthValue {
 	if b {
 		return yes
 	}
 	return no
 }
 
-// A condition is being evaluated (section 2.6 of the manual).
-type condition struct {
-	s       string
-	at      int
+// A conditionParser parses and evaluates one condition (section 2.6 of the manual).
+type conditionParser struct {
+	text    string
+	pos     int
 	env     Variables
-	version string   // of the HAProxy that the file was written for; empty: not told
-	why     []string // what could not be told
+	version string   // the HAProxy version that the file was written for; empty: unknown
+	reasons []string // why predicates are unknown
 	depth   int
 }
 
-// depthMost bounds brackets within brackets.
-const depthMost = 64
+// maxDepth limits the nesting of parentheses in a condition, and of .if blocks.
+const maxDepth = 64
 
-// evaluate tells a condition's truth and, where that can't be told, why.
-func evaluate(text string, env Variables, version string) (t truth, why string, err error) {
-	c := &condition{s: text, env: env, version: version}
-	if t, err = c.or(); err != nil {
+// evaluate evaluates a condition. The reason lists why predicates of it are unknown.
+func evaluate(text string, env Variables, version string) (t truthValue, reason string, err error) {
+	c := &conditionParser{text: text, env: env, version: version}
+	if t, err = c.parseOr(); err != nil {
 		return unknown, "", err
 	}
-	if c.space(); c.at < len(c.s) {
-		return unknown, "", fmt.Errorf("%q is left over", c.s[c.at:])
+	if c.skipSpace(); c.pos < len(c.text) {
+		return unknown, "", fmt.Errorf("unexpected %q after the condition", c.text[c.pos:])
 	}
-	return t, strings.Join(c.why, "; "), nil
+	return t, strings.Join(c.reasons, "; "), nil
 }
 
-func (c *condition) space() {
-	for c.at < len(c.s) && (c.s[c.at] == ' ' || c.s[c.at] == '\t') {
-		c.at++
+func (c *conditionParser) skipSpace() {
+	for c.pos < len(c.text) && (c.text[c.pos] == ' ' || c.text[c.pos] == '\t') {
+		c.pos++
 	}
 }
 
-func (c *condition) take(token string) bool {
-	c.space()
-	if strings.HasPrefix(c.s[c.at:], token) {
-		c.at += len(token)
+func (c *conditionParser) accept(token string) bool {
+	c.skipSpace()
+	if strings.HasPrefix(c.text[c.pos:], token) {
+		c.pos += len(token)
 		return true
 	}
 	return false
 }
 
-func (c *condition) or() (truth, error) {
-	t, err := c.and()
-	for err == nil && c.take("||") {
-		var u truth
-		if u, err = c.and(); t == yes || u == yes {
+func (c *conditionParser) parseOr() (truthValue, error) {
+	t, err := c.parseAnd()
+	for err == nil && c.accept("||") {
+		var u truthValue
+		if u, err = c.parseAnd(); t == yes || u == yes {
 			t = yes
 		} else if t == unknown || u == unknown {
 			t = unknown
@@ -85,11 +86,11 @@
 	return t, err
 }
 
-func (c *condition) and() (truth, error) {
-	t, err := c.term()
-	for err == nil && c.take("&&") {
-		var u truth
-		if u, err = c.term(); t == no || u == no {
+func (c *conditionParser) parseAnd() (truthValue, error) {
+	t, err := c.parseTerm()
+	for err == nil && c.accept("&&") {
+		var u truthValue
+		if u, err = c.parseTerm(); t == no || u == no {
 			t = no
 		} else if t == unknown || u == unknown {
 			t = unknown
@@ -98,60 +99,60 @@
 	return t, err
 }
 
-func (c *condition) term() (truth, error) {
-	if c.depth++; c.depth > depthMost {
-		return unknown, fmt.Errorf("brackets deeper than %d", depthMost)
+func (c *conditionParser) parseTerm() (truthValue, error) {
+	if c.depth++; c.depth > maxDepth {
+		return unknown, fmt.Errorf("parentheses are nested deeper than %d", maxDepth)
 	}
 	defer func() { c.depth-- }()
-	if c.take("!") {
-		t, err := c.term()
+	if c.accept("!") {
+		t, err := c.parseTerm()
 		return not(t), err
 	}
-	if c.take("(") {
-		t, err := c.or()
-		if err == nil && !c.take(")") {
-			err = fmt.Errorf("a bracket never closes")
+	if c.accept("(") {
+		t, err := c.parseOr()
+		if err == nil && !c.accept(")") {
+			err = fmt.Errorf("a parenthesis is never closed")
 		}
 		return t, err
 	}
-	c.space()
-	from := c.at
-	for c.at < len(c.s) && (nameByte(c.s[c.at]) || c.s[c.at] == '-' && c.at == from) {
-		c.at++
+	c.skipSpace()
+	start := c.pos
+	for c.pos < len(c.text) && (isNameByte(c.text[c.pos]) || c.text[c.pos] == '-' && c.pos == start) {
+		c.pos++
 	}
-	word := c.s[from:c.at]
+	word := c.text[start:c.pos]
 	if n, err := strconv.ParseInt(word, 10, 64); err == nil {
 		return truthOf(n != 0), nil
 	}
 	if word == "" {
-		if from == len(c.s) {
+		if start == len(c.text) {
 			return no, nil // an empty condition is false
 		}
-		return unknown, fmt.Errorf("%q is no condition", c.s[from:])
+		return unknown, fmt.Errorf("%q is no condition", c.text[start:])
 	}
-	if !c.take("(") {
-		return unknown, fmt.Errorf("%q is no condition", word)
+	if !c.accept("(") {
+		return unknown, fmt.Errorf("%q is no condition: a predicate needs its arguments in parentheses", word)
 	}
-	close := strings.IndexByte(c.s[c.at:], ')')
-	if close < 0 {
-		return unknown, fmt.Errorf("the bracket after %s never closes", word)
+	end := strings.IndexByte(c.text[c.pos:], ')')
+	if end < 0 {
+		return unknown, fmt.Errorf("the parenthesis after %s is never closed", word)
 	}
-	args := strings.Split(c.s[c.at:c.at+close], ",")
+	args := strings.Split(c.text[c.pos:c.pos+end], ",")
 	for i := range args {
 		args[i] = strings.TrimSpace(args[i])
 	}
-	c.at += close + 1
-	return c.predicate(word, args)
+	c.pos += end + 1
+	return c.evaluatePredicate(word, args)
 }
 
-func (c *condition) predicate(name string, args []string) (truth, error) {
-	need := map[string]int{"streq": 2, "strneq": 2, "strstr": 2}
-	n, known := need[name]
+func (c *conditionParser) evaluatePredicate(name string, args []string) (truthValue, error) {
+	argumentCounts := map[string]int{"streq": 2, "strneq": 2, "strstr": 2}
+	n, known := argumentCounts[name]
 	if !known {
 		n = 1
 	}
 	if len(args) != n {
-		return unknown, fmt.Errorf("%s wants %d arguments", name, n)
+		return unknown, fmt.Errorf("%s needs %d arguments", name, n)
 	}
 	switch name {
 	case "defined":
@@ -165,37 +166,37 @@
 		return truthOf(strings.Contains(args[0], args[1])), nil
 	case "version_atleast", "version_before":
 		if c.version == "" {
-			c.why = append(c.why, name+" needs --haproxy-version")
+			c.reasons = append(c.reasons, name+" needs --haproxy-version")
 			return unknown, nil
 		}
-		atLeast, err := laterOrSame(c.version, args[0])
+		atLeast, err := versionAtLeast(c.version, args[0])
 		if err != nil {
 			return unknown, err
 		}
 		return truthOf(atLeast == (name == "version_atleast")), nil
 	case "feature", "enabled", "openssl_version_atleast", "openssl_version_before", "ssllib_name_startswith", "awslc_api_atleast",
 		"awslc_api_before":
-		c.why = append(c.why, name+" depends on the build of HAProxy")
+		c.reasons = append(c.reasons, name+" depends on the build of HAProxy")
 		return unknown, nil
 	}
-	c.why = append(c.why, "the predicate "+name+" is not known here")
+	c.reasons = append(c.reasons, "the predicate "+name+" is unknown to the importer")
 	return unknown, nil
 }
 
-// laterOrSame compares versions number by number: 2.10 is later than 2.9.
-func laterOrSame(have, want string) (bool, error) {
-	a, b := strings.Split(have, "."), strings.Split(want, ".")
+// versionAtLeast compares two versions number by number, so that 2.10 is later than 2.9.
+func versionAtLeast(version, minimum string) (bool, error) {
+	a, b := strings.Split(version, "."), strings.Split(minimum, ".")
 	for i := range max(len(a), len(b)) {
 		var x, y int
 		var err error
 		if i < len(a) {
-			if x, err = strconv.Atoi(digits(a[i])); err != nil {
-				return false, fmt.Errorf("%q is no version", have)
+			if x, err = strconv.Atoi(leadingDigits(a[i])); err != nil {
+				return false, fmt.Errorf("%q is no version", version)
 			}
 		}
 		if i < len(b) {
-			if y, err = strconv.Atoi(digits(b[i])); err != nil {
-				return false, fmt.Errorf("%q is no version", want)
+			if y, err = strconv.Atoi(leadingDigits(b[i])); err != nil {
+				return false, fmt.Errorf("%q is no version", minimum)
 			}
 		}
 		if x != y {
@@ -205,5 +206,5 @@
 	return true, nil
 }
 
-// digits are those that a part of a version begins with: "0-dev3" counts as 0.
-func digits(s string) string { return s[:len(s)-len(strings.TrimLeft(s, "0123456789"))] }
+// leadingDigits returns the digits at the start of a part of a version: "0-dev3" counts as 0.
+func leadingDigits(s string) string { return s[:len(s)-len(strings.TrimLeft(s, "0123456789"))] }
--- a/internal/haproxy/proxy.go
+++ b/internal/haproxy/proxy.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// A Setting is what a proxy's keyword is set to, and the line that sets it.
+// A Setting is the value of a keyword in a proxy, with the line that sets it.
 type Setting struct {
 	Line    *Line
 	Args    []string
-	Negated bool // set to off by "no"
+	Negated bool // the keyword is preceded by "no"
 }
 
 // An Option is a keyword of a server with its arguments.
 type Option struct {
 	Name string
 	Args []string
-	Line *Line // its server's, or a default-server's
+	Line *Line // the line of the server, or of a default-server
 }
 
 func (o Option) String() string { return strings.TrimSpace(o.Name + " " + strings.Join(o.Args, " ")) }
 
-// Arg is the option's first argument, empty where it has none.
+// Arg returns the first argument of the option, or "" if it has none.
 func (o Option) Arg() string {
 	if len(o.Args) == 0 {
 		return ""
@@ -31,126 +31,128 @@
 	return o.Args[0]
 }
 
-// A Server is a server of a proxy, or a template of many.
+// A Server is a server line of a proxy, or a server-template line, which stands for several servers.
 type Server struct {
 	Line        *Line
-	Name        string // of a template: its prefix
-	FirstNumber int    // of a template: its numbers
-	LastNumber  int
+	Name        string // for a template, the prefix of the names
+	FirstNumber int    // for a template, the first number of the names
+	LastNumber  int    // for a template, the last number of the names
 	Template    bool
-	AddressText string // its address
+	AddressText string // the address as written on the line
 	Address     Address
-	OwnOptions  []Option          // as they stand on its line
-	Options     map[string]Option // in force: its own over those of default-server above it
+	OwnOptions  []Option          // the options on the line itself, in order
+	Options     map[string]Option // the options in force: those of the line override those of default-server lines above it
 }
 
-// Int reads an option that is a whole number; ok is false where the server has none.
-func (s *Server) Int(name string, least, most int) (n int, o Option, ok bool, err error) {
+// Int parses an option that is a whole number; ok is false if the server does not have the option.
+func (s *Server) Int(name string, lower, upper int) (n int, o Option, ok bool, err error) {
 	o, ok = s.Options[name]
 	if ok {
-		n, err = whole(o.Arg(), least, most)
+		n, err = parseInt(o.Arg(), lower, upper)
 	}
 	return n, o, ok, err
 }
 
-// Duration reads an option that is a time.
+// Duration parses an option that is a duration; ok is false if the server does not have the option.
 func (s *Server) Duration(name string) (d time.Duration, o Option, ok bool, err error) {
 	o, ok = s.Options[name]
 	if ok {
-		d, err = span(o.Arg())
+		d, err = parseDuration(o.Arg())
 	}
 	return d, o, ok, err
 }
 
-// Duration reads a setting that is a time.
+// Duration parses a setting that is a duration.
 func (s *Setting) Duration() (time.Duration, error) {
 	if len(s.Args) == 0 {
 		return 0, fmt.Errorf("no value")
 	}
-	return span(s.Args[0])
+	return parseDuration(s.Args[0])
 }
 
-// Int reads a setting that is a whole number.
-func (s *Setting) Int(least, most int) (int, error) {
+// Int parses a setting that is a whole number.
+func (s *Setting) Int(lower, upper int) (int, error) {
 	if len(s.Args) == 0 {
 		return 0, fmt.Errorf("no value")
 	}
-	return whole(s.Args[0], least, most)
+	return parseInt(s.Args[0], lower, upper)
 }
 
 // A Proxy is a frontend, backend or listen section with its defaults inherited.
 type Proxy struct {
 	*Section
-	Settings map[string]*Setting // in force, by keyword ("maxconn", "timeout connect", "option redispatch")
-	Servers  []*Server
-	Disabled bool
-	defaults []Option // of default-server, in force for servers that follow
+	Settings       map[string]*Setting // the settings in force, by keyword ("maxconn", "timeout connect", "option redispatch")
+	Servers        []*Server
+	Disabled       bool
+	defaultOptions []Option // the options of default-server lines, which apply to the servers that follow
 }
 
-// ServesClients tells whether servers of this proxy are servers of clients: not those that logs go to.
+// ServesClients reports whether the servers of this proxy serve clients. The servers of a proxy in mode log or
+// spop do not.
 func (p *Proxy) ServesClients() bool {
 	m := p.Settings["mode"]
 	return p.Kind != "frontend" && (m == nil || len(m.Args) == 0 || m.Args[0] != "log" && m.Args[0] != "spop")
 }
 
-// keyword is what a line sets: its first word, with the second where the first alone says nothing, and
-// whether "no" stands before it.
-func keyword(l *Line) (name string, args []string, off bool) {
+// splitKeyword splits a line into its keyword and arguments. The keyword includes the second word where the
+// first alone is only a prefix, as in "timeout connect"; negated reports whether "no" precedes it.
+func splitKeyword(l *Line) (name string, args []string, negated bool) {
 	var words []string
 	for _, w := range l.Words {
 		words = append(words, w.Text)
 	}
 	if words[0] == "no" && len(words) > 1 {
-		off = true
+		negated = true
 		words = words[1:]
 	}
 	if (words[0] == "timeout" || words[0] == "option" || words[0] == "stats" || words[0] == "tcp-request" || words[0] == "http-request") && len(words) > 1 {
-		return words[0] + " " + words[1], words[2:], off
+		return words[0] + " " + words[1], words[2:], negated
 	}
-	return words[0], words[1:], off
+	return words[0], words[1:], negated
 }
 
-// Keyword is what a line sets, without its arguments.
+// Keyword returns the keyword of a line, without "no" and without its arguments.
 func Keyword(l *Line) string {
-	name, _, _ := keyword(l)
+	name, _, _ := splitKeyword(l)
 	return name
 }
 
-// Proxies works out what every proxy's settings are: defaults first (those that it names with from, else
-// the last ones above it), then its own lines in their order, the later over the earlier.
+// Proxies computes the settings of every proxy. A proxy inherits from the defaults section that it names with
+// from, otherwise from the last one above it. The lines of its own section then apply in order, and a later line
+// overrides an earlier one.
 func (f *Config) Proxies() ([]*Proxy, error) {
 	var all []*Proxy
-	named := map[string]*Proxy{}
-	var last *Proxy
+	defaultsByName := map[string]*Proxy{}
+	var lastDefaults *Proxy
 	for _, s := range f.Sections {
 		isProxy := slices.Contains([]string{"frontend", "backend", "listen"}, s.Kind)
 		if s.Kind != "defaults" && !isProxy {
 			continue
 		}
 		p := &Proxy{Section: s, Settings: map[string]*Setting{}}
-		from := last
+		inherited := lastDefaults
 		if s.Kind == "defaults" {
-			from = nil // defaults inherit where they say so alone
+			inherited = nil // a defaults section inherits only if it names another with from
 		}
 		if s.From != "" {
-			if from = named[s.From]; from == nil {
-				return nil, &SyntaxError{s.Head.Position, fmt.Sprintf("no defaults section %q above", s.From)}
+			if inherited = defaultsByName[s.From]; inherited == nil {
+				return nil, &SyntaxError{s.Head.Position, fmt.Sprintf("no defaults section named %q precedes this section", s.From)}
 			}
 		}
-		if from != nil {
-			for k, v := range from.Settings {
+		if inherited != nil {
+			for k, v := range inherited.Settings {
 				p.Settings[k] = v
 			}
-			p.Disabled = from.Disabled
-			p.defaults = slices.Clone(from.defaults)
+			p.Disabled = inherited.Disabled
+			p.defaultOptions = slices.Clone(inherited.defaultOptions)
 		}
 		for _, l := range s.Lines {
-			p.line(l)
+			p.applyLine(l)
 		}
 		if s.Kind == "defaults" {
-			last = p
+			lastDefaults = p
 			if s.Name != "" {
-				named[s.Name] = p
+				defaultsByName[s.Name] = p
 			}
 			continue
 		}
@@ -159,92 +161,94 @@
 	return all, nil
 }
 
-// line takes one line of a section. What is wrong with a server stays with its line, as a note.
-func (p *Proxy) line(l *Line) {
+// applyLine applies one line of a section to the proxy. A mistake in a server line is recorded on the line and
+// does not fail the import.
+func (p *Proxy) applyLine(l *Line) {
 	if len(l.UnsetVariables) > 0 {
-		return // what it says is not known
+		return // the words of the line are unknown
 	}
-	name, args, off := keyword(l)
+	name, args, negated := splitKeyword(l)
 	switch name {
 	case "disabled":
 		p.Disabled = true
 	case "enabled":
 		p.Disabled = false
 	case "default-server":
-		options, unknown := parseOptions(l, 1)
-		if unknown >= 0 {
-			l.MarkSkipped(l.JoinFrom(unknown), fmt.Sprintf("%q (column %d) is not known here, so what follows can't be read for sure", l.WordAt(unknown), l.Words[unknown].Col),
-				"take it off this line and import again")
+		options, unknownWord := parseOptions(l, 1)
+		if unknownWord >= 0 {
+			l.MarkSkipped(l.JoinFrom(unknownWord), fmt.Sprintf("%q (column %d) is unknown or lacks an argument, so the words after it can't be parsed reliably", l.WordAt(unknownWord), l.Words[unknownWord].Col),
+				"remove it from this line and import again")
 		}
-		p.defaults = append(p.defaults, options...)
+		p.defaultOptions = append(p.defaultOptions, options...)
 	case "server", "server-template":
-		if s := p.server(l, name == "server-template"); s != nil {
+		if s := p.parseServer(l, name == "server-template"); s != nil {
 			p.Servers = append(p.Servers, s)
 		}
 	default:
-		if off && name == "timeout" {
+		if negated && name == "timeout" {
 			return
 		}
-		p.Settings[name] = &Setting{Line: l, Args: args, Negated: off}
+		p.Settings[name] = &Setting{Line: l, Args: args, Negated: negated}
 	}
 }
 
-// server reads a server's line; nil where it can't be read, which is noted.
-func (p *Proxy) server(l *Line, template bool) *Server {
+// parseServer parses a server or server-template line. It returns nil and records the reason on the line if
+// the line can't be parsed.
+func (p *Proxy) parseServer(l *Line, template bool) *Server {
 	s := &Server{Line: l, Template: template, Options: map[string]Option{}}
-	need := 3
+	minWords := 3
 	if template {
-		need = 4
+		minWords = 4
 	}
-	if len(l.Words) < need {
-		l.MarkSkipped("", "HAProxy refuses a server without name and address", "")
+	if len(l.Words) < minWords {
+		l.MarkSkipped("", "HAProxy rejects a server without a name and an address", "")
 		return nil
 	}
-	s.Name, s.AddressText = l.WordAt(1), l.WordAt(need-1)
+	s.Name, s.AddressText = l.WordAt(1), l.WordAt(minWords-1)
 	var err error
 	if template {
-		low, high, isRange := strings.Cut(l.WordAt(2), "-")
+		first, last, isRange := strings.Cut(l.WordAt(2), "-")
 		if !isRange {
-			low, high = "1", low
+			first, last = "1", first
 		}
-		if s.FirstNumber, err = whole(low, 0, 1e6); err == nil {
-			s.LastNumber, err = whole(high, s.FirstNumber, 1e6)
+		if s.FirstNumber, err = parseInt(first, 0, 1e6); err == nil {
+			s.LastNumber, err = parseInt(last, s.FirstNumber, 1e6)
 		}
 		if err != nil {
-			l.MarkSkipped("", "numbers of the template: "+err.Error(), "")
+			l.MarkSkipped("", "invalid numbers of the template: "+err.Error(), "")
 			return nil
 		}
 	}
-	if s.Address, err = address(s.AddressText); err != nil {
-		l.MarkSkipped("", "address: "+err.Error(), "")
+	if s.Address, err = parseAddress(s.AddressText); err != nil {
+		l.MarkSkipped("", "invalid address: "+err.Error(), "")
 		return nil
 	}
-	options, unknown := parseOptions(l, need)
-	if unknown >= 0 {
-		l.MarkSkipped("", fmt.Sprintf("%q (column %d) is not known here, so what follows it can't be read for sure", l.WordAt(unknown), l.Words[unknown].Col),
-			"take it off this line and import again, or list this node by hand")
+	options, unknownWord := parseOptions(l, minWords)
+	if unknownWord >= 0 {
+		l.MarkSkipped("", fmt.Sprintf("%q (column %d) is unknown or lacks an argument, so the words after it can't be parsed reliably", l.WordAt(unknownWord), l.Words[unknownWord].Col),
+			"remove it from this line and import again, or list this node by hand")
 		return nil
 	}
 	s.OwnOptions = options
-	for _, o := range append(slices.Clone(p.defaults), options...) {
-		set, off := o.Name, false
+	for _, o := range append(slices.Clone(p.defaultOptions), options...) {
+		name, negated := o.Name, false
 		if rest, ok := strings.CutPrefix(o.Name, "no-"); ok {
-			set, off = rest, true
+			name, negated = rest, true
 		}
 		if o.Name == "enabled" {
-			set, off = "disabled", true
+			name, negated = "disabled", true
 		}
-		if off {
-			delete(s.Options, set)
+		if negated {
+			delete(s.Options, name)
 		} else {
-			s.Options[set] = o
+			s.Options[name] = o
 		}
 	}
 	return s
 }
 
-// arity is how many arguments each keyword of a server has (section 5.2 of the manual).
-var arity = map[string]int{}
+// optionArity maps each keyword of a server to its number of arguments (section 5.2 of the manual).
+var optionArity = map[string]int{}
 
 func init() {
 	for n, names := range []string{
@@ -262,17 +266,17 @@
 		tcp-md5sig tcp-ut track usesrc verify verifyhost weight ws`,
 	} {
 		for _, name := range strings.Fields(names) {
-			arity[name] = n
+			optionArity[name] = n
 		}
 	}
 }
 
-// parseOptions reads the keywords of a server from a word on; unknown is the first word that is none, or
-// has too few arguments, -1 where there is none.
-func parseOptions(l *Line, from int) (options []Option, unknown int) {
-	for i := from; i < len(l.Words); {
+// parseOptions parses the options of a server from a word on. unknownWord is the index of the first word that is
+// no keyword or has too few arguments, or -1 if there is none.
+func parseOptions(l *Line, start int) (options []Option, unknownWord int) {
+	for i := start; i < len(l.Words); {
 		name := l.Words[i].Text
-		n, known := arity[name]
+		n, known := optionArity[name]
 		if strings.HasPrefix(name, "set-proxy-v2-tlv-fmt(") {
 			n, known = 1, true
 		}
@@ -289,11 +293,11 @@
 	return options, -1
 }
 
-// DefaultServerOptions are the keywords of a default-server's line, as far as they can be read.
+// DefaultServerOptions returns the options of a default-server line, up to the first that can't be parsed.
 func DefaultServerOptions(l *Line) []Option {
 	options, _ := parseOptions(l, 1)
 	return options
 }
 
-// ParseAddress reads an address as it stands on a bind line.
-func ParseAddress(text string) (Address, error) { return address(text) }
+// ParseAddress parses an address of a bind line.
+func ParseAddress(text string) (Address, error) { return parseAddress(text) }
--- a/internal/haproxy/reader.go
+++ b/internal/haproxy/reader.go
@@ -10,10 +10,10 @@
 	"unicode/utf8"
 )
 
-// An Outcome is what became of a physical line.
+// An Outcome is the result of importing a physical line.
 type Outcome string
 
-// The outcomes. A line of which one part was carried over and another was not is Partly.
+// The outcomes. A line is PartlyCarried if one part of it was carried over and another was not.
 const (
 	Carried       Outcome = "carried"
 	PartlyCarried Outcome = "partly"
@@ -21,12 +21,13 @@
 	Ignored       Outcome = "ignored"
 )
 
-// A Note is one thing that became of a line, or of some of its words.
+// A Note records one result for a line, or for some of its words. A note with a Key records words that were
+// carried over; a note without one records words that were skipped.
 type Note struct {
-	Subject string `json:"what,omitempty"` // the words that it is about; empty: the line
-	Key     string `json:"key,omitempty"`  // where it was carried to
-	Reason  string `json:"why,omitempty"`
-	Advice  string `json:"advice,omitempty"` // what the operator can do
+	Subject string `json:"what,omitempty"`   // the words that the note is about; empty: the whole line
+	Key     string `json:"key,omitempty"`    // the key of the result to which the words were carried over
+	Reason  string `json:"why,omitempty"`    // why the words were skipped
+	Advice  string `json:"advice,omitempty"` // the action that the operator can take
 }
 
 // A Line is a physical line of an input.
@@ -35,26 +36,28 @@
 	Words          []Word
 	UnsetVariables []string // variables without a value
 	Notes          []Note
-	ignored        string
+	ignoreReason   string
 }
 
-// MarkCarried notes that words of the line were carried over to a key of the result.
-func (l *Line) MarkCarried(what, key string) {
-	l.Notes = append(l.Notes, Note{Subject: what, Key: key})
+// MarkCarried records that words of the line were carried over to a key of the result. An empty subject stands
+// for the whole line.
+func (l *Line) MarkCarried(subject, key string) {
+	l.Notes = append(l.Notes, Note{Subject: subject, Key: key})
 }
 
-// MarkSkipped notes that words of the line were not carried over.
-func (l *Line) MarkSkipped(what, why, advice string) {
-	l.Notes = append(l.Notes, Note{Subject: what, Reason: why, Advice: advice})
+// MarkSkipped records that words of the line were not carried over. An empty subject stands for the whole line.
+func (l *Line) MarkSkipped(subject, reason, advice string) {
+	l.Notes = append(l.Notes, Note{Subject: subject, Reason: reason, Advice: advice})
 }
 
-// MarkIgnored notes that a rule leaves the line out: it means nothing.
-func (l *Line) MarkIgnored(why string) { l.ignored = why }
+// MarkIgnored records that the line has no effect, so that nothing of it needs to be carried over.
+func (l *Line) MarkIgnored(reason string) { l.ignoreReason = reason }
 
-// HasOutcome tells whether anything was noted of the line.
-func (l *Line) HasOutcome() bool { return l.ignored != "" || len(l.Notes) > 0 }
+// HasOutcome reports whether anything was recorded for the line.
+func (l *Line) HasOutcome() bool { return l.ignoreReason != "" || len(l.Notes) > 0 }
 
-// Outcome sums up what was noted. A line that nobody has looked at counts as skipped.
+// Outcome summarizes the records of the line; the text is the reason for an ignored line. A line without any
+// record counts as skipped.
 func (l *Line) Outcome() (Outcome, string) {
 	carried, skipped := 0, 0
 	for _, n := range l.Notes {
@@ -69,13 +72,13 @@
 		return PartlyCarried, ""
 	case carried > 0:
 		return Carried, ""
-	case skipped == 0 && l.ignored != "":
-		return Ignored, l.ignored
+	case skipped == 0 && l.ignoreReason != "":
+		return Ignored, l.ignoreReason
 	}
 	return Skipped, ""
 }
 
-// WordAt is a word of the line, empty where there is none.
+// WordAt returns a word of the line by its index, or "" if the line has fewer words.
 func (l *Line) WordAt(i int) string {
 	if i < len(l.Words) {
 		return l.Words[i].Text
@@ -83,7 +86,7 @@
 	return ""
 }
 
-// JoinFrom are the words from one on.
+// JoinFrom joins the words of the line from an index on with spaces.
 func (l *Line) JoinFrom(i int) string {
 	var all []string
 	for ; i < len(l.Words); i++ {
@@ -94,40 +97,40 @@
 
 // A Section is a section of the configuration.
 type Section struct {
-	Kind, Name, From string
-	Head             *Line
-	Lines            []*Line // without the head
+	Kind, Name, From string  // From names the defaults section to inherit from
+	Head             *Line   // the line that begins the section
+	Lines            []*Line // the lines after the head
 }
 
-// KnownSections are those that the manual knows.
+// KnownSections lists the kinds of sections that the manual describes.
 var KnownSections = []string{"global", "defaults", "frontend", "backend", "listen", "peers", "resolvers", "userlist", "cache", "mailers",
 	"program", "ring", "http-errors", "fcgi-app", "log-forward", "log-profile", "traces", "crt-store", "acme"}
 
-// Config is what was read: every physical line of every input, and the sections among them.
+// Config is a parsed configuration: every physical line of every input, and the sections that they form.
 type Config struct {
 	Lines    []*Line
 	Sections []*Section
 }
 
-// A Reader reads inputs in their order.
+// A Reader reads one configuration from several inputs, in the order in which they are given.
 type Reader struct {
-	Variables Variables // values of variables; nothing else has one
-	Version   string    // of the HAProxy that the files were written for; empty: not told
-	files     Config
-	section   *Section
-	lost      string // why it can't be told in which section a line stands
-	ifs       []branch
+	Variables      Variables // the values of variables; a variable that is not in it has no value
+	Version        string    // the HAProxy version that the files were written for; empty: unknown
+	config         Config
+	section        *Section // the section of the current line
+	unknownSection string   // why the section of the current line is unknown; empty: it is known
+	branches       []branch // the open .if blocks, innermost last
 }
 
-// A branch is an open .if.
+// A branch is the current branch of an open .if block.
 type branch struct {
-	place Position
-	taken truth // whether a branch before this one was taken
-	now   truth // whether this one is
-	why   string
+	position Position   // of the .if
+	taken    truthValue // whether any branch of the block was taken so far, this one included
+	active   truthValue // whether this branch is taken
+	reason   string     // why active is unknown
 }
 
-// ReadPaths reads files, and of a folder its files that end in .cfg, in the order of their names.
+// ReadPaths reads files and directories. Of a directory it reads the files that end in .cfg, sorted by name.
 func (r *Reader) ReadPaths(paths ...string) (*Config, error) {
 	for _, path := range paths {
 		info, err := os.Stat(path)
@@ -140,7 +143,7 @@
 				return nil, err
 			}
 			if len(names) == 0 {
-				return nil, &SyntaxError{Position{File: path, Line: 1}, "a folder without a file that ends in .cfg"}
+				return nil, &SyntaxError{Position{File: path, Line: 1}, "the directory has no file that ends in .cfg"}
 			}
 			slices.Sort(names)
 		}
@@ -157,31 +160,31 @@
 	return r.Finish()
 }
 
-// Read takes one more input. Sections do not reach over the end of an input.
+// Read reads one more input. A section ends at the end of its input.
 func (r *Reader) Read(name string, text []byte) error {
-	r.section, r.lost = nil, ""
-	first := len(r.files.Sections)
+	r.section, r.unknownSection = nil, ""
+	first := len(r.config.Sections)
 	text = bytes.TrimPrefix(text, []byte("\xef\xbb\xbf"))
 	for n := 1; len(text) > 0; n++ {
 		line, rest, _ := bytes.Cut(text, []byte("\n"))
 		text = rest
 		line = bytes.TrimSuffix(line, []byte("\r"))
-		if err := r.line(string(line), Position{File: name, Line: n}); err != nil {
+		if err := r.readLine(string(line), Position{File: name, Line: n}); err != nil {
 			return err
 		}
 	}
-	if len(r.ifs) > 0 {
-		return &SyntaxError{r.ifs[len(r.ifs)-1].place, "this .if has no .endif"}
+	if len(r.branches) > 0 {
+		return &SyntaxError{r.branches[len(r.branches)-1].position, "this .if has no .endif"}
 	}
-	if len(r.files.Sections) == first && len(r.files.Lines) > 0 && r.meant(name) {
-		return &SyntaxError{Position{File: name, Line: 1}, "no section of a HAProxy configuration in it"}
+	if len(r.config.Sections) == first && len(r.config.Lines) > 0 && r.hasWords(name) {
+		return &SyntaxError{Position{File: name, Line: 1}, "the file contains no section of a HAProxy configuration"}
 	}
 	return nil
 }
 
-// meant tells whether an input has any line that means something.
-func (r *Reader) meant(name string) bool {
-	for _, l := range r.files.Lines {
+// hasWords reports whether an input has a line that is neither blank nor a comment.
+func (r *Reader) hasWords(name string) bool {
+	for _, l := range r.config.Lines {
 		if l.File == name && len(l.Words) > 0 {
 			return true
 		}
@@ -189,26 +192,26 @@
 	return false
 }
 
-// Finish returns what was read.
+// Finish returns the configuration that was read.
 func (r *Reader) Finish() (*Config, error) {
-	if len(r.files.Sections) == 0 {
-		return nil, &SyntaxError{Position{File: "input", Line: 1}, "nothing that is a HAProxy configuration"}
+	if len(r.config.Sections) == 0 {
+		return nil, &SyntaxError{Position{File: "input", Line: 1}, "the input contains no HAProxy configuration"}
 	}
-	return &r.files, nil
+	return &r.config, nil
 }
 
-func (r *Reader) line(text string, at Position) error {
+func (r *Reader) readLine(text string, at Position) error {
 	l := &Line{Position: at}
-	r.files.Lines = append(r.files.Lines, l)
-	// In a branch that is not taken HAProxy looks at nothing but the words that end it.
-	if r.now() == no && !strings.HasPrefix(strings.TrimLeft(text, " \t"), ".") {
+	r.config.Lines = append(r.config.Lines, l)
+	// In a branch that is not taken, HAProxy evaluates only the directives of conditional blocks.
+	if r.branchState() == no && !strings.HasPrefix(strings.TrimLeft(text, " \t"), ".") {
 		l.MarkIgnored("in a branch that is not taken")
 		return nil
 	}
 	var err *SyntaxError
-	if l.Words, l.UnsetVariables, err = split(text, at, r.Variables); err != nil {
+	if l.Words, l.UnsetVariables, err = splitWords(text, at, r.Variables); err != nil {
 		if !utf8.ValidString(text) && r.section == nil {
-			err.Message += "; and bytes that are no text: this is no configuration"
+			err.Message += "; the line is not valid UTF-8 either, so the input is no configuration"
 		}
 		return err
 	}
@@ -217,42 +220,42 @@
 		return nil
 	}
 	if strings.HasPrefix(l.Words[0].Text, ".") {
-		return r.directive(l)
+		return r.readDirective(l)
 	}
-	switch state := r.now(); {
+	switch state := r.branchState(); {
 	case state == no:
 		l.MarkIgnored("in a branch that is not taken")
 		return nil
 	case state == unknown:
-		l.MarkSkipped("", "whether this branch is taken can't be told: "+r.whyNow(), "say so, or take the branch out of the file")
+		l.MarkSkipped("", "it is unknown whether this branch is taken: "+r.unknownBranchReason(), "pass --env or --haproxy-version if the condition needs them, or remove the branch from the file")
 		if slices.Contains(KnownSections, l.Words[0].Text) {
-			r.section, r.lost = nil, fmt.Sprintf("the section that begins in %v may or may not be there", l.Position)
+			r.section, r.unknownSection = nil, fmt.Sprintf("it is unknown whether the section that begins at %v is part of the configuration", l.Position)
 		}
 		return nil
 	}
 	word := l.Words[0].Text
-	if slices.Contains(KnownSections, word) || r.section == nil && r.lost == "" {
-		return r.head(l)
+	if slices.Contains(KnownSections, word) || r.section == nil && r.unknownSection == "" {
+		return r.beginSection(l)
 	}
-	if r.lost != "" {
-		l.MarkSkipped("", r.lost, "take the branch out of the file")
+	if r.unknownSection != "" {
+		l.MarkSkipped("", r.unknownSection, "remove the branch from the file")
 		return nil
 	}
 	r.section.Lines = append(r.section.Lines, l)
 	return nil
 }
 
-// head begins a section.
-func (r *Reader) head(l *Line) error {
+// beginSection begins the section whose head is the given line.
+func (r *Reader) beginSection(l *Line) error {
 	kind := l.Words[0].Text
 	at := l.Position
 	at.Col = l.Words[0].Col
 	if !slices.Contains(KnownSections, kind) {
-		return &SyntaxError{at, fmt.Sprintf("%q stands in no section: this is no HAProxy configuration, or its first section is of a kind that is not known here", kind)}
+		return &SyntaxError{at, fmt.Sprintf("%q is outside of any section: the input is no HAProxy configuration, or its first section is of an unknown kind", kind)}
 	}
 	if len(l.UnsetVariables) > 0 {
-		r.section, r.lost = nil, fmt.Sprintf("the section in line %d has a name with variables that have no value: %s", l.Line, strings.Join(l.UnsetVariables, ", "))
-		l.MarkSkipped("", r.lost, "pass --env NAME=VALUE")
+		r.section, r.unknownSection = nil, fmt.Sprintf("the name of the section at line %d contains variables without a value: %s", l.Line, strings.Join(l.UnsetVariables, ", "))
+		l.MarkSkipped("", r.unknownSection, "pass --env NAME=VALUE")
 		return nil
 	}
 	s := &Section{Kind: kind, Head: l}
@@ -267,90 +270,92 @@
 	if s.Name == "" && slices.Contains([]string{"frontend", "backend", "listen"}, kind) {
 		return &SyntaxError{at, kind + " without a name"}
 	}
-	r.files.Sections = append(r.files.Sections, s)
-	r.section, r.lost = s, ""
+	r.config.Sections = append(r.config.Sections, s)
+	r.section, r.unknownSection = s, ""
 	return nil
 }
 
-// now tells whether lines are read.
-func (r *Reader) now() truth {
+// branchState reports whether the current line is part of the configuration: no if any open branch is not
+// taken, unknown if any is unknown.
+func (r *Reader) branchState() truthValue {
 	t := yes
-	for _, b := range r.ifs {
-		if b.now == no {
+	for _, b := range r.branches {
+		if b.active == no {
 			return no
 		}
-		if b.now == unknown {
+		if b.active == unknown {
 			t = unknown
 		}
 	}
 	return t
 }
 
-func (r *Reader) whyNow() string {
-	for _, b := range r.ifs {
-		if b.now == unknown {
-			return b.why
+// unknownBranchReason returns the reason of the outermost open branch that is unknown.
+func (r *Reader) unknownBranchReason() string {
+	for _, b := range r.branches {
+		if b.active == unknown {
+			return b.reason
 		}
 	}
 	return ""
 }
 
-// directive carries out a line that begins with a dot.
-func (r *Reader) directive(l *Line) error {
+// readDirective processes a line that begins with a dot.
+func (r *Reader) readDirective(l *Line) error {
 	at := l.Position
 	at.Col = l.Words[0].Col
 	word := l.Words[0].Text
-	top := len(r.ifs) - 1
+	top := len(r.branches) - 1
 	if top < 0 && (word == ".elif" || word == ".else" || word == ".endif") {
 		return &SyntaxError{at, word + " without .if"}
 	}
-	test := func() (truth, string, error) {
+	evaluateLine := func() (truthValue, string, error) {
 		if len(l.UnsetVariables) > 0 {
 			return unknown, "variables without a value: " + strings.Join(l.UnsetVariables, ", "), nil
 		}
-		t, why, err := evaluate(l.JoinFrom(1), r.Variables, r.Version)
+		t, reason, err := evaluate(l.JoinFrom(1), r.Variables, r.Version)
 		if err != nil {
 			return t, "", &SyntaxError{at, fmt.Sprintf("%s: %v", word, err)}
 		}
-		return t, why, nil
+		return t, reason, nil
 	}
 	switch word {
 	case ".if":
-		if len(r.ifs) >= depthMost {
-			return &SyntaxError{at, fmt.Sprintf(".if within .if deeper than %d", depthMost)}
+		if len(r.branches) >= maxDepth {
+			return &SyntaxError{at, fmt.Sprintf(".if blocks are nested deeper than %d", maxDepth)}
 		}
-		b := branch{place: at}
-		if r.now() != no { // in a branch that is not taken, nothing is asked
+		b := branch{position: at}
+		if r.branchState() != no { // the condition is not evaluated in a branch that is not taken
 			var err error
-			if b.now, b.why, err = test(); err != nil {
+			if b.active, b.reason, err = evaluateLine(); err != nil {
 				return err
 			}
 		}
-		b.taken = b.now
-		r.ifs = append(r.ifs, b)
+		b.taken = b.active
+		r.branches = append(r.branches, b)
 	case ".elif", ".else":
-		b := &r.ifs[top]
-		t, why := yes, ""
-		outer := r.ifs
-		r.ifs = r.ifs[:top]
-		dead := r.now() == no
-		r.ifs = outer
-		if word == ".elif" && b.taken != yes && !dead {
+		b := &r.branches[top]
+		t, reason := yes, ""
+		all := r.branches
+		r.branches = r.branches[:top]
+		outerInactive := r.branchState() == no
+		r.branches = all
+		if word == ".elif" && b.taken != yes && !outerInactive {
 			var err error
-			if t, why, err = test(); err != nil {
+			if t, reason, err = evaluateLine(); err != nil {
 				return err
 			}
 		}
 		switch {
-		case b.taken == yes || t == no || dead:
-			b.now = no
+		case b.taken == yes || t == no || outerInactive:
+			b.active = no
 		case b.taken == unknown || t == unknown:
-			b.now = unknown
-			if why != "" {
-				b.why = why
+			b.active = unknown
+			if reason != "" {
+				b.reason = reason
 			}
 		default:
-			b.now = yes
+			b.active = yes
 		}
 		if t == yes && b.taken == no {
 			b.taken = yes
@@ -358,18 +363,18 @@
 			b.taken = unknown
 		}
 	case ".endif":
-		r.ifs = r.ifs[:top]
+		r.branches = r.branches[:top]
 	case ".alert":
-		if r.now() == yes {
-			l.MarkSkipped("", "HAProxy refuses to start here: "+l.JoinFrom(1), "the rest is read as if it did not")
+		if r.branchState() == yes {
+			l.MarkSkipped("", "HAProxy refuses to start here: "+l.JoinFrom(1), "the importer reads the rest of the configuration as if this line were not there")
 			return nil
 		}
 	case ".notice", ".warning", ".diag":
 	default:
-		if r.now() != no {
+		if r.branchState() != no {
 			return &SyntaxError{at, fmt.Sprintf("unknown directive %q", word)}
 		}
 	}
-	l.MarkIgnored("a directive of the conditional blocks")
+	l.MarkIgnored("directive of a conditional block")
 	return nil
 }
--- a/internal/haproxy/reader_test.go
+++ b/internal/haproxy/reader_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func TestWords(t *testing.T) {
+func TestSplitWords(t *testing.T) {
 	env := Variables{"A": "one two", "E": "", "B": "3"}
 	for _, x := range []struct {
 		line string
@@ -28,7 +28,7 @@
 		{`"" ''`, "|"},
 		{`a\qb`, `a\qb`},
 		{`a\`, `a\`},
-		{`$A`, "$A"}, // outside weak quotes it stands for itself
+		{`$A`, "$A"}, // variables are replaced only within weak quotes
 		{`"$A"`, "one two"},
 		{`"${A}x"`, "one twox"},
 		{`"${A[*]}"`, "one|two"},
@@ -38,65 +38,65 @@
 		{`"\$A"`, "$A"},
 		{`"a${E}b"`, "ab"},
 	} {
-		words, missing, err := split(x.line, Position{}, env)
+		words, unset, err := splitWords(x.line, Position{}, env)
 		var got []string
 		for _, w := range words {
 			got = append(got, w.Text)
 		}
-		if err != nil || len(missing) > 0 || strings.Join(got, "|") != x.want {
-			t.Errorf("%s: %q, missing %v, %v", x.line, got, missing, err)
+		if err != nil || len(unset) > 0 || strings.Join(got, "|") != x.want {
+			t.Errorf("%s: split into %q, unset variables %v, error %v", x.line, got, unset, err)
 		}
 	}
-	if words, _, _ := split(`  ab "c d" e`, Position{}, nil); words[0].Col != 3 || words[1].Col != 6 || words[2].Col != 12 {
-		t.Errorf("%+v", words)
+	if words, _, _ := splitWords(`  ab "c d" e`, Position{}, nil); words[0].Col != 3 || words[1].Col != 6 || words[2].Col != 12 {
+		t.Errorf("words with wrong columns: %+v", words)
 	}
-	if _, missing, _ := split(`"$NOT and ${NEITHER}"`, Position{}, nil); len(missing) != 2 {
-		t.Error(missing)
+	if _, unset, _ := splitWords(`"$NOT and ${NEITHER}"`, Position{}, nil); len(unset) != 2 {
+		t.Error(unset)
 	}
 	for line, col := range map[string]int{`a "b`: 3, `a 'b`: 3, `a "b'`: 3, `\x4`: 1, `\xzz`: 1, `"${A`: 2, `"$"`: 2, "a\x00": 2} {
-		if _, _, err := split(line, Position{File: "f", Line: 1}, env); err == nil || err.Col != col {
-			t.Errorf("%q: %v, wants column %d", line, err, col)
+		if _, _, err := splitWords(line, Position{File: "f", Line: 1}, env); err == nil || err.Col != col {
+			t.Errorf("%q: got error %v, want one at column %d", line, err, col)
 		}
 	}
 }
 
-func TestConditions(t *testing.T) {
+func TestEvaluateConditions(t *testing.T) {
 	env := Variables{"SET": "x", "EMPTY": ""}
-	for text, want := range map[string]truth{
+	for text, want := range map[string]truthValue{
 		"1": yes, "0": no, "": no, "-3": yes, "!0": yes, "!!1": yes, "(1)": yes, "1 && 0": no, "1 || 0": yes, "0 && 0 || 1": yes, "0 && (0 || 1)": no,
 		"defined(SET)": yes, "defined(EMPTY)": yes, "defined(HOME)": no, "streq(a,a)": yes, "streq(a, b)": no, "strneq(a,b)": yes, "strstr(abc,b)": yes,
 		"version_atleast(2.8)": yes, "version_atleast(2.10)": no, "version_before(3.0)": yes, "version_atleast(2.9-dev3)": yes,
 		"feature(OPENSSL)": unknown, "feature(X) && 0": no, "feature(X) || 1": yes, "!feature(X)": unknown, "whatever(1)": unknown,
 	} {
 		if got, _, err := evaluate(text, env, "2.9"); got != want || err != nil {
-			t.Errorf("%s: %v, not %v (%v)", text, got, want, err)
+			t.Errorf("%s: got %v, want %v (error %v)", text, got, want, err)
 		}
 	}
-	if got, why, _ := evaluate("version_atleast(2.4)", nil, ""); got != unknown || !strings.Contains(why, "--haproxy-version") {
-		t.Error(got, why)
+	if got, reason, _ := evaluate("version_atleast(2.4)", nil, ""); got != unknown || !strings.Contains(reason, "--haproxy-version") {
+		t.Error(got, reason)
 	}
 	for _, text := range []string{"(1", "1 1", "bare", "streq(a)", "defined(", "&& 1", strings.Repeat("(", 100)} {
 		if _, _, err := evaluate(text, nil, ""); err == nil {
-			t.Errorf("%s: no error", text)
+			t.Errorf("%s: evaluated without an error", text)
 		}
 	}
 }
 
-func TestUnits(t *testing.T) {
+func TestParseDuration(t *testing.T) {
 	for text, want := range map[string]time.Duration{"0": 0, "5": 5 * time.Millisecond, "5s": 5 * time.Second, "1500us": 1500 * time.Microsecond, "2m": 2 * time.Minute,
 		"1h": time.Hour, "2d": 48 * time.Hour, "2147483647": 2147483647 * time.Millisecond} {
-		if got, err := span(text); got != want || err != nil {
-			t.Errorf("%s: %v, %v", text, got, err)
+		if got, err := parseDuration(text); got != want || err != nil {
+			t.Errorf("%s: parsed as %v, error %v", text, got, err)
 		}
 	}
 	for _, text := range []string{"", "s", "5x", "-1", "1.5s", "25d", "99999999999999999999", "500us", "2147483648"} {
-		if got, err := span(text); err == nil {
-			t.Errorf("%s: %v", text, got)
+		if got, err := parseDuration(text); err == nil {
+			t.Errorf("%s: got %v, want an error", text, got)
 		}
 	}
 }
 
-func TestAddresses(t *testing.T) {
+func TestParseAddress(t *testing.T) {
 	for text, want := range map[string]Address{
 		"10.0.0.1:80": {Host: "10.0.0.1", FirstPort: 80, LastPort: 80}, "[::1]:80": {Host: "::1", FirstPort: 80, LastPort: 80}, "::1:80": {Host: "::1", FirstPort: 80, LastPort: 80},
 		"ipv6@[fe80::1]:9": {Host: "fe80::1", FirstPort: 9, LastPort: 9}, "ipv4@a.b:1": {Host: "a.b", FirstPort: 1, LastPort: 1}, ":8000-8010": {FirstPort: 8000, LastPort: 8010},
@@ -104,19 +104,19 @@
 		"a:+100": {Host: "a", Kind: PortOffset}, "a:-100": {Host: "a", Kind: PortOffset}, "/run/x": {Kind: LocalSocket}, "unix@/run/x": {Kind: LocalSocket},
 		"abns@x": {Kind: LocalSocket}, "quic4@:443": {Kind: OtherFamily},
 	} {
-		if got, err := address(text); got != want || err != nil {
-			t.Errorf("%s: %+v, %v", text, got, err)
+		if got, err := parseAddress(text); got != want || err != nil {
+			t.Errorf("%s: parsed as %+v, error %v", text, got, err)
 		}
 	}
 	for _, text := range []string{"a:0", "a:65536", "a:b", "a:80-70", "a:99999999999999"} {
-		if got, err := address(text); err == nil {
-			t.Errorf("%s: %+v", text, got)
+		if got, err := parseAddress(text); err == nil {
+			t.Errorf("%s: got %+v, want an error", text, got)
 		}
 	}
 }
 
-// read reads one text and returns what became of each line.
-func read(t *testing.T, text string, env Variables) (*Config, error) {
+// readText reads a configuration from one text.
+func readText(t *testing.T, text string, env Variables) (*Config, error) {
 	t.Helper()
 	r := Reader{Variables: env}
 	if err := r.Read("t.cfg", []byte(text)); err != nil {
@@ -126,7 +126,7 @@
 }
 
 func TestConditionalBlocks(t *testing.T) {
-	f, err := read(t, `global
+	f, err := readText(t, `global
 .if defined(A)
  a
 .if defined(B)
@@ -155,30 +155,31 @@
 			got[l.Words[0].Text], _ = l.Outcome()
 		}
 	}
-	// a, c and h are for the mapping; f and g can't be told; the others were not even taken apart.
+	// The section has the lines a, c and h. It is unknown whether f and g are part of it, because of feature(X). The
+	// other branches are not taken, so their lines were not split into words.
 	if len(f.Sections[0].Lines) != 3 || f.Sections[0].Lines[1].WordAt(0) != "c" || got["f"] != Skipped || got["g"] != Skipped {
-		t.Errorf("%v, %d lines", got, len(f.Sections[0].Lines))
+		t.Errorf("outcomes %v, %d lines in the section", got, len(f.Sections[0].Lines))
 	}
 	for text, want := range map[string]string{".endif": "t.cfg:2:1: .endif without .if", ".if 1\n": "t.cfg:2:1: this .if has no .endif",
 		".if (": "t.cfg:2:1: .if:", ".what": "unknown directive", ".else": ".else without"} {
-		if _, err := read(t, "global\n"+text, nil); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
+		if _, err := readText(t, "global\n"+text, nil); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: wrong error or none: %v", text, err)
 		}
 	}
 }
 
-func TestUnreadableInputsAreNamed(t *testing.T) {
+func TestSyntaxErrorsNameTheirPosition(t *testing.T) {
 	for text, want := range map[string]string{
-		"hello world\n":                      `t.cfg:1:1: "hello" stands in no section`,
+		"hello world\n":                      `t.cfg:1:1: "hello" is outside of any section`,
 		"{\"json\": true}\n":                 "t.cfg:1",
-		"global\n log \"never ends\n":        "t.cfg:2:6: the quote that opens here never ends",
+		"global\n log \"never ends\n":        "t.cfg:2:6: the quote that opens here is never closed",
 		"frontend\n":                         "t.cfg:1:1: frontend without a name",
 		"\x7fELF\x00\x01\x02":                "no configuration",
-		"# nothing\n":                        "nothing that is a HAProxy configuration",
-		"":                                   "nothing that is a HAProxy configuration",
-		"backend b from none\n server a b:1": "", // found when meaning is worked out
+		"# nothing\n":                        "the input contains no HAProxy configuration",
+		"":                                   "the input contains no HAProxy configuration",
+		"backend b from none\n server a b:1": "", // reported by Proxies, below
 	} {
-		_, err := read(t, text, nil)
+		_, err := readText(t, text, nil)
 		var u *SyntaxError
 		if want == "" {
 			if err != nil {
@@ -187,16 +188,16 @@
 			continue
 		}
 		if !errors.As(err, &u) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, wants %s", text, err, want)
+			t.Errorf("%q: got error %v, want %s", text, err, want)
 		}
 	}
-	f, _ := read(t, "backend b from none\n server a b:1", nil)
+	f, _ := readText(t, "backend b from none\n server a b:1", nil)
 	if _, err := f.Proxies(); err == nil || !strings.Contains(err.Error(), "t.cfg:1") {
 		t.Error(err)
 	}
 }
 
-func TestFolderInOrder(t *testing.T) {
+func TestDirectoryIsReadInNameOrder(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{"2.cfg": "backend two\r\n server b b:2\r\n", "1.cfg": "\xef\xbb\xbfbackend one\n\tserver a a:1", "no.txt": "what"} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
@@ -209,12 +210,12 @@
 		t.Fatal(f, err)
 	}
 	if _, err := (&Reader{}).ReadPaths(t.TempDir()); err == nil {
-		t.Error("an empty folder is read")
+		t.Error("an empty directory was read without an error")
 	}
 }
 
-func TestInheritance(t *testing.T) {
-	f, err := read(t, `defaults one
+func TestDefaultsAreInherited(t *testing.T) {
+	f, err := readText(t, `defaults one
  timeout connect 1s
  retries 5
  option redispatch
@@ -240,22 +241,23 @@
 	}
 	a, b, c := p[0], p[1], p[2]
 	if a.Settings["timeout connect"].Args[0] != "1s" || a.Settings["retries"].Args[0] != "7" {
-		t.Error("a")
+		t.Error("backend a does not inherit from the defaults section that it names, or does not override it")
 	}
 	if c.Settings["timeout connect"].Args[0] != "1s" || !c.Settings["option redispatch"].Negated || a.Settings["option redispatch"].Negated {
-		t.Error("c", c.Settings)
+		t.Error("backend c does not inherit from defaults three, or \"no\" of three changed defaults one:", c.Settings)
 	}
 	if b.Settings["retries"].Args[0] != "5" || b.Settings["timeout connect"].Args[0] != "1s" {
-		t.Error("b has not the last defaults")
+		t.Error("backend b does not inherit from the last defaults section above it")
 	}
 	if x, y := c.Servers[0], c.Servers[1]; x.Options["weight"].Arg() != "7" || x.Options["maxconn"].Arg() != "9" || y.Options["weight"].Arg() != "5" || y.Options["maxconn"].Arg() != "10" {
-		t.Error("servers", c.Servers[0].Options, c.Servers[1].Options)
+		t.Error("wrong options of servers after default-server:", c.Servers[0].Options, c.Servers[1].Options)
 	}
 }
 
-// A line of two million bytes is read in time.
-func TestLongLine(t *testing.T) {
-	f, err := read(t, "global\n log "+strings.Repeat("word ", 400_000)+"\n", nil)
+// A line of 2 million bytes is split into its words. The test guards against a splitter whose time grows with
+// the square of the length, which would not end in time.
+func TestLongLineIsRead(t *testing.T) {
+	f, err := readText(t, "global\n log "+strings.Repeat("word ", 400_000)+"\n", nil)
 	if err != nil || len(f.Sections[0].Lines[0].Words) != 400_001 {
 		t.Fatal(err)
 	}
--- a/internal/haproxy/token.go
+++ b/internal/haproxy/token.go
@@ -1,6 +1,7 @@
-// Package haproxy reads HAProxy's configuration as its configuration manual describes it (versions 2.x and
-// 3.x): words, conditional blocks, sections, and what a proxy's settings are once defaults are inherited. It
-// looks at nothing but the text that it is given: no environment, no names, no addresses of the machine.
+// Package haproxy parses HAProxy configurations as the configuration manual describes them (versions 2.x and
+// 3.x): words, conditional blocks, sections, and the settings of each proxy after inheritance from defaults
+// sections. It reads only the text and the variables that it is given: it does not read the environment,
+// resolve names or look up addresses of the local machine.
 package haproxy
 
 import (
@@ -8,7 +9,8 @@
 	"strings"
 )
 
-// A Position is where something stands; lines and columns count from 1, columns in bytes.
+// A Position locates a text in an input; lines and columns count from 1, columns in bytes. Col 0 denotes the
+// whole line.
 type Position struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
@@ -22,7 +24,7 @@
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col)
 }
 
-// A SyntaxError is a text that HAProxy would not read either.
+// A SyntaxError reports an input that HAProxy would reject as well.
 type SyntaxError struct {
 	Position
 	Message string
@@ -30,36 +32,36 @@
 
 func (u *SyntaxError) Error() string { return u.Position.String() + ": " + u.Message }
 
-// A Word is one word of a line, after quotes, escapes and variables.
+// A Word is one word of a line, with quotes, escapes and variables already resolved.
 type Word struct {
 	Text string
 	Col  int
 }
 
-// Variables holds the values of variables; nothing else is looked up.
+// Variables maps the names of variables to their values. No other source of values is consulted.
 type Variables map[string]string
 
-// split takes a line apart (section 2.2 of the manual): words end at spaces and tabs; # begins a comment; a
-// backslash takes the meaning from what follows it, except within strong quotes ('...'), where all stands
-// for itself; variables are replaced within weak quotes ("...") alone. Missing are the variables that have
-// neither a value nor a default.
-func split(line string, at Position, env Variables) (words []Word, missing []string, err *SyntaxError) {
+// splitWords splits a line into words (section 2.2 of the manual). Spaces and tabs separate words, and #
+// begins a comment. A backslash escapes the next character, except within strong quotes ('...'), where every
+// character is literal. Variables are replaced only within weak quotes ("..."). It also returns the variables
+// that have neither a value nor a default.
+func splitWords(line string, at Position, env Variables) (words []Word, unset []string, err *SyntaxError) {
 	var b strings.Builder
-	in, begun, start := byte(0), false, 0 // the quote that is open, and where
-	quote := 0
-	begin := func(i int) {
-		if !begun {
-			begun, start = true, i
+	openQuote, inWord, wordStart := byte(0), false, 0
+	quoteStart := 0
+	beginWord := func(i int) {
+		if !inWord {
+			inWord, wordStart = true, i
 		}
 	}
-	end := func() {
-		if begun {
-			words = append(words, Word{b.String(), start + 1})
+	endWord := func() {
+		if inWord {
+			words = append(words, Word{b.String(), wordStart + 1})
 			b.Reset()
-			begun = false
+			inWord = false
 		}
 	}
-	wrong := func(i int, format string, args ...any) ([]Word, []string, *SyntaxError) {
+	fail := func(i int, format string, args ...any) ([]Word, []string, *SyntaxError) {
 		at.Col = i + 1
 		return nil, nil, &SyntaxError{at, fmt.Sprintf(format, args...)}
 	}
@@ -67,49 +69,49 @@
 		c := line[i]
 		switch {
 		case c == 0:
-			return wrong(i, "a zero byte: this is no configuration")
-		case in == '\'':
+			return fail(i, "the line contains a NUL byte, so the input is no configuration")
+		case openQuote == '\'':
 			if c == '\'' {
-				in = 0
+				openQuote = 0
 			} else {
 				b.WriteByte(c)
 			}
 		case c == '"':
-			begin(i)
-			if in == '"' {
-				in = 0
+			beginWord(i)
+			if openQuote == '"' {
+				openQuote = 0
 			} else {
-				in, quote = '"', i
+				openQuote, quoteStart = '"', i
 			}
-		case c == '\'' && in == 0:
-			begin(i)
-			in, quote = '\'', i
+		case c == '\'' && openQuote == 0:
+			beginWord(i)
+			openQuote, quoteStart = '\'', i
 		case c == '\\':
-			begin(i)
-			n, text, ok := escape(line[i:], in == '"')
+			beginWord(i)
+			n, text, ok := parseEscape(line[i:], openQuote == '"')
 			if !ok {
-				return wrong(i, "\\x wants two hexadecimal digits")
+				return fail(i, "\\x must be followed by two hexadecimal digits")
 			}
 			b.WriteString(text)
 			i += n - 1
-		case c == '$' && in == '"':
-			v, n, problem := variable(line[i:])
+		case c == '$' && openQuote == '"':
+			v, n, problem := parseVariable(line[i:])
 			if problem != "" {
-				return wrong(i, "%s", problem)
+				return fail(i, "%s", problem)
 			}
 			value, known := env[v.name]
 			switch {
 			case known:
 			case v.hasDefault:
-				value = v.missing
+				value = v.defaultValue
 			default:
-				missing = append(missing, v.name)
+				unset = append(unset, v.name)
 			}
-			if v.array { // each of its words is one word
+			if v.array { // each field of the value becomes a separate word
 				for k, f := range strings.Fields(value) {
 					if k > 0 {
-						end()
-						begin(i)
+						endWord()
+						beginWord(i)
 					}
 					b.WriteString(f)
 				}
@@ -117,27 +119,28 @@
 				b.WriteString(value)
 			}
 			i += n - 1
-		case in == '"':
+		case openQuote == '"':
 			b.WriteByte(c)
 		case c == ' ' || c == '\t':
-			end()
+			endWord()
 		case c == '#':
-			end()
-			return words, missing, nil
+			endWord()
+			return words, unset, nil
 		default:
-			begin(i)
+			beginWord(i)
 			b.WriteByte(c)
 		}
 	}
-	if in != 0 {
-		return wrong(quote, "the quote that opens here never ends")
+	if openQuote != 0 {
+		return fail(quoteStart, "the quote that opens here is never closed")
 	}
-	end()
-	return words, missing, nil
+	endWord()
+	return words, unset, nil
 }
 
-// escape reads what begins with a backslash: how long it is and what it stands for.
-func escape(s string, weak bool) (n int, text string, ok bool) {
+// parseEscape parses an escape sequence, which begins with a backslash. It returns the length of the sequence
+// and the text that it denotes; ok is false for a malformed \x.
+func parseEscape(s string, weakQuotes bool) (n int, text string, ok bool) {
 	if len(s) < 2 {
 		return 1, `\`, true
 	}
@@ -154,20 +157,20 @@
 		if len(s) < 4 {
 			return 0, "", false
 		}
-		hi, lo := hex(s[2]), hex(s[3])
+		hi, lo := hexDigit(s[2]), hexDigit(s[3])
 		if hi < 0 || lo < 0 {
 			return 0, "", false
 		}
 		return 4, string([]byte{byte(hi<<4 | lo)}), true
 	case '$':
-		if weak {
+		if weakQuotes {
 			return 2, "$", true
 		}
 	}
-	return 1, `\`, true // it has no meaning of its own here
+	return 1, `\`, true // an unknown escape is a literal backslash
 }
 
-func hex(c byte) int {
+func hexDigit(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
 		return int(c - '0')
@@ -179,31 +182,33 @@
 	return -1
 }
 
-// A reference names a variable: $NAME, ${NAME}, ${NAME-default}, ${NAME[*]}.
-type reference struct {
-	name       string
-	array      bool
-	hasDefault bool
-	missing    string
+// A variableReference is one use of a variable: $NAME, ${NAME}, ${NAME-default} or ${NAME[*]}.
+type variableReference struct {
+	name         string
+	array        bool // [*]: each field of the value is a separate word
+	hasDefault   bool
+	defaultValue string
 }
 
-func nameByte(c byte) bool {
+func isNameByte(c byte) bool {
 	return c == '_' || c == '.' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 }
 
-func variable(s string) (r reference, n int, problem string) {
+// parseVariable parses a variable reference, which begins with $. It returns the length of the reference;
+// problem is empty unless the reference is malformed.
+func parseVariable(s string) (r variableReference, n int, problem string) {
 	brace := len(s) > 1 && s[1] == '{'
 	i := 1
 	if brace {
 		i = 2
 	}
-	from := i
-	for i < len(s) && nameByte(s[i]) {
+	nameStart := i
+	for i < len(s) && isNameByte(s[i]) {
 		i++
 	}
-	r.name = s[from:i]
+	r.name = s[nameStart:i]
 	if r.name == "" {
-		return r, 0, "$ without the name of a variable; write \\$ for the sign itself"
+		return r, 0, "$ is not followed by the name of a variable; write \\$ for a literal $"
 	}
 	if !brace {
 		return r, i, ""
@@ -214,15 +219,15 @@
 	}
 	if i < len(s) && s[i] == '-' {
 		r.hasDefault = true
-		close := strings.IndexByte(s[i:], '}')
-		if close < 0 {
-			return r, 0, "${ that never ends"
+		end := strings.IndexByte(s[i:], '}')
+		if end < 0 {
+			return r, 0, "${ is never closed"
 		}
-		r.missing = s[i+1 : i+close]
-		i += close
+		r.defaultValue = s[i+1 : i+end]
+		i += end
 	}
 	if i >= len(s) || s[i] != '}' {
-		return r, 0, "${ that never ends"
+		return r, 0, "${ is never closed"
 	}
 	return r, i + 1, ""
 }
--- a/internal/importer/diff.go
+++ b/internal/importer/diff.go
@@ -50,27 +50,27 @@
 // MergePrevious fills the blanks of an import with what the earlier file has, and tells what changed. What HAProxy
 // or the overlay say now stands over what the earlier file says; all else of it is kept.
 func (r *Result) MergePrevious(e *PreviousConfig) (changes []Change) {
-	was, is := e.tree.at("nodes"), r.tree.at("nodes")
+	was, is := e.tree.find("nodes"), r.tree.find("nodes")
 	for _, name := range is.keys {
-		now, before := is.kids[name], was.at(name)
+		now, before := is.children[name], was.find(name)
 		if before == nil {
-			changes = append(changes, Change{Node: name, What: "added", After: text(now.at("address"))})
+			changes = append(changes, Change{Node: name, What: "added", After: leafText(now.find("address"))})
 			continue
 		}
-		now.fill(before)
+		now.fillFrom(before)
 		for _, k := range now.keys {
-			if a, b := text(before.at(k)), text(now.at(k)); a != b {
+			if a, b := leafText(before.find(k)), leafText(now.find(k)); a != b {
 				changes = append(changes, Change{Node: name, What: k, Before: a, After: b})
 			}
 		}
 	}
 	for _, name := range was.keys {
-		if is.at(name) == nil {
-			changes = append(changes, Change{Node: name, What: "gone", Before: text(was.at(name, "address"))})
+		if is.find(name) == nil {
+			changes = append(changes, Change{Node: name, What: "gone", Before: leafText(was.find(name, "address"))})
 		}
 	}
-	nodes := r.tree.kids["nodes"]
-	delete(e.tree.kids, "nodes") // those that are gone do not come back
+	nodes := r.tree.children["nodes"]
+	delete(e.tree.children, "nodes") // those that are gone do not come back
 	kept := e.tree.keys[:0]
 	for _, k := range e.tree.keys {
 		if k != "nodes" {
@@ -78,13 +78,13 @@
 		}
 	}
 	e.tree.keys = kept
-	differ(e.tree, r.tree, "", &changes)
-	r.tree.fill(e.tree)
-	r.tree.kids["nodes"] = nodes
+	collectChanges(e.tree, r.tree, "", &changes)
+	r.tree.fillFrom(e.tree)
+	r.tree.children["nodes"] = nodes
 	for i := range r.Nodes { // what was filled in holds for the plan too
 		n := r.Nodes[i]
-		t := nodes.at(n.Node)
-		if c, err := strconv.Atoi(text(t.at("cell"))); err == nil {
+		t := nodes.find(n.Node)
+		if c, err := strconv.Atoi(leafText(t.find("cell"))); err == nil {
 			n.Cell, n.HasCell = c, true
 		}
 	}
@@ -92,25 +92,25 @@
 	return changes
 }
 
-// differ collects the leaves that both have and that differ.
-func differ(was, is *tree, path string, changes *[]Change) {
+// collectChanges collects the leaves that both have and that differ.
+func collectChanges(was, is *tree, path string, changes *[]Change) {
 	for _, k := range is.keys {
-		a, b := was.at(k), is.kids[k]
+		a, b := was.find(k), is.children[k]
 		key := k
 		if path != "" {
 			key = path + "." + k
 		}
 		switch {
-		case a == nil || b.blank() || a.blank():
-		case a.kids != nil && b.kids != nil:
-			differ(a, b, key, changes)
-		case a.kids == nil && b.kids == nil && a.leaf != b.leaf:
+		case a == nil || b.isBlank() || a.isBlank():
+		case a.children != nil && b.children != nil:
+			collectChanges(a, b, key, changes)
+		case a.children == nil && b.children == nil && a.leaf != b.leaf:
 			*changes = append(*changes, Change{What: key, Before: a.leaf, After: b.leaf})
 		}
 	}
 }
 
-func text(t *tree) string {
+func leafText(t *tree) string {
 	if t == nil {
 		return "nothing"
 	}
--- a/internal/importer/import.go
+++ b/internal/importer/import.go
@@ -29,27 +29,27 @@
 	tree        *tree
 }
 
-// A work is an import under way.
-type work struct {
-	files   *haproxy.Config
-	overlay *Overlay
-	proxies []*haproxy.Proxy
-	live    []*haproxy.Proxy // not disabled
-	serving []*haproxy.Proxy // of these, those with servers
-	fronts  []*haproxy.Proxy // of these, those with clients
-	nodes   []*Node
-	places  map[string]int // kinds of machines; 0: not known
-	kinds   []string
-	result  *Result
-	out     *tree
+// A importState is an import under way.
+type importState struct {
+	files       *haproxy.Config
+	overlay     *Overlay
+	proxies     []*haproxy.Proxy
+	enabled     []*haproxy.Proxy // not disabled
+	withServers []*haproxy.Proxy // of these, those with servers
+	withClients []*haproxy.Proxy // of these, those with clients
+	nodes       []*Node
+	maxSessions map[string]int // kinds of machines; 0: not known
+	kinds       []string
+	result      *Result
+	settings    *tree
 
-	used     []usedServer // whose words are still to be accounted for
-	noWarmup string       // why slowstart is not carried over
+	handled         []handledServer // whose words are still to be accounted for
+	slowstartReason string          // why slowstart is not carried over
 }
 
-type usedServer struct {
-	server *haproxy.Server
-	except string // a word that is accounted for
+type handledServer struct {
+	server   *haproxy.Server
+	reported string // a word that is accounted for
 }
 
 // Import carries over what has the same meaning here, and accounts for every line.
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &work{files: files, overlay: overlay, proxies: proxies, places: map[string]int{}, out: object(), result: &Result{Files: files}}
+	w := &importState{files: files, overlay: overlay, proxies: proxies, maxSessions: map[string]int{}, settings: newObject(), result: &Result{Files: files}}
 	for _, l := range files.Lines {
 		if len(l.UnsetVariables) > 0 && !l.HasOutcome() {
 			l.MarkSkipped("", "variables without a value: "+strings.Join(l.UnsetVariables, ", "), "pass --env NAME=VALUE, or give a default: ${NAME-default}")
@@ -66,29 +66,29 @@
 	}
 	for _, p := range proxies {
 		if p.Disabled {
-			w.leaveOut(p)
+			w.ignoreDisabled(p)
 			continue
 		}
-		w.live = append(w.live, p)
+		w.enabled = append(w.enabled, p)
 		if p.Kind != "backend" {
-			w.fronts = append(w.fronts, p)
+			w.withClients = append(w.withClients, p)
 		}
 		if p.ServesClients() && len(p.Servers) > 0 {
-			w.serving = append(w.serving, p)
+			w.withServers = append(w.withServers, p)
 		}
 	}
-	w.servers()
-	w.agreements()
-	w.doors()
-	w.rest()
-	w.suggest()
+	w.importServers()
+	w.importSharedSettings()
+	w.importListeners()
+	w.reportRemaining()
+	w.addSuggestions()
 	w.result.Nodes = w.nodes
-	w.result.tree = w.build()
+	w.result.tree = w.buildConfig()
 	return w.result, nil
 }
 
-// leaveOut accounts for a disabled proxy.
-func (w *work) leaveOut(p *haproxy.Proxy) {
+// ignoreDisabled accounts for a disabled proxy.
+func (w *importState) ignoreDisabled(p *haproxy.Proxy) {
 	for _, l := range append([]*haproxy.Line{p.Head}, p.Lines...) {
 		if !l.HasOutcome() {
 			l.MarkIgnored("the proxy is disabled: HAProxy leaves it out")
@@ -96,10 +96,10 @@
 	}
 }
 
-// servers makes nodes of servers.
-func (w *work) servers() {
+// importServers makes nodes of servers.
+func (w *importState) importServers() {
 	names := map[string]int{}
-	for _, p := range w.serving {
+	for _, p := range w.withServers {
 		for _, s := range p.Servers {
 			if !s.Template {
 				names[s.Name]++
@@ -108,14 +108,14 @@
 	}
 	byAddress := map[string]*Node{}
 	byName := map[string]bool{}
-	for _, p := range w.serving {
+	for _, p := range w.withServers {
 		drained, all := 0, 0
 		const manyNodes = 8 // of one line: then they are named by their first and last
 		for _, s := range p.Servers {
 			if s.Line.HasOutcome() {
 				continue
 			}
-			entries, ok := w.entries(p, s, names)
+			entries, ok := w.nodesOf(p, s, names)
 			if !ok {
 				continue
 			}
@@ -129,7 +129,7 @@
 					continue
 				}
 				if first := byAddress[n.Address]; first != nil {
-					w.again(s, n, first)
+					w.reportDuplicate(s, n, first)
 					continue
 				}
 				byName[n.Node] = true
@@ -149,7 +149,7 @@
 		}
 	}
 	for _, p := range w.proxies {
-		if p.Disabled || slices.Contains(w.serving, p) {
+		if p.Disabled || slices.Contains(w.withServers, p) {
 			continue
 		}
 		for _, s := range p.Servers {
@@ -160,8 +160,8 @@
 	}
 }
 
-// again is a server whose address a node has already.
-func (w *work) again(s *haproxy.Server, n, first *Node) {
+// reportDuplicate is a server whose address a node has already.
+func (w *importState) reportDuplicate(s *haproxy.Server, n, first *Node) {
 	if n.State == first.State && n.Weight == first.Weight && n.MachineKind == first.MachineKind {
 		s.Line.MarkCarried("server "+n.Node, "nodes."+first.Node+" (the same address)")
 		return
@@ -170,18 +170,18 @@
 		first.server.Line.Position), "make the two lines agree, or set the node by hand")
 }
 
-// entries are the nodes of a server's line, one for each number of a template; ok is false where it makes
+// nodesOf are the nodes of a server's line, one for each number of a template; ok is false where it makes
 // none, which is noted.
-func (w *work) entries(p *haproxy.Proxy, s *haproxy.Server, names map[string]int) (all []*Node, ok bool) {
+func (w *importState) nodesOf(p *haproxy.Proxy, s *haproxy.Server, names map[string]int) (all []*Node, ok bool) {
 	l := s.Line
 	if o, is := s.Options["backup"]; is {
-		row := lookup("server", "backup")
+		row := lookupKeyword("server", "backup")
 		l.MarkSkipped(o.Name, row.Reason, row.Advice)
 		return nil, false
 	}
 	if _, is := s.Options["disabled"]; is {
 		l.MarkCarried("disabled", "nodes (left out)")
-		w.used = append(w.used, usedServer{s, "disabled"})
+		w.handled = append(w.handled, handledServer{s, "disabled"})
 		return nil, false
 	}
 	weight, _, given, err := s.Int("weight", 0, 256)
@@ -205,7 +205,7 @@
 	if given && most > 0 {
 		kind = "places-" + strconv.Itoa(most)
 	}
-	one := func(name string, place place) bool {
+	one := func(name string, place serverPlacement) bool {
 		at := s.Address
 		if !utf8.ValidString(name + s.AddressText + place.address) {
 			// What is no text has no place in the result, where different bytes would read the same.
@@ -240,12 +240,12 @@
 		if place.cell >= 0 {
 			n.Cell, n.HasCell = place.cell, true
 		}
-		if _, known := w.places[n.MachineKind]; !known {
-			w.places[n.MachineKind] = 0
+		if _, known := w.maxSessions[n.MachineKind]; !known {
+			w.maxSessions[n.MachineKind] = 0
 			w.kinds = append(w.kinds, n.MachineKind)
 		}
 		if n.MachineKind == kind {
-			w.places[kind] = most
+			w.maxSessions[kind] = most
 		}
 		all = append(all, n)
 		return true
@@ -255,14 +255,14 @@
 		name = p.Name + "." + s.Name
 	}
 	if !s.Template {
-		if !one(name, w.overlay.of(p.Name, s.Name)) {
+		if !one(name, w.overlay.placementOf(p.Name, s.Name)) {
 			return nil, false
 		}
 	} else {
 		made := 0
 		for i := s.FirstNumber; i <= s.LastNumber; i++ {
 			number := s.Name + strconv.Itoa(i)
-			place := w.overlay.of(p.Name, number)
+			place := w.overlay.placementOf(p.Name, number)
 			if place.address == "" {
 				continue
 			}
@@ -271,59 +271,59 @@
 			}
 		}
 		if blank := s.LastNumber - s.FirstNumber + 1 - made; blank > 0 {
-			row := lookup("proxy", "server-template")
+			row := lookupKeyword("proxy", "server-template")
 			l.MarkSkipped(fmt.Sprintf("%d of %d", blank, s.LastNumber-s.FirstNumber+1), row.Reason, row.Advice)
 		}
 		if made == 0 {
 			return nil, false
 		}
 	}
-	w.used = append(w.used, usedServer{s, ""})
+	w.handled = append(w.handled, handledServer{s, ""})
 	return all, true
 }
 
-// words accounts for the keywords on the lines of the servers that became nodes, or are left out.
-func (w *work) words() {
-	for _, u := range w.used {
+// reportOptions accounts for the keywords on the lines of the servers that became nodes, or are left out.
+func (w *importState) reportOptions() {
+	for _, u := range w.handled {
 		for _, o := range u.server.OwnOptions {
-			if o.Name != u.except {
-				w.word(u.server.Line, o)
+			if o.Name != u.reported {
+				w.reportOption(u.server.Line, o)
 			}
 		}
 	}
 }
 
-func (w *work) word(l *haproxy.Line, o haproxy.Option) {
-	row := lookup("server", o.Name)
+func (w *importState) reportOption(l *haproxy.Line, o haproxy.Option) {
+	row := lookupKeyword("server", o.Name)
 	switch {
 	case row.ConfigKey == "":
 		l.MarkSkipped(o.String(), row.Reason, row.Advice)
 	case o.Name == "weight" && o.Arg() == "0":
 		l.MarkCarried(o.String(), "nodes.NAME.state (draining: sessions there go on, no new ones)")
-	case o.Name == "slowstart" && w.noWarmup != "":
-		l.MarkSkipped(o.String(), w.noWarmup, row.Advice)
+	case o.Name == "slowstart" && w.slowstartReason != "":
+		l.MarkSkipped(o.String(), w.slowstartReason, row.Advice)
 	default:
 		l.MarkCarried(o.String(), row.ConfigKey)
 	}
 }
 
-// agreements carries over what the director has one value of, where all that it is about agree.
-func (w *work) agreements() {
-	if d, ok := w.agree(w.serving, "timeout connect", "manners.connect"); ok {
-		w.out.set(value(d.String()), "manners", "connect")
+// importSharedSettings carries over what the director has one value of, where all that it is about agree.
+func (w *importState) importSharedSettings() {
+	if d, ok := w.sharedDuration(w.withServers, "timeout connect", "manners.connect"); ok {
+		w.settings.set(newLeaf(d.String()), "manners", "connect")
 	}
-	if d, ok := w.agree(w.fronts, "timeout http-request", "limits.players.handshake"); ok {
-		w.out.set(value(d.String()), "limits", "players", "handshake")
+	if d, ok := w.sharedDuration(w.withClients, "timeout http-request", "limits.players.handshake"); ok {
+		w.settings.set(newLeaf(d.String()), "limits", "players", "handshake")
 	}
-	w.retries()
-	w.slowstart()
-	w.words()
+	w.importRetries()
+	w.importSlowstart()
+	w.reportOptions()
 }
 
-// agree looks at a time that proxies have; it says false where they have none or do not agree, which is noted
+// sharedDuration looks at a time that proxies have; it says false where they have none or do not agree, which is noted
 // on every line that sets it.
-func (w *work) agree(proxies []*haproxy.Proxy, keyword, key string) (time.Duration, bool) {
-	row := lookup("proxy", keyword)
+func (w *importState) sharedDuration(proxies []*haproxy.Proxy, keyword, key string) (time.Duration, bool) {
+	row := lookupKeyword("proxy", keyword)
 	var lines []*haproxy.Line
 	var first time.Duration
 	why := ""
@@ -363,12 +363,12 @@
 	return first, why == "" && first > 0
 }
 
-// retries carries over how often a connection that fails is tried again. Connections that were never made
+// importRetries carries over how often a connection that fails is tried again. Connections that were never made
 // ran nowhere, so the rule on paid set-ups has nothing against it; all else that retry-on names may have run.
-func (w *work) retries() {
+func (w *importState) importRetries() {
 	var lines []*haproxy.Line
 	most, why := -1, ""
-	for _, p := range w.serving {
+	for _, p := range w.withServers {
 		n := 3
 		if x := p.Settings["retries"]; x != nil {
 			if !slices.Contains(lines, x.Line) {
@@ -389,7 +389,7 @@
 		if x := p.Settings["retry-on"]; x != nil {
 			if bad := slices.DeleteFunc(slices.Clone(x.Args), func(a string) bool { return a == "none" || a == "conn-failure" }); len(bad) > 0 {
 				if !x.Line.HasOutcome() {
-					x.Line.MarkSkipped(strings.Join(bad, " "), rule2, "viewers of free tariffs get further legs anyway (legs.most)")
+					x.Line.MarkSkipped(strings.Join(bad, " "), reasonAtMostOnce, "viewers of free tariffs get further legs anyway (legs.most)")
 				}
 			} else if !slices.Contains(lines, x.Line) {
 				lines = append(lines, x.Line)
@@ -413,18 +413,18 @@
 			continue
 		}
 		if why != "" {
-			l.MarkSkipped("", why, lookup("proxy", "retries").Advice)
+			l.MarkSkipped("", why, lookupKeyword("proxy", "retries").Advice)
 		} else {
 			l.MarkCarried("", "legs.most")
 		}
 	}
 	if why == "" && len(lines) > 0 {
-		w.out.set(value(most+1), "legs", "most")
+		w.settings.set(newLeaf(most+1), "legs", "most")
 	}
 }
 
-// slowstart carries over a warm-up where all nodes agree on it.
-func (w *work) slowstart() {
+// importSlowstart carries over a warm-up where all nodes agree on it.
+func (w *importState) importSlowstart() {
 	var first time.Duration
 	why := ""
 	for i, n := range w.nodes {
@@ -440,27 +440,27 @@
 			why = fmt.Sprintf("%v here and %v there: the director has one warm-up", first, d)
 		}
 	}
-	if w.noWarmup = why; why == "" && first == 0 {
-		w.noWarmup = "0 stands for none, which leaves ramp.warmup to you"
+	if w.slowstartReason = why; why == "" && first == 0 {
+		w.slowstartReason = "0 stands for none, which leaves ramp.warmup to you"
 	}
 	if why == "" && first > 0 {
-		w.out.set(value(first.String()), "ramp", "warmup")
+		w.settings.set(newLeaf(first.String()), "ramp", "warmup")
 	}
 }
 
-// doors carries over where players connect, and how many may.
-func (w *work) doors() {
+// importListeners carries over where players connect, and how many may.
+func (w *importState) importListeners() {
 	var binds []*haproxy.Line
-	for _, p := range w.fronts {
+	for _, p := range w.withClients {
 		for _, l := range p.Lines {
 			if haproxy.Keyword(l) == "bind" && !l.HasOutcome() {
 				binds = append(binds, l)
 			}
 		}
 	}
-	row := lookup("proxy", "bind")
+	row := lookupKeyword("proxy", "bind")
 	for _, l := range binds {
-		address, why := listener(l)
+		address, why := parseBind(l)
 		if why == "" && len(binds) > 1 {
 			why = fmt.Sprintf("there are %d addresses, and a director has one", len(binds))
 		}
@@ -469,7 +469,7 @@
 			continue
 		}
 		l.MarkCarried("", row.ConfigKey)
-		w.out.set(value(address), "listen")
+		w.settings.set(newLeaf(address), "listen")
 	}
 	most := 0
 	for _, s := range w.files.Sections {
@@ -486,8 +486,8 @@
 			l.MarkCarried("", "limits.connections")
 		}
 	}
-	row = lookup("proxy", "maxconn")
-	for _, p := range w.fronts {
+	row = lookupKeyword("proxy", "maxconn")
+	for _, p := range w.withClients {
 		x := p.Settings["maxconn"]
 		if x == nil || x.Line.HasOutcome() {
 			continue
@@ -496,8 +496,8 @@
 		switch {
 		case err != nil:
 			x.Line.MarkSkipped("", err.Error(), row.Advice)
-		case len(w.fronts) > 1:
-			x.Line.MarkSkipped("", fmt.Sprintf("a bound of one of %d frontends; the director has one bound", len(w.fronts)), row.Advice)
+		case len(w.withClients) > 1:
+			x.Line.MarkSkipped("", fmt.Sprintf("a bound of one of %d frontends; the director has one bound", len(w.withClients)), row.Advice)
 		case most > 0 && n > most:
 			x.Line.MarkIgnored("the process takes fewer")
 		default:
@@ -506,12 +506,12 @@
 		}
 	}
 	if most > 0 {
-		w.out.set(value(min(most, 10_000_000)), "limits", "connections")
+		w.settings.set(newLeaf(min(most, 10_000_000)), "limits", "connections")
 	}
 }
 
-// listener reads a bind line; why tells what keeps it from being carried over.
-func listener(l *haproxy.Line) (address, why string) {
+// parseBind reads a bind line; why tells what keeps it from being carried over.
+func parseBind(l *haproxy.Line) (address, why string) {
 	if len(l.Words) < 2 {
 		return "", "HAProxy refuses a bind without an address"
 	}
@@ -542,10 +542,10 @@
 	return net.JoinHostPort(a.Host, strconv.Itoa(a.FirstPort)), ""
 }
 
-// rest accounts for every line that nothing was noted of yet.
-func (w *work) rest() {
+// reportRemaining accounts for every line that nothing was noted of yet.
+func (w *importState) reportRemaining() {
 	inForce := map[*haproxy.Line]bool{}
-	for _, p := range w.live {
+	for _, p := range w.enabled {
 		for _, x := range p.Settings {
 			inForce[x.Line] = true
 		}
@@ -560,7 +560,7 @@
 			where = "proxy"
 		}
 		if where == "section" {
-			row := lookup("section", s.Kind)
+			row := lookupKeyword("section", s.Kind)
 			head.MarkSkipped("", row.Reason, row.Advice)
 			for _, l := range s.Lines {
 				if !l.HasOutcome() {
@@ -577,10 +577,10 @@
 				continue
 			}
 			name := haproxy.Keyword(l)
-			row := lookup(where, name)
+			row := lookupKeyword(where, name)
 			switch {
 			case name == "default-server":
-				w.defaults(l)
+				w.reportDefaultServer(l)
 			case name == "disabled" || name == "enabled":
 				l.MarkIgnored("the proxy is not disabled by it in the end")
 			case row.ConfigKey != "" && !inForce[l]:
@@ -594,21 +594,21 @@
 	}
 	for _, l := range w.files.Lines { // what is left is a fault of the importer, and is told as such
 		if !l.HasOutcome() {
-			l.MarkSkipped("", unknownRow.Reason, unknownRow.Advice)
+			l.MarkSkipped("", unknownKeyword.Reason, unknownKeyword.Advice)
 		}
 	}
 }
 
-// defaults accounts for a default-server's line: as on a server's own.
-func (w *work) defaults(l *haproxy.Line) {
-	for _, p := range w.serving {
+// reportDefaultServer accounts for a default-server's line: as on a server's own.
+func (w *importState) reportDefaultServer(l *haproxy.Line) {
+	for _, p := range w.withServers {
 		for _, s := range p.Servers {
 			for _, o := range s.Options {
 				if o.Line != l {
 					continue
 				}
 				for _, all := range haproxy.DefaultServerOptions(l) {
-					w.word(l, all)
+					w.reportOption(l, all)
 				}
 				return
 			}
@@ -617,18 +617,18 @@
 	l.MarkIgnored("no server that is left has any of it in force")
 }
 
-// suggest looks for what may be titles or tariffs; nothing of it is applied.
-func (w *work) suggest() {
+// addSuggestions looks for what may be titles or tariffs; nothing of it is applied.
+func (w *importState) addSuggestions() {
 	say := func(format string, args ...any) {
 		w.result.Suggestions = append(w.result.Suggestions, fmt.Sprintf(format, args...))
 	}
-	if len(w.serving) > 1 {
-		for _, p := range w.serving {
+	if len(w.withServers) > 1 {
+		for _, p := range w.withServers {
 			say("%s: %s %s has %d servers: if its viewers want titles of their own, give them cells in a row and the titles base and copies there",
 				p.Head.Position, p.Kind, p.Name, len(p.Servers))
 		}
 	}
-	for _, p := range w.live {
+	for _, p := range w.enabled {
 		for _, l := range p.Lines {
 			switch haproxy.Keyword(l) {
 			case "use_backend":
@@ -640,53 +640,53 @@
 	}
 }
 
-// build puts the result together.
-func (w *work) build() *tree {
-	t := object()
-	t.set(missing("this director's name, unique among all"), "director", "name")
-	t.set(missing("its number, from 0"), "director", "me")
-	t.set(missing("how many directors there are"), "director", "directors")
-	t.set(missing("address for players, host:port"), "listen")
-	t.set(missing("{\"NAME\": {\"goal_time\": \"800ms\", \"hard_stop\": \"3s\"}}: HAProxy does not know them"), "tariffs")
-	t.set(missing("{\"rates\": [...]}: the rungs of your titles"), "ladder")
-	t.set(missing("cells of the placement"), "fleet", "cells")
-	t.set(missing("racks; a cell's rack is cell modulo racks"), "fleet", "racks")
-	t.set(missing("link of a node for each unit of weight"), "fleet", "link_unit")
-	t.set(missing("mean uplink of a rack"), "fleet", "uplink")
+// buildConfig puts the result together.
+func (w *importState) buildConfig() *tree {
+	t := newObject()
+	t.set(newBlank("this director's name, unique among all"), "director", "name")
+	t.set(newBlank("its number, from 0"), "director", "me")
+	t.set(newBlank("how many directors there are"), "director", "directors")
+	t.set(newBlank("address for players, host:port"), "listen")
+	t.set(newBlank("{\"NAME\": {\"goal_time\": \"800ms\", \"hard_stop\": \"3s\"}}: HAProxy does not know them"), "tariffs")
+	t.set(newBlank("{\"rates\": [...]}: the rungs of your titles"), "ladder")
+	t.set(newBlank("cells of the placement"), "fleet", "cells")
+	t.set(newBlank("racks; a cell's rack is cell modulo racks"), "fleet", "racks")
+	t.set(newBlank("link of a node for each unit of weight"), "fleet", "link_unit")
+	t.set(newBlank("mean uplink of a rack"), "fleet", "uplink")
 	for _, k := range w.kinds {
-		if n := w.places[k]; n > 0 {
-			t.set(value(n), "fleet", "machines", k)
+		if n := w.maxSessions[k]; n > 0 {
+			t.set(newLeaf(n), "fleet", "machines", k)
 		} else {
-			t.set(missing("sessions that it runs at most"), "fleet", "machines", k)
+			t.set(newBlank("sessions that it runs at most"), "fleet", "machines", k)
 		}
 	}
-	t.set(missing("time until a node that has just started is warm"), "ramp", "warmup")
-	t.set(missing("its least warmth"), "ramp", "cold_from")
-	t.set(missing("the multiple of its pace that pushes it over"), "ramp", "multiple")
-	t.set(missing("within this time"), "ramp", "tip_after")
-	t.set(missing("{\"TITLE\": {\"base\": 0, \"copies\": 3}}: the cells that hold it"), "titles")
-	for _, k := range w.out.keys { // what HAProxy says is no blank
-		merge(t, w.out.kids[k], k)
+	t.set(newBlank("time until a node that has just started is warm"), "ramp", "warmup")
+	t.set(newBlank("its least warmth"), "ramp", "cold_from")
+	t.set(newBlank("the multiple of its pace that pushes it over"), "ramp", "multiple")
+	t.set(newBlank("within this time"), "ramp", "tip_after")
+	t.set(newBlank("{\"TITLE\": {\"base\": 0, \"copies\": 3}}: the cells that hold it"), "titles")
+	for _, k := range w.settings.keys { // what HAProxy says is no blank
+		merge(t, w.settings.children[k], k)
 	}
 	if w.overlay != nil {
-		for _, k := range w.overlay.rest.keys {
-			merge(t, w.overlay.rest.kids[k], k)
+		for _, k := range w.overlay.settings.keys {
+			merge(t, w.overlay.settings.children[k], k)
 		}
 	}
-	nodes := object()
+	nodes := newObject()
 	for _, n := range w.nodes {
-		e := object()
-		e.set(value(n.Address), "address")
-		e.set(value(n.State), "state")
-		e.set(value(n.MachineKind), "kind")
-		e.set(value(n.Weight), "weight")
+		e := newObject()
+		e.set(newLeaf(n.Address), "address")
+		e.set(newLeaf(n.State), "state")
+		e.set(newLeaf(n.MachineKind), "kind")
+		e.set(newLeaf(n.Weight), "weight")
 		if n.Zone != "" {
-			e.set(value(n.Zone), "zone")
+			e.set(newLeaf(n.Zone), "zone")
 		}
 		if n.HasCell {
-			e.set(value(n.Cell), "cell")
+			e.set(newLeaf(n.Cell), "cell")
 		} else {
-			e.set(&tree{leaf: blank}, "cell")
+			e.set(&tree{leaf: nullLeaf}, "cell")
 		}
 		nodes.set(e, n.Node)
 	}
@@ -696,14 +696,14 @@
 
 // merge puts a value over what is there, key by key.
 func merge(t, v *tree, path ...string) {
-	if v.kids == nil {
+	if v.children == nil {
 		t.set(v, path...)
 		return
 	}
-	if have := t.at(path...); have == nil || have.kids == nil {
-		t.set(object(), path...)
+	if have := t.find(path...); have == nil || have.children == nil {
+		t.set(newObject(), path...)
 	}
 	for _, k := range v.keys {
-		merge(t, v.kids[k], append(slices.Clone(path), k)...)
+		merge(t, v.children[k], append(slices.Clone(path), k)...)
 	}
 }
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -13,8 +13,8 @@
 	"fordusher/internal/wire"
 )
 
-// run imports a text.
-func run(t testing.TB, text string, with string) *Result {
+// importText imports a text.
+func importText(t testing.TB, text string, with string) *Result {
 	t.Helper()
 	r := haproxy.Reader{Version: "2.8"}
 	if err := r.Read("t.cfg", []byte(text)); err != nil {
@@ -37,8 +37,8 @@
 	return result
 }
 
-// of is what became of a line, in words.
-func of(r *Result, line int) string {
+// outcomeOf is what became of a line, in words.
+func outcomeOf(r *Result, line int) string {
 	l := r.Files.Lines[line-1]
 	outcome, why := l.Outcome()
 	s := string(outcome) + " " + why
@@ -48,7 +48,7 @@
 	return s
 }
 
-func names(r *Result) (all []string) {
+func describeNodes(r *Result) (all []string) {
 	for _, n := range r.Nodes {
 		all = append(all, fmt.Sprintf("%s=%s/%s/%g/%s", n.Node, n.Address, n.State, n.Weight, n.MachineKind))
 	}
@@ -82,17 +82,17 @@
 		{"names that are no text", "backend b\n server a\xff h:1\n server a\xfe h:2\n server c h:3", "c=h:3/up/1/unlimited", map[int]string{2: "no UTF-8", 3: "no UTF-8"}},
 		{"peers' servers", "peers p\n server a h:1\nbackend b\n server c h:2", "c=h:2/up/1/unlimited", map[int]string{2: "directors share nothing"}},
 	} {
-		r := run(t, x.text, "")
-		if got := strings.Join(names(r), " "); got != x.nodes {
+		r := importText(t, x.text, "")
+		if got := strings.Join(describeNodes(r), " "); got != x.nodes {
 			t.Errorf("%s: %s, not %s", x.name, got, x.nodes)
 		}
 		for line, want := range x.notes {
-			if got := of(r, line); !strings.Contains(got, want) {
+			if got := outcomeOf(r, line); !strings.Contains(got, want) {
 				t.Errorf("%s, line %d: %s; wants %s", x.name, line, got, want)
 			}
 		}
 	}
-	r := run(t, "backend b\n server a h:1 weight 0\n server c h:2 weight 0", "")
+	r := importText(t, "backend b\n server a h:1 weight 0\n server c h:2 weight 0", "")
 	if len(r.Warnings) != 1 || !strings.Contains(r.Warnings[0], "all servers of b have weight 0") {
 		t.Error(r.Warnings)
 	}
@@ -100,17 +100,17 @@
 
 func TestTemplate(t *testing.T) {
 	text := "backend b\n server-template w 1-300 pool.example:80 weight 3"
-	if r := run(t, text, ""); len(r.Nodes) != 0 || !strings.Contains(of(r, 2), "300 of 300") {
-		t.Error(len(r.Nodes), of(r, 2))
+	if r := importText(t, text, ""); len(r.Nodes) != 0 || !strings.Contains(outcomeOf(r, 2), "300 of 300") {
+		t.Error(len(r.Nodes), outcomeOf(r, 2))
 	}
-	r := run(t, text, `{"servers": {"b/w7": {"address": "10.0.0.7:80", "cell": 3}, "b/w1?": {"cell_from": 10, "address": "bad"}}}`)
-	if got := strings.Join(names(r), " "); got != "w7=10.0.0.7:80/up/3/unlimited" || !strings.Contains(of(r, 2), "299 of 300") {
-		t.Error(got, of(r, 2))
+	r := importText(t, text, `{"servers": {"b/w7": {"address": "10.0.0.7:80", "cell": 3}, "b/w1?": {"cell_from": 10, "address": "bad"}}}`)
+	if got := strings.Join(describeNodes(r), " "); got != "w7=10.0.0.7:80/up/3/unlimited" || !strings.Contains(outcomeOf(r, 2), "299 of 300") {
+		t.Error(got, outcomeOf(r, 2))
 	}
 }
 
 // Settings of which the director has one are carried where all agree, and never by halves.
-func TestAgreements(t *testing.T) {
+func TestSharedSettings(t *testing.T) {
 	for _, x := range []struct {
 		name, text string
 		path, want string // in the result; empty: not there
@@ -120,7 +120,7 @@
 		{"connect agrees", "defaults\n timeout connect 1s\nbackend a\n server x h:1\nbackend b\n timeout connect 1000\n server y h:2", "manners.connect", `"1s"`, 6, "carried"},
 		{"connect differs", "defaults\n timeout connect 1s\nbackend a\n server x h:1\nbackend b\n timeout connect 2s\n server y h:2", "manners.connect", "", 6, "1s here and 2s there"},
 		{"connect 0", "backend a\n timeout connect 0\n server x h:1", "manners.connect", "", 2, "0 stands for no limit"},
-		{"connect overflows", "backend a\n timeout connect 90d\n server x h:1", "manners.connect", "", 2, "longer than HAProxy takes"},
+		{"connect overflows", "backend a\n timeout connect 90d\n server x h:1", "manners.connect", "", 2, "longer than HAProxy accepts"},
 		{"connect of nobody", "defaults\n timeout connect 1s\ndefaults\nbackend a\n server x h:1", "manners.connect", "", 2, "ignored no proxy"},
 		{"retries with redispatch", "backend a\n retries 2\n option redispatch\n server x h:1", "legs.most", "3", 2, "carried"},
 		{"retries without", "backend a\n retries 2\n server x h:1", "legs.most", "", 2, "same server again"},
@@ -135,20 +135,20 @@
 		{"one frontend's maxconn", "global\n maxconn 9\nlisten a\n maxconn 5\n server x h:1", "limits.connections", "5", 4, "carried"},
 		{"request time", "frontend a\n timeout http-request 3s\n", "limits.players.handshake", `"3s"`, 2, "carried"},
 	} {
-		r := run(t, x.text, "")
+		r := importText(t, x.text, "")
 		got := ""
-		if v := r.tree.at(strings.Split(x.path, ".")...); v != nil {
+		if v := r.tree.find(strings.Split(x.path, ".")...); v != nil {
 			got = v.leaf
 		}
-		if got != x.want || !strings.Contains(of(r, x.line), x.note) {
-			t.Errorf("%s: %q, not %q; line %d: %s; wants %s", x.name, got, x.want, x.line, of(r, x.line), x.note)
+		if got != x.want || !strings.Contains(outcomeOf(r, x.line), x.note) {
+			t.Errorf("%s: %q, not %q; line %d: %s; wants %s", x.name, got, x.want, x.line, outcomeOf(r, x.line), x.note)
 		}
 	}
 }
 
 // The sample of the page: the result starts a director; without what HAProxy can't know, blanks are the only
 // mistakes in it.
-func TestSample(t *testing.T) {
+func TestSampleConfig(t *testing.T) {
 	text, err := os.ReadFile("testdata/hall.cfg")
 	if err != nil {
 		t.Fatal(err)
@@ -158,7 +158,7 @@
 		t.Fatal(err)
 	}
 	var b strings.Builder
-	r := run(t, string(text), string(with))
+	r := importText(t, string(text), string(with))
 	if err := r.WriteConfig(&b, []string{"hall.cfg"}); err != nil {
 		t.Fatal(err)
 	}
@@ -170,13 +170,13 @@
 		t.Errorf("%+v", h.Nodes)
 	}
 	b.Reset()
-	bare := run(t, string(text), "")
+	bare := importText(t, string(text), "")
 	if err := bare.WriteConfig(&b, []string{"hall.cfg"}); err != nil {
 		t.Fatal(err)
 	}
 	_, err = conf.Decode("d.json", []byte(b.String()))
 	problems, ok := err.(conf.Problems)
-	if !ok || len(problems) != len(bare.tree.blanks("")) {
+	if !ok || len(problems) != len(bare.tree.blankPaths("")) {
 		t.Fatal(err)
 	}
 	for _, p := range problems {
@@ -186,8 +186,8 @@
 	}
 }
 
-func TestAgainst(t *testing.T) {
-	first := run(t, "backend b\n timeout connect 1s\n server a h:1\n server c h:2\n server d h:3 weight 2", "")
+func TestMergePrevious(t *testing.T) {
+	first := importText(t, "backend b\n timeout connect 1s\n server a h:1\n server c h:2\n server d h:3 weight 2", "")
 	var b strings.Builder
 	first.WriteConfig(&b, nil)
 	filled := strings.NewReplacer(`"cell": null`, `"cell": 4`, `"name": null`, `"name": "me"`, `"cells": null`, `"cells": 8`).Replace(b.String())
@@ -196,7 +196,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	second := run(t, "backend b\n timeout connect 2s\n server a h:1 weight 0\n server d h:3 weight 5\n server n h:9", "")
+	second := importText(t, "backend b\n timeout connect 2s\n server a h:1 weight 0\n server d h:3 weight 5\n server n h:9", "")
 	changes := second.MergePrevious(e)
 	var got []string
 	for _, c := range changes {
@@ -208,18 +208,18 @@
 	}
 	for path, want := range map[string]string{"director.name": `"me"`, "closing.within": `"3s"`, "manners.linger": `"9s"`, "manners.connect": `"2s"`,
 		"nodes.a.cell": "4", "nodes.n.cell": "null", "fleet.cells": "8"} {
-		if v := second.tree.at(strings.Split(path, ".")...); v == nil || v.leaf != want {
+		if v := second.tree.find(strings.Split(path, ".")...); v == nil || v.leaf != want {
 			t.Errorf("%s is %v, not %s", path, v, want)
 		}
 	}
-	if second.tree.at("nodes", "c") != nil {
+	if second.tree.find("nodes", "c") != nil {
 		t.Error("a node that is gone came back")
 	}
 }
 
 // Every physical line is accounted for once, whatever the text; nothing panics. What no row knows is skipped
 // and says so.
-func account(t testing.TB, text []byte) {
+func checkEveryLineReported(t testing.TB, text []byte) {
 	r := haproxy.Reader{Variables: haproxy.Variables{"A": "b c"}}
 	if r.Read("f.cfg", text) != nil {
 		return
@@ -269,11 +269,11 @@
 	f.Add(text)
 	f.Add([]byte("backend b\n server a h:1 weight 0 backup\n server-template t 1-3 h:1\n.if defined(A)\n retries 3\n.endif\n"))
 	f.Add([]byte("defaults\n retries 2\nlisten l\n bind \"${A[*]}\"\n server \\x41 [::1]:1 'q'\n"))
-	f.Fuzz(func(t *testing.T, text []byte) { account(t, text) })
+	f.Fuzz(func(t *testing.T, text []byte) { checkEveryLineReported(t, text) })
 }
 
-// generated is a configuration of so many servers and at least so many lines.
-func generated(servers, backends, lines int) string {
+// generateConfig is a configuration of so many servers and at least so many lines.
+func generateConfig(servers, backends, lines int) string {
 	var b strings.Builder
 	b.WriteString("global\n maxconn 9000\ndefaults\n timeout connect 1s\n option redispatch\n")
 	n := 5
@@ -293,9 +293,9 @@
 }
 
 // 2,000 lines are imported within a bound that only a time that is not linear could pass.
-func TestTimeIsLinear(t *testing.T) {
+func TestImportTimeIsLinear(t *testing.T) {
 	began := time.Now()
-	if r := run(t, generated(300, 40, 2000), ""); len(r.Nodes) != 280 {
+	if r := importText(t, generateConfig(300, 40, 2000), ""); len(r.Nodes) != 280 {
 		t.Fatal(len(r.Nodes))
 	}
 	if took := time.Since(began); took > 5*time.Second {
@@ -305,11 +305,11 @@
 
 func BenchmarkImport(b *testing.B) {
 	for _, size := range []struct{ servers, backends, lines int }{{300, 30, 2000}, {100_000, 400, 0}} {
-		text := generated(size.servers, size.backends, size.lines)
+		text := generateConfig(size.servers, size.backends, size.lines)
 		b.Run(fmt.Sprint(size.servers), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				r := run(b, text, "")
+				r := importText(b, text, "")
 				if len(r.Nodes) != size.servers {
 					b.Fatal(len(r.Nodes))
 				}
@@ -322,7 +322,7 @@
 }
 
 // The page has the table that the code has.
-func TestPageIsTheTable(t *testing.T) {
+func TestDocsTableIsCurrent(t *testing.T) {
 	page, err := os.ReadFile("../../docs/import-haproxy.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/importer/overlay.go
+++ b/internal/importer/overlay.go
@@ -13,23 +13,23 @@
 // An Overlay is what HAProxy can't know: sections of a director's file, taken as they are, and for servers,
 // by their name or a pattern, where they stand.
 type Overlay struct {
-	rest    *tree
-	servers []*place
-	exact   map[string][]*place // by name, of those that are no pattern
-	globs   []*place
+	settings *tree
+	all      []*serverPlacement
+	exact    map[string][]*serverPlacement // by name, of those that are no pattern
+	globs    []*serverPlacement
 }
 
-// A place is what an overlay says of servers.
-type place struct {
+// A serverPlacement is what an overlay says of servers.
+type serverPlacement struct {
 	order    int
 	pattern  string // of BACKEND/NAME, as path.Match has it
-	at       int
+	offset   int
 	cell     int // under 0: not said
 	cellFrom int // the first of those that match has this one, the next the next; under 0: not said
 	zone     string
 	kind     string
 	address  string
-	used     int
+	matched  int
 }
 
 // ReadOverlay reads an overlay; what is wrong with it comes back as conf.Problems.
@@ -38,13 +38,13 @@
 	if err := r.Err(); err != nil {
 		return nil, err
 	}
-	v := &Overlay{exact: map[string][]*place{}}
+	v := &Overlay{exact: map[string][]*serverPlacement{}}
 	servers := o.Object("servers", false)
 	for _, pattern := range servers.Names() {
 		s := servers.Object(pattern, true)
-		p := &place{order: len(v.servers), pattern: pattern, at: servers.OffsetOf(pattern), cell: -1, cellFrom: -1}
+		p := &serverPlacement{order: len(v.all), pattern: pattern, offset: servers.OffsetOf(pattern), cell: -1, cellFrom: -1}
 		if _, err := path.Match(pattern, "a/b"); err != nil {
-			r.AddProblem(p.at, "%q is no pattern", pattern)
+			r.AddProblem(p.offset, "%q is no pattern", pattern)
 		}
 		if s.Has("cell") {
 			p.cell = s.Int("cell", 0, 0, 1e6, false)
@@ -54,10 +54,10 @@
 		}
 		p.zone, p.kind, p.address = s.Text("zone", "", false), s.Text("kind", "", false), s.Text("address", "", false)
 		if p.cell >= 0 && p.cellFrom >= 0 {
-			r.AddProblem(p.at, "cell and cell_from: one of the two")
+			r.AddProblem(p.offset, "cell and cell_from: one of the two")
 		}
 		s.ReportUnknownKeys()
-		v.servers = append(v.servers, p)
+		v.all = append(v.all, p)
 		if strings.ContainsAny(pattern, `*?[\`) {
 			v.globs = append(v.globs, p)
 		} else {
@@ -79,15 +79,15 @@
 	if err != nil {
 		return nil, err // conf.Parse has read it already
 	}
-	v.rest = fromJSON(parsed)
-	v.rest.keys = slices.DeleteFunc(v.rest.keys, func(k string) bool { return k == "servers" })
-	delete(v.rest.kids, "servers")
+	v.settings = fromJSON(parsed)
+	v.settings.keys = slices.DeleteFunc(v.settings.keys, func(k string) bool { return k == "servers" })
+	delete(v.settings.children, "servers")
 	return v, nil
 }
 
-// of is what an overlay says of a server; the last pattern that matches wins, key by key.
-func (v *Overlay) of(backend, name string) (p place) {
-	p = place{cell: -1, cellFrom: -1}
+// placementOf is what an overlay says of a server; the last pattern that matches wins, key by key.
+func (v *Overlay) placementOf(backend, name string) (p serverPlacement) {
+	p = serverPlacement{cell: -1, cellFrom: -1}
 	if v == nil {
 		return p
 	}
@@ -97,15 +97,15 @@
 			found = append(found, s)
 		}
 	}
-	slices.SortFunc(found, func(a, b *place) int { return a.order - b.order })
+	slices.SortFunc(found, func(a, b *serverPlacement) int { return a.order - b.order })
 	for _, s := range found {
 		switch {
 		case s.cell >= 0:
 			p.cell = s.cell
 		case s.cellFrom >= 0:
-			p.cell = s.cellFrom + s.used
+			p.cell = s.cellFrom + s.matched
 		}
-		s.used++
+		s.matched++
 		for _, f := range []struct{ to, from *string }{{&p.zone, &s.zone}, {&p.kind, &s.kind}, {&p.address, &s.address}} {
 			if *f.from != "" {
 				*f.to = *f.from
--- a/internal/importer/report.go
+++ b/internal/importer/report.go
@@ -31,7 +31,7 @@
 // Report sums an import up.
 func (r *Result) Report(changes []Change) *Report {
 	p := &Report{Totals: map[haproxy.Outcome]int{haproxy.Carried: 0, haproxy.PartlyCarried: 0, haproxy.Skipped: 0, haproxy.Ignored: 0}, Nodes: len(r.Nodes),
-		MissingKeys: r.tree.blanks(""), Warnings: r.Warnings, Suggestions: r.Suggestions, Changes: changes}
+		MissingKeys: r.tree.blankPaths(""), Warnings: r.Warnings, Suggestions: r.Suggestions, Changes: changes}
 	for _, l := range r.Files.Lines {
 		outcome, why := l.Outcome()
 		p.Totals[outcome]++
@@ -113,7 +113,7 @@
 func (r *Result) WriteConfig(w io.Writer, inputs []string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "// Imported from %s. null stands for what has to be filled in.\n", strings.Join(inputs, ", "))
-	r.tree.write(&b, "")
+	r.tree.render(&b, "")
 	b.WriteByte('\n')
 	_, err := io.WriteString(w, b.String())
 	return err
--- a/internal/importer/tree.go
+++ b/internal/importer/tree.go
@@ -11,17 +11,17 @@
 // A tree is a JSON value that keeps the order of its keys; a leaf's text is JSON, null where it is a blank
 // that somebody has to fill in.
 type tree struct {
-	keys    []string
-	kids    map[string]*tree // nil: a leaf
-	leaf    string
-	comment string
+	keys     []string
+	children map[string]*tree // nil: a leaf
+	leaf     string
+	comment  string
 }
 
-const blank = "null"
+const nullLeaf = "null"
 
-func object() *tree { return &tree{kids: map[string]*tree{}} }
+func newObject() *tree { return &tree{children: map[string]*tree{}} }
 
-func value(x any) *tree {
+func newLeaf(x any) *tree {
 	text, err := json.Marshal(x)
 	if err != nil {
 		panic(fmt.Sprintf("a value that is no JSON: %v", err)) // all values are text and finite numbers
@@ -29,53 +29,53 @@
 	return &tree{leaf: string(text)}
 }
 
-func missing(comment string) *tree { return &tree{leaf: blank, comment: comment} }
+func newBlank(comment string) *tree { return &tree{leaf: nullLeaf, comment: comment} }
 
-func (t *tree) blank() bool { return t.kids == nil && t.leaf == blank }
+func (t *tree) isBlank() bool { return t.children == nil && t.leaf == nullLeaf }
 
 // set puts a value at a path.
 func (t *tree) set(v *tree, path ...string) {
 	for _, p := range path[:len(path)-1] {
-		next := t.kids[p]
-		if next == nil || next.kids == nil {
+		next := t.children[p]
+		if next == nil || next.children == nil {
 			if next == nil {
 				t.keys = append(t.keys, p)
 			}
-			next = object()
-			t.kids[p] = next
+			next = newObject()
+			t.children[p] = next
 		}
 		t = next
 	}
 	last := path[len(path)-1]
-	if t.kids[last] == nil {
+	if t.children[last] == nil {
 		t.keys = append(t.keys, last)
 	}
-	t.kids[last] = v
+	t.children[last] = v
 }
 
-// at returns what a path leads to, nil where it leads nowhere.
-func (t *tree) at(path ...string) *tree {
+// find returns what a path leads to, nil where it leads nowhere.
+func (t *tree) find(path ...string) *tree {
 	for _, p := range path {
-		if t == nil || t.kids == nil {
+		if t == nil || t.children == nil {
 			return nil
 		}
-		t = t.kids[p]
+		t = t.children[p]
 	}
 	return t
 }
 
-// fill takes from another tree what this one has no value for.
-func (t *tree) fill(from *tree) {
+// fillFrom takes from another tree what this one has no value for.
+func (t *tree) fillFrom(from *tree) {
 	for _, k := range from.keys {
-		have, other := t.kids[k], from.kids[k]
+		have, other := t.children[k], from.children[k]
 		switch {
 		case have == nil:
 			t.keys = append(t.keys, k)
-			t.kids[k] = other
-		case have.kids != nil && other.kids != nil:
-			have.fill(other)
-		case have.blank() && !other.blank():
-			t.kids[k] = other
+			t.children[k] = other
+		case have.children != nil && other.children != nil:
+			have.fillFrom(other)
+		case have.isBlank() && !other.isBlank():
+			t.children[k] = other
 		}
 	}
 }
@@ -88,22 +88,22 @@
 		c.Minimize()
 		return &tree{leaf: string(c.Pack())}
 	}
-	t := object()
+	t := newObject()
 	for _, m := range o.Members {
 		t.set(fromJSON(m.Value), m.Name.Value.(hujson.Literal).String())
 	}
 	return t
 }
 
-// write renders a tree; objects of leaves only stand on one line.
-func (t *tree) write(b *strings.Builder, indent string) {
-	if t.kids == nil {
+// render renders a tree; objects of leaves only stand on one line.
+func (t *tree) render(b *strings.Builder, indent string) {
+	if t.children == nil {
 		b.WriteString(t.leaf)
 		return
 	}
 	flat := len(t.keys) > 0 && indent != ""
 	for _, k := range t.keys {
-		if c := t.kids[k]; c.kids != nil || c.comment != "" {
+		if c := t.children[k]; c.children != nil || c.comment != "" {
 			flat = false
 		}
 	}
@@ -113,31 +113,31 @@
 			if i > 0 {
 				b.WriteString(", ")
 			}
-			b.WriteString(value(k).leaf + ": " + t.kids[k].leaf)
+			b.WriteString(newLeaf(k).leaf + ": " + t.children[k].leaf)
 		}
 		b.WriteByte('}')
 		return
 	}
 	b.WriteString("{\n")
 	for _, k := range t.keys {
-		c := t.kids[k]
+		c := t.children[k]
 		if c.comment != "" {
 			fmt.Fprintf(b, "%s  // %s\n", indent, c.comment)
 		}
-		b.WriteString(indent + "  " + value(k).leaf + ": ")
-		c.write(b, indent+"  ")
+		b.WriteString(indent + "  " + newLeaf(k).leaf + ": ")
+		c.render(b, indent+"  ")
 		b.WriteString(",\n")
 	}
 	b.WriteString(indent + "}")
 }
 
-// blanks are the paths of all that is to be filled in.
-func (t *tree) blanks(path string) (all []string) {
-	if t.blank() {
+// blankPaths are the paths of all that is to be filled in.
+func (t *tree) blankPaths(path string) (all []string) {
+	if t.isBlank() {
 		return []string{path}
 	}
 	for _, k := range t.keys {
-		all = append(all, t.kids[k].blanks(strings.TrimPrefix(path+"."+k, "."))...)
+		all = append(all, t.children[k].blankPaths(strings.TrimPrefix(path+"."+k, "."))...)
 	}
 	return all
 }
