--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const good = `// a director
+const validConfig = `// a director
 {
   "director": {"name": "d0", "me": 0, "directors": 2, "zone": "z"},
   "listen": "127.0.0.1:0",
@@ -23,23 +23,23 @@
 }
 `
 
-func TestGoodFileIsRead(t *testing.T) {
-	h, err := Decode("f", []byte(good))
+func TestValidFileIsDecoded(t *testing.T) {
+	c, err := Decode("f", []byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if h.Ladder.Rates[1] != 200 || h.Ladder.Rates[2] != 400 || h.Tariffs[1].Name != "exam" || !h.Tariffs[1].AtMostOnce ||
-		h.Tariffs[1].HardStop != 2*time.Second || h.Tariffs[0].Top != 2 || h.Ramp.MaxStreams[0] != 18 ||
-		h.DrainGrace != 250*time.Millisecond || h.ConnectionLimits.Nodes.MaxQueuedBytes != 64<<10 || h.ConnectionLimits.Nodes.WriteTimeout != 100*time.Millisecond {
-		t.Fatalf("%+v", h)
+	if c.Ladder.Rates[1] != 200 || c.Ladder.Rates[2] != 400 || c.Tariffs[1].Name != "exam" || !c.Tariffs[1].AtMostOnce ||
+		c.Tariffs[1].HardStop != 2*time.Second || c.Tariffs[0].Top != 2 || c.Ramp.MaxStreams[0] != 18 ||
+		c.DrainGrace != 250*time.Millisecond || c.ConnectionLimits.Nodes.MaxQueuedBytes != 64<<10 || c.ConnectionLimits.Nodes.WriteTimeout != 100*time.Millisecond {
+		t.Fatalf("%+v", c)
 	}
-	if h.NewDecider(1) == nil || h.NewLoop("b", 1, h.NewDecider(1)) == nil {
-		t.Fatal("nothing runs by it")
+	if c.NewDecider(1) == nil || c.NewLoop("b", 1, c.NewDecider(1)) == nil {
+		t.Fatal("no decider or no loop for the configuration")
 	}
 }
 
-// Each mistake is named by its line and column.
-func TestMistakesAreNamed(t *testing.T) {
+// Each mistake in a file is reported with its line and column. Every case makes one mistake in a valid file.
+func TestProblemsNameTheirPosition(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"zone": "z"`, `"zon": "z"`, `f:3:55: unknown key "zon"; did you mean "zone"?`},
 		{`"zone": "z"`, `"zone": 5`, `f:3:63: "zone" has to be text`},
@@ -48,42 +48,42 @@
 		{`"me": 0, `, ``, `f:3:15: "me" is missing`},
 		{`"800ms"`, `"800"`, `f:7:27: "goal_time" is 800; a duration has a unit`},
 		{`"800ms"`, `800`, `"goal_time" has to be a duration`},
-		{`"800ms"`, `"4s"`, `f:7:27: goal_time is 4s, later than hard_stop (line 7), which is 3s`},
+		{`"800ms"`, `"4s"`, `f:7:27: goal_time is 4s; it has to be at most hard_stop (line 7), which is 3s`},
 		{`"800ms"`, `"2000h"`, `has to lie within 1ms to 1h`},
 		{`"floor": 1`, `"floor": 2, "top": 1`, `rule 5`},
 		{`"floor": 1`, `"floor": 9`, `has to lie within 0 to 2`},
 		{`"paid": true`, `"paid": "yes"`, `f:8:60: "paid" has to be true or false`},
 		{`"1.6Mbit/s"`, `"1.6Mbps"`, `f:10:35: "rates[1]" has to be a rate`},
-		{`"1.6Mbit/s"`, `"90kB/s"`, `rung 1 is not over rung 0`},
+		{`"1.6Mbit/s"`, `"90kB/s"`, `rung 1 is not above rung 0`},
 		{`0.5, 1]`, `0.5]`, `worth has 2 entries, but rates has 3`},
 		{`"racks": 2`, `"racks": 9`, `there are 9 racks, but only 8 cells`},
 		{`"box": 18`, ``, `there is no kind of machine`},
-		{`"nodes": {"queue": "64kB"}`, `"nodes": {"write": "250ms"}`, `f:13:33: a write to a node may stand still for 250ms, as long as the drain grace`},
+		{`"nodes": {"queue": "64kB"}`, `"nodes": {"write": "250ms"}`, `f:13:33: a write to a node may block for 250ms; the time has to be shorter than the drain grace`},
 		{`"nodes": {"queue": "64kB"}`, `"nodes": {"queue": "64"}`, `has to be a size`},
 		{`"limits"`, `"legs": {"spare": 3}, "limits"`, `"span" is missing`},
-		{`"limits"`, `"manners": {"answer_ahead": "2s"}, "limits"`, `no time to set up`},
-		{`"limits"`, `"reach": {"first": "9s"}, "limits"`, `longer than most`},
+		{`"limits"`, `"manners": {"answer_ahead": "2s"}, "limits"`, `it leaves no time to set up a session`},
+		{`"limits"`, `"reach": {"first": "9s"}, "limits"`, `first is 9s; it has to be at most the value of most, 5s`},
 		{`"listen": "127.0.0.1:0"`, `"listen": "here"`, `f:4:13: "listen" is "here"; it has to be host:port`},
-		{`"listen"`, `"director": {}, "listen"`, `f:4:3: "director" stands here again; line 3 has it already`},
+		{`"listen"`, `"director": {}, "listen"`, `f:4:3: duplicate key "director"; line 3 has it already`},
 		{`"list": {`, `"list": [`, `f:5:`},
 		{`"tariffs": {`, `"tariffs": 5, "x": {`, `"tariffs" has to be an object`},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
-		if text == good {
-			t.Fatalf("%q is not in the file", c.old)
+		text := strings.Replace(validConfig, c.old, c.new, 1)
+		if text == validConfig {
+			t.Fatalf("the valid file does not contain %q", c.old)
 		}
 		_, err := Decode("f", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s:\n  got    %v\n  wanted %s", c.new, err, c.want)
+			t.Errorf("%s:\n  got  %v\n  want %s", c.new, err, c.want)
 		}
 	}
 }
 
-func TestAllMistakesAtOnceInTheirOrder(t *testing.T) {
-	text := strings.NewReplacer(`"me": 0`, `"me": 7`, `"800ms"`, `"800"`, `"racks"`, `"rakcs"`).Replace(good)
+func TestAllProblemsAreReportedInFileOrder(t *testing.T) {
+	text := strings.NewReplacer(`"me": 0`, `"me": 7`, `"800ms"`, `"800"`, `"racks"`, `"rakcs"`).Replace(validConfig)
 	_, err := Decode("f", []byte(text))
 	problems, ok := errors.AsType[Problems](err)
-	if !ok || len(problems) != 4 { // a key misspelt is also a key missing
+	if !ok || len(problems) != 4 { // the misspelt key counts twice: as an unknown key and as a missing one
 		t.Fatal(err)
 	}
 	for i := 1; i < len(problems); i++ {
@@ -94,10 +94,10 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validConfig))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if h, err := Decode("f", text); (h == nil) == (err == nil) {
-			t.Fatal("neither a house nor an error")
+		if c, err := Decode("f", text); (c == nil) == (err == nil) {
+			t.Fatal("want either a configuration or an error, not both and not neither")
 		}
 	})
 }
--- a/internal/conf/reader.go
+++ b/internal/conf/reader.go
@@ -14,7 +14,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// A Problem is one thing that is wrong in a file.
+// A Problem is one mistake in a configuration file.
 type Problem struct {
 	File      string
 	Line, Col int
@@ -23,7 +23,7 @@
 
 func (p Problem) String() string { return fmt.Sprintf("%s:%d:%d: %s", p.File, p.Line, p.Col, p.Text) }
 
-// Problems is all that is wrong in a file, in its order.
+// Problems lists all mistakes in a file, in file order.
 type Problems []Problem
 
 func (p Problems) Error() string {
@@ -34,32 +34,34 @@
 	return strings.Join(lines, "\n")
 }
 
-// A Parser reads JSON with comments and trailing commas, keeps where everything stands, and collects what
-// is wrong instead of ending at the first.
+// A Parser parses JSON with comments and trailing commas. It keeps the offset of every value, and collects all
+// problems instead of stopping at the first.
 type Parser struct {
-	file     string
-	starts   []int // of lines
-	problems Problems
+	file       string
+	lineStarts []int // the offset at which each line begins
+	problems   Problems
 }
 
-// Parse reads a whole text, which has to be one object.
+// Parse parses a whole text, which has to be one object. Problems are available from Err; the returned object is
+// empty if the text can't be parsed.
 func Parse(file string, text []byte) (*Parser, *Object) {
-	r := &Parser{file: file, starts: []int{0}}
+	p := &Parser{file: file, lineStarts: []int{0}}
 	for i, b := range text {
 		if b == '\n' {
-			r.starts = append(r.starts, i+1)
+			p.lineStarts = append(p.lineStarts, i+1)
 		}
 	}
 	v, err := hujson.Parse(text)
 	if err != nil {
-		r.syntax(err)
-		return r, r.empty(0)
+		p.addSyntaxError(err)
+		return p, p.emptyObject(0)
 	}
-	return r, r.object(v, "the file")
+	return p, p.newObject(v, "the file")
 }
 
-// syntax turns the parser's message, which names line and column in its own way, into a problem.
-func (r *Parser) syntax(err error) {
+// addSyntaxError converts an error of the hujson package into a problem. The error's text contains the line and
+// the column, which move into the fields of the problem.
+func (p *Parser) addSyntaxError(err error) {
 	text := strings.TrimPrefix(err.Error(), "hujson: ")
 	var line, col int
 	if n, _ := fmt.Sscanf(text, "line %d, column %d:", &line, &col); n == 2 {
@@ -67,55 +69,57 @@
 	} else {
 		line, col = 1, 1
 	}
-	r.problems = append(r.problems, Problem{r.file, line, col, text})
+	p.problems = append(p.problems, Problem{p.file, line, col, text})
 }
 
-// AddProblem notes a problem at an offset.
-func (r *Parser) AddProblem(at int, format string, args ...any) {
-	line := sort.SearchInts(r.starts, at+1)
-	r.problems = append(r.problems, Problem{r.file, line, at - r.starts[line-1] + 1, fmt.Sprintf(format, args...)})
+// AddProblem records a problem at an offset.
+func (p *Parser) AddProblem(offset int, format string, args ...any) {
+	line := sort.SearchInts(p.lineStarts, offset+1)
+	p.problems = append(p.problems, Problem{p.file, line, offset - p.lineStarts[line-1] + 1, fmt.Sprintf(format, args...)})
 }
 
-// Line is the line of an offset, from 1.
-func (r *Parser) Line(at int) int { return sort.SearchInts(r.starts, at+1) }
+// Line returns the line of an offset, counted from 1.
+func (p *Parser) Line(offset int) int { return sort.SearchInts(p.lineStarts, offset+1) }
 
-// Err is what is wrong, in the file's order, or nil.
-func (r *Parser) Err() error {
-	if len(r.problems) == 0 {
+// Err returns the problems as Problems, in file order, or nil if there are none.
+func (p *Parser) Err() error {
+	if len(p.problems) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.problems, func(a, b Problem) int {
+	slices.SortStableFunc(p.problems, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Col, b.Col))
 	})
-	return r.problems
+	return p.problems
 }
 
-// An Object is a JSON object that is being read. A key that nobody asks for is a problem.
+// An Object is a JSON object whose keys are read one by one. ReportUnknownKeys reports the keys that were not read.
 type Object struct {
-	r       *Parser
+	parser  *Parser
 	Offset  int
 	names   []string
 	members map[string]hujson.ObjectMember
-	asked   map[string]bool
-	absent  bool
+	known   map[string]bool // the keys that were read or marked as known
+	absent  bool            // the file has no object here, so its required keys are not reported as missing
 }
 
-func (r *Parser) empty(at int) *Object {
-	return &Object{r: r, Offset: at, members: map[string]hujson.ObjectMember{}, asked: map[string]bool{}, absent: true}
+func (p *Parser) emptyObject(offset int) *Object {
+	return &Object{parser: p, Offset: offset, members: map[string]hujson.ObjectMember{}, known: map[string]bool{}, absent: true}
 }
 
-func (r *Parser) object(v hujson.Value, what string) *Object {
-	o := r.empty(v.StartOffset)
+// newObject returns the object that a value holds. If the value is no object, it records a problem, in which
+// description stands for the value, and returns an empty object.
+func (p *Parser) newObject(v hujson.Value, description string) *Object {
+	o := p.emptyObject(v.StartOffset)
 	raw, ok := v.Value.(*hujson.Object)
 	if !ok {
-		r.AddProblem(v.StartOffset, "%s has to be an object { }", what)
+		p.AddProblem(v.StartOffset, "%s has to be an object { }", description)
 		return o
 	}
 	o.absent = false
 	for _, m := range raw.Members {
 		name := m.Name.Value.(hujson.Literal).String()
-		if first, twice := o.members[name]; twice {
-			r.AddProblem(m.Name.StartOffset, "%q stands here again; line %d has it already", name, r.Line(first.Name.StartOffset))
+		if first, duplicate := o.members[name]; duplicate {
+			p.AddProblem(m.Name.StartOffset, "duplicate key %q; line %d has it already", name, p.Line(first.Name.StartOffset))
 			continue
 		}
 		o.names = append(o.names, name)
@@ -124,10 +128,10 @@
 	return o
 }
 
-// Names are the object's keys, in the file's order.
+// Names returns the keys of the object, in file order.
 func (o *Object) Names() []string { return o.names }
 
-// OffsetOf is the offset of a key's value, or of the object where it has none.
+// OffsetOf returns the offset of a key's value, or of the object if it does not have the key.
 func (o *Object) OffsetOf(name string) int {
 	if m, ok := o.members[name]; ok {
 		return m.Value.StartOffset
@@ -135,26 +139,26 @@
 	return o.Offset
 }
 
-// Has tells whether the object has a key.
+// Has reports whether the object has a key.
 func (o *Object) Has(name string) bool { _, ok := o.members[name]; return ok }
 
-// ReportUnknownKeys notes every key that nobody asked for, with the nearest one that is known.
+// ReportUnknownKeys records a problem for every key that is not known, and suggests the most similar known key.
 func (o *Object) ReportUnknownKeys() {
 	for _, name := range o.names {
-		if o.asked[name] {
+		if o.known[name] {
 			continue
 		}
-		near, best := "", max(3, len(name)/2+1)
-		for _, k := range sortedKeys(o.asked) {
-			if d := levenshtein.ComputeDistance(name, k); d < best {
-				near, best = k, d
+		nearest, minDistance := "", max(3, len(name)/2+1)
+		for _, k := range sortedKeys(o.known) {
+			if d := levenshtein.ComputeDistance(name, k); d < minDistance {
+				nearest, minDistance = k, d
 			}
 		}
 		hint := ""
-		if near != "" {
-			hint = fmt.Sprintf("; did you mean %q?", near)
+		if nearest != "" {
+			hint = fmt.Sprintf("; did you mean %q?", nearest)
 		}
-		o.r.AddProblem(o.members[name].Name.StartOffset, "unknown key %q%s", name, hint)
+		o.parser.AddProblem(o.members[name].Name.StartOffset, "unknown key %q%s", name, hint)
 	}
 }
 
@@ -167,43 +171,43 @@
 	return keys
 }
 
-// value finds a key's value; need says that it may not be missing. null is a blank that somebody has left to
-// be filled in.
-func (o *Object) value(name string, need bool) (hujson.Value, bool) {
-	o.asked[name] = true
+// lookup returns the value of a key and marks the key as known. It records a problem if a required key is missing,
+// or if the value is null: the importer writes null for values that the operator has to fill in.
+func (o *Object) lookup(name string, required bool) (hujson.Value, bool) {
+	o.known[name] = true
 	m, ok := o.members[name]
-	if !ok && need && !o.absent {
-		o.r.AddProblem(o.Offset, "%q is missing", name)
+	if !ok && required && !o.absent {
+		o.parser.AddProblem(o.Offset, "%q is missing", name)
 	}
 	if l, isLiteral := m.Value.Value.(hujson.Literal); ok && isLiteral && l.Kind() == 'n' {
-		o.r.AddProblem(m.Value.StartOffset, "%q is not filled in yet", name)
+		o.parser.AddProblem(m.Value.StartOffset, "%q is not filled in yet", name)
 		return m.Value, false
 	}
 	return m.Value, ok
 }
 
-// MarkKnown leaves a key to somebody else.
-func (o *Object) MarkKnown(name string) { o.asked[name] = true }
+// MarkKnown marks a key as known without reading it, for a key that other code reads.
+func (o *Object) MarkKnown(name string) { o.known[name] = true }
 
-// Object reads a key that holds an object; without it an empty one is returned, and its own keys that
-// have to be there are not asked for.
-func (o *Object) Object(name string, need bool) *Object {
-	v, ok := o.value(name, need)
+// Object reads a key that holds an object. If the key is absent, it returns an empty object, whose required keys
+// are not reported as missing.
+func (o *Object) Object(name string, required bool) *Object {
+	v, ok := o.lookup(name, required)
 	if !ok {
-		return o.r.empty(o.Offset)
+		return o.parser.emptyObject(o.Offset)
 	}
-	return o.r.object(v, fmt.Sprintf("%q", name))
+	return o.parser.newObject(v, fmt.Sprintf("%q", name))
 }
 
 // Each calls f for every element of a list.
-func (o *Object) Each(name string, need bool, f func(i int, at int, v hujson.Value)) {
-	v, ok := o.value(name, need)
+func (o *Object) Each(name string, required bool, f func(i int, offset int, v hujson.Value)) {
+	v, ok := o.lookup(name, required)
 	if !ok {
 		return
 	}
 	list, ok := v.Value.(*hujson.Array)
 	if !ok {
-		o.r.AddProblem(v.StartOffset, "%q has to be a list [ ]", name)
+		o.parser.AddProblem(v.StartOffset, "%q has to be a list [ ]", name)
 		return
 	}
 	for i, e := range list.Elements {
@@ -212,12 +216,14 @@
 }
 
 // Objects calls f for every object of a list.
-func (o *Object) Objects(name string, need bool, f func(i int, e *Object)) {
-	o.Each(name, need, func(i, _ int, v hujson.Value) {
-		f(i, o.r.object(v, fmt.Sprintf("element %d of %q", i+1, name)))
+func (o *Object) Objects(name string, required bool, f func(i int, e *Object)) {
+	o.Each(name, required, func(i, _ int, v hujson.Value) {
+		f(i, o.parser.newObject(v, fmt.Sprintf("element %d of %q", i+1, name)))
 	})
 }
 
+// literal returns a value as a literal and reports whether it is of a kind: '"' for a string, '0' for a number,
+// 't' for true or false.
 func literal(v hujson.Value, kind byte) (hujson.Literal, bool) {
 	l, ok := v.Value.(hujson.Literal)
 	if !ok {
@@ -231,115 +237,116 @@
 }
 
 // Text reads a string.
-func (o *Object) Text(name, missing string, need bool) string {
-	v, ok := o.value(name, need)
+func (o *Object) Text(name, fallback string, required bool) string {
+	v, ok := o.lookup(name, required)
 	if !ok {
-		return missing
+		return fallback
 	}
 	l, ok := literal(v, '"')
 	if !ok {
-		o.r.AddProblem(v.StartOffset, "%q has to be text in quotes", name)
-		return missing
+		o.parser.AddProblem(v.StartOffset, "%q has to be text in quotes", name)
+		return fallback
 	}
 	return l.String()
 }
 
 // Texts reads a list of strings.
-func (o *Object) Texts(name string, need bool) (all []string) {
-	o.Each(name, need, func(i, at int, v hujson.Value) {
+func (o *Object) Texts(name string, required bool) (all []string) {
+	o.Each(name, required, func(i, offset int, v hujson.Value) {
 		if l, ok := literal(v, '"'); ok {
 			all = append(all, l.String())
 		} else {
-			o.r.AddProblem(at, "%s[%d] has to be text in quotes", name, i)
+			o.parser.AddProblem(offset, "%s[%d] has to be text in quotes", name, i)
 		}
 	})
 	return all
 }
 
 // Bool reads true or false.
-func (o *Object) Bool(name string, missing bool) bool {
-	v, ok := o.value(name, false)
+func (o *Object) Bool(name string, fallback bool) bool {
+	v, ok := o.lookup(name, false)
 	if !ok {
-		return missing
+		return fallback
 	}
 	l, ok := literal(v, 't')
 	if !ok {
-		o.r.AddProblem(v.StartOffset, "%q has to be true or false", name)
-		return missing
+		o.parser.AddProblem(v.StartOffset, "%q has to be true or false", name)
+		return fallback
 	}
 	return l.Bool()
 }
 
-// Number reads a number within bounds.
-func (o *Object) Number(name string, missing, least, most float64, need bool) float64 {
-	v, ok := o.value(name, need)
+// Number reads a number from lower to upper, both included.
+func (o *Object) Number(name string, fallback, lower, upper float64, required bool) float64 {
+	v, ok := o.lookup(name, required)
 	if !ok {
-		return missing
+		return fallback
 	}
-	return o.number(v, name, missing, least, most)
+	return o.parseNumber(v, name, fallback, lower, upper)
 }
 
-func (o *Object) number(v hujson.Value, name string, missing, least, most float64) float64 {
+func (o *Object) parseNumber(v hujson.Value, name string, fallback, lower, upper float64) float64 {
 	l, ok := literal(v, '0')
 	if !ok {
-		o.r.AddProblem(v.StartOffset, "%q has to be a number without a unit", name)
-		return missing
+		o.parser.AddProblem(v.StartOffset, "%q has to be a number without a unit", name)
+		return fallback
 	}
-	if x := l.Float(); x >= least && x <= most {
+	if x := l.Float(); x >= lower && x <= upper {
 		return x
 	}
-	o.r.AddProblem(v.StartOffset, "%q is %s; it has to lie within %g to %g", name, l, least, most)
-	return missing
+	o.parser.AddProblem(v.StartOffset, "%q is %s; it has to lie within %g to %g", name, l, lower, upper)
+	return fallback
 }
 
-// Numbers reads a list of numbers.
-func (o *Object) Numbers(name string, least, most float64) (all []float64) {
+// Numbers reads a list of numbers from lower to upper, both included.
+func (o *Object) Numbers(name string, lower, upper float64) (all []float64) {
 	o.Each(name, false, func(i, _ int, v hujson.Value) {
-		all = append(all, o.number(v, fmt.Sprintf("%s[%d]", name, i), least, least, most))
+		all = append(all, o.parseNumber(v, fmt.Sprintf("%s[%d]", name, i), lower, lower, upper))
 	})
 	return all
 }
 
-// Int reads a whole number within bounds.
-func (o *Object) Int(name string, missing, least, most int, need bool) int {
-	x := o.Number(name, float64(missing), float64(least), float64(most), need)
+// Int reads a whole number from lower to upper, both included.
+func (o *Object) Int(name string, fallback, lower, upper int, required bool) int {
+	x := o.Number(name, float64(fallback), float64(lower), float64(upper), required)
 	if x != math.Trunc(x) {
-		o.r.AddProblem(o.OffsetOf(name), "%q is %g; it has to be a whole number", name, x)
-		return missing
+		o.parser.AddProblem(o.OffsetOf(name), "%q is %g; it has to be a whole number", name, x)
+		return fallback
 	}
 	return int(x)
 }
 
-// Duration reads a duration with its unit ("250ms", "1.5s", "2m") within bounds.
-func (o *Object) Duration(name string, missing, least, most time.Duration, need bool) time.Duration {
-	v, ok := o.value(name, need)
+// Duration reads a duration with a unit ("250ms", "1.5s", "2m"), from lower to upper, both included.
+func (o *Object) Duration(name string, fallback, lower, upper time.Duration, required bool) time.Duration {
+	v, ok := o.lookup(name, required)
 	if !ok {
-		return missing
+		return fallback
 	}
 	l, ok := literal(v, '"')
 	if !ok {
-		o.r.AddProblem(v.StartOffset, "%q has to be a duration with its unit in quotes, as in \"250ms\" or \"1.5s\"", name)
-		return missing
+		o.parser.AddProblem(v.StartOffset, "%q has to be a duration with its unit in quotes, as in \"250ms\" or \"1.5s\"", name)
+		return fallback
 	}
 	d, err := time.ParseDuration(l.String())
 	switch {
 	case err != nil:
-		o.r.AddProblem(v.StartOffset, "%q is %s; a duration has a unit (ms, s, m, h), as in \"250ms\" or \"1.5s\"", name, l)
-	case d < least || d > most:
-		o.r.AddProblem(v.StartOffset, "%q is %v; it has to lie within %v to %v", name, d, least, most)
+		o.parser.AddProblem(v.StartOffset, "%q is %s; a duration has a unit (ms, s, m, h), as in \"250ms\" or \"1.5s\"", name, l)
+	case d < lower || d > upper:
+		o.parser.AddProblem(v.StartOffset, "%q is %v; it has to lie within %v to %v", name, d, lower, upper)
 	default:
 		return d
 	}
-	return missing
+	return fallback
 }
 
+// rateUnits maps each unit of a rate to its size in kB/s.
 var rateUnits = map[string]float64{"B/s": 1e-3, "kB/s": 1, "MB/s": 1e3, "kbit/s": 1.0 / 8, "Mbit/s": 1e3 / 8, "Gbit/s": 1e6 / 8}
 
-func (o *Object) rate(v hujson.Value, name string) float64 {
+func (o *Object) parseRate(v hujson.Value, name string) float64 {
 	l, ok := literal(v, '"')
 	if ok {
 		text := l.String()
-		cut := strings.IndexFunc(text, func(r rune) bool { return (r < '0' || r > '9') && r != '.' })
+		cut := strings.IndexFunc(text, func(c rune) bool { return (c < '0' || c > '9') && c != '.' })
 		if cut > 0 {
 			x, err := strconv.ParseFloat(text[:cut], 64)
 			unit, known := rateUnits[strings.TrimSpace(text[cut:])]
@@ -348,44 +355,45 @@
 			}
 		}
 	}
-	o.r.AddProblem(v.StartOffset, "%q has to be a rate with its unit in quotes (B/s, kB/s, MB/s, kbit/s, Mbit/s, Gbit/s), as in \"700kB/s\"", name)
+	o.parser.AddProblem(v.StartOffset, "%q has to be a rate with its unit in quotes (B/s, kB/s, MB/s, kbit/s, Mbit/s, Gbit/s), as in \"700kB/s\"", name)
 	return 0
 }
 
-// Rate reads a rate with its unit, in kB a second.
-func (o *Object) Rate(name string, missing float64, need bool) float64 {
-	v, ok := o.value(name, need)
+// Rate reads a rate with a unit, and returns it in kB/s.
+func (o *Object) Rate(name string, fallback float64, required bool) float64 {
+	v, ok := o.lookup(name, required)
 	if !ok {
-		return missing
+		return fallback
 	}
-	return o.rate(v, name)
+	return o.parseRate(v, name)
 }
 
-// Rates reads a list of rates.
-func (o *Object) Rates(name string, need bool) (all []float64) {
-	o.Each(name, need, func(i, _ int, v hujson.Value) { all = append(all, o.rate(v, fmt.Sprintf("%s[%d]", name, i))) })
+// Rates reads a list of rates with units, and returns them in kB/s.
+func (o *Object) Rates(name string, required bool) (all []float64) {
+	o.Each(name, required, func(i, _ int, v hujson.Value) { all = append(all, o.parseRate(v, fmt.Sprintf("%s[%d]", name, i))) })
 	return all
 }
 
-// Bytes reads a size with its unit ("64kB", "8MB"); k is 1024.
-func (o *Object) Bytes(name string, missing, least, most int) int {
-	v, ok := o.value(name, false)
+// Bytes reads a size with a unit ("64kB", "8MB"), from lower to upper, both included. The units are powers of
+// 1024.
+func (o *Object) Bytes(name string, fallback, lower, upper int) int {
+	v, ok := o.lookup(name, false)
 	if !ok {
-		return missing
+		return fallback
 	}
 	if l, isText := literal(v, '"'); isText {
 		text := l.String()
 		for unit, by := range map[string]int{"kB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30} {
 			n, found := strings.CutSuffix(text, unit)
 			if x, err := strconv.Atoi(strings.TrimSpace(n)); found && err == nil {
-				if x*by < least || x*by > most {
-					o.r.AddProblem(v.StartOffset, "%q is %s; it has to lie within %dkB to %dkB", name, text, least>>10, most>>10)
-					return missing
+				if x*by < lower || x*by > upper {
+					o.parser.AddProblem(v.StartOffset, "%q is %s; it has to lie within %dkB to %dkB", name, text, lower>>10, upper>>10)
+					return fallback
 				}
 				return x * by
 			}
 		}
 	}
-	o.r.AddProblem(v.StartOffset, "%q has to be a size with its unit in quotes (kB, MB, GB), as in \"64kB\"", name)
-	return missing
+	o.parser.AddProblem(v.StartOffset, "%q has to be a size with its unit in quotes (kB, MB, GB), as in \"64kB\"", name)
+	return fallback
 }
