--- a/internal/importer/diff.go
+++ b/internal/importer/diff.go
@@ -9,10 +9,10 @@
 	"fordusher/internal/conf"
 )
 
-// A Change is what is different from an earlier import.
+// A Change is one difference between a previous configuration and a new import.
 type Change struct {
 	Node   string `json:"node,omitempty"`
-	What   string `json:"what"` // added, gone, a key of the node, or a key of the file
+	What   string `json:"what"` // "added" or "gone" for a node as a whole; otherwise the key of the node or of the file that changed
 	Before string `json:"was,omitempty"`
 	After  string `json:"is,omitempty"`
 }
@@ -27,75 +27,77 @@
 	return fmt.Sprintf("%s: was %s, is %s", c.What, c.Before, c.After)
 }
 
-// A PreviousConfig is a director's file that was imported before and filled in since.
+// A PreviousConfig is a director's file from an earlier import, with the values that the operator has filled in
+// since.
 type PreviousConfig struct{ tree *tree }
 
-// ReadPreviousConfig reads it; what is wrong with it comes back as conf.Problems.
+// ReadPreviousConfig reads the file of an earlier import. Mistakes in it are returned as conf.Problems.
 func ReadPreviousConfig(file string, text []byte) (*PreviousConfig, error) {
-	r, o := conf.Parse(file, text)
-	if err := r.Err(); err != nil {
+	parser, o := conf.Parse(file, text)
+	if err := parser.Err(); err != nil {
 		return nil, err
 	}
 	o.Object("nodes", true)
-	if err := r.Err(); err != nil {
+	if err := parser.Err(); err != nil {
 		return nil, err
 	}
 	v, err := hujson.Parse(text)
 	if err != nil {
-		return nil, err // conf.Parse has read it already
+		return nil, err // not expected: conf.Parse accepts the same text
 	}
 	return &PreviousConfig{fromJSON(v)}, nil
 }
 
-// MergePrevious fills the blanks of an import with what the earlier file has, and tells what changed. What HAProxy
-// or the overlay say now stands over what the earlier file says; all else of it is kept.
-func (r *Result) MergePrevious(e *PreviousConfig) (changes []Change) {
-	was, is := e.tree.find("nodes"), r.tree.find("nodes")
-	for _, name := range is.keys {
-		now, before := is.children[name], was.find(name)
+// MergePrevious fills the missing values of the import from the previous configuration and returns the changes.
+// Values of the HAProxy configuration and the overlay override those of the previous configuration; its other
+// values are kept.
+func (r *Result) MergePrevious(previous *PreviousConfig) (changes []Change) {
+	oldNodes, newNodes := previous.tree.find("nodes"), r.tree.find("nodes")
+	for _, name := range newNodes.keys {
+		after, before := newNodes.children[name], oldNodes.find(name)
 		if before == nil {
-			changes = append(changes, Change{Node: name, What: "added", After: leafText(now.find("address"))})
+			changes = append(changes, Change{Node: name, What: "added", After: leafText(after.find("address"))})
 			continue
 		}
-		now.fillFrom(before)
-		for _, k := range now.keys {
-			if a, b := leafText(before.find(k)), leafText(now.find(k)); a != b {
+		after.fillFrom(before)
+		for _, k := range after.keys {
+			if a, b := leafText(before.find(k)), leafText(after.find(k)); a != b {
 				changes = append(changes, Change{Node: name, What: k, Before: a, After: b})
 			}
 		}
 	}
-	for _, name := range was.keys {
-		if is.find(name) == nil {
-			changes = append(changes, Change{Node: name, What: "gone", Before: leafText(was.find(name, "address"))})
+	for _, name := range oldNodes.keys {
+		if newNodes.find(name) == nil {
+			changes = append(changes, Change{Node: name, What: "gone", Before: leafText(oldNodes.find(name, "address"))})
 		}
 	}
 	nodes := r.tree.children["nodes"]
-	delete(e.tree.children, "nodes") // those that are gone do not come back
-	kept := e.tree.keys[:0]
-	for _, k := range e.tree.keys {
+	delete(previous.tree.children, "nodes") // otherwise fillFrom would restore the nodes that are gone
+	keys := previous.tree.keys[:0]
+	for _, k := range previous.tree.keys {
 		if k != "nodes" {
-			kept = append(kept, k)
+			keys = append(keys, k)
 		}
 	}
-	e.tree.keys = kept
-	collectChanges(e.tree, r.tree, "", &changes)
-	r.tree.fillFrom(e.tree)
+	previous.tree.keys = keys
+	collectChanges(previous.tree, r.tree, "", &changes)
+	r.tree.fillFrom(previous.tree)
 	r.tree.children["nodes"] = nodes
-	for i := range r.Nodes { // what was filled in holds for the plan too
+	for i := range r.Nodes { // the nodes get the cells that the previous configuration has filled in
 		n := r.Nodes[i]
 		t := nodes.find(n.Node)
 		if c, err := strconv.Atoi(leafText(t.find("cell"))); err == nil {
 			n.Cell, n.HasCell = c, true
 		}
 	}
-	e.tree.set(was, "nodes")
+	previous.tree.set(oldNodes, "nodes")
 	return changes
 }
 
-// collectChanges collects the leaves that both have and that differ.
-func collectChanges(was, is *tree, path string, changes *[]Change) {
-	for _, k := range is.keys {
-		a, b := was.find(k), is.children[k]
+// collectChanges appends the leaves that are in both trees and differ.
+func collectChanges(before, after *tree, path string, changes *[]Change) {
+	for _, k := range after.keys {
+		a, b := before.find(k), after.children[k]
 		key := k
 		if path != "" {
 			key = path + "." + k
@@ -110,6 +112,7 @@
 	}
 }
 
+// leafText returns the value of a leaf for a report, a string without its quotes.
 func leafText(t *tree) string {
 	if t == nil {
 		return "nothing"
--- a/internal/importer/import.go
+++ b/internal/importer/import.go
@@ -13,14 +13,14 @@
 	"fordusher/internal/wire"
 )
 
-// A Node is a server that became a node.
+// A Node is a node that was imported from a HAProxy server.
 type Node struct {
 	wire.NodeEntry
-	HasCell bool // somebody said in which cell it stands
+	HasCell bool // the overlay or the previous configuration sets the cell
 	server  *haproxy.Server
 }
 
-// Result is what an import came to.
+// Result is the result of an import.
 type Result struct {
 	Files       *haproxy.Config
 	Nodes       []*Node
@@ -29,164 +29,165 @@
 	tree        *tree
 }
 
-// A importState is an import under way.
+// An importState is the state of an import in progress.
 type importState struct {
 	files       *haproxy.Config
 	overlay     *Overlay
 	proxies     []*haproxy.Proxy
-	enabled     []*haproxy.Proxy // not disabled
-	withServers []*haproxy.Proxy // of these, those with servers
-	withClients []*haproxy.Proxy // of these, those with clients
+	enabled     []*haproxy.Proxy // the proxies that are not disabled
+	withServers []*haproxy.Proxy // the enabled proxies whose servers serve clients
+	withClients []*haproxy.Proxy // the enabled proxies to which clients connect: all but backends
 	nodes       []*Node
-	maxSessions map[string]int // kinds of machines; 0: not known
-	kinds       []string
+	maxSessions map[string]int // the sessions that a machine of each kind can run; 0: unknown
+	kinds       []string       // the kinds of machines, in the order in which they first occur
 	result      *Result
-	settings    *tree
+	settings    *tree // the settings that were carried over, without the nodes
 
-	handled         []handledServer // whose words are still to be accounted for
-	slowstartReason string          // why slowstart is not carried over
+	handled         []handledServer // the servers whose options still have to be reported
+	slowstartReason string          // why slowstart is not carried over; empty: it is
 }
 
+// A handledServer is a server that became one or more nodes, or that is disabled.
 type handledServer struct {
 	server   *haproxy.Server
-	reported string // a word that is accounted for
+	reported string // the option that is already reported; empty: none
 }
 
-// Import carries over what has the same meaning here, and accounts for every line.
+// Import carries over the settings that have the same meaning for a director, and records an outcome for every line.
 func Import(files *haproxy.Config, overlay *Overlay) (*Result, error) {
 	proxies, err := files.Proxies()
 	if err != nil {
 		return nil, err
 	}
-	w := &importState{files: files, overlay: overlay, proxies: proxies, maxSessions: map[string]int{}, settings: newObject(), result: &Result{Files: files}}
+	imp := &importState{files: files, overlay: overlay, proxies: proxies, maxSessions: map[string]int{}, settings: newObject(), result: &Result{Files: files}}
 	for _, l := range files.Lines {
 		if len(l.UnsetVariables) > 0 && !l.HasOutcome() {
-			l.MarkSkipped("", "variables without a value: "+strings.Join(l.UnsetVariables, ", "), "pass --env NAME=VALUE, or give a default: ${NAME-default}")
+			l.MarkSkipped("", "variables without a value: "+strings.Join(l.UnsetVariables, ", "), "pass --env NAME=VALUE, or write a default: ${NAME-default}")
 		}
 	}
 	for _, p := range proxies {
 		if p.Disabled {
-			w.ignoreDisabled(p)
+			imp.ignoreDisabled(p)
 			continue
 		}
-		w.enabled = append(w.enabled, p)
+		imp.enabled = append(imp.enabled, p)
 		if p.Kind != "backend" {
-			w.withClients = append(w.withClients, p)
+			imp.withClients = append(imp.withClients, p)
 		}
 		if p.ServesClients() && len(p.Servers) > 0 {
-			w.withServers = append(w.withServers, p)
+			imp.withServers = append(imp.withServers, p)
 		}
 	}
-	w.importServers()
-	w.importSharedSettings()
-	w.importListeners()
-	w.reportRemaining()
-	w.addSuggestions()
-	w.result.Nodes = w.nodes
-	w.result.tree = w.buildConfig()
-	return w.result, nil
+	imp.importServers()
+	imp.importSharedSettings()
+	imp.importListeners()
+	imp.reportRemaining()
+	imp.addSuggestions()
+	imp.result.Nodes = imp.nodes
+	imp.result.tree = imp.buildConfig()
+	return imp.result, nil
 }
 
-// ignoreDisabled accounts for a disabled proxy.
-func (w *importState) ignoreDisabled(p *haproxy.Proxy) {
+// ignoreDisabled marks the lines of a disabled proxy as ignored.
+func (imp *importState) ignoreDisabled(p *haproxy.Proxy) {
 	for _, l := range append([]*haproxy.Line{p.Head}, p.Lines...) {
 		if !l.HasOutcome() {
-			l.MarkIgnored("the proxy is disabled: HAProxy leaves it out")
+			l.MarkIgnored("the proxy is disabled, so HAProxy does not use it")
 		}
 	}
 }
 
-// importServers makes nodes of servers.
-func (w *importState) importServers() {
-	names := map[string]int{}
-	for _, p := range w.withServers {
+// importServers creates the nodes from the servers.
+func (imp *importState) importServers() {
+	nameCounts := map[string]int{}
+	for _, p := range imp.withServers {
 		for _, s := range p.Servers {
 			if !s.Template {
-				names[s.Name]++
+				nameCounts[s.Name]++
 			}
 		}
 	}
 	byAddress := map[string]*Node{}
 	byName := map[string]bool{}
-	for _, p := range w.withServers {
-		drained, all := 0, 0
-		const manyNodes = 8 // of one line: then they are named by their first and last
+	for _, p := range imp.withServers {
+		draining, total := 0, 0
+		const maxListedNodes = 8 // a line with more nodes is reported by the first and the last of them
 		for _, s := range p.Servers {
 			if s.Line.HasOutcome() {
 				continue
 			}
-			entries, ok := w.nodesOf(p, s, names)
+			entries, ok := imp.nodesOf(p, s, nameCounts)
 			if !ok {
 				continue
 			}
 			for _, n := range entries {
-				all++
+				total++
 				if n.State == wire.Draining {
-					drained++
+					draining++
 				}
 				if byName[n.Node] {
-					s.Line.MarkSkipped("server "+n.Node, "a node of this name is there already", "rename one of the two")
+					s.Line.MarkSkipped("server "+n.Node, "another node already has this name", "rename one of the two")
 					continue
 				}
 				if first := byAddress[n.Address]; first != nil {
-					w.reportDuplicate(s, n, first)
+					imp.reportDuplicate(s, n, first)
 					continue
 				}
 				byName[n.Node] = true
-				if len(entries) <= manyNodes {
+				if len(entries) <= maxListedNodes {
 					n.server.Line.MarkCarried("server", "nodes."+n.Node)
 				}
 				byAddress[n.Address] = n
-				w.nodes = append(w.nodes, n)
+				imp.nodes = append(imp.nodes, n)
 			}
-			if n := len(entries); n > manyNodes {
+			if n := len(entries); n > maxListedNodes {
 				s.Line.MarkCarried(fmt.Sprintf("%d servers", n), "nodes."+entries[0].Node+" to "+entries[n-1].Node)
 			}
 		}
-		if all > 0 && drained == all {
-			w.result.Warnings = append(w.result.Warnings, fmt.Sprintf("%s: all servers of %s have weight 0: a title that lies on them alone has no holder that takes sessions",
+		if total > 0 && draining == total {
+			imp.result.Warnings = append(imp.result.Warnings, fmt.Sprintf("%s: all servers of %s have weight 0: a title that only they hold has no node that takes sessions",
 				p.Head.Position, p.Name))
 		}
 	}
-	for _, p := range w.proxies {
-		if p.Disabled || slices.Contains(w.withServers, p) {
+	for _, p := range imp.proxies {
+		if p.Disabled || slices.Contains(imp.withServers, p) {
 			continue
 		}
 		for _, s := range p.Servers {
 			if !s.Line.HasOutcome() {
-				s.Line.MarkSkipped("", "servers of a proxy in mode log or spop take no sessions", "")
+				s.Line.MarkSkipped("", "the servers of a proxy in mode log or spop take no sessions", "")
 			}
 		}
 	}
 }
 
-// reportDuplicate is a server whose address a node has already.
-func (w *importState) reportDuplicate(s *haproxy.Server, n, first *Node) {
+// reportDuplicate records the outcome of a server whose address another node already has.
+func (imp *importState) reportDuplicate(s *haproxy.Server, n, first *Node) {
 	if n.State == first.State && n.Weight == first.Weight && n.MachineKind == first.MachineKind {
 		s.Line.MarkCarried("server "+n.Node, "nodes."+first.Node+" (the same address)")
 		return
 	}
-	s.Line.MarkSkipped("server "+n.Node, fmt.Sprintf("its address is that of node %s (%s), which has another weight, state or number of places: one node can't have both", first.Node,
-		first.server.Line.Position), "make the two lines agree, or set the node by hand")
+	s.Line.MarkSkipped("server "+n.Node, fmt.Sprintf("node %s (%s) has the same address, but another weight, state or capacity: one node can't have both", first.Node,
+		first.server.Line.Position), "make the two lines agree, or configure the node by hand")
 }
 
-// nodesOf are the nodes of a server's line, one for each number of a template; ok is false where it makes
-// none, which is noted.
-func (w *importState) nodesOf(p *haproxy.Proxy, s *haproxy.Server, names map[string]int) (all []*Node, ok bool) {
+// nodesOf creates the nodes of a server line: one for a server, one for each number of a template. ok is false if
+// the line creates none; the reason is recorded on the line.
+func (imp *importState) nodesOf(p *haproxy.Proxy, s *haproxy.Server, nameCounts map[string]int) (nodes []*Node, ok bool) {
 	l := s.Line
-	if o, is := s.Options["backup"]; is {
+	if o, set := s.Options["backup"]; set {
 		row := lookupKeyword("server", "backup")
 		l.MarkSkipped(o.Name, row.Reason, row.Advice)
 		return nil, false
 	}
-	if _, is := s.Options["disabled"]; is {
+	if _, set := s.Options["disabled"]; set {
 		l.MarkCarried("disabled", "nodes (left out)")
-		w.handled = append(w.handled, handledServer{s, "disabled"})
+		imp.handled = append(imp.handled, handledServer{s, "disabled"})
 		return nil, false
 	}
 	weight, _, given, err := s.Int("weight", 0, 256)
 	if err != nil {
-		l.MarkSkipped("weight", "HAProxy refuses it: "+err.Error(), "")
+		l.MarkSkipped("weight", "HAProxy rejects it: "+err.Error(), "")
 		return nil, false
 	}
 	state := wire.Up
@@ -196,156 +197,158 @@
 	case weight == 0:
 		state, weight = wire.Draining, 1
 	}
-	most, _, given, err := s.Int("maxconn", 0, 1<<30)
+	maxSessions, _, given, err := s.Int("maxconn", 0, 1<<30)
 	if err != nil {
-		l.MarkSkipped("maxconn", "HAProxy refuses it: "+err.Error(), "")
+		l.MarkSkipped("maxconn", "HAProxy rejects it: "+err.Error(), "")
 		return nil, false
 	}
 	kind := "unlimited"
-	if given && most > 0 {
-		kind = "places-" + strconv.Itoa(most)
-	}
-	one := func(name string, place serverPlacement) bool {
-		at := s.Address
-		if !utf8.ValidString(name + s.AddressText + place.address) {
-			// What is no text has no place in the result, where different bytes would read the same.
-			l.MarkSkipped("server", "its name or address has bytes that are no UTF-8", "rename it")
+	if given && maxSessions > 0 {
+		kind = "places-" + strconv.Itoa(maxSessions)
+	}
+	addNode := func(name string, placement serverPlacement) bool { // appends a node to nodes
+		address := s.Address
+		if !utf8.ValidString(name + s.AddressText + placement.address) {
+			// Invalid UTF-8 can't be written to the result: JSON encoding would make different names equal.
+			l.MarkSkipped("server", "its name or address is not valid UTF-8", "rename it")
 			return false
 		}
-		if place.address != "" {
-			host, port, err := net.SplitHostPort(place.address)
-			n, bad := strconv.Atoi(port)
-			if err != nil || bad != nil {
-				l.MarkSkipped("server "+name, fmt.Sprintf("the address in --with, %q, is no host:port", place.address), "")
+		if placement.address != "" {
+			host, port, err := net.SplitHostPort(placement.address)
+			n, portErr := strconv.Atoi(port)
+			if err != nil || portErr != nil {
+				l.MarkSkipped("server "+name, fmt.Sprintf("the address in --with, %q, is not host:port", placement.address), "")
 				return false
 			}
-			at = haproxy.Address{Host: host, FirstPort: n, LastPort: n}
+			address = haproxy.Address{Host: host, FirstPort: n, LastPort: n}
 		}
 		switch {
-		case at.Kind != "":
-			l.MarkSkipped("server "+name, fmt.Sprintf("%s: %s", s.AddressText, at.Kind), "give the address that players reach with --with")
+		case address.Kind != "":
+			l.MarkSkipped("server "+name, fmt.Sprintf("%s: %s", s.AddressText, address.Kind), "give the address that clients can reach with --with")
 			return false
-		case at.FirstPort != at.LastPort:
-			l.MarkSkipped("server "+name, s.AddressText+": a range of ports is no address of a server", "")
+		case address.FirstPort != address.LastPort:
+			l.MarkSkipped("server "+name, s.AddressText+": a server can't have a range of ports", "")
 			return false
-		case at.Host == "" || at.Host == "*" || at.Host == "0.0.0.0" || at.Host == "::":
-			l.MarkSkipped("server "+name, s.AddressText+": the address to which the client came is used", "give the address that players reach with --with")
+		case address.Host == "" || address.Host == "*" || address.Host == "0.0.0.0" || address.Host == "::":
+			l.MarkSkipped("server "+name, s.AddressText+": HAProxy uses the address to which the client connected", "give the address that clients can reach with --with")
 			return false
 		}
-		n := &Node{server: s, NodeEntry: wire.NodeEntry{Node: name, Address: net.JoinHostPort(at.Host, strconv.Itoa(at.FirstPort)), State: state, MachineKind: kind,
-			Weight: float64(weight), Zone: place.zone}}
-		if place.kind != "" {
-			n.MachineKind = place.kind
+		n := &Node{server: s, NodeEntry: wire.NodeEntry{Node: name, Address: net.JoinHostPort(address.Host, strconv.Itoa(address.FirstPort)), State: state, MachineKind: kind,
+			Weight: float64(weight), Zone: placement.zone}}
+		if placement.kind != "" {
+			n.MachineKind = placement.kind
 		}
-		if place.cell >= 0 {
-			n.Cell, n.HasCell = place.cell, true
+		if placement.cell >= 0 {
+			n.Cell, n.HasCell = placement.cell, true
 		}
-		if _, known := w.maxSessions[n.MachineKind]; !known {
-			w.maxSessions[n.MachineKind] = 0
-			w.kinds = append(w.kinds, n.MachineKind)
+		if _, known := imp.maxSessions[n.MachineKind]; !known {
+			imp.maxSessions[n.MachineKind] = 0
+			imp.kinds = append(imp.kinds, n.MachineKind)
 		}
 		if n.MachineKind == kind {
-			w.maxSessions[kind] = most
+			imp.maxSessions[kind] = maxSessions
 		}
-		all = append(all, n)
+		nodes = append(nodes, n)
 		return true
 	}
 	name := s.Name
-	if names[s.Name] > 1 && !s.Template {
+	if nameCounts[s.Name] > 1 && !s.Template {
 		name = p.Name + "." + s.Name
 	}
 	if !s.Template {
-		if !one(name, w.overlay.placementOf(p.Name, s.Name)) {
+		if !addNode(name, imp.overlay.placementOf(p.Name, s.Name)) {
 			return nil, false
 		}
 	} else {
-		made := 0
+		created := 0
 		for i := s.FirstNumber; i <= s.LastNumber; i++ {
 			number := s.Name + strconv.Itoa(i)
-			place := w.overlay.placementOf(p.Name, number)
-			if place.address == "" {
+			placement := imp.overlay.placementOf(p.Name, number)
+			if placement.address == "" {
 				continue
 			}
-			if one(number, place) {
-				made++
+			if addNode(number, placement) {
+				created++
 			}
 		}
-		if blank := s.LastNumber - s.FirstNumber + 1 - made; blank > 0 {
+		if missing := s.LastNumber - s.FirstNumber + 1 - created; missing > 0 {
 			row := lookupKeyword("proxy", "server-template")
-			l.MarkSkipped(fmt.Sprintf("%d of %d", blank, s.LastNumber-s.FirstNumber+1), row.Reason, row.Advice)
+			l.MarkSkipped(fmt.Sprintf("%d of %d", missing, s.LastNumber-s.FirstNumber+1), row.Reason, row.Advice)
 		}
-		if made == 0 {
+		if created == 0 {
 			return nil, false
 		}
 	}
-	w.handled = append(w.handled, handledServer{s, ""})
-	return all, true
+	imp.handled = append(imp.handled, handledServer{s, ""})
+	return nodes, true
 }
 
-// reportOptions accounts for the keywords on the lines of the servers that became nodes, or are left out.
-func (w *importState) reportOptions() {
-	for _, u := range w.handled {
+// reportOptions records the outcome of each option on the lines of the handled servers.
+func (imp *importState) reportOptions() {
+	for _, u := range imp.handled {
 		for _, o := range u.server.OwnOptions {
 			if o.Name != u.reported {
-				w.reportOption(u.server.Line, o)
+				imp.reportOption(u.server.Line, o)
 			}
 		}
 	}
 }
 
-func (w *importState) reportOption(l *haproxy.Line, o haproxy.Option) {
+// reportOption records the outcome of one option of a server.
+func (imp *importState) reportOption(l *haproxy.Line, o haproxy.Option) {
 	row := lookupKeyword("server", o.Name)
 	switch {
 	case row.ConfigKey == "":
 		l.MarkSkipped(o.String(), row.Reason, row.Advice)
 	case o.Name == "weight" && o.Arg() == "0":
-		l.MarkCarried(o.String(), "nodes.NAME.state (draining: sessions there go on, no new ones)")
-	case o.Name == "slowstart" && w.slowstartReason != "":
-		l.MarkSkipped(o.String(), w.slowstartReason, row.Advice)
+		l.MarkCarried(o.String(), "nodes.NAME.state (draining: existing sessions continue, the node takes no new ones)")
+	case o.Name == "slowstart" && imp.slowstartReason != "":
+		l.MarkSkipped(o.String(), imp.slowstartReason, row.Advice)
 	default:
 		l.MarkCarried(o.String(), row.ConfigKey)
 	}
 }
 
-// importSharedSettings carries over what the director has one value of, where all that it is about agree.
-func (w *importState) importSharedSettings() {
-	if d, ok := w.sharedDuration(w.withServers, "timeout connect", "manners.connect"); ok {
-		w.settings.set(newLeaf(d.String()), "manners", "connect")
-	}
-	if d, ok := w.sharedDuration(w.withClients, "timeout http-request", "limits.players.handshake"); ok {
-		w.settings.set(newLeaf(d.String()), "limits", "players", "handshake")
-	}
-	w.importRetries()
-	w.importSlowstart()
-	w.reportOptions()
+// importSharedSettings carries over the settings that a director has only once. Each is carried over only if all
+// proxies or servers concerned have the same value.
+func (imp *importState) importSharedSettings() {
+	if d, ok := imp.sharedDuration(imp.withServers, "timeout connect", "manners.connect"); ok {
+		imp.settings.set(newLeaf(d.String()), "manners", "connect")
+	}
+	if d, ok := imp.sharedDuration(imp.withClients, "timeout http-request", "limits.players.handshake"); ok {
+		imp.settings.set(newLeaf(d.String()), "limits", "players", "handshake")
+	}
+	imp.importRetries()
+	imp.importSlowstart()
+	imp.reportOptions()
 }
 
-// sharedDuration looks at a time that proxies have; it says false where they have none or do not agree, which is noted
-// on every line that sets it.
-func (w *importState) sharedDuration(proxies []*haproxy.Proxy, keyword, key string) (time.Duration, bool) {
+// sharedDuration returns the duration that all the proxies have for a keyword, and false if they have none or
+// different ones. It records the outcome on every line that sets the keyword.
+func (imp *importState) sharedDuration(proxies []*haproxy.Proxy, keyword, key string) (time.Duration, bool) {
 	row := lookupKeyword("proxy", keyword)
 	var lines []*haproxy.Line
 	var first time.Duration
-	why := ""
+	reason := ""
 	for i, p := range proxies {
-		x := p.Settings[keyword]
-		if x == nil || x.Negated {
-			if why == "" {
-				why = p.Kind + " " + p.Name + " has none"
+		setting := p.Settings[keyword]
+		if setting == nil || setting.Negated {
+			if reason == "" {
+				reason = p.Kind + " " + p.Name + " has none"
 			}
 			continue
 		}
-		if !slices.Contains(lines, x.Line) {
-			lines = append(lines, x.Line)
+		if !slices.Contains(lines, setting.Line) {
+			lines = append(lines, setting.Line)
 		}
-		d, err := x.Duration()
+		d, err := setting.Duration()
 		switch {
 		case err != nil:
-			why = err.Error()
+			reason = err.Error()
 		case d == 0:
-			why = "0 stands for no limit, which the director does not have"
+			reason = "0 stands for no limit, but the director always has one"
 		case i > 0 && first != 0 && d != first:
-			why = fmt.Sprintf("%v here and %v there: the director has one", first, d)
+			reason = fmt.Sprintf("the proxies have different values, %v and %v, but the director has a single one", first, d)
 		case first == 0:
 			first = d
 		}
@@ -354,104 +357,105 @@
 		if l.HasOutcome() {
 			continue
 		}
-		if why != "" {
-			l.MarkSkipped("", why, row.Advice)
+		if reason != "" {
+			l.MarkSkipped("", reason, row.Advice)
 		} else {
 			l.MarkCarried("", key)
 		}
 	}
-	return first, why == "" && first > 0
+	return first, reason == "" && first > 0
 }
 
-// importRetries carries over how often a connection that fails is tried again. Connections that were never made
-// ran nowhere, so the rule on paid set-ups has nothing against it; all else that retry-on names may have run.
-func (w *importState) importRetries() {
+// importRetries carries over the number of retries after a failed connection. A request whose connection was never
+// established did not run anywhere, so rule 2 (paid set-ups) allows a retry. After the other failures that retry-on
+// names, the request may have run.
+func (imp *importState) importRetries() {
 	var lines []*haproxy.Line
-	most, why := -1, ""
-	for _, p := range w.withServers {
+	retries, reason := -1, ""
+	for _, p := range imp.withServers {
 		n := 3
-		if x := p.Settings["retries"]; x != nil {
-			if !slices.Contains(lines, x.Line) {
-				lines = append(lines, x.Line)
+		if setting := p.Settings["retries"]; setting != nil {
+			if !slices.Contains(lines, setting.Line) {
+				lines = append(lines, setting.Line)
 			}
 			var err error
-			if n, err = x.Int(0, 1000); err != nil {
-				why = err.Error()
+			if n, err = setting.Int(0, 1000); err != nil {
+				reason = err.Error()
 			}
 		}
-		if x := p.Settings["option redispatch"]; x == nil || x.Negated {
-			if why == "" && n > 0 {
-				why = fmt.Sprintf("%s %s tries the same server again (no option redispatch): the director never does", p.Kind, p.Name)
+		if setting := p.Settings["option redispatch"]; setting == nil || setting.Negated {
+			if reason == "" && n > 0 {
+				reason = fmt.Sprintf("%s %s retries on the same server (no option redispatch), which the director never does", p.Kind, p.Name)
 			}
-		} else if !slices.Contains(lines, x.Line) {
-			lines = append(lines, x.Line)
+		} else if !slices.Contains(lines, setting.Line) {
+			lines = append(lines, setting.Line)
 		}
-		if x := p.Settings["retry-on"]; x != nil {
-			if bad := slices.DeleteFunc(slices.Clone(x.Args), func(a string) bool { return a == "none" || a == "conn-failure" }); len(bad) > 0 {
-				if !x.Line.HasOutcome() {
-					x.Line.MarkSkipped(strings.Join(bad, " "), reasonAtMostOnce, "viewers of free tariffs get further legs anyway (legs.most)")
+		if setting := p.Settings["retry-on"]; setting != nil {
+			if unsafe := slices.DeleteFunc(slices.Clone(setting.Args), func(a string) bool { return a == "none" || a == "conn-failure" }); len(unsafe) > 0 {
+				if !setting.Line.HasOutcome() {
+					setting.Line.MarkSkipped(strings.Join(unsafe, " "), reasonAtMostOnce, "clients of tariffs that are not paid get further legs anyway (legs.most)")
 				}
-			} else if !slices.Contains(lines, x.Line) {
-				lines = append(lines, x.Line)
+			} else if !slices.Contains(lines, setting.Line) {
+				lines = append(lines, setting.Line)
 			}
-			if slices.Contains(x.Args, "none") {
+			if slices.Contains(setting.Args, "none") {
 				n = 0
 			}
 		}
 		switch {
-		case most < 0:
-			most = n
-		case n != most && why == "":
-			why = fmt.Sprintf("%d retries here and %d there: the director has one number", most, n)
+		case retries < 0:
+			retries = n
+		case n != retries && reason == "":
+			reason = fmt.Sprintf("the proxies have different numbers of retries, %d and %d, but the director has a single one", retries, n)
 		}
 	}
-	if why == "" && most > 15 {
-		why = fmt.Sprintf("%d retries: the director has 16 legs at the most", most)
+	if reason == "" && retries > 15 {
+		reason = fmt.Sprintf("%d retries are too many: a session has at most 16 legs", retries)
 	}
 	for _, l := range lines {
 		if l.HasOutcome() {
 			continue
 		}
-		if why != "" {
-			l.MarkSkipped("", why, lookupKeyword("proxy", "retries").Advice)
+		if reason != "" {
+			l.MarkSkipped("", reason, lookupKeyword("proxy", "retries").Advice)
 		} else {
 			l.MarkCarried("", "legs.most")
 		}
 	}
-	if why == "" && len(lines) > 0 {
-		w.settings.set(newLeaf(most+1), "legs", "most")
+	if reason == "" && len(lines) > 0 {
+		imp.settings.set(newLeaf(retries+1), "legs", "most")
 	}
 }
 
-// importSlowstart carries over a warm-up where all nodes agree on it.
-func (w *importState) importSlowstart() {
+// importSlowstart carries over the slow-start time if all nodes have the same.
+func (imp *importState) importSlowstart() {
 	var first time.Duration
-	why := ""
-	for i, n := range w.nodes {
+	reason := ""
+	for i, n := range imp.nodes {
 		d, _, ok, err := n.server.Duration("slowstart")
 		switch {
 		case err != nil:
-			why = err.Error()
+			reason = err.Error()
 		case !ok && i > 0 && first > 0, ok && i > 0 && first == 0 && d > 0:
-			why = "not all nodes have it"
+			reason = "not all nodes have slowstart"
 		case i == 0:
 			first = d
 		case d != first:
-			why = fmt.Sprintf("%v here and %v there: the director has one warm-up", first, d)
+			reason = fmt.Sprintf("the nodes have different values, %v and %v, but the director has a single one", first, d)
 		}
 	}
-	if w.slowstartReason = why; why == "" && first == 0 {
-		w.slowstartReason = "0 stands for none, which leaves ramp.warmup to you"
+	if imp.slowstartReason = reason; reason == "" && first == 0 {
+		imp.slowstartReason = "0 stands for no slow start, so ramp.warmup has no value to carry over"
 	}
-	if why == "" && first > 0 {
-		w.settings.set(newLeaf(first.String()), "ramp", "warmup")
+	if reason == "" && first > 0 {
+		imp.settings.set(newLeaf(first.String()), "ramp", "warmup")
 	}
 }
 
-// importListeners carries over where players connect, and how many may.
-func (w *importState) importListeners() {
+// importListeners carries over the address for clients and the limit of their connections.
+func (imp *importState) importListeners() {
 	var binds []*haproxy.Line
-	for _, p := range w.withClients {
+	for _, p := range imp.withClients {
 		for _, l := range p.Lines {
 			if haproxy.Keyword(l) == "bind" && !l.HasOutcome() {
 				binds = append(binds, l)
@@ -460,63 +464,63 @@
 	}
 	row := lookupKeyword("proxy", "bind")
 	for _, l := range binds {
-		address, why := parseBind(l)
-		if why == "" && len(binds) > 1 {
-			why = fmt.Sprintf("there are %d addresses, and a director has one", len(binds))
+		address, reason := parseBind(l)
+		if reason == "" && len(binds) > 1 {
+			reason = fmt.Sprintf("there are %d addresses, but a director has one", len(binds))
 		}
-		if why != "" {
-			l.MarkSkipped("", why, row.Advice)
+		if reason != "" {
+			l.MarkSkipped("", reason, row.Advice)
 			continue
 		}
 		l.MarkCarried("", row.ConfigKey)
-		w.settings.set(newLeaf(address), "listen")
+		imp.settings.set(newLeaf(address), "listen")
 	}
-	most := 0
-	for _, s := range w.files.Sections {
+	maxConnections := 0
+	for _, s := range imp.files.Sections {
 		for _, l := range s.Lines {
 			if s.Kind != "global" || l.WordAt(0) != "maxconn" || l.HasOutcome() {
 				continue
 			}
 			n, err := strconv.Atoi(l.WordAt(1))
 			if err != nil || n <= 0 {
-				l.MarkSkipped("", "no number of connections", "")
+				l.MarkSkipped("", "maxconn needs a number of connections above 0", "")
 				continue
 			}
-			most = n
+			maxConnections = n
 			l.MarkCarried("", "limits.connections")
 		}
 	}
 	row = lookupKeyword("proxy", "maxconn")
-	for _, p := range w.withClients {
-		x := p.Settings["maxconn"]
-		if x == nil || x.Line.HasOutcome() {
+	for _, p := range imp.withClients {
+		setting := p.Settings["maxconn"]
+		if setting == nil || setting.Line.HasOutcome() {
 			continue
 		}
-		n, err := x.Int(1, 1<<30)
+		n, err := setting.Int(1, 1<<30)
 		switch {
 		case err != nil:
-			x.Line.MarkSkipped("", err.Error(), row.Advice)
-		case len(w.withClients) > 1:
-			x.Line.MarkSkipped("", fmt.Sprintf("a bound of one of %d frontends; the director has one bound", len(w.withClients)), row.Advice)
-		case most > 0 && n > most:
-			x.Line.MarkIgnored("the process takes fewer")
+			setting.Line.MarkSkipped("", err.Error(), row.Advice)
+		case len(imp.withClients) > 1:
+			setting.Line.MarkSkipped("", fmt.Sprintf("the limit of one of %d frontends, but the director has one limit for all clients", len(imp.withClients)), row.Advice)
+		case maxConnections > 0 && n > maxConnections:
+			setting.Line.MarkIgnored("the process allows fewer: the global maxconn is lower")
 		default:
-			most = n
-			x.Line.MarkCarried("", row.ConfigKey)
+			maxConnections = n
+			setting.Line.MarkCarried("", row.ConfigKey)
 		}
 	}
-	if most > 0 {
-		w.settings.set(newLeaf(min(most, 10_000_000)), "limits", "connections")
+	if maxConnections > 0 {
+		imp.settings.set(newLeaf(min(maxConnections, 10_000_000)), "limits", "connections")
 	}
 }
 
-// parseBind reads a bind line; why tells what keeps it from being carried over.
-func parseBind(l *haproxy.Line) (address, why string) {
+// parseBind returns the address of a bind line, or the reason why the line can't be carried over.
+func parseBind(l *haproxy.Line) (address, reason string) {
 	if len(l.Words) < 2 {
-		return "", "HAProxy refuses a bind without an address"
+		return "", "HAProxy rejects a bind without an address"
 	}
 	if strings.ContainsRune(l.WordAt(1), ',') {
-		return "", "several addresses on one line, and a director has one"
+		return "", "the line has several addresses, but a director has one"
 	}
 	a, err := haproxy.ParseAddress(l.WordAt(1))
 	switch {
@@ -525,15 +529,15 @@
 	case a.Kind != "":
 		return "", l.WordAt(1) + ": " + a.Kind
 	case a.FirstPort != a.LastPort:
-		return "", "a range of ports, and a director has one"
+		return "", "the line has a range of ports, but a director has one"
 	}
 	for i := 2; i < len(l.Words); i++ {
 		switch word := l.WordAt(i); word {
 		case "name", "maxconn", "backlog", "id", "nice", "process", "thread", "shards", "user", "group", "mode", "level":
-			i++ // how HAProxy treats the listener; who connects sees nothing of it
+			i++ // skip the argument; clients notice no difference from the option
 		case "transparent", "defer-accept", "tfo", "v4v6", "v6only":
 		default:
-			return "", fmt.Sprintf("%q: players would meet another door than now (encryption, another protocol)", word)
+			return "", fmt.Sprintf("%q: the listener of the director would differ from this one for clients (encryption, another protocol)", word)
 		}
 	}
 	if a.Host == "*" {
@@ -542,24 +546,24 @@
 	return net.JoinHostPort(a.Host, strconv.Itoa(a.FirstPort)), ""
 }
 
-// reportRemaining accounts for every line that nothing was noted of yet.
-func (w *importState) reportRemaining() {
+// reportRemaining records an outcome for every line that does not have one yet.
+func (imp *importState) reportRemaining() {
 	inForce := map[*haproxy.Line]bool{}
-	for _, p := range w.enabled {
-		for _, x := range p.Settings {
-			inForce[x.Line] = true
+	for _, p := range imp.enabled {
+		for _, setting := range p.Settings {
+			inForce[setting.Line] = true
 		}
 	}
-	for _, s := range w.files.Sections {
+	for _, s := range imp.files.Sections {
 		head := s.Head
-		where := "section"
+		scope := "section"
 		switch s.Kind {
 		case "global":
-			where = "global"
+			scope = "global"
 		case "defaults", "frontend", "backend", "listen":
-			where = "proxy"
+			scope = "proxy"
 		}
-		if where == "section" {
+		if scope == "section" {
 			row := lookupKeyword("section", s.Kind)
 			head.MarkSkipped("", row.Reason, row.Advice)
 			for _, l := range s.Lines {
@@ -577,130 +581,132 @@
 				continue
 			}
 			name := haproxy.Keyword(l)
-			row := lookupKeyword(where, name)
+			row := lookupKeyword(scope, name)
 			switch {
 			case name == "default-server":
-				w.reportDefaultServer(l)
+				imp.reportDefaultServer(l)
 			case name == "disabled" || name == "enabled":
-				l.MarkIgnored("the proxy is not disabled by it in the end")
+				l.MarkIgnored("the proxy is enabled in the end")
 			case row.ConfigKey != "" && !inForce[l]:
-				l.MarkIgnored("no proxy that is left has it in force")
+				l.MarkIgnored("no enabled proxy uses this setting")
 			case row.ConfigKey != "":
-				l.MarkSkipped("", "not where it has this meaning: "+row.Reason, row.Advice)
+				l.MarkSkipped("", "the setting does not have its usual meaning here: "+row.Reason, row.Advice)
 			default:
 				l.MarkSkipped("", row.Reason, row.Advice)
 			}
 		}
 	}
-	for _, l := range w.files.Lines { // what is left is a fault of the importer, and is told as such
+	for _, l := range imp.files.Lines { // a line without an outcome is a defect of the importer; report it as unknown
 		if !l.HasOutcome() {
 			l.MarkSkipped("", unknownKeyword.Reason, unknownKeyword.Advice)
 		}
 	}
 }
 
-// reportDefaultServer accounts for a default-server's line: as on a server's own.
-func (w *importState) reportDefaultServer(l *haproxy.Line) {
-	for _, p := range w.withServers {
+// reportDefaultServer records the outcome of a default-server line. Its options are reported like those of a server
+// if any server uses one of them.
+func (imp *importState) reportDefaultServer(l *haproxy.Line) {
+	for _, p := range imp.withServers {
 		for _, s := range p.Servers {
 			for _, o := range s.Options {
 				if o.Line != l {
 					continue
 				}
-				for _, all := range haproxy.DefaultServerOptions(l) {
-					w.reportOption(l, all)
+				for _, option := range haproxy.DefaultServerOptions(l) {
+					imp.reportOption(l, option)
 				}
 				return
 			}
 		}
 	}
-	l.MarkIgnored("no server that is left has any of it in force")
+	l.MarkIgnored("no enabled server uses any of its options")
 }
 
-// addSuggestions looks for what may be titles or tariffs; nothing of it is applied.
-func (w *importState) addSuggestions() {
-	say := func(format string, args ...any) {
-		w.result.Suggestions = append(w.result.Suggestions, fmt.Sprintf(format, args...))
-	}
-	if len(w.withServers) > 1 {
-		for _, p := range w.withServers {
-			say("%s: %s %s has %d servers: if its viewers want titles of their own, give them cells in a row and the titles base and copies there",
+// addSuggestions suggests which parts of the configuration may become titles or tariffs. No suggestion is applied.
+func (imp *importState) addSuggestions() {
+	add := func(format string, args ...any) {
+		imp.result.Suggestions = append(imp.result.Suggestions, fmt.Sprintf(format, args...))
+	}
+	if len(imp.withServers) > 1 {
+		for _, p := range imp.withServers {
+			add("%s: %s %s has %d servers: if its clients use titles of their own, give the servers consecutive cells and set base and copies of the titles to these cells",
 				p.Head.Position, p.Kind, p.Name, len(p.Servers))
 		}
 	}
-	for _, p := range w.enabled {
+	for _, p := range imp.enabled {
 		for _, l := range p.Lines {
 			switch haproxy.Keyword(l) {
 			case "use_backend":
-				say("%s: %q sends some viewers to %s: a tariff, or a group of titles", l.Position, l.JoinFrom(2), l.WordAt(1))
+				add("%s: %q sends some clients to %s: they may need a tariff or a group of titles of their own", l.Position, l.JoinFrom(2), l.WordAt(1))
 			case "cookie":
-				say("%s: viewers are kept on a server by a cookie: a player that passes its key finds its session again", l.Position)
+				add("%s: a cookie keeps clients on a server: a client of the director resumes its session by the session's key", l.Position)
 			}
 		}
 	}
 }
 
-// buildConfig puts the result together.
-func (w *importState) buildConfig() *tree {
+// buildConfig returns the director's configuration: blanks for the required settings, overridden by the settings that
+// were carried over and then by those of the overlay, and the nodes.
+func (imp *importState) buildConfig() *tree {
 	t := newObject()
 	t.set(newBlank("this director's name, unique among all"), "director", "name")
-	t.set(newBlank("its number, from 0"), "director", "me")
+	t.set(newBlank("its index, from 0"), "director", "me")
 	t.set(newBlank("how many directors there are"), "director", "directors")
-	t.set(newBlank("address for players, host:port"), "listen")
-	t.set(newBlank("{\"NAME\": {\"goal_time\": \"800ms\", \"hard_stop\": \"3s\"}}: HAProxy does not know them"), "tariffs")
+	t.set(newBlank("address for clients, host:port"), "listen")
+	t.set(newBlank("{\"NAME\": {\"goal_time\": \"800ms\", \"hard_stop\": \"3s\"}}: HAProxy has no such setting"), "tariffs")
 	t.set(newBlank("{\"rates\": [...]}: the rungs of your titles"), "ladder")
-	t.set(newBlank("cells of the placement"), "fleet", "cells")
-	t.set(newBlank("racks; a cell's rack is cell modulo racks"), "fleet", "racks")
-	t.set(newBlank("link of a node for each unit of weight"), "fleet", "link_unit")
-	t.set(newBlank("mean uplink of a rack"), "fleet", "uplink")
-	for _, k := range w.kinds {
-		if n := w.maxSessions[k]; n > 0 {
+	t.set(newBlank("number of cells"), "fleet", "cells")
+	t.set(newBlank("number of racks; a cell's rack is cell modulo racks"), "fleet", "racks")
+	t.set(newBlank("link rate of a node for each unit of weight"), "fleet", "link_unit")
+	t.set(newBlank("mean uplink rate of a rack"), "fleet", "uplink")
+	for _, k := range imp.kinds {
+		if n := imp.maxSessions[k]; n > 0 {
 			t.set(newLeaf(n), "fleet", "machines", k)
 		} else {
-			t.set(newBlank("sessions that it runs at most"), "fleet", "machines", k)
+			t.set(newBlank("maximum number of sessions on a machine of this kind"), "fleet", "machines", k)
 		}
 	}
-	t.set(newBlank("time until a node that has just started is warm"), "ramp", "warmup")
-	t.set(newBlank("its least warmth"), "ramp", "cold_from")
-	t.set(newBlank("the multiple of its pace that pushes it over"), "ramp", "multiple")
-	t.set(newBlank("within this time"), "ramp", "tip_after")
+	t.set(newBlank("time until a node that has just started reaches its full capacity"), "ramp", "warmup")
+	t.set(newBlank("share of its capacity that it has at its start"), "ramp", "cold_from")
+	t.set(newBlank("multiple of its own rate of new sessions that overloads it"), "ramp", "multiple")
+	t.set(newBlank("time within which that rate overloads it"), "ramp", "tip_after")
 	t.set(newBlank("{\"TITLE\": {\"base\": 0, \"copies\": 3}}: the cells that hold it"), "titles")
-	for _, k := range w.settings.keys { // what HAProxy says is no blank
-		merge(t, w.settings.children[k], k)
+	for _, k := range imp.settings.keys {
+		merge(t, imp.settings.children[k], k)
 	}
-	if w.overlay != nil {
-		for _, k := range w.overlay.settings.keys {
-			merge(t, w.overlay.settings.children[k], k)
+	if imp.overlay != nil {
+		for _, k := range imp.overlay.settings.keys {
+			merge(t, imp.overlay.settings.children[k], k)
 		}
 	}
 	nodes := newObject()
-	for _, n := range w.nodes {
-		e := newObject()
-		e.set(newLeaf(n.Address), "address")
-		e.set(newLeaf(n.State), "state")
-		e.set(newLeaf(n.MachineKind), "kind")
-		e.set(newLeaf(n.Weight), "weight")
+	for _, n := range imp.nodes {
+		entry := newObject()
+		entry.set(newLeaf(n.Address), "address")
+		entry.set(newLeaf(n.State), "state")
+		entry.set(newLeaf(n.MachineKind), "kind")
+		entry.set(newLeaf(n.Weight), "weight")
 		if n.Zone != "" {
-			e.set(newLeaf(n.Zone), "zone")
+			entry.set(newLeaf(n.Zone), "zone")
 		}
 		if n.HasCell {
-			e.set(newLeaf(n.Cell), "cell")
+			entry.set(newLeaf(n.Cell), "cell")
 		} else {
-			e.set(&tree{leaf: nullLeaf}, "cell")
+			entry.set(&tree{leaf: nullLeaf}, "cell")
 		}
-		nodes.set(e, n.Node)
+		nodes.set(entry, n.Node)
 	}
 	t.set(nodes, "nodes")
 	return t
 }
 
-// merge puts a value over what is there, key by key.
+// merge sets the value at a path of a tree. Objects are merged key by key; a leaf overrides the previous value.
 func merge(t, v *tree, path ...string) {
 	if v.children == nil {
 		t.set(v, path...)
 		return
 	}
-	if have := t.find(path...); have == nil || have.children == nil {
+	if existing := t.find(path...); existing == nil || existing.children == nil {
 		t.set(newObject(), path...)
 	}
 	for _, k := range v.keys {
--- a/internal/importer/overlay.go
+++ b/internal/importer/overlay.go
@@ -10,41 +10,41 @@
 	"fordusher/internal/conf"
 )
 
-// An Overlay is what HAProxy can't know: sections of a director's file, taken as they are, and for servers,
-// by their name or a pattern, where they stand.
+// An Overlay holds the settings that a HAProxy configuration does not contain: sections of a director's file, which
+// are copied unchanged, and the placement of servers by name or pattern.
 type Overlay struct {
-	settings *tree
+	settings *tree // the sections to copy
 	all      []*serverPlacement
-	exact    map[string][]*serverPlacement // by name, of those that are no pattern
-	globs    []*serverPlacement
+	exact    map[string][]*serverPlacement // the placements whose pattern is a plain name
+	globs    []*serverPlacement            // the placements whose pattern has wildcards
 }
 
-// A serverPlacement is what an overlay says of servers.
+// A serverPlacement is the part of an overlay that applies to the servers that match one pattern.
 type serverPlacement struct {
-	order    int
-	pattern  string // of BACKEND/NAME, as path.Match has it
-	offset   int
-	cell     int // under 0: not said
-	cellFrom int // the first of those that match has this one, the next the next; under 0: not said
+	order    int    // the position in the overlay; later entries override earlier ones
+	pattern  string // matches NAME or BACKEND/NAME; a pattern with wildcards matches BACKEND/NAME as in path.Match
+	offset   int    // in the overlay file, for error messages
+	cell     int    // the cell of the servers; below 0: not set
+	cellFrom int    // the cell of the first server that matches; the following ones get the next cells; below 0: not set
 	zone     string
 	kind     string
 	address  string
-	matched  int
+	matched  int // the number of servers that matched so far
 }
 
-// ReadOverlay reads an overlay; what is wrong with it comes back as conf.Problems.
+// ReadOverlay reads an overlay. Mistakes in it are returned as conf.Problems.
 func ReadOverlay(file string, text []byte) (*Overlay, error) {
-	r, o := conf.Parse(file, text)
-	if err := r.Err(); err != nil {
+	parser, o := conf.Parse(file, text)
+	if err := parser.Err(); err != nil {
 		return nil, err
 	}
-	v := &Overlay{exact: map[string][]*serverPlacement{}}
+	overlay := &Overlay{exact: map[string][]*serverPlacement{}}
 	servers := o.Object("servers", false)
 	for _, pattern := range servers.Names() {
 		s := servers.Object(pattern, true)
-		p := &serverPlacement{order: len(v.all), pattern: pattern, offset: servers.OffsetOf(pattern), cell: -1, cellFrom: -1}
+		p := &serverPlacement{order: len(overlay.all), pattern: pattern, offset: servers.OffsetOf(pattern), cell: -1, cellFrom: -1}
 		if _, err := path.Match(pattern, "a/b"); err != nil {
-			r.AddProblem(p.offset, "%q is no pattern", pattern)
+			parser.AddProblem(p.offset, "%q is no valid pattern", pattern)
 		}
 		if s.Has("cell") {
 			p.cell = s.Int("cell", 0, 0, 1e6, false)
@@ -54,14 +54,14 @@
 		}
 		p.zone, p.kind, p.address = s.Text("zone", "", false), s.Text("kind", "", false), s.Text("address", "", false)
 		if p.cell >= 0 && p.cellFrom >= 0 {
-			r.AddProblem(p.offset, "cell and cell_from: one of the two")
+			parser.AddProblem(p.offset, "cell and cell_from are both set; remove one of them")
 		}
 		s.ReportUnknownKeys()
-		v.all = append(v.all, p)
+		overlay.all = append(overlay.all, p)
 		if strings.ContainsAny(pattern, `*?[\`) {
-			v.globs = append(v.globs, p)
+			overlay.globs = append(overlay.globs, p)
 		} else {
-			v.exact[pattern] = append(v.exact[pattern], p)
+			overlay.exact[pattern] = append(overlay.exact[pattern], p)
 		}
 	}
 	known := []string{"director", "listen", "metrics", "list", "ladder", "tariffs", "fleet", "ramp", "legs", "tidings", "manners", "reach",
@@ -72,33 +72,33 @@
 		}
 	}
 	o.ReportUnknownKeys()
-	if err := r.Err(); err != nil {
+	if err := parser.Err(); err != nil {
 		return nil, err
 	}
 	parsed, err := hujson.Parse(text)
 	if err != nil {
-		return nil, err // conf.Parse has read it already
+		return nil, err // not expected: conf.Parse accepts the same text
 	}
-	v.settings = fromJSON(parsed)
-	v.settings.keys = slices.DeleteFunc(v.settings.keys, func(k string) bool { return k == "servers" })
-	delete(v.settings.children, "servers")
-	return v, nil
+	overlay.settings = fromJSON(parsed)
+	overlay.settings.keys = slices.DeleteFunc(overlay.settings.keys, func(k string) bool { return k == "servers" })
+	delete(overlay.settings.children, "servers")
+	return overlay, nil
 }
 
-// placementOf is what an overlay says of a server; the last pattern that matches wins, key by key.
-func (v *Overlay) placementOf(backend, name string) (p serverPlacement) {
+// placementOf returns the placement of a server. For each key, the last matching entry that sets it applies.
+func (overlay *Overlay) placementOf(backend, name string) (p serverPlacement) {
 	p = serverPlacement{cell: -1, cellFrom: -1}
-	if v == nil {
+	if overlay == nil {
 		return p
 	}
-	found := slices.Concat(v.exact[backend+"/"+name], v.exact[name])
-	for _, s := range v.globs {
+	matching := slices.Concat(overlay.exact[backend+"/"+name], overlay.exact[name])
+	for _, s := range overlay.globs {
 		if ok, _ := path.Match(s.pattern, backend+"/"+name); ok {
-			found = append(found, s)
+			matching = append(matching, s)
 		}
 	}
-	slices.SortFunc(found, func(a, b *serverPlacement) int { return a.order - b.order })
-	for _, s := range found {
+	slices.SortFunc(matching, func(a, b *serverPlacement) int { return a.order - b.order })
+	for _, s := range matching {
 		switch {
 		case s.cell >= 0:
 			p.cell = s.cell
@@ -106,9 +106,9 @@
 			p.cell = s.cellFrom + s.matched
 		}
 		s.matched++
-		for _, f := range []struct{ to, from *string }{{&p.zone, &s.zone}, {&p.kind, &s.kind}, {&p.address, &s.address}} {
-			if *f.from != "" {
-				*f.to = *f.from
+		for _, field := range []struct{ to, from *string }{{&p.zone, &s.zone}, {&p.kind, &s.kind}, {&p.address, &s.address}} {
+			if *field.from != "" {
+				*field.to = *field.from
 			}
 		}
 	}
--- a/internal/importer/tree.go
+++ b/internal/importer/tree.go
@@ -8,15 +8,15 @@
 	"github.com/tailscale/hujson"
 )
 
-// A tree is a JSON value that keeps the order of its keys; a leaf's text is JSON, null where it is a blank
-// that somebody has to fill in.
+// A tree is a JSON value that keeps the order of its keys. It is either an object with children or a leaf.
 type tree struct {
 	keys     []string
-	children map[string]*tree // nil: a leaf
-	leaf     string
-	comment  string
+	children map[string]*tree // nil for a leaf
+	leaf     string           // the JSON text of a leaf
+	comment  string           // rendered in a line above the value
 }
 
+// nullLeaf is the text of a blank: a value that the operator has to fill in.
 const nullLeaf = "null"
 
 func newObject() *tree { return &tree{children: map[string]*tree{}} }
@@ -24,7 +24,7 @@
 func newLeaf(x any) *tree {
 	text, err := json.Marshal(x)
 	if err != nil {
-		panic(fmt.Sprintf("a value that is no JSON: %v", err)) // all values are text and finite numbers
+		panic(fmt.Sprintf("value can't be encoded as JSON: %v", err)) // not expected: all values are strings and finite numbers
 	}
 	return &tree{leaf: string(text)}
 }
@@ -33,7 +33,7 @@
 
 func (t *tree) isBlank() bool { return t.children == nil && t.leaf == nullLeaf }
 
-// set puts a value at a path.
+// set sets the value at a path and creates the objects on the way.
 func (t *tree) set(v *tree, path ...string) {
 	for _, p := range path[:len(path)-1] {
 		next := t.children[p]
@@ -53,7 +53,7 @@
 	t.children[last] = v
 }
 
-// find returns what a path leads to, nil where it leads nowhere.
+// find returns the value at a path, or nil if there is none.
 func (t *tree) find(path ...string) *tree {
 	for _, p := range path {
 		if t == nil || t.children == nil {
@@ -64,23 +64,23 @@
 	return t
 }
 
-// fillFrom takes from another tree what this one has no value for.
-func (t *tree) fillFrom(from *tree) {
-	for _, k := range from.keys {
-		have, other := t.children[k], from.children[k]
+// fillFrom copies from another tree the values that this tree does not have or has as blanks.
+func (t *tree) fillFrom(source *tree) {
+	for _, k := range source.keys {
+		own, other := t.children[k], source.children[k]
 		switch {
-		case have == nil:
+		case own == nil:
 			t.keys = append(t.keys, k)
 			t.children[k] = other
-		case have.children != nil && other.children != nil:
-			have.fillFrom(other)
-		case have.isBlank() && !other.isBlank():
+		case own.children != nil && other.children != nil:
+			own.fillFrom(other)
+		case own.isBlank() && !other.isBlank():
 			t.children[k] = other
 		}
 	}
 }
 
-// fromJSON takes JSON with comments apart; the comments are lost.
+// fromJSON converts JSON with comments to a tree; the comments are dropped.
 func fromJSON(v hujson.Value) *tree {
 	o, ok := v.Value.(*hujson.Object)
 	if !ok {
@@ -95,19 +95,20 @@
 	return t
 }
 
-// render renders a tree; objects of leaves only stand on one line.
+// render writes a tree as JSON with comments. An object is written on one line if it has only leaves without
+// comments and is not the outermost one.
 func (t *tree) render(b *strings.Builder, indent string) {
 	if t.children == nil {
 		b.WriteString(t.leaf)
 		return
 	}
-	flat := len(t.keys) > 0 && indent != ""
+	oneLine := len(t.keys) > 0 && indent != ""
 	for _, k := range t.keys {
 		if c := t.children[k]; c.children != nil || c.comment != "" {
-			flat = false
+			oneLine = false
 		}
 	}
-	if flat {
+	if oneLine {
 		b.WriteByte('{')
 		for i, k := range t.keys {
 			if i > 0 {
@@ -131,7 +132,7 @@
 	b.WriteString(indent + "}")
 }
 
-// blankPaths are the paths of all that is to be filled in.
+// blankPaths returns the paths of all blanks of the tree, each below the given path.
 func (t *tree) blankPaths(path string) (all []string) {
 	if t.isBlank() {
 		return []string{path}
