--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -172,7 +172,7 @@
 		}
 	}
 	if o.Has("rates") && len(c.Ladder.Rates) == 0 {
-		p.AddProblem(o.OffsetOf("rates"), "a ladder has at least one rung")
+		p.AddProblem(o.OffsetOf("rates"), "a ladder needs at least one rung")
 	}
 	if w := len(c.Ladder.Worth); w > 0 && w != len(c.Ladder.Rates) {
 		p.AddProblem(o.OffsetOf("worth"), "worth has %d entries, but rates has %d", w, len(c.Ladder.Rates))
@@ -187,7 +187,7 @@
 	}
 	for _, name := range o.Names() {
 		t := o.Object(name, true)
-		x := policy.Tariff{
+		tariff := policy.Tariff{
 			GoalTime:   t.Duration("goal_time", 0, time.Millisecond, time.Hour, true),
 			HardStop:   t.Duration("hard_stop", 0, time.Millisecond, time.Hour, true),
 			Credit:     t.Number("credit", 1, 0, 1e6, false),
@@ -198,15 +198,15 @@
 			Seats:      t.Int("seats", 0, 0, 1e6, false),
 			Live:       t.Bool("live", false),
 		}
-		if x.GoalTime > x.HardStop && x.HardStop > 0 {
-			p.AddProblem(t.OffsetOf("goal_time"), "goal_time is %v; it has to be at most hard_stop (line %d), which is %v", x.GoalTime,
-				p.Line(t.OffsetOf("hard_stop")), x.HardStop)
+		if tariff.GoalTime > tariff.HardStop && tariff.HardStop > 0 {
+			p.AddProblem(t.OffsetOf("goal_time"), "goal_time is %v; it has to be at most hard_stop (line %d), which is %v", tariff.GoalTime,
+				p.Line(t.OffsetOf("hard_stop")), tariff.HardStop)
 		}
-		if x.Floor > x.Top {
-			p.AddProblem(t.OffsetOf("floor"), "floor is rung %d; it has to be at most top, which is rung %d, or rule 5 (terms kept) can't hold", x.Floor, x.Top)
+		if tariff.Floor > tariff.Top {
+			p.AddProblem(t.OffsetOf("floor"), "floor is rung %d; it has to be at most top, which is rung %d, or rule 5 (terms kept) can't hold", tariff.Floor, tariff.Top)
 		}
 		t.ReportUnknownKeys()
-		c.Tariffs = append(c.Tariffs, director.Tariff{Name: name, Tariff: x})
+		c.Tariffs = append(c.Tariffs, director.Tariff{Name: name, Tariff: tariff})
 	}
 	if len(c.Tariffs) == 0 && !o.absent {
 		p.AddProblem(o.Offset, "there is no tariff; at least one is required")
@@ -226,13 +226,13 @@
 	if c.Fleet.Racks > c.Fleet.Cells && c.Fleet.Cells > 0 {
 		p.AddProblem(o.OffsetOf("racks"), "there are %d racks, but only %d cells; a cell lies in one rack, so there can be no more racks than cells", c.Fleet.Racks, c.Fleet.Cells)
 	}
-	m := o.Object("machines", true)
-	for _, kind := range m.Names() {
+	machines := o.Object("machines", true)
+	for _, kind := range machines.Names() {
 		c.MachineKinds = append(c.MachineKinds, kind)
-		c.Ramp.MaxStreams = append(c.Ramp.MaxStreams, m.Number(kind, 1, 1, 1e6, true))
+		c.Ramp.MaxStreams = append(c.Ramp.MaxStreams, machines.Number(kind, 1, 1, 1e6, true))
 	}
-	if len(c.MachineKinds) == 0 && !m.absent {
-		p.AddProblem(m.Offset, "there is no kind of machine; at least one is required")
+	if len(c.MachineKinds) == 0 && !machines.absent {
+		p.AddProblem(machines.Offset, "there is no kind of machine; at least one is required")
 	}
 	o.ReportUnknownKeys()
 }
@@ -243,7 +243,7 @@
 	addresses := map[string]string{}
 	for _, name := range o.Names() {
 		n := o.Object(name, true)
-		e := wire.NodeEntry{
+		entry := wire.NodeEntry{
 			Node:        name,
 			Address:     parseAddress(p, n, "address", true),
 			State:       n.Text("state", wire.Up, false),
@@ -253,17 +253,17 @@
 			Cell:        n.Int("cell", 0, 0, lastCell, true),
 		}
 		n.ReportUnknownKeys()
-		if e.State != wire.Up && e.State != wire.Draining {
-			p.AddProblem(n.OffsetOf("state"), "state is %q; a node here is %q or %q", e.State, wire.Up, wire.Draining)
+		if entry.State != wire.Up && entry.State != wire.Draining {
+			p.AddProblem(n.OffsetOf("state"), "state is %q; it has to be %q or %q", entry.State, wire.Up, wire.Draining)
 		}
-		if e.MachineKind != "" && !slices.Contains(c.MachineKinds, e.MachineKind) && len(c.MachineKinds) > 0 {
-			p.AddProblem(n.OffsetOf("kind"), "fleet.machines has no %q", e.MachineKind)
+		if entry.MachineKind != "" && !slices.Contains(c.MachineKinds, entry.MachineKind) && len(c.MachineKinds) > 0 {
+			p.AddProblem(n.OffsetOf("kind"), "fleet.machines does not define the kind %q", entry.MachineKind)
 		}
-		if other, duplicate := addresses[e.Address]; duplicate && e.Address != "" {
-			p.AddProblem(n.OffsetOf("address"), "node %q has this address already", other)
+		if other, duplicate := addresses[entry.Address]; duplicate && entry.Address != "" {
+			p.AddProblem(n.OffsetOf("address"), "node %q already has this address", other)
 		}
-		addresses[e.Address] = name
-		c.Nodes = append(c.Nodes, e)
+		addresses[entry.Address] = name
+		c.Nodes = append(c.Nodes, entry)
 	}
 	o.ReportUnknownKeys()
 }
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -93,11 +93,11 @@
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzDecode(f *testing.F) {
 	f.Add([]byte(validConfig))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if c, err := Decode("f", text); (c == nil) == (err == nil) {
-			t.Fatal("want either a configuration or an error, not both and not neither")
+			t.Fatal("want a configuration or an error, and not both")
 		}
 	})
 }
--- a/internal/haproxy/proxy.go
+++ b/internal/haproxy/proxy.go
@@ -120,11 +120,11 @@
 // Proxies computes the settings of every proxy. A proxy inherits from the defaults section that it names with
 // from, otherwise from the last one above it. The lines of its own section then apply in order, and a later line
 // overrides an earlier one.
-func (f *Config) Proxies() ([]*Proxy, error) {
+func (c *Config) Proxies() ([]*Proxy, error) {
 	var all []*Proxy
 	defaultsByName := map[string]*Proxy{}
 	var lastDefaults *Proxy
-	for _, s := range f.Sections {
+	for _, s := range c.Sections {
 		isProxy := slices.Contains([]string{"frontend", "backend", "listen"}, s.Kind)
 		if s.Kind != "defaults" && !isProxy {
 			continue
--- a/internal/haproxy/reader.go
+++ b/internal/haproxy/reader.go
@@ -114,12 +114,12 @@
 
 // A Reader reads one configuration from several inputs, in the order in which they are given.
 type Reader struct {
-	Variables      Variables // the values of variables; a variable that is not in it has no value
-	Version        string    // the HAProxy version that the files were written for; empty: unknown
-	config         Config
-	section        *Section // the section of the current line
-	unknownSection string   // why the section of the current line is unknown; empty: it is known
-	branches       []branch // the open .if blocks, innermost last
+	Variables            Variables // the values of variables; a variable that is not in it has no value
+	Version              string    // the HAProxy version that the files were written for; empty: unknown
+	config               Config
+	section              *Section // the section of the current line
+	unknownSectionReason string   // why the section of the current line is unknown; empty: it is known
+	branches             []branch // the open .if blocks, innermost last
 }
 
 // A branch is the current branch of an open .if block.
@@ -162,7 +162,7 @@
 
 // Read reads one more input. A section ends at the end of its input.
 func (r *Reader) Read(name string, text []byte) error {
-	r.section, r.unknownSection = nil, ""
+	r.section, r.unknownSectionReason = nil, ""
 	first := len(r.config.Sections)
 	text = bytes.TrimPrefix(text, []byte("\xef\xbb\xbf"))
 	for n := 1; len(text) > 0; n++ {
@@ -200,6 +200,8 @@
 	return &r.config, nil
 }
 
+// readLine reads one physical line: it processes a directive, begins a section or adds the line to the current one.
+// A line that is not part of the configuration gets its outcome here.
 func (r *Reader) readLine(text string, at Position) error {
 	l := &Line{Position: at}
 	r.config.Lines = append(r.config.Lines, l)
@@ -229,16 +231,16 @@
 	case state == unknown:
 		l.MarkSkipped("", "it is unknown whether this branch is taken: "+r.unknownBranchReason(), "pass --env or --haproxy-version if the condition needs them, or remove the branch from the file")
 		if slices.Contains(KnownSections, l.Words[0].Text) {
-			r.section, r.unknownSection = nil, fmt.Sprintf("it is unknown whether the section that begins at %v is part of the configuration", l.Position)
+			r.section, r.unknownSectionReason = nil, fmt.Sprintf("it is unknown whether the section that begins at %v is part of the configuration", l.Position)
 		}
 		return nil
 	}
 	word := l.Words[0].Text
-	if slices.Contains(KnownSections, word) || r.section == nil && r.unknownSection == "" {
+	if slices.Contains(KnownSections, word) || r.section == nil && r.unknownSectionReason == "" {
 		return r.beginSection(l)
 	}
-	if r.unknownSection != "" {
-		l.MarkSkipped("", r.unknownSection, "remove the branch from the file")
+	if r.unknownSectionReason != "" {
+		l.MarkSkipped("", r.unknownSectionReason, "remove the branch from the file")
 		return nil
 	}
 	r.section.Lines = append(r.section.Lines, l)
@@ -254,8 +256,8 @@
 		return &SyntaxError{at, fmt.Sprintf("%q is outside of any section: the input is no HAProxy configuration, or its first section is of an unknown kind", kind)}
 	}
 	if len(l.UnsetVariables) > 0 {
-		r.section, r.unknownSection = nil, fmt.Sprintf("the name of the section at line %d contains variables without a value: %s", l.Line, strings.Join(l.UnsetVariables, ", "))
-		l.MarkSkipped("", r.unknownSection, "pass --env NAME=VALUE")
+		r.section, r.unknownSectionReason = nil, fmt.Sprintf("the name of the section at line %d contains variables without a value: %s", l.Line, strings.Join(l.UnsetVariables, ", "))
+		l.MarkSkipped("", r.unknownSectionReason, "pass --env NAME=VALUE")
 		return nil
 	}
 	s := &Section{Kind: kind, Head: l}
@@ -271,7 +273,7 @@
 		return &SyntaxError{at, kind + " without a name"}
 	}
 	r.config.Sections = append(r.config.Sections, s)
-	r.section, r.unknownSection = s, ""
+	r.section, r.unknownSectionReason = s, ""
 	return nil
 }
 
--- a/internal/haproxy/reader_test.go
+++ b/internal/haproxy/reader_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// readText reads a configuration from one text.
+// readText reads a configuration from one text with the given variables.
 func readText(t *testing.T, text string, env Variables) (*Config, error) {
 	t.Helper()
 	r := Reader{Variables: env}
@@ -180,19 +180,19 @@
 		"backend b from none\n server a b:1": "", // reported by Proxies, below
 	} {
 		_, err := readText(t, text, nil)
-		var u *SyntaxError
+		var syntaxError *SyntaxError
 		if want == "" {
 			if err != nil {
 				t.Error(err)
 			}
 			continue
 		}
-		if !errors.As(err, &u) || !strings.Contains(err.Error(), want) {
+		if !errors.As(err, &syntaxError) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: got error %v, want %s", text, err, want)
 		}
 	}
-	f, _ := readText(t, "backend b from none\n server a b:1", nil)
-	if _, err := f.Proxies(); err == nil || !strings.Contains(err.Error(), "t.cfg:1") {
+	config, _ := readText(t, "backend b from none\n server a b:1", nil)
+	if _, err := config.Proxies(); err == nil || !strings.Contains(err.Error(), "t.cfg:1") {
 		t.Error(err)
 	}
 }
--- a/internal/haproxy/token.go
+++ b/internal/haproxy/token.go
@@ -30,7 +30,7 @@
 	Message string
 }
 
-func (u *SyntaxError) Error() string { return u.Position.String() + ": " + u.Message }
+func (e *SyntaxError) Error() string { return e.Position.String() + ": " + e.Message }
 
 // A Word is one word of a line, with quotes, escapes and variables already resolved.
 type Word struct {
--- a/internal/importer/mapping.go
+++ b/internal/importer/mapping.go
@@ -33,7 +33,7 @@
 // KeywordMappings is the mapping table. The first row that matches a keyword applies.
 var KeywordMappings = []KeywordMapping{
 	{"server", "weight", "nodes.NAME.weight", "0 to 256: the size of the node's link in units of fleet.link_unit; 0 is carried over as draining: the node takes no new sessions, existing ones continue", ""},
-	{"server", "disabled enabled", "nodes.NAME", "a disabled server is left out; a planned change removes it", ""},
+	{"server", "disabled enabled", "nodes.NAME", "a disabled server is left out; a plan (--plan) removes its node", ""},
 	{"server", "maxconn", "fleet.machines", "the maximum number of sessions, which becomes the capacity of the node's kind of machine; 0 means no limit and leaves the capacity blank", ""},
 	{"server", "slowstart", "ramp.warmup", "the time until a node that has just started has its full capacity; carried over if all nodes agree", "set ramp.warmup by hand"},
 	{"server", "backup", "", "the director has no nodes that wait for others to fail", "list them later, or list them now as draining"},
@@ -52,11 +52,11 @@
 	{"proxy", "timeout http-request", "limits.players.handshake", "the time-out for receiving a client's whole request, which is the handshake for a director; carried over if all frontends agree", "set limits.players.handshake by hand"},
 	{"proxy", "retries", "legs.most", "a connection that fails is retried on another node, and each retry is one more leg; carried over if option redispatch is on and all proxies with servers agree", "set legs.most by hand"},
 	{"proxy", "option redispatch", "legs.most", "the director always tries a further leg on another node; an interval is not carried over", ""},
-	{"proxy", "retry-on", "legs.most", "conn-failure (a connection that was never established) is the director's own behaviour, and none means one leg; after any other failure the request may have run", "do without it: " + reasonAtMostOnce},
+	{"proxy", "retry-on", "legs.most", "conn-failure (a connection that was never established) is the director's own behaviour, and none means one leg; after any other failure the request may have run", "leave it out: " + reasonAtMostOnce},
 	{"proxy", "maxconn", "limits.connections", "the maximum number of connected clients; carried over if there is one frontend and it allows fewer than the process", "set limits.connections by hand"},
 	{"proxy", "bind", "listen", "the address for clients; carried over if there is exactly one, without encryption", "choose one address for listen, and run a further director for each other address"},
 	{"proxy", "disabled enabled", "nodes", "a disabled proxy and its servers are left out", ""},
-	{"proxy", "timeout queue", "", "HAProxy queues requests in front of full servers; the director abandons a session at its hard stop and rejects requests that are queued for too long (limits.wait)", "the tariff's hard_stop is the total time that a client waits"},
+	{"proxy", "timeout queue", "", "HAProxy queues requests in front of full servers; the director abandons a session at its hard stop and rejects requests that are queued for too long (limits.wait)", "the tariff's hard_stop is the total time that a client's request may take"},
 	{"proxy", "timeout server timeout client timeout tunnel timeout client-fin timeout server-fin timeout http-keep-alive timeout client-hs timeout tarpit", "", "time-outs of traffic: " + reasonNoTraffic, ""},
 	{"proxy", "timeout check option *chk option *-check http-check tcp-check external-check option log-health-checks", "", reasonOwnHealthChecks, ""},
 	{"proxy", "balance hash-type hash-balance-factor hash-preserve-affinity load-server-state-from-file fullconn", "", reasonOwnPlacement, ""},
--- a/internal/importer/overlay.go
+++ b/internal/importer/overlay.go
@@ -86,13 +86,13 @@
 }
 
 // placementOf returns the placement of a server. For each key, the last matching entry that sets it applies.
-func (overlay *Overlay) placementOf(backend, name string) (p serverPlacement) {
+func (o *Overlay) placementOf(backend, name string) (p serverPlacement) {
 	p = serverPlacement{cell: -1, cellFrom: -1}
-	if overlay == nil {
+	if o == nil {
 		return p
 	}
-	matching := slices.Concat(overlay.exact[backend+"/"+name], overlay.exact[name])
-	for _, s := range overlay.globs {
+	matching := slices.Concat(o.exact[backend+"/"+name], o.exact[name])
+	for _, s := range o.globs {
 		if ok, _ := path.Match(s.pattern, backend+"/"+name); ok {
 			matching = append(matching, s)
 		}
