--- a/internal/importer/tree.go
+++ b/internal/importer/tree.go
@@ -8,79 +8,79 @@
 	"github.com/tailscale/hujson"
 )
 
-// A tree is a JSON value that keeps the order of its keys; a leaf's text is JSON, null where it is a blank
-// that somebody has to fill in.
+// A tree is a JSON value that keeps the order of its keys. It is either an object with children or a leaf.
 type tree struct {
-	keys    []string
-	kids    map[string]*tree // nil: a leaf
-	leaf    string
-	comment string
+	keys     []string
+	children map[string]*tree // nil for a leaf
+	leaf     string           // the JSON text of a leaf
+	comment  string           // rendered in a line above the value
 }
 
-const blank = "null"
+// nullLeaf is the text of a blank: a value that the operator has to fill in.
+const nullLeaf = "null"
 
-func object() *tree { return &tree{kids: map[string]*tree{}} }
+func newObject() *tree { return &tree{children: map[string]*tree{}} }
 
-func value(x any) *tree {
+func newLeaf(x any) *tree {
 	text, err := json.Marshal(x)
 	if err != nil {
-		panic(fmt.Sprintf("a value that is no JSON: %v", err)) // all values are text and finite numbers
+		panic(fmt.Sprintf("value can't be encoded as JSON: %v", err)) // not expected: all values are strings and finite numbers
 	}
 	return &tree{leaf: string(text)}
 }
 
-func missing(comment string) *tree { return &tree{leaf: blank, comment: comment} }
+func newBlank(comment string) *tree { return &tree{leaf: nullLeaf, comment: comment} }
 
-func (t *tree) blank() bool { return t.kids == nil && t.leaf == blank }
+func (t *tree) isBlank() bool { return t.children == nil && t.leaf == nullLeaf }
 
-// set puts a value at a path.
+// set sets the value at a path and creates the objects on the way.
 func (t *tree) set(v *tree, path ...string) {
 	for _, p := range path[:len(path)-1] {
-		next := t.kids[p]
-		if next == nil || next.kids == nil {
+		next := t.children[p]
+		if next == nil || next.children == nil {
 			if next == nil {
 				t.keys = append(t.keys, p)
 			}
-			next = object()
-			t.kids[p] = next
+			next = newObject()
+			t.children[p] = next
 		}
 		t = next
 	}
 	last := path[len(path)-1]
-	if t.kids[last] == nil {
+	if t.children[last] == nil {
 		t.keys = append(t.keys, last)
 	}
-	t.kids[last] = v
+	t.children[last] = v
 }
 
-// at returns what a path leads to, nil where it leads nowhere.
-func (t *tree) at(path ...string) *tree {
+// find returns the value at a path, or nil if there is none.
+func (t *tree) find(path ...string) *tree {
 	for _, p := range path {
-		if t == nil || t.kids == nil {
+		if t == nil || t.children == nil {
 			return nil
 		}
-		t = t.kids[p]
+		t = t.children[p]
 	}
 	return t
 }
 
-// fill takes from another tree what this one has no value for.
-func (t *tree) fill(from *tree) {
-	for _, k := range from.keys {
-		have, other := t.kids[k], from.kids[k]
+// fillFrom copies from another tree the values that this tree does not have or has as blanks.
+func (t *tree) fillFrom(source *tree) {
+	for _, k := range source.keys {
+		own, other := t.children[k], source.children[k]
 		switch {
-		case have == nil:
+		case own == nil:
 			t.keys = append(t.keys, k)
-			t.kids[k] = other
-		case have.kids != nil && other.kids != nil:
-			have.fill(other)
-		case have.blank() && !other.blank():
-			t.kids[k] = other
+			t.children[k] = other
+		case own.children != nil && other.children != nil:
+			own.fillFrom(other)
+		case own.isBlank() && !other.isBlank():
+			t.children[k] = other
 		}
 	}
 }
 
-// fromJSON takes JSON with comments apart; the comments are lost.
+// fromJSON converts JSON with comments to a tree; the comments are dropped.
 func fromJSON(v hujson.Value) *tree {
 	o, ok := v.Value.(*hujson.Object)
 	if !ok {
@@ -88,56 +88,57 @@
 		c.Minimize()
 		return &tree{leaf: string(c.Pack())}
 	}
-	t := object()
+	t := newObject()
 	for _, m := range o.Members {
 		t.set(fromJSON(m.Value), m.Name.Value.(hujson.Literal).String())
 	}
 	return t
 }
 
-// write renders a tree; objects of leaves only stand on one line.
-func (t *tree) write(b *strings.Builder, indent string) {
-	if t.kids == nil {
+// render writes a tree as JSON with comments. An object is written on one line if it has only leaves without
+// comments and is not the outermost one.
+func (t *tree) render(b *strings.Builder, indent string) {
+	if t.children == nil {
 		b.WriteString(t.leaf)
 		return
 	}
-	flat := len(t.keys) > 0 && indent != ""
+	oneLine := len(t.keys) > 0 && indent != ""
 	for _, k := range t.keys {
-		if c := t.kids[k]; c.kids != nil || c.comment != "" {
-			flat = false
+		if c := t.children[k]; c.children != nil || c.comment != "" {
+			oneLine = false
 		}
 	}
-	if flat {
+	if oneLine {
 		b.WriteByte('{')
 		for i, k := range t.keys {
 			if i > 0 {
 				b.WriteString(", ")
 			}
-			b.WriteString(value(k).leaf + ": " + t.kids[k].leaf)
+			b.WriteString(newLeaf(k).leaf + ": " + t.children[k].leaf)
 		}
 		b.WriteByte('}')
 		return
 	}
 	b.WriteString("{\n")
 	for _, k := range t.keys {
-		c := t.kids[k]
+		c := t.children[k]
 		if c.comment != "" {
 			fmt.Fprintf(b, "%s  // %s\n", indent, c.comment)
 		}
-		b.WriteString(indent + "  " + value(k).leaf + ": ")
-		c.write(b, indent+"  ")
+		b.WriteString(indent + "  " + newLeaf(k).leaf + ": ")
+		c.render(b, indent+"  ")
 		b.WriteString(",\n")
 	}
 	b.WriteString(indent + "}")
 }
 
-// blanks are the paths of all that is to be filled in.
-func (t *tree) blanks(path string) (all []string) {
-	if t.blank() {
+// blankPaths returns the paths of all blanks of the tree, each below the given path.
+func (t *tree) blankPaths(path string) (all []string) {
+	if t.isBlank() {
 		return []string{path}
 	}
 	for _, k := range t.keys {
-		all = append(all, t.kids[k].blanks(strings.TrimPrefix(path+"."+k, "."))...)
+		all = append(all, t.children[k].blankPaths(strings.TrimPrefix(path+"."+k, "."))...)
 	}
 	return all
 }
