--- a/internal/asynclog/writer.go
+++ b/internal/asynclog/writer.go
@@ -24,8 +24,8 @@
 	VerboseRate = RateLimit{Burst: 20_000, PerSecond: 5000}
 )
 
-// waiting is how many lines that wait for a reader are kept, the first ones; the later ones are left out.
-const waiting = 1024
+// maxQueuedLines is how many lines that wait for a reader are kept, the first ones; the later ones are left out.
+const maxQueuedLines = 1024
 
 // Writer is a writer of lines. Its methods may be called by any goroutine.
 type Writer struct {
@@ -33,17 +33,17 @@
 	done chan struct{}
 
 	mu     sync.Mutex
-	pace   *rate.Limiter
+	limiter   *rate.Limiter
 	queue  [][]byte // emptied as they are written
 	wake   chan struct{}
-	left   uint64 // lines left out
-	said   uint64 // of these, the ones that a line has told of
+	dropped   uint64 // lines left out
+	reported   uint64 // of these, the ones that a line has told of
 	closed bool
 }
 
 // New starts writing to out, which may be slow, or stand still for ever, at a pace.
 func New(out io.Writer, pace RateLimit) *Writer {
-	h := &Writer{out: out, done: make(chan struct{}), pace: rate.NewLimiter(rate.Limit(pace.PerSecond), pace.Burst), wake: make(chan struct{}, 1)}
+	h := &Writer{out: out, done: make(chan struct{}), limiter: rate.NewLimiter(rate.Limit(pace.PerSecond), pace.Burst), wake: make(chan struct{}, 1)}
 	go h.run()
 	return h
 }
@@ -52,16 +52,16 @@
 func (h *Writer) Write(line []byte) (int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.closed || len(h.queue) >= waiting || !h.pace.AllowN(time.Now(), 1) {
-		h.left++
+	if h.closed || len(h.queue) >= maxQueuedLines || !h.limiter.AllowN(time.Now(), 1) {
+		h.dropped++
 		return len(line), nil
 	}
 	h.queue = append(h.queue, bytes.Clone(line))
-	h.rouse()
+	h.signal()
 	return len(line), nil
 }
 
-func (h *Writer) rouse() {
+func (h *Writer) signal() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
@@ -72,22 +72,22 @@
 func (h *Writer) Dropped() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.left
+	return h.dropped
 }
 
-// sayEvery is how often it is said how many lines were left out.
-const sayEvery = time.Second
+// dropReportInterval is how often it is said how many lines were left out.
+const dropReportInterval = time.Second
 
 func (h *Writer) run() {
 	defer close(h.done)
-	tick := time.NewTicker(sayEvery)
+	tick := time.NewTicker(dropReportInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-h.wake:
 		case <-tick.C:
 		}
-		lines, ended := h.take()
+		lines, ended := h.takeBatch()
 		for _, line := range lines {
 			h.out.Write(line) // there is nowhere to tell of an error
 		}
@@ -97,15 +97,15 @@
 	}
 }
 
-// take is what is to be written now, with a line on what was left out since the last one.
-func (h *Writer) take() (lines [][]byte, ended bool) {
+// takeBatch is what is to be written now, with a line on what was left out since the last one.
+func (h *Writer) takeBatch() (lines [][]byte, ended bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	lines, h.queue = h.queue, nil
-	if h.left > h.said {
+	if h.dropped > h.reported {
 		lines = append(lines, fmt.Appendf(nil, `{"level":"warn","time":%q,"left_out":%d,"message":"%d log lines were left out, %d since the start"}`+"\n",
-			time.Now().Format(time.RFC3339Nano), h.left-h.said, h.left-h.said, h.left))
-		h.said = h.left
+			time.Now().Format(time.RFC3339Nano), h.dropped-h.reported, h.dropped-h.reported, h.dropped))
+		h.reported = h.dropped
 	}
 	return lines, h.closed
 }
@@ -114,7 +114,7 @@
 func (h *Writer) Close(within time.Duration) {
 	h.mu.Lock()
 	h.closed = true
-	h.rouse()
+	h.signal()
 	h.mu.Unlock()
 	select {
 	case <-h.done:
--- a/internal/asynclog/writer_test.go
+++ b/internal/asynclog/writer_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// A page is what a reader has of the lines; until it is let go, it does not read.
-type page struct {
+// A blockingOutput is what a reader has of the lines; until it is let go, it does not read.
+type blockingOutput struct {
 	mu   sync.Mutex
 	text strings.Builder
-	free chan struct{}
+	unblocked chan struct{}
 }
 
-func (p *page) Write(b []byte) (int, error) {
-	<-p.free
+func (p *blockingOutput) Write(b []byte) (int, error) {
+	<-p.unblocked
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.text.Write(b)
 }
 
-func (p *page) has(t *testing.T, want string) {
+func (p *blockingOutput) waitFor(t *testing.T, want string) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		p.mu.Lock()
@@ -39,8 +39,8 @@
 
 // A storm of lines to a reader that stands still: nobody waits, the first lines are kept, and once somebody reads it
 // is told how many are missing.
-func TestStormBehindAReaderThatStandsStill(t *testing.T) {
-	p := &page{free: make(chan struct{})}
+func TestLogStormWithBlockedReader(t *testing.T) {
+	p := &blockingOutput{unblocked: make(chan struct{})}
 	h := New(p, DefaultRate)
 	const lines = 100_000
 	began := time.Now()
@@ -54,19 +54,19 @@
 	if left < uint64(lines-DefaultRate.Burst-1000) || left > uint64(lines-DefaultRate.Burst) {
 		t.Fatal(left, "left out")
 	}
-	close(p.free)
-	p.has(t, "line 0.\n")
-	p.has(t, fmt.Sprintf("line %d.\n", DefaultRate.Burst-1))
-	p.has(t, fmt.Sprintf("%d since the start", left))
+	close(p.unblocked)
+	p.waitFor(t, "line 0.\n")
+	p.waitFor(t, fmt.Sprintf("line %d.\n", DefaultRate.Burst-1))
+	p.waitFor(t, fmt.Sprintf("%d since the start", left))
 	h.Close(time.Second)
 }
 
 // What was written before the end is there after it, and an end does not wait for a reader that never reads.
-func TestCloseWritesWhatWaitsAndDoesNotWaitForEver(t *testing.T) {
-	p := &page{free: make(chan struct{})}
+func TestCloseFlushesWithinTimeout(t *testing.T) {
+	p := &blockingOutput{unblocked: make(chan struct{})}
 	h := New(p, DefaultRate)
 	fmt.Fprintln(h, "last")
 	h.Close(10 * time.Millisecond)
-	close(p.free)
-	p.has(t, "last")
+	close(p.unblocked)
+	p.waitFor(t, "last")
 }
--- a/internal/clock/monotonic_test.go
+++ b/internal/clock/monotonic_test.go
@@ -6,7 +6,7 @@
 )
 
 // Steps of the wall clock, either way, change nothing of what is told; real time does.
-func TestStepsOfTheWallClockAreNotSeen(t *testing.T) {
+func TestWallClockStepsHaveNoEffect(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	wall := start
 	s := NewMonotonicClock(func() time.Time { return wall })
--- a/internal/loopback/address_test.go
+++ b/internal/loopback/address_test.go
@@ -8,7 +8,7 @@
 )
 
 // A reserved address is no outgoing connection's, also between two listeners, and refuses while nobody listens.
-func TestAReservedAddressStaysFreeForListeners(t *testing.T) {
+func TestReservedAddressStaysFreeForListeners(t *testing.T) {
 	address, err := Reserve()
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 }
 
 // A reserved address is given to nobody else who asks for any.
-func TestReservedAddressesDiffer(t *testing.T) {
+func TestReservedAddressesAreDistinct(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
 		address, err := Reserve()
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -13,7 +13,7 @@
 	_ "fordusher/internal/testseed"
 )
 
-type set struct {
+type expectedTimer struct {
 	at     time.Duration
 	seq    int
 	handle Handle
@@ -21,16 +21,16 @@
 
 // Whatever is set, moved and called off, alarms ring in the order of their times and then of their setting, once each,
 // and a handle that rang or was called off touches nobody else's, though its place is another's by then.
-func TestAlarmsRingInOrder(t *testing.T) {
+func TestTimersExpireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a Queue[int]
-		var want []*set
+		var want []*expectedTimer
 		var old []Handle
 		for n := range rapid.IntRange(1, 200).Draw(t, "n") {
 			at := time.Duration(rapid.IntRange(0, 20).Draw(t, "at"))
 			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
 			case what < 3 || len(want) == 0:
-				want = append(want, &set{at, n, a.Add(at, n)})
+				want = append(want, &expectedTimer{at, n, a.Add(at, n)})
 			case what == 3:
 				w := rapid.SampledFrom(want).Draw(t, "one")
 				if w.at = at; !a.Reschedule(w.handle, at) {
@@ -42,7 +42,7 @@
 				old = append(old, want[i].handle)
 				want = slices.Delete(want, i, i+1)
 			default:
-				slices.SortFunc(want, func(x, y *set) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.seq, y.seq)) })
+				slices.SortFunc(want, func(x, y *expectedTimer) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.seq, y.seq)) })
 				if first, ok := a.NextDeadline(); !ok || first != want[0].at {
 					t.Fatal("first is", first, ok)
 				}
@@ -64,7 +64,7 @@
 	})
 }
 
-func BenchmarkMove(b *testing.B) {
+func BenchmarkReschedule(b *testing.B) {
 	for _, n := range []int{10_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := rand.New(rand.NewPCG(1, 1))
--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -10,21 +10,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// How long accepting rests at first, and at most, while the system has no descriptor, buffer or memory for a connection.
-// The rest doubles while it goes on. Clients wait in the listener's queue meanwhile, so it is short.
+// Initial and maximum delay between attempts to accept while the system lacks a descriptor, buffer or memory for a
+// connection. The delay doubles with each attempt. It is short because clients wait in the listener's backlog meanwhile.
 const (
-	firstAcceptRest = time.Millisecond
-	mostAcceptRest  = 20 * time.Millisecond
+	initialAcceptDelay = time.Millisecond
+	maxAcceptDelay     = 20 * time.Millisecond
 )
 
-// A listener accepts connections for netpoll, which calls Accept whenever the socket is readable, until it says that none
-// waits any more. Where accepting fails for want of something here, netpoll lets the socket be and calls Accept again from
-// a goroutine of its own, with rests of up to a second; the rests are taken in Accept instead, which are shorter.
+// A listener accepts connections for netpoll, which calls Accept whenever the socket is readable until no connection is
+// waiting. When accepting fails for lack of a local resource, netpoll stops watching the socket and calls Accept from a
+// goroutine of its own with delays of up to a second. Accept delays and retries itself instead, so that the delays are
+// shorter.
 type listener struct {
 	netpoll.Listener
-	calls   *systemCalls
-	resting atomic.Bool // Accept is called from netpoll's goroutine for retries
-	closed  atomic.Bool
+	calls    *systemCalls
+	retrying atomic.Bool // Accept is called from netpoll's retry goroutine
+	closed   atomic.Bool
 }
 
 func listen(address string) (*listener, error) {
@@ -32,41 +33,43 @@
 	if err != nil {
 		return nil, err
 	}
-	return &listener{Listener: ln, calls: system.Load()}, nil
+	return &listener{Listener: ln, calls: currentCalls.Load()}, nil
 }
 
-// Accept returns a connection, or none and no error where none waits.
+// Accept returns a connection, or neither a connection nor an error if none is waiting.
 func (l *listener) Accept() (net.Conn, error) {
-	rest := firstAcceptRest
+	delay := initialAcceptDelay
 	for {
 		descriptor, peer, err := l.calls.accept(l.Fd())
 		switch err {
 		case nil:
 			return newAccepted(descriptor, l.Addr(), peer), nil
 		case unix.EAGAIN:
-			l.resting.Store(false)
+			l.retrying.Store(false)
 			return nil, nil
 		case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM:
-			if !l.resting.Swap(true) {
-				return nil, unix.ENFILE // the one that netpoll goes on after in a goroutine, and complains of
+			if !l.retrying.Swap(true) {
+				return nil, unix.ENFILE // the error after which netpoll retries in a goroutine; netpoll also logs it
 			}
-			complaints.Add(1)
-		default: // the connection's own end, a signal: the next one may be right
-			complaints.Add(1)
-			if !l.resting.Load() {
-				return nil, nil // called again while the socket is readable
+			internalErrors.Add(1)
+		default: // the connection was aborted, or a signal arrived: the next call may succeed
+			internalErrors.Add(1)
+			if !l.retrying.Load() {
+				return nil, nil // netpoll calls Accept again while the socket is readable
 			}
 		}
 		if l.closed.Load() {
-			// Netpoll's goroutine knows no other end, and would watch a descriptor that may be another file's by now.
+			// Netpoll's retry goroutine has no other way to end. It would go on to watch the descriptor, which may
+			// belong to another file by now.
 			runtime.Goexit()
 		}
-		time.Sleep(rest)
-		rest = min(2*rest, mostAcceptRest)
+		time.Sleep(delay)
+		delay = min(2*delay, maxAcceptDelay)
 	}
 }
 
-// Close may be called again by netpoll's shutdown, when the descriptor may be another file's.
+// Close closes the descriptor once: netpoll's shutdown may call it again when the descriptor already belongs to another
+// file.
 func (l *listener) Close() error {
 	if l.closed.Swap(true) {
 		return nil
@@ -74,23 +77,23 @@
 	return l.Listener.Close()
 }
 
-// accepted is what netpoll takes a new connection from: its descriptor and addresses.
-type accepted struct {
-	net.Conn   // nothing of it is called
+// acceptedSocket is the descriptor and the addresses of a new connection, as netpoll expects them.
+type acceptedSocket struct {
+	net.Conn   // nil: only the methods below are called
 	descriptor int
 	local      net.Addr
 	peer       net.Addr
 }
 
-func newAccepted(descriptor int, local net.Addr, peer unix.Sockaddr) *accepted {
-	// An error leaves it slower, not wrong.
+func newAccepted(descriptor int, local net.Addr, peer unix.Sockaddr) *acceptedSocket {
+	// Without the option the connection is slower but correct, so an error is ignored.
 	_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	return &accepted{descriptor: descriptor, local: local, peer: tcpAddress(peer)}
+	return &acceptedSocket{descriptor: descriptor, local: local, peer: tcpAddress(peer)}
 }
 
-func (a *accepted) Fd() int              { return a.descriptor }
-func (a *accepted) LocalAddr() net.Addr  { return a.local }
-func (a *accepted) RemoteAddr() net.Addr { return a.peer }
+func (a *acceptedSocket) Fd() int              { return a.descriptor }
+func (a *acceptedSocket) LocalAddr() net.Addr  { return a.local }
+func (a *acceptedSocket) RemoteAddr() net.Addr { return a.peer }
 
 func tcpAddress(address unix.Sockaddr) *net.TCPAddr {
 	switch a := address.(type) {
--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -10,69 +10,72 @@
 	"github.com/gobwas/ws"
 )
 
-// The reasons for which connections end, counted by the caller with Cause.
+// The causes for which connections end; CauseLabel gives the label under which the caller counts them.
 var (
 	ErrSlowPeer      = errors.New("peer does not read")
 	ErrTooLarge      = errors.New("message too large")
-	ErrProtocol      = errors.New("protocol broken")
+	ErrProtocol      = errors.New("protocol violation")
 	ErrHandshake     = errors.New("handshake failed")
 	ErrClosedByPeer  = errors.New("closed by peer")
 	ErrClosedLocally = errors.New("closed here")
 )
 
-// CauseLabel is a short word for a closing error, for logs and metrics.
+// CauseLabel returns a short label for the error that ended a connection, for logs and metrics.
 func CauseLabel(err error) string {
 	for _, c := range []struct {
-		err  error
-		word string
+		err   error
+		label string
 	}{{ErrSlowPeer, "slow"}, {ErrTooLarge, "too_large"}, {ErrProtocol, "protocol"}, {ErrHandshake, "handshake"},
 		{ErrClosedByPeer, "peer"}, {ErrClosedLocally, "here"}} {
 		if errors.Is(err, c.err) {
-			return c.word
+			return c.label
 		}
 	}
 	return "lost"
 }
 
-// An InputEnder is a Handler that closes connections itself whose peers have sent what can't be read: nothing more is read
-// from such a peer, and what is sent to it still goes out. It is asked only where messages frame themselves.
+// An InputEnder is a Handler that itself closes the connection of a peer that sent invalid input. Further input of the peer
+// is discarded, while messages to it are still sent. InputEnded is called only for accepted connections of a SplitFunc
+// protocol, after their first complete message.
 type InputEnder interface {
-	InputEnded(c *Conn, why error)
+	InputEnded(c *Conn, err error)
 }
 
-// EndInput reads nothing more from a peer that has broken the protocol or a bound. The connection is closed, with a code,
-// by who has an InputEnder once nothing is owed on it, else at once.
-func (c *Conn) EndInput(why error, code ws.StatusCode) {
+// EndInput stops reading from a peer that has violated the protocol or exceeded a limit. If the handler is an InputEnder
+// and the connection is one for which InputEnded is called, the handler closes the connection when no answer is pending on
+// it; otherwise EndInput closes it with the status code.
+func (c *Conn) EndInput(err error, code ws.StatusCode) {
 	ender, ok := c.handler.(InputEnder)
-	if !ok || c.split == nil || c.server == nil || !c.whole.Load() {
-		c.end(why, code, why.Error())
+	if !ok || c.split == nil || c.server == nil || !c.handshakeReceived.Load() {
+		c.beginClose(err, code, err.Error())
 		return
 	}
-	if !c.deaf.Swap(true) {
-		ender.InputEnded(c, why)
+	if !c.inputEnded.Swap(true) {
+		ender.InputEnded(c, err)
 	}
 }
 
-// Close ends the connection after what is queued and a close frame have gone out.
+// Close ends the connection after the queued messages and a close frame have been written.
 func (c *Conn) Close(code ws.StatusCode, reason string) {
-	c.end(fmt.Errorf("%w: %s", ErrClosedLocally, reason), code, reason)
+	c.beginClose(fmt.Errorf("%w: %s", ErrClosedLocally, reason), code, reason)
 }
 
-func (c *Conn) end(why error, code ws.StatusCode, reason string) {
+// beginClose queues a close frame, or closes the connection at once if there is nothing to write.
+func (c *Conn) beginClose(err error, code ws.StatusCode, reason string) {
 	c.mu.Lock()
-	if c.why != nil {
+	if c.closeErr != nil {
 		c.mu.Unlock()
 		return
 	}
-	c.why = why
-	// Where there is no close frame to write the connection is closed at once: what comes from now on isn't read.
-	nothingToWrite := !c.shook || c.split != nil && !c.writing
+	c.closeErr = err
+	// With no close frame to write, the connection is closed at once, because further input is not read.
+	nothingToWrite := !c.handshakeDone || c.split != nil && !c.writing
 	if nothingToWrite && c.usable {
-		c.boundClose()
+		c.applyCloseTimeout()
 	}
 	c.mu.Unlock()
 	if nothingToWrite {
-		c.np.Close()
+		c.raw.Close()
 		return
 	}
 	var body []byte
@@ -82,61 +85,64 @@
 	c.send(ws.OpClose, body, 0)
 }
 
-// closeReason makes a text fit into a close frame: short enough, and UTF-8, which a peer may insist on (RFC 6455, 5.5.1)
-// though its own bytes, quoted, are not.
+// closeReason shortens a text to fit into a close frame and makes it valid UTF-8, which a peer may require (RFC 6455, 5.5.1).
+// A text that quotes the peer's own bytes may be invalid.
 func closeReason(text string) string {
-	const most = 120
+	const maxBytes = 120
 	text = strings.ToValidUTF8(text, "?")
-	for len(text) > most {
-		_, last := utf8.DecodeLastRuneInString(text)
-		text = text[:len(text)-last]
+	for len(text) > maxBytes {
+		_, size := utf8.DecodeLastRuneInString(text)
+		text = text[:len(text)-size]
 	}
 	return text
 }
 
-// Abort ends the connection at once; what is queued is dropped.
-func (c *Conn) Abort() { c.fail(ErrClosedLocally) }
+// Abort ends the connection at once and drops the queued messages.
+func (c *Conn) Abort() { c.closeNow(ErrClosedLocally) }
 
-// Reset ends the connection at once so that the peer sees a reset.
+// Reset ends the connection at once with a TCP reset.
 func (c *Conn) Reset() {
 	c.mu.Lock()
 	if c.usable {
-		c.np.reset()
+		c.raw.resetOnClose()
 	}
 	c.mu.Unlock()
-	c.fail(ErrClosedLocally)
+	c.closeNow(ErrClosedLocally)
 }
 
-func (c *Conn) fail(why error) {
+// closeNow ends the connection without writing the queue or a close frame. It resets a peer that does not read.
+func (c *Conn) closeNow(err error) {
 	c.mu.Lock()
-	if c.why == nil {
-		c.why = why
+	if c.closeErr == nil {
+		c.closeErr = err
 	}
-	if errors.Is(why, ErrSlowPeer) && c.usable {
-		// The peer's window is shut: a closing that waits for it would leave what is unsent in the kernel
-		// for minutes, and the peer would not hear of it.
-		c.np.reset()
+	if errors.Is(err, ErrSlowPeer) && c.usable {
+		// The peer's receive window is full. An orderly close would keep the unsent bytes in the kernel for minutes,
+		// and the peer would not learn of the close.
+		c.raw.resetOnClose()
 	}
 	c.usable = false
 	c.mu.Unlock()
-	c.np.Close()
+	c.raw.Close()
 }
 
-func (c *Conn) closed(netpoll.Connection) error {
-	c.once.Do(c.settle)
+// onClosed is called when raw is closed, by either side and possibly more than once.
+func (c *Conn) onClosed(netpoll.Connection) error {
+	c.closeOnce.Do(c.finishClose)
 	return nil
 }
 
-func (c *Conn) settle() {
+// finishClose reports the end of the connection to the handler, with the tags of the messages that were not sent.
+func (c *Conn) finishClose() {
 	if c.server != nil {
-		c.cameWhole()
-		c.server.forget(c)
+		c.markHandshakeReceived()
+		c.server.removeConn(c)
 	}
 	c.mu.Lock()
-	why := c.why
-	if why == nil {
-		why = fmt.Errorf("connection lost")
-		c.why = why
+	err := c.closeErr
+	if err == nil {
+		err = fmt.Errorf("connection lost")
+		c.closeErr = err
 	}
 	var unsent []uint64
 	for _, f := range c.queue {
@@ -144,7 +150,7 @@
 			unsent = append(unsent, f.tag)
 		}
 	}
-	c.queue, c.queued, c.last, c.usable = nil, 0, true, false // the descriptor is closed after this
+	c.queue, c.queuedBytes, c.sendClosed, c.usable = nil, 0, true, false // the descriptor is closed after onClosed returns
 	c.mu.Unlock()
-	c.handler.Closed(c, why, unsent)
+	c.handler.Closed(c, err, unsent)
 }
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -10,105 +10,105 @@
 	"github.com/gobwas/ws"
 )
 
-// An AdmissionHandler is a Handler that wants to be asked before a handshake is answered: it calls Accept or Reject on
-// the connection, then or later, from any goroutine.
+// An AdmissionHandler is a Handler that decides whether a connection is accepted. Connecting is called before the handshake
+// is answered. The handler then calls Accept or Reject on the connection, at once or later, from any goroutine.
 type AdmissionHandler interface {
 	Connecting(c *Conn)
 }
 
-// both reads from one side and writes to the other: a handshake in memory.
-type both struct {
+// readWriter combines a reader and a writer, for a handshake in memory.
+type readWriter struct {
 	io.Reader
 	io.Writer
 }
 
-func (c *Conn) turnAway(why error) {
-	c.fail(fmt.Errorf("%w: %v", ErrHandshake, why))
+func (c *Conn) failHandshake(err error) {
+	c.closeNow(fmt.Errorf("%w: %v", ErrHandshake, err))
 }
 
-// Accept answers a handshake that waits for the gate.
+// Accept completes a handshake that waits for the AdmissionHandler's decision.
 func (c *Conn) Accept() {
 	if c.split != nil {
 		c.handler.Opened(c)
 		return
 	}
 	c.mu.Lock()
-	head := c.head
-	c.head = nil
+	head := c.pendingHandshake
+	c.pendingHandshake = nil
 	c.mu.Unlock()
 	if head != nil {
 		c.upgrade(head)
 	}
 }
 
-// Reject answers a handshake that waits for the gate with 503 and a time to come back.
-func (c *Conn) Reject(retry time.Duration, why string) {
+// Reject answers a handshake that waits for the AdmissionHandler's decision with status 503 and a time after which to retry.
+func (c *Conn) Reject(retryAfter time.Duration, reason string) {
 	if c.split != nil {
-		c.Close(closeLater, why)
+		c.Close(closeTryAgainLater, reason)
 		return
 	}
 	c.mu.Lock()
-	waits := c.head != nil
-	c.head = nil
+	pending := c.pendingHandshake != nil
+	c.pendingHandshake = nil
 	c.mu.Unlock()
-	if !waits {
+	if !pending {
 		return
 	}
-	seconds := int64((retry + time.Second - 1) / time.Second) // the header has whole seconds
-	c.answer(http.StatusServiceUnavailable, fmt.Sprintf("Retry-After: %d\r\nX-Retry-After-Ms: %d\r\n", seconds, retry.Milliseconds()), why)
+	seconds := int64((retryAfter + time.Second - 1) / time.Second) // Retry-After holds whole seconds
+	c.respondAndClose(http.StatusServiceUnavailable, fmt.Sprintf("Retry-After: %d\r\nX-Retry-After-Ms: %d\r\n", seconds, retryAfter.Milliseconds()), reason)
 }
 
-// answer ends a handshake with a status.
-func (c *Conn) answer(status int, headers, why string) {
+// respondAndClose answers a handshake with an HTTP error and closes the connection.
+func (c *Conn) respondAndClose(status int, headers, reason string) {
 	c.mu.Lock()
-	if c.why == nil {
-		c.why = fmt.Errorf("%w: %s", ErrHandshake, why)
+	if c.closeErr == nil {
+		c.closeErr = fmt.Errorf("%w: %s", ErrHandshake, reason)
 	}
 	c.mu.Unlock()
-	c.put(frame{body: fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", status,
-		http.StatusText(status), headers, len(why), why)}, true)
+	c.writeOrQueue(frame{body: fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", status,
+		http.StatusText(status), headers, len(reason), reason)}, true)
 }
 
-// upgrade answers a handshake.
+// upgrade answers a handshake and returns whether the connection is open afterwards.
 func (c *Conn) upgrade(head []byte) bool {
 	if c.server == nil || c.server.silent.Load() {
-		return false // a client upgrades before it reads
+		return false // a dialed connection completes its handshake before input is handled
 	}
 	var out bytes.Buffer
 	up := ws.Upgrader{
 		Protocol: func(p []byte) bool { return string(p) == c.server.protocol },
 	}
-	hs, err := up.Upgrade(both{bytes.NewReader(head), &out})
+	hs, err := up.Upgrade(readWriter{bytes.NewReader(head), &out})
 	if err == nil && hs.Protocol != c.server.protocol {
 		err = fmt.Errorf("no sub-protocol %s offered", c.server.protocol)
 		out.Reset()
 	}
 	if err != nil {
 		if out.Len() == 0 {
-			c.answer(http.StatusBadRequest, "", err.Error())
+			c.respondAndClose(http.StatusBadRequest, "", err.Error())
 			return false
 		}
 		c.mu.Lock()
-		c.why = fmt.Errorf("%w: %v", ErrHandshake, err)
+		c.closeErr = fmt.Errorf("%w: %v", ErrHandshake, err)
 		c.mu.Unlock()
-		c.put(frame{body: out.Bytes()}, true)
+		c.writeOrQueue(frame{body: out.Bytes()}, true)
 		return false
 	}
 	c.mu.Lock()
-	c.shook = true
+	c.handshakeDone = true
 	c.mu.Unlock()
-	c.put(frame{body: out.Bytes()}, false)
+	c.writeOrQueue(frame{body: out.Bytes()}, false)
 	c.handler.Opened(c)
 	return true
 }
 
-// cameWhole notes that a handshake has come whole, or never will.
-func (c *Conn) cameWhole() {
-	if c.server != nil && !c.whole.Swap(true) {
-		c.server.pending.Add(-1)
-		if c.cutoff != nil {
-			c.cutoff.Stop()
-			c.cutoff = nil
+// markHandshakeReceived records that the handshake has been received completely, or that the connection has ended before.
+func (c *Conn) markHandshakeReceived() {
+	if c.server != nil && !c.handshakeReceived.Swap(true) {
+		c.server.pendingHandshakes.Add(-1)
+		if c.handshakeTimer != nil {
+			c.handshakeTimer.Stop()
+			c.handshakeTimer = nil
 		}
 	}
 }
--- a/internal/transport/memory.go
+++ b/internal/transport/memory.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// MemoryNetwork carries connections in memory, for loads that no machine has descriptors for. Everything above
-// the carrier is the code that sockets have. One goroutine delivers what servers write, in order.
+// MemoryNetwork carries connections in memory, for load tests with more connections than a machine has descriptors for. All
+// code above rawConn is the same as for sockets. One goroutine delivers what servers write, in order.
 type MemoryNetwork struct {
 	mu      sync.Mutex
-	waiting []parcel
+	pending []delivery
 	wake    chan struct{}
 }
 
-type parcel struct {
-	to   *memory
+// A delivery is a piece of output of a server's connection.
+type delivery struct {
+	to   *memoryConn
 	body []byte
 }
 
-// NewMemoryNetwork starts a network; it delivers until stop is closed.
+// NewMemoryNetwork starts a network that delivers until stop is closed.
 func NewMemoryNetwork(stop <-chan struct{}) *MemoryNetwork {
 	n := &MemoryNetwork{wake: make(chan struct{}, 1)}
 	go func() {
-		var batch []parcel
+		var batch []delivery
 		for {
 			n.mu.Lock()
-			batch, n.waiting = n.waiting, batch[:0]
+			batch, n.pending = n.pending, batch[:0]
 			n.mu.Unlock()
-			for i, p := range batch {
-				p.to.out(p.body)
-				batch[i] = parcel{}
+			for i, d := range batch {
+				d.to.deliver(d.body)
+				batch[i] = delivery{}
 			}
 			if len(batch) > 0 {
 				continue
@@ -46,9 +47,9 @@
 	return n
 }
 
-func (n *MemoryNetwork) carry(to *memory, body []byte) {
+func (n *MemoryNetwork) enqueue(to *memoryConn, body []byte) {
 	n.mu.Lock()
-	n.waiting = append(n.waiting, parcel{to, body})
+	n.pending = append(n.pending, delivery{to, body})
 	n.mu.Unlock()
 	select {
 	case n.wake <- struct{}{}:
@@ -56,40 +57,40 @@
 	}
 }
 
-// memory is a carrier without sockets.
-type memory struct {
+// memoryConn is a rawConn without a socket.
+type memoryConn struct {
 	conn    *Conn
 	network *MemoryNetwork
 	peer    netip.AddrPort
-	out     func(p []byte)
+	deliver func(p []byte)
 }
 
-func (m *memory) RemoteAddr() net.Addr { return net.TCPAddrFromAddrPort(m.peer) }
+func (m *memoryConn) RemoteAddr() net.Addr { return net.TCPAddrFromAddrPort(m.peer) }
 
-func (m *memory) write(p []byte) (int, error) {
+func (m *memoryConn) write(p []byte) (int, error) {
 	if len(p) > 0 {
-		m.network.carry(m, p)
+		m.network.enqueue(m, p)
 	}
 	return len(p), nil
 }
 
-func (m *memory) reset() {}
+func (m *memoryConn) resetOnClose() {}
 
-func (m *memory) closeWithin(time.Duration) {}
+func (m *memoryConn) setCloseTimeout(time.Duration) {}
 
-func (m *memory) Close() error { return m.conn.closed(nil) }
+func (m *memoryConn) Close() error { return m.conn.onClosed(nil) }
 
-// AttachInMemory adds a connection in memory, as from an address; what the server writes goes to out, from the
-// network's goroutine.
-func (s *Server) AttachInMemory(n *MemoryNetwork, peer netip.AddrPort, out func(p []byte)) *Conn {
-	c := &Conn{handler: s.handler, bounds: s.bounds, server: s, usable: true}
-	c.np = &memory{conn: c, network: n, peer: peer, out: out}
-	s.pending.Add(1)
+// AttachInMemory adds a connection in memory with the given remote address. The network's goroutine calls deliver with what
+// the server writes.
+func (s *Server) AttachInMemory(n *MemoryNetwork, peer netip.AddrPort, deliver func(p []byte)) *Conn {
+	c := &Conn{handler: s.handler, limits: s.limits, server: s, usable: true}
+	c.raw = &memoryConn{conn: c, network: n, peer: peer, deliver: deliver}
+	s.pendingHandshakes.Add(1)
 	s.mu.Lock()
 	s.conns[c] = true
 	s.mu.Unlock()
 	return c
 }
 
-// Receive takes bytes from the peer of a connection in memory. Calls for one connection must not overlap.
-func (c *Conn) Receive(in []byte) { c.feed(in) }
+// Receive passes in bytes from the peer of a connection in memory. Calls for one connection must not overlap.
+func (c *Conn) Receive(in []byte) { c.handleInput(in) }
--- a/internal/transport/netpoll.go
+++ b/internal/transport/netpoll.go
@@ -6,28 +6,29 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// complaints counts the lines that netpoll would write to standard error (failed accepts, above all) and the handlers
-// that have panicked.
-var complaints atomic.Int64
+// internalErrors counts the log lines of netpoll, which would otherwise go to standard error (mostly failed accepts), further
+// failed accepts, and panics of handlers.
+var internalErrors atomic.Int64
 
-// InternalErrors is how often netpoll has complained so far.
-func InternalErrors() int64 { return complaints.Load() }
+// InternalErrors returns the number of errors that netpoll has logged, failed accepts and handler panics so far.
+func InternalErrors() int64 { return internalErrors.Load() }
 
-type counter struct{}
+// errorCounter counts the lines written to it in internalErrors.
+type errorCounter struct{}
 
-func (counter) Write(line []byte) (int, error) {
-	complaints.Add(1)
+func (errorCounter) Write(line []byte) (int, error) {
+	internalErrors.Add(1)
 	return len(line), nil
 }
 
-// readBuffer is what netpoll keeps for each connection, idle or not, to read into; it grows where much
-// comes at once.
-const readBuffer = 256
+// readBufferBytes is the size of the read buffer that netpoll keeps for each connection, idle or not. The buffer grows when
+// more input arrives at once.
+const readBufferBytes = 256
 
-// netpoll asks to be set up before any of its pollers runs, so it is done here.
+// netpoll must be configured before any of its pollers runs, so this is done in init.
 func init() {
-	netpoll.LinkBufferCap = readBuffer
-	if err := netpoll.Configure(netpoll.Config{BufferSize: readBuffer, LoggerOutput: counter{}}); err != nil {
-		panic(err) // nothing in it can be refused but a number of pollers
+	netpoll.LinkBufferCap = readBufferBytes
+	if err := netpoll.Configure(netpoll.Config{BufferSize: readBufferBytes, LoggerOutput: errorCounter{}}); err != nil {
+		panic(err) // impossible: Configure rejects only a number of pollers
 	}
 }
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -11,66 +11,66 @@
 	"github.com/gobwas/ws"
 )
 
-// headMost is the largest HTTP head of a handshake; burstMost is how much a peer may have sent beyond one
-// message before any of it was looked at.
+// maxHandshakeBytes is the largest request head of a handshake. maxBurstBytes is how much unread input beyond one message a
+// peer may have sent before the next read.
 const (
-	headMost  = 4 << 10
-	burstMost = 1 << 20
+	maxHandshakeBytes = 4 << 10
+	maxBurstBytes     = 1 << 20
 )
 
-// read takes all that has come: netpoll calls it again and again while anything is left.
+// read handles all available input. netpoll calls it repeatedly while input is left.
 func (c *Conn) read(_ context.Context, np netpoll.Connection) error {
-	defer c.recover()
+	defer c.recoverPanic()
 	r := np.Reader()
 	n := r.Len()
 	if n == 0 {
 		return nil
 	}
-	if n > burstMost+c.bounds.MaxMessageBytes {
+	if n > maxBurstBytes+c.limits.MaxMessageBytes {
 		c.EndInput(fmt.Errorf("%w: %d bytes at once", ErrTooLarge, n), ws.StatusPolicyViolation)
 	}
 	in, err := r.Next(n)
 	if err != nil {
 		return err
 	}
-	c.feed(in)
+	c.handleInput(in)
 	return r.Release()
 }
 
-// recover ends a connection whose handler has panicked, which is a fault of the program, and counts it: netpoll's pool
-// would write about it to standard error itself.
-func (c *Conn) recover() {
+// recoverPanic ends the input of a connection whose handler has panicked because of a bug in the program, and counts the
+// panic. Otherwise netpoll's pool would write about it to standard error itself.
+func (c *Conn) recoverPanic() {
 	if r := recover(); r != nil {
-		complaints.Add(1)
+		internalErrors.Add(1)
 		c.EndInput(fmt.Errorf("%w: panic: %v", ErrClosedLocally, r), ws.StatusInternalServerError)
 	}
 }
 
-// feed takes bytes from the peer; they are the caller's again afterwards.
-func (c *Conn) feed(in []byte) {
-	c.heard.Store(int64(monotonic()))
+// handleInput handles bytes from the peer. It does not keep the slice after it returns.
+func (c *Conn) handleInput(in []byte) {
+	c.lastRead.Store(int64(monotonic()))
 	if len(c.partial) > 0 {
 		c.partial = append(c.partial, in...)
 		in = c.partial
 	}
-	c.keep(in, c.consume(in))
-	if c.split != nil && c.server != nil && c.open {
-		c.hurry()
+	c.storePartial(in, c.consume(in))
+	if c.split != nil && c.server != nil && c.established {
+		c.updateMessageTimer()
 	}
 	c.pong()
 }
 
-// pong answers the last of the pings that came together, as RFC 6455 allows (5.5.3): a flood of them costs its
-// sender more.
+// pong answers only the latest of several pings received together, as RFC 6455 allows (5.5.3), so that a flood of pings costs
+// the sender more than the receiver.
 func (c *Conn) pong() {
-	if c.pinged && (c.server == nil || !c.server.silent.Load()) {
-		c.send(ws.OpPong, c.ping, 0)
+	if c.pongPending && (c.server == nil || !c.server.silent.Load()) {
+		c.send(ws.OpPong, c.pingPayload, 0)
 	}
-	c.pinged, c.ping = false, nil
+	c.pongPending, c.pingPayload = false, nil
 }
 
-// keep holds on to the incomplete rest of what has come.
-func (c *Conn) keep(in, rest []byte) {
+// storePartial keeps the incomplete rest of the input for the next read.
+func (c *Conn) storePartial(in, rest []byte) {
 	switch {
 	case len(rest) == 0:
 		c.partial = nil
@@ -79,53 +79,53 @@
 	}
 }
 
-// consume works through what has come and returns the incomplete rest.
+// consume handles the complete part of the input and returns the incomplete rest.
 func (c *Conn) consume(in []byte) []byte {
 	if c.split != nil {
-		return c.plain(in)
+		return c.consumeSplit(in)
 	}
-	if !c.open {
+	if !c.established {
 		c.mu.Lock()
-		waits := c.head != nil
-		c.open = c.shook
+		pending := c.pendingHandshake != nil
+		c.established = c.handshakeDone
 		c.mu.Unlock()
-		if waits {
-			c.turnAway(errors.New("bytes before the handshake was answered"))
+		if pending {
+			c.failHandshake(errors.New("bytes before the handshake was answered"))
 			return nil
 		}
 	}
-	if !c.open {
+	if !c.established {
 		end := bytes.Index(in, []byte("\r\n\r\n"))
 		if end < 0 {
-			if len(in) > headMost {
-				c.turnAway(fmt.Errorf("head over %d bytes", headMost))
+			if len(in) > maxHandshakeBytes {
+				c.failHandshake(fmt.Errorf("request head exceeds %d bytes", maxHandshakeBytes))
 				return nil
 			}
 			return in
 		}
 		head := in[:end+4]
-		c.cameWhole()
-		if gate, ok := c.handler.(AdmissionHandler); ok && c.server != nil && !c.server.silent.Load() {
+		c.markHandshakeReceived()
+		if admission, ok := c.handler.(AdmissionHandler); ok && c.server != nil && !c.server.silent.Load() {
 			c.mu.Lock()
-			c.head = bytes.Clone(head)
+			c.pendingHandshake = bytes.Clone(head)
 			c.mu.Unlock()
-			gate.Connecting(c)
+			admission.Connecting(c)
 			return nil
 		}
 		if !c.upgrade(head) {
 			return nil
 		}
-		c.open = true
+		c.established = true
 		in = in[end+4:]
 	}
 	for len(in) > 0 {
 		c.mu.Lock()
-		ended := c.why != nil
+		ended := c.closeErr != nil
 		c.mu.Unlock()
 		if ended {
 			return nil
 		}
-		h, size, ok := header(in)
+		h, size, ok := parseHeader(in)
 		if !ok {
 			return in
 		}
@@ -133,16 +133,16 @@
 		if c.client {
 			state = ws.StateClientSide
 		}
-		if c.half {
+		if c.fragmented {
 			state = state.Set(ws.StateFragmented)
 		}
 		if err := ws.CheckHeader(h, state); err != nil {
-			c.end(fmt.Errorf("%w: %v", ErrProtocol, err), ws.StatusProtocolError, err.Error())
+			c.beginClose(fmt.Errorf("%w: %v", ErrProtocol, err), ws.StatusProtocolError, err.Error())
 			return nil
 		}
-		if h.Length > int64(c.bounds.MaxMessageBytes) || len(c.message)+int(h.Length) > c.bounds.MaxMessageBytes {
-			c.end(fmt.Errorf("%w: over %d bytes", ErrTooLarge, c.bounds.MaxMessageBytes), ws.StatusMessageTooBig,
-				fmt.Sprintf("over %d bytes", c.bounds.MaxMessageBytes))
+		if h.Length > int64(c.limits.MaxMessageBytes) || len(c.fragments)+int(h.Length) > c.limits.MaxMessageBytes {
+			c.beginClose(fmt.Errorf("%w: over %d bytes", ErrTooLarge, c.limits.MaxMessageBytes), ws.StatusMessageTooBig,
+				fmt.Sprintf("over %d bytes", c.limits.MaxMessageBytes))
 			return nil
 		}
 		if len(in) < size+int(h.Length) {
@@ -153,17 +153,17 @@
 		if h.Masked {
 			ws.Cipher(payload, h.Mask, 0)
 		}
-		c.take(h, payload)
+		c.handleFrame(h, payload)
 	}
 	return nil
 }
 
-// header reads a frame's header; it says false where it is not complete.
-func header(in []byte) (h ws.Header, size int, ok bool) {
+// parseHeader reads a frame's header and its size. It returns false if the header is incomplete.
+func parseHeader(in []byte) (h ws.Header, size int, ok bool) {
 	r := bytes.NewReader(in)
 	h, err := ws.ReadHeader(r)
 	if err != nil {
-		// A length with its highest bit set is the one thing refused here; it reads as over any bound.
+		// The only other error is a length with its highest bit set. The header returned for it exceeds every limit.
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return h, 0, false
 		}
@@ -172,25 +172,25 @@
 	return h, len(in) - r.Len(), true
 }
 
-func (c *Conn) take(h ws.Header, payload []byte) {
+func (c *Conn) handleFrame(h ws.Header, payload []byte) {
 	switch h.OpCode {
 	case ws.OpPing:
-		c.pinged, c.ping = true, payload
+		c.pongPending, c.pingPayload = true, payload
 	case ws.OpPong:
 	case ws.OpClose:
 		code, reason := ws.ParseCloseFrameData(payload)
-		c.end(fmt.Errorf("%w: %d %s", ErrClosedByPeer, code, reason), ws.StatusNormalClosure, "")
+		c.beginClose(fmt.Errorf("%w: %d %s", ErrClosedByPeer, code, reason), ws.StatusNormalClosure, "")
 	case ws.OpBinary:
-		c.end(fmt.Errorf("%w: binary message", ErrProtocol), ws.StatusUnsupportedData, "text messages only")
+		c.beginClose(fmt.Errorf("%w: binary message", ErrProtocol), ws.StatusUnsupportedData, "text messages only")
 	default:
 		c.pong()
 		if !h.Fin {
-			c.half = true
-			c.message = append(c.message, payload...)
+			c.fragmented = true
+			c.fragments = append(c.fragments, payload...)
 			return
 		}
-		if c.half {
-			payload, c.message, c.half = append(c.message, payload...), nil, false
+		if c.fragmented {
+			payload, c.fragments, c.fragmented = append(c.fragments, payload...), nil, false
 		}
 		c.handler.Message(c, payload)
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -12,64 +12,64 @@
 	"golang.org/x/sys/unix"
 )
 
-// Server accepts WebSocket connections of one sub-protocol.
+// Server accepts connections: WebSocket with one sub-protocol, or a protocol with a SplitFunc.
 type Server struct {
-	protocol string
-	bounds   Limits
-	handler  Handler
-	listener net.Listener
-	loop     netpoll.EventLoop
-	silent   atomic.Bool
-	refusing atomic.Bool
-	pending  atomic.Int32 // connections whose handshake has not come whole yet
-	mu       sync.Mutex
-	conns    map[*Conn]bool // emptied as connections close
+	protocol          string
+	limits            Limits
+	handler           Handler
+	listener          net.Listener
+	eventLoop         netpoll.EventLoop
+	silent            atomic.Bool
+	refusing          atomic.Bool
+	pendingHandshakes atomic.Int32 // connections whose handshake is not completely received
+	mu                sync.Mutex
+	conns             map[*Conn]bool // a connection is removed when it closes
 }
 
-// Serve listens at an address and hands connections to the handler until Close.
-func Serve(address, protocol string, bounds Limits, handler Handler) (*Server, error) {
-	return serve(address, protocol, nil, bounds, handler)
+// Serve listens at an address and serves connections with the handler until Close is called.
+func Serve(address, protocol string, limits Limits, handler Handler) (*Server, error) {
+	return serve(address, protocol, nil, limits, handler)
 }
 
-func serve(address, protocol string, split SplitFunc, bounds Limits, handler Handler) (*Server, error) {
+func serve(address, protocol string, split SplitFunc, limits Limits, handler Handler) (*Server, error) {
 	ln, err := listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("listen at %s: %w", address, err)
 	}
-	s := &Server{protocol: protocol, bounds: bounds, handler: handler, listener: ln, conns: map[*Conn]bool{}}
+	s := &Server{protocol: protocol, limits: limits, handler: handler, listener: ln, conns: map[*Conn]bool{}}
 	type key struct{}
-	s.loop, err = netpoll.NewEventLoop(
+	s.eventLoop, err = netpoll.NewEventLoop(
 		func(ctx context.Context, np netpoll.Connection) error { return ctx.Value(key{}).(*Conn).read(ctx, np) },
 		netpoll.WithOnPrepare(func(np netpoll.Connection) context.Context {
-			c := &Conn{np: newSocket(np), handler: handler, bounds: bounds, server: s, split: split, shook: split != nil, came: time.Now()}
-			n := s.pending.Add(1)
-			if split != nil && bounds.MaxPendingHandshakes > 0 && int(n) > bounds.MaxPendingHandshakes {
-				s.crowdOut()
+			c := &Conn{raw: newSocket(np), handler: handler, limits: limits, server: s, split: split, handshakeDone: split != nil, acceptedAt: time.Now()}
+			n := s.pendingHandshakes.Add(1)
+			if split != nil && limits.MaxPendingHandshakes > 0 && int(n) > limits.MaxPendingHandshakes {
+				s.resetOldestPending()
 				n = 0
 			}
-			if s.refusing.Load() || bounds.MaxPendingHandshakes > 0 && int(n) > bounds.MaxPendingHandshakes {
-				s.pending.Add(-1)
+			if s.refusing.Load() || limits.MaxPendingHandshakes > 0 && int(n) > limits.MaxPendingHandshakes {
+				s.pendingHandshakes.Add(-1)
 				c.server = nil
 				if f, ok := np.(netpoll.Conn); ok {
-					setLinger(f.Fd())
+					setResetOnClose(f.Fd())
 				}
 				np.Close()
 				return context.Background()
 			}
-			if f, ok := np.(netpoll.Conn); ok && bounds.KernelBufferBytes > 0 {
-				// Left alone it grows to megabytes for a peer that asks for much and reads nothing. An error
-				// leaves it as it was.
-				unix.SetsockoptInt(f.Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, bounds.KernelBufferBytes)
+			if f, ok := np.(netpoll.Conn); ok && limits.KernelBufferBytes > 0 {
+				// By default the send buffer grows to megabytes for a peer that requests much and reads nothing.
+				// On an error it keeps its default.
+				unix.SetsockoptInt(f.Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, limits.KernelBufferBytes)
 			}
-			np.AddCloseCallback(c.closed)
+			np.AddCloseCallback(c.onClosed)
 			c.mu.Lock()
-			c.usable = true // the callback runs before the descriptor is closed
+			c.usable = true // onClosed resets it before the descriptor is closed
 			c.mu.Unlock()
 			s.mu.Lock()
 			s.conns[c] = true
 			s.mu.Unlock()
-			if bounds.HandshakeTimeout > 0 {
-				c.cutoff = time.AfterFunc(bounds.HandshakeTimeout, func() { s.expire(c) })
+			if limits.HandshakeTimeout > 0 {
+				c.handshakeTimer = time.AfterFunc(limits.HandshakeTimeout, func() { s.handshakeTimedOut(c) })
 			}
 			return context.WithValue(context.Background(), key{}, c)
 		}))
@@ -77,26 +77,26 @@
 		ln.Close()
 		return nil, err
 	}
-	go s.loop.Serve(ln)
+	go s.eventLoop.Serve(ln)
 	return s, nil
 }
 
-// Address is where the server listens.
+// Address returns the address at which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// SetSilent makes the server take bytes and answer nothing of itself (handshakes, pings): half-open, as
-// seen from the other side.
+// SetSilent makes the server read input without answering handshakes and pings, so that the peer sees a half-open
+// connection.
 func (s *Server) SetSilent(on bool) { s.silent.Store(on) }
 
-// SetRefusing makes the server reset whoever connects, as a machine does on which nothing listens.
+// SetRefusing makes the server reset every new connection, like a machine on which no process listens.
 func (s *Server) SetRefusing(on bool) { s.refusing.Store(on) }
 
-// StopAccepting ends the listener and closes the connections on which nothing has come yet. Who connects from then on is
-// refused by the system.
+// StopAccepting closes the listener and the connections on which no input has been received. The system refuses later
+// connections.
 func (s *Server) StopAccepting() {
 	s.listener.Close()
 	s.Each(func(c *Conn) {
-		if c.heard.Load() == 0 {
+		if c.lastRead.Load() == 0 {
 			c.Abort()
 		}
 	})
@@ -115,24 +115,24 @@
 	}
 }
 
-// Close stops listening and cuts every connection.
+// Close stops listening and aborts every connection.
 func (s *Server) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	s.Each((*Conn).Abort)
-	s.loop.Shutdown(ctx)
+	s.eventLoop.Shutdown(ctx)
 	s.Each((*Conn).Abort)
 }
 
-func (s *Server) forget(c *Conn) {
+func (s *Server) removeConn(c *Conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 }
 
-// expire ends a connection whose handshake took too long.
-func (s *Server) expire(c *Conn) {
-	if !c.whole.Load() {
-		c.turnAway(fmt.Errorf("not done within %v", s.bounds.HandshakeTimeout))
+// handshakeTimedOut ends a connection whose handshake took too long.
+func (s *Server) handshakeTimedOut(c *Conn) {
+	if !c.handshakeReceived.Load() {
+		c.failHandshake(fmt.Errorf("not completed within %v", s.limits.HandshakeTimeout))
 	}
 }
--- a/internal/transport/syscalls.go
+++ b/internal/transport/syscalls.go
@@ -10,11 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// systemCalls are the calls to the system whose failures decide something here. Tests put others in their place.
+// systemCalls are the system calls whose failures the package handles. Tests replace them to inject failures.
 type systemCalls struct {
 	accept func(descriptor int) (accepted int, peer unix.Sockaddr, err error)
 	write  func(descriptor int, p []byte) (int, error)
-	dial   func(address string, within time.Duration) (net.Conn, error)
+	dial   func(address string, timeout time.Duration) (net.Conn, error)
 }
 
 var realCalls = systemCalls{
@@ -22,19 +22,19 @@
 		return unix.Accept4(descriptor, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	},
 	write: unix.Write,
-	dial: func(address string, within time.Duration) (net.Conn, error) {
-		return net.DialTimeout("tcp", address, within)
+	dial: func(address string, timeout time.Duration) (net.Conn, error) {
+		return net.DialTimeout("tcp", address, timeout)
 	},
 }
 
-// system is what connections that begin now call.
-var system atomic.Pointer[systemCalls]
+// currentCalls holds the system calls that new listeners and connections use.
+var currentCalls atomic.Pointer[systemCalls]
 
-func init() { system.Store(&realCalls) }
+func init() { currentCalls.Store(&realCalls) }
 
-// momentary tells whether an error of a system call says nothing of the peer or the connection, so that the same call
-// may succeed a moment later.
-func momentary(err error) bool {
+// isTransient reports whether an error of a system call has nothing to do with the peer or the connection, so that the same
+// call may succeed a moment later.
+func isTransient(err error) bool {
 	for _, e := range []syscall.Errno{unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM} {
 		if errors.Is(err, e) {
 			return true
@@ -43,8 +43,8 @@
 	return false
 }
 
-// IsLocalError tells whether an error of a dial is trouble of this machine (descriptors, memory, ports, its own network) and so
-// says nothing of the peer.
+// IsLocalError reports whether a dial failed because of this machine (descriptors, memory, ports, its own network), so that
+// the error is no evidence about the peer.
 func IsLocalError(err error) bool {
 	for _, e := range []syscall.Errno{unix.EMFILE, unix.ENFILE, unix.EADDRNOTAVAIL, unix.EADDRINUSE, unix.ENETUNREACH, unix.ENETDOWN,
 		unix.ECONNABORTED, unix.EPERM, unix.EACCES} {
@@ -52,26 +52,26 @@
 			return true
 		}
 	}
-	return momentary(err)
+	return isTransient(err)
 }
 
-// For so long a dial that fails by trouble of this machine is tried again, with pauses that double between these. It is
-// short: who waits for the connection may be served by another peer.
+// A dial that fails with a local error is retried for maxLocalRetryTime, with a delay that doubles from the initial to the
+// maximum value. The time is short because the request that waits for the connection may be served by another peer.
 const (
-	localTroubleMost = 100 * time.Millisecond
-	firstDialPause   = time.Millisecond
-	mostDialPause    = 20 * time.Millisecond
+	maxLocalRetryTime = 100 * time.Millisecond
+	initialDialDelay  = time.Millisecond
+	maxDialDelay      = 20 * time.Millisecond
 )
 
-// dialAgain dials until it succeeds, the peer fails, or trouble of this machine has lasted too long.
-func dialAgain[C any](within time.Duration, dial func(within time.Duration) (C, error)) (C, error) {
-	began, pause := time.Now(), firstDialPause
+// dialWithRetry dials until it succeeds, fails with an error that is not local, or local errors have lasted too long.
+func dialWithRetry[C any](timeout time.Duration, dial func(remaining time.Duration) (C, error)) (C, error) {
+	start, delay := time.Now(), initialDialDelay
 	for {
-		c, err := dial(within - time.Since(began))
-		if err == nil || !IsLocalError(err) || time.Since(began)+pause > min(within, localTroubleMost) {
+		c, err := dial(timeout - time.Since(start))
+		if err == nil || !IsLocalError(err) || time.Since(start)+delay > min(timeout, maxLocalRetryTime) {
 			return c, err
 		}
-		time.Sleep(pause)
-		pause = min(2*pause, mostDialPause)
+		time.Sleep(delay)
+		delay = min(2*delay, maxDialDelay)
 	}
 }
--- a/internal/transport/tcp.go
+++ b/internal/transport/tcp.go
@@ -10,34 +10,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// A SplitFunc tells how many bytes at the beginning of what has come are one whole message, 0 where it is not whole yet.
-// An error says that the bytes can't be read, now or ever: the connection is ended. It must give the same answers
-// however the bytes are cut, and looks at nothing but them.
+// A SplitFunc returns the size of the complete message at the beginning of the input, or 0 if the message is not complete.
+// An error means that no further input can make the bytes valid; the connection is ended. The result must not depend on how
+// the input is divided into reads, and on nothing but the input.
 type SplitFunc func(in []byte) (size int, err error)
 
-// ServeTCP is Serve for a protocol without a handshake that frames its messages itself. A peer knocks with its first
-// whole message, and until then counts as one whose handshake has not come: beyond Bounds.Pending the one that has
-// been silent for longest is reset, not the newcomer, and all are after Bounds.Handshake. So long may any later
-// message take to come whole.
-func ServeTCP(address string, split SplitFunc, bounds Limits, handler Handler) (*Server, error) {
-	return serve(address, "", split, bounds, handler)
+// ServeTCP is Serve for a protocol without a handshake that frames its messages itself. The first complete message of a
+// peer counts as its handshake. Beyond Limits.MaxPendingHandshakes the oldest pending connection is reset instead of the
+// new one, as resetOldestPending chooses it; all pending connections end after Limits.HandshakeTimeout. The same time-out
+// applies to the completion of every later message.
+func ServeTCP(address string, split SplitFunc, limits Limits, handler Handler) (*Server, error) {
+	return serve(address, "", split, limits, handler)
 }
 
 // DialTCP is Dial for a protocol without a handshake that frames its messages itself.
-func DialTCP(address string, within time.Duration, split SplitFunc, bounds Limits, handler Handler) (*Conn, error) {
-	np, err := dialAgain(within, func(within time.Duration) (netpoll.Connection, error) { return dialPlain(address, within) })
+func DialTCP(address string, timeout time.Duration, split SplitFunc, limits Limits, handler Handler) (*Conn, error) {
+	np, err := dialWithRetry(timeout, func(remaining time.Duration) (netpoll.Connection, error) { return dialTCP(address, remaining) })
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", address, err)
 	}
-	c := &Conn{np: newSocket(np), handler: handler, bounds: bounds, client: true, split: split, open: true, shook: true, usable: true}
-	c.heard.Store(int64(monotonic()))
-	c.stand(np, nil)
+	c := &Conn{raw: newSocket(np), handler: handler, limits: limits, client: true, split: split, established: true, handshakeDone: true, usable: true}
+	c.lastRead.Store(int64(monotonic()))
+	c.start(np, nil)
 	return c, nil
 }
 
-// dialPlain connects by way of the standard library, which tells a refusal from other failures; netpoll does not.
-func dialPlain(address string, within time.Duration) (netpoll.Connection, error) {
-	c, err := system.Load().dial(address, within)
+// dialTCP connects with the standard library, which distinguishes a refused connection from other failures; netpoll does
+// not.
+func dialTCP(address string, timeout time.Duration) (netpoll.Connection, error) {
+	c, err := currentCalls.Load().dial(address, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -47,45 +48,45 @@
 		return nil, err
 	}
 	var fd int
-	var dup error
-	if err := raw.Control(func(f uintptr) { fd, dup = unix.FcntlInt(f, unix.F_DUPFD_CLOEXEC, 0) }); err != nil {
+	var dupErr error
+	if err := raw.Control(func(f uintptr) { fd, dupErr = unix.FcntlInt(f, unix.F_DUPFD_CLOEXEC, 0) }); err != nil {
 		return nil, err
 	}
-	if dup != nil {
-		return nil, dup
+	if dupErr != nil {
+		return nil, dupErr
 	}
-	np, err := netpoll.NewFDConnection(fd) // on an error it has closed the descriptor
+	np, err := netpoll.NewFDConnection(fd) // closes the descriptor when it returns an error
 	if err != nil {
 		return nil, err
 	}
-	return dialled{np, c.RemoteAddr()}, nil
+	return dialedConn{np, c.RemoteAddr()}, nil
 }
 
-// dialled is a connection of netpoll's that knows its peer, which netpoll does not of a descriptor that it is given.
-type dialled struct {
+// dialedConn adds the remote address to a netpoll connection: netpoll does not know it for a descriptor that it is given.
+type dialedConn struct {
 	netpoll.Connection
 	peer net.Addr
 }
 
-func (d dialled) RemoteAddr() net.Addr { return d.peer }
+func (d dialedConn) RemoteAddr() net.Addr { return d.peer }
 
-func (d dialled) Fd() int { return d.Connection.(netpoll.Conn).Fd() }
+func (d dialedConn) Fd() int { return d.Connection.(netpoll.Conn).Fd() }
 
-// closeLater is "try again later" of the registry of RFC 6455.
-const closeLater = ws.StatusCode(1013)
+// closeTryAgainLater is the status code "try again later" in the registry of RFC 6455.
+const closeTryAgainLater = ws.StatusCode(1013)
 
-// plain works through messages that the protocol frames itself and returns the incomplete rest.
-func (c *Conn) plain(in []byte) []byte {
+// consumeSplit handles the complete messages in the input of a SplitFunc protocol and returns the incomplete rest.
+func (c *Conn) consumeSplit(in []byte) []byte {
 	for len(in) > 0 {
 		c.mu.Lock()
-		ended := c.why != nil
+		ended := c.closeErr != nil
 		c.mu.Unlock()
-		if ended || c.deaf.Load() {
+		if ended || c.inputEnded.Load() {
 			return nil
 		}
 		size, err := c.split(in)
-		if err == nil && (size > c.bounds.MaxMessageBytes || size == 0 && len(in) > c.bounds.MaxMessageBytes) {
-			err = fmt.Errorf("%w: over %d bytes", ErrTooLarge, c.bounds.MaxMessageBytes)
+		if err == nil && (size > c.limits.MaxMessageBytes || size == 0 && len(in) > c.limits.MaxMessageBytes) {
+			err = fmt.Errorf("%w: over %d bytes", ErrTooLarge, c.limits.MaxMessageBytes)
 		}
 		if err != nil {
 			c.EndInput(fmt.Errorf("%w: %w", ErrProtocol, err), ws.StatusProtocolError)
@@ -94,16 +95,16 @@
 		if size == 0 {
 			return in
 		}
-		if !c.open {
-			c.open = true
-			c.cameWhole()
-			if gate, ok := c.handler.(AdmissionHandler); ok {
-				gate.Connecting(c)
+		if !c.established {
+			c.established = true
+			c.markHandshakeReceived()
+			if admission, ok := c.handler.(AdmissionHandler); ok {
+				admission.Connecting(c)
 			} else {
 				c.handler.Opened(c)
 			}
 		}
-		c.moved = true
+		c.messageCompleted = true
 		message := append([]byte(nil), in[:size]...)
 		in = in[size:]
 		c.handler.Message(c, message)
@@ -111,33 +112,34 @@
 	return nil
 }
 
-// hurry ends the connection of a peer that has begun a message and does not finish it within the time of a handshake.
-func (c *Conn) hurry() {
-	if c.begun != nil && (c.moved || len(c.partial) == 0) {
-		c.begun.Stop()
-		c.begun = nil
+// updateMessageTimer starts or stops the timer that ends the input of a peer that does not complete a message within the
+// handshake time-out.
+func (c *Conn) updateMessageTimer() {
+	if c.messageTimer != nil && (c.messageCompleted || len(c.partial) == 0) {
+		c.messageTimer.Stop()
+		c.messageTimer = nil
 	}
-	c.moved = false
-	if len(c.partial) > 0 && c.begun == nil && c.bounds.HandshakeTimeout > 0 {
-		c.begun = time.AfterFunc(c.bounds.HandshakeTimeout, func() {
-			c.EndInput(fmt.Errorf("%w: half a message for %v", ErrSlowPeer, c.bounds.HandshakeTimeout), ws.StatusPolicyViolation)
+	c.messageCompleted = false
+	if len(c.partial) > 0 && c.messageTimer == nil && c.limits.HandshakeTimeout > 0 {
+		c.messageTimer = time.AfterFunc(c.limits.HandshakeTimeout, func() {
+			c.EndInput(fmt.Errorf("%w: incomplete message for %v", ErrSlowPeer, c.limits.HandshakeTimeout), ws.StatusPolicyViolation)
 		})
 	}
 }
 
-// crowdOut resets the connection that has said nothing whole for longest: one that has said nothing at all, if there is
-// one, since what comes in pieces may be a request.
-func (s *Server) crowdOut() {
+// resetOldestPending resets the oldest connection without a complete message. Connections that have sent nothing at all are
+// reset first, since a partial message may be a request.
+func (s *Server) resetOldestPending() {
 	var oldest *Conn
-	begun := false // it has said something
+	oldestSent := false // oldest has sent a partial message
 	s.mu.Lock()
 	for c := range s.conns {
-		if c.whole.Load() {
+		if c.handshakeReceived.Load() {
 			continue
 		}
-		spoke := c.heard.Load() != 0
-		if oldest == nil || begun && !spoke || begun == spoke && c.came.Before(oldest.came) {
-			oldest, begun = c, spoke
+		sent := c.lastRead.Load() != 0
+		if oldest == nil || oldestSent && !sent || oldestSent == sent && c.acceptedAt.Before(oldest.acceptedAt) {
+			oldest, oldestSent = c, sent
 		}
 	}
 	s.mu.Unlock()
--- a/internal/transport/tcp_test.go
+++ b/internal/transport/tcp_test.go
@@ -11,8 +11,8 @@
 	"fordusher/internal/loopback"
 )
 
-// byLine is the smallest protocol that frames itself: a message is a byte that tells how long it is, and the rest.
-func byLine(in []byte) (int, error) {
+// splitByLength is a minimal SplitFunc: the first byte of a message is its length, including that byte.
+func splitByLength(in []byte) (int, error) {
 	switch {
 	case len(in) == 0:
 		return 0, nil
@@ -24,26 +24,27 @@
 	return int(in[0]), nil
 }
 
-type heardPlain struct {
-	mu     sync.Mutex
-	opened int
-	said   []string
-	closed int
-	echo   bool
+// A recordingHandler counts calls, records messages and optionally sends them back.
+type recordingHandler struct {
+	mu       sync.Mutex
+	opened   int
+	messages []string
+	closed   int
+	echo     bool
 }
 
-func (h *heardPlain) Opened(*Conn) { h.mu.Lock(); h.opened++; h.mu.Unlock() }
-func (h *heardPlain) Message(c *Conn, m []byte) {
+func (h *recordingHandler) Opened(*Conn) { h.mu.Lock(); h.opened++; h.mu.Unlock() }
+func (h *recordingHandler) Message(c *Conn, m []byte) {
 	h.mu.Lock()
-	h.said = append(h.said, string(m))
+	h.messages = append(h.messages, string(m))
 	h.mu.Unlock()
 	if h.echo {
 		c.Send(m, 0)
 	}
 }
-func (h *heardPlain) Closed(*Conn, error, []uint64) { h.mu.Lock(); h.closed++; h.mu.Unlock() }
+func (h *recordingHandler) Closed(*Conn, error, []uint64) { h.mu.Lock(); h.closed++; h.mu.Unlock() }
 
-func (h *heardPlain) wait(t *testing.T, what string, ok func() bool) {
+func (h *recordingHandler) wait(t *testing.T, failure string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		h.mu.Lock()
@@ -53,59 +54,64 @@
 			return
 		}
 	}
-	t.Fatal(what)
+	t.Fatal(failure)
 }
 
-var plainBounds = Limits{MaxMessageBytes: 64, MaxQueuedBytes: 1 << 10, WriteTimeout: time.Second, HandshakeTimeout: 200 * time.Millisecond, MaxPendingHandshakes: 3}
+var testTCPLimits = Limits{MaxMessageBytes: 64, MaxQueuedBytes: 1 << 10, WriteTimeout: time.Second, HandshakeTimeout: 200 * time.Millisecond, MaxPendingHandshakes: 3}
 
-// plainPair serves with one handler and dials with another.
-func plainPair(t *testing.T, server, client Handler, bounds Limits) *Conn {
+// tcpPair starts a server and returns a connection dialed to it, whose limits are given.
+func tcpPair(t *testing.T, server, client Handler, limits Limits) *Conn {
 	t.Helper()
-	s, err := ServeTCP("127.0.0.1:0", byLine, plainBounds, server)
+	s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, server)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	c, err := DialTCP(s.Address(), time.Second, byLine, bounds, client)
+	c, err := DialTCP(s.Address(), time.Second, splitByLength, limits, client)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-func TestPlainMessagesCrossWhole(t *testing.T) {
-	h := &heardPlain{echo: true}
-	back := &heardPlain{}
-	c := plainPair(t, h, back, plainBounds)
+// Guards against messages that are not divided as the SplitFunc says: one write holds the end of one message and the beginning
+// of the next.
+func TestTCPMessagesAreSplit(t *testing.T) {
+	h := &recordingHandler{echo: true}
+	client := &recordingHandler{}
+	c := tcpPair(t, h, client, testTCPLimits)
 	c.Send([]byte("\x03ab\x02"), 0)
 	c.Send([]byte("c"), 0)
-	back.wait(t, "not both came back", func() bool { return len(back.said) == 2 && back.said[1] == "\x02c" })
+	client.wait(t, "not both messages were echoed", func() bool { return len(client.messages) == 2 && client.messages[1] == "\x02c" })
 	c.Close(1000, "")
-	h.wait(t, "not closed", func() bool { return h.closed == 1 && h.opened == 1 })
+	h.wait(t, "the server did not see one open and one close", func() bool { return h.closed == 1 && h.opened == 1 })
 }
 
-// A refusal must be told from a machine that says nothing: it proves that nothing runs there.
-func TestARefusedConnectionIsTold(t *testing.T) {
-	address, err := loopback.Reserve() // nobody listens there, and nobody else can
+// Guards against a refused connection that cannot be told from a machine that does not answer: only the refusal proves that
+// no server runs there.
+func TestDialReportsConnectionRefused(t *testing.T) {
+	address, err := loopback.Reserve() // no process listens there or can do so
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer address.Close()
-	if _, err := DialTCP(address.String(), time.Second, byLine, plainBounds, &heardPlain{}); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Fatalf("%v", err)
+	if _, err := DialTCP(address.String(), time.Second, splitByLength, testTCPLimits, &recordingHandler{}); !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Fatalf("dial returned %v", err)
 	}
 }
 
-func TestPlainConnectionsThatSayNothing(t *testing.T) {
-	h := &heardPlain{}
-	s, err := ServeTCP("127.0.0.1:0", byLine, plainBounds, h)
+// Guards against connections without complete messages that stay open: the oldest one must give way beyond
+// MaxPendingHandshakes, and the others must end after the handshake time-out. Invalid input must end a connection, too.
+func TestIncompleteTCPMessagesTimeOut(t *testing.T) {
+	h := &recordingHandler{}
+	s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, h)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	began := time.Now()
+	start := time.Now()
 	var silent []net.Conn
-	for range 4 { // one more than may be silent: the first makes room
+	for range 4 { // one more than MaxPendingHandshakes: the oldest is reset
 		c, err := net.Dial("tcp", s.Address())
 		if err != nil {
 			t.Fatal(err)
@@ -114,22 +120,22 @@
 		silent = append(silent, c)
 		time.Sleep(5 * time.Millisecond)
 	}
-	ended := func(c net.Conn) time.Duration {
+	waitClosed := func(c net.Conn) time.Duration {
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		c.Read(make([]byte, 1))
-		return time.Since(began)
+		return time.Since(start)
 	}
-	if first := ended(silent[0]); first > plainBounds.HandshakeTimeout {
-		t.Fatalf("the first made no room before %v", first)
+	if elapsed := waitClosed(silent[0]); elapsed > testTCPLimits.HandshakeTimeout {
+		t.Fatalf("the oldest connection was reset only after %v", elapsed)
 	}
 	silent[1].Write([]byte("\x02a"))
-	h.wait(t, "the message did not come", func() bool { return len(h.said) == 1 })
-	if at := ended(silent[2]); at < plainBounds.HandshakeTimeout/2 || at > 3*time.Second {
-		t.Fatalf("silent for %v", at)
+	h.wait(t, "the message was not received", func() bool { return len(h.messages) == 1 })
+	if elapsed := waitClosed(silent[2]); elapsed < testTCPLimits.HandshakeTimeout/2 || elapsed > 3*time.Second {
+		t.Fatalf("a connection without input was closed after %v", elapsed)
 	}
 	silent[1].Write([]byte("\x00"))
-	if ended(silent[1]) > 5*time.Second {
-		t.Fatal("what can't be read did not end the connection")
+	if waitClosed(silent[1]) > 5*time.Second {
+		t.Fatal("an invalid message did not end the connection")
 	}
 	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
@@ -137,17 +143,17 @@
 	}
 	defer c.Close()
 	c.Write([]byte("\x02a\x03b"))
-	if began = time.Now(); ended(c) > 3*time.Second {
-		t.Fatal("half a message was waited for")
+	if start = time.Now(); waitClosed(c) > 3*time.Second {
+		t.Fatal("an incomplete message did not end the connection")
 	}
 }
 
-// Among those who have said nothing whole, one whose message comes in pieces stays before one that has said nothing.
-func TestWhoHasBegunAMessageIsNotCrowdedOut(t *testing.T) {
-	h := &heardPlain{}
-	bounds := plainBounds
-	bounds.HandshakeTimeout = time.Minute
-	s, err := ServeTCP("127.0.0.1:0", byLine, bounds, h)
+// Guards against the reset of a connection whose first message is partly received while connections without any input exist.
+func TestPartialFirstMessageIsResetLast(t *testing.T) {
+	h := &recordingHandler{}
+	limits := testTCPLimits
+	limits.HandshakeTimeout = time.Minute
+	s, err := ServeTCP("127.0.0.1:0", splitByLength, limits, h)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,17 +164,17 @@
 	}
 	defer slow.Close()
 	slow.Write([]byte("\x02"))
-	heard := func() bool {
+	received := func() bool {
 		n := 0
 		s.Each(func(c *Conn) {
-			if c.heard.Load() != 0 {
+			if c.lastRead.Load() != 0 {
 				n++
 			}
 		})
 		return n == 1
 	}
-	h.wait(t, "the beginning did not come", heard)
-	for range bounds.MaxPendingHandshakes + 2 { // more than may be silent
+	h.wait(t, "the partial message was not received", received)
+	for range limits.MaxPendingHandshakes + 2 { // more than MaxPendingHandshakes
 		c, err := net.Dial("tcp", s.Address())
 		if err != nil {
 			t.Fatal(err)
@@ -177,47 +183,47 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	slow.Write([]byte("a"))
-	h.wait(t, "the message did not come whole", func() bool { return len(h.said) == 1 })
+	h.wait(t, "the complete message was not received", func() bool { return len(h.messages) == 1 })
 }
 
-// A panicking handler panics on one kind of message, and notes whose input has ended.
-type panicking struct {
-	heardPlain
-	ended chan *Conn
+// A panicOnInput handler panics on one kind of message and records the connection whose input has ended.
+type panicOnInput struct {
+	recordingHandler
+	inputEnded chan *Conn
 }
 
-func (h *panicking) Message(c *Conn, m []byte) {
+func (h *panicOnInput) Message(c *Conn, m []byte) {
 	if string(m) == "\x02!" {
-		panic("a fault of the program")
+		panic("injected by the test")
 	}
-	h.heardPlain.Message(c, m)
+	h.recordingHandler.Message(c, m)
 }
 
-func (h *panicking) InputEnded(c *Conn, _ error) { h.ended <- c }
+func (h *panicOnInput) InputEnded(c *Conn, _ error) { h.inputEnded <- c }
 
-// A handler that panics ends its peer's input and not the connection: what is owed on it still goes out.
-func TestAPanicEndsTheInputAlone(t *testing.T) {
-	h := &panicking{ended: make(chan *Conn, 1)}
-	back := &heardPlain{}
-	c := plainPair(t, h, back, plainBounds)
+// Guards against a handler's panic that closes the connection: it ends only the input, and pending answers are still sent.
+func TestPanicEndsOnlyTheInput(t *testing.T) {
+	h := &panicOnInput{inputEnded: make(chan *Conn, 1)}
+	client := &recordingHandler{}
+	c := tcpPair(t, h, client, testTCPLimits)
 	c.Send([]byte("\x02a"), 0)
 	c.Send([]byte("\x02!"), 0)
-	var there *Conn
+	var accepted *Conn
 	select {
-	case there = <-h.ended:
+	case accepted = <-h.inputEnded:
 	case <-time.After(5 * time.Second):
 		t.Fatal("the input was not ended")
 	}
 	c.Send([]byte("\x02b"), 0)
-	if !there.Send([]byte("\x02x"), 0) {
-		t.Fatal("what is owed can't be sent")
+	if !accepted.Send([]byte("\x02x"), 0) {
+		t.Fatal("the pending answer was not accepted")
 	}
-	back.wait(t, "what is owed did not come", func() bool { return len(back.said) == 1 && back.said[0] == "\x02x" })
+	client.wait(t, "the pending answer was not received", func() bool { return len(client.messages) == 1 && client.messages[0] == "\x02x" })
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	back.mu.Lock()
-	defer back.mu.Unlock()
-	if len(h.said) != 1 || h.closed != 0 || back.closed != 0 {
-		t.Fatalf("heard %q, closed %d", h.said, h.closed)
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if len(h.messages) != 1 || h.closed != 0 || client.closed != 0 {
+		t.Fatalf("server received %q, its connection was closed %d times", h.messages, h.closed)
 	}
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,13 +1,13 @@
-// Package transport carries wire messages over WebSocket (RFC 6455) on netpoll: players', nodes' and the
-// list's connections alike, each with its own sub-protocol. It knows frames, sizes and queues, not what a
-// message means. Where a protocol frames its messages itself, a Split takes the place of WebSocket and all
-// else is shared: see tcp.go.
+// Package transport carries messages over WebSocket (RFC 6455) on netpoll, for clients, nodes and discovery alike; each of
+// them has its own sub-protocol. The package handles frames, size limits and write queues; it does not interpret messages.
+// A protocol that frames its messages itself gives a SplitFunc instead of using WebSocket and shares everything else: see
+// tcp.go.
 //
-// A connection costs no goroutine while nothing moves on it. What comes in is handed to the Handler on
-// netpoll's workers, one call at a time for each connection; Send may be called by any goroutine and never
-// blocks. Every queue is bounded: a peer that does not read is cut off once its queue is full or a write
-// has stood still for the write time-out, and a peer that sends a larger message than it may, or breaks the
-// protocol, is closed with the code that says so.
+// An idle connection costs no goroutine. Received messages are passed to the Handler on netpoll's workers, one call at a
+// time for each connection. Send may be called from any goroutine and never blocks. Every queue is bounded: a peer that
+// does not read is disconnected once its queue is full or a frame has not been written completely within the write
+// time-out. The connection of a peer that sends a message over the size limit or violates the protocol is closed with the
+// corresponding status code.
 package transport
 
 import (
@@ -17,85 +17,85 @@
 	"time"
 )
 
-// A Handler takes what happens on connections. For one connection its calls come one after another,
-// Opened first and Closed last; for different connections they come from different goroutines.
+// A Handler receives the events of connections. Calls for one connection are made one after another, Opened first and
+// Closed last. Calls for different connections are made from different goroutines.
 type Handler interface {
-	// Opened says that the handshake is done.
+	// Opened is called when the handshake is complete.
 	Opened(c *Conn)
-	// Message hands over a message; the bytes are the handler's to keep.
+	// Message is called with each received message. The handler owns the bytes.
 	Message(c *Conn, message []byte)
-	// Closed says that the connection has ended and why. Unsent names the tags of messages of which
-	// not one byte was handed to the kernel. Opened may never have been called.
-	Closed(c *Conn, why error, unsent []uint64)
+	// Closed is called when the connection has ended, with the cause. Unsent holds the tags of messages of which
+	// not one byte was passed to the kernel. Closed may be called without a call of Opened before it.
+	Closed(c *Conn, err error, unsent []uint64)
 }
 
 // Limits are the limits of a connection.
 type Limits struct {
-	MaxMessageBytes      int           // bytes of a message that is read, fragments together
+	MaxMessageBytes      int           // largest message that is read, all fragments together
 	MaxQueuedBytes       int           // bytes of messages that wait to be written
-	WriteTimeout         time.Duration // longest that a write may stand still
-	HandshakeTimeout     time.Duration // longest that a handshake may take
-	KernelBufferBytes    int           // bytes that the kernel may hold for a peer that does not read; 0: as the system does
-	MaxPendingHandshakes int           // connections whose handshake has not come whole yet; more are reset. 0: no bound
+	WriteTimeout         time.Duration // longest time that writing one frame may take
+	HandshakeTimeout     time.Duration // longest time that a handshake may take
+	KernelBufferBytes    int           // socket send buffer, which bounds what the kernel holds for a peer that does not read; 0: system default
+	MaxPendingHandshakes int           // connections whose handshake is not completely received; further ones are reset; 0: no limit
 }
 
-// Conn is a WebSocket connection.
+// Conn is a connection: WebSocket, or a protocol with a SplitFunc.
 type Conn struct {
-	np      carrier
-	handler Handler
-	bounds  Limits
-	client  bool      // this side dialled: it masks, its peer does not
-	split   SplitFunc // nil: WebSocket
-	came    time.Time
-	server  *Server
-	cookie  atomic.Value // the handler's own
-	number  atomic.Uint64
+	raw        rawConn
+	handler    Handler
+	limits     Limits
+	client     bool      // this side dialed: it masks its frames, and the peer does not
+	split      SplitFunc // nil: WebSocket
+	acceptedAt time.Time
+	server     *Server      // nil: dialed
+	userData   atomic.Value // set by the handler
+	id         atomic.Uint64
 
-	// Only the reading worker touches these.
-	open    bool
-	partial []byte // an incomplete head or frame; nil while idle
-	message []byte // fragments so far
-	half    bool
-	pinged  bool
-	ping    []byte      // of the last ping that is not answered yet
-	moved   bool        // a message that frames itself has come whole since the last look
-	begun   *time.Timer // runs while a message that frames itself has come in part
-	deaf    atomic.Bool // nothing more is read: what comes is dropped
+	// Only the reading worker uses these.
+	established      bool   // input consists of frames or messages: the handshake or the first message is done
+	partial          []byte // an incomplete handshake, frame or message; nil while idle
+	fragments        []byte // payload of the fragments received so far
+	fragmented       bool   // a fragmented message is being received
+	pongPending      bool
+	pingPayload      []byte      // of the last ping that has not been answered
+	messageCompleted bool        // a message of a SplitFunc protocol was completed since the last updateMessageTimer
+	messageTimer     *time.Timer // runs while a message of a SplitFunc protocol is received in part
+	inputEnded       atomic.Bool // further input is discarded
 
-	once    sync.Once
-	mu      sync.Mutex
-	shook   bool        // the handshake is done
-	head    []byte      // of a handshake that waits for the gate
-	whole   atomic.Bool // the handshake has come whole, or the connection has ended before
-	cutoff  *time.Timer // for one that does not
-	usable  bool        // the carrier is there and takes bytes: neither new nor closed
-	queue   []frame
-	queued  int
-	writing bool
-	why     error        // set once the connection is to end
-	last    bool         // nothing more goes out but the close frame that is queued
-	heard   atomic.Int64 // when anything last came from the peer, by monotonic; 0: never
+	closeOnce         sync.Once
+	mu                sync.Mutex
+	handshakeDone     bool
+	pendingHandshake  []byte      // request head of a handshake that waits for the AdmissionHandler
+	handshakeReceived atomic.Bool // the handshake was completely received, or the connection ended before that
+	handshakeTimer    *time.Timer // ends the connection if the handshake is not received in time
+	usable            bool        // raw is open and may be written to: it is neither being set up nor closed
+	queue             []frame
+	queuedBytes       int
+	writing           bool         // a goroutine is running writeQueue
+	closeErr          error        // set once the connection is to end
+	sendClosed        bool         // no further frame is accepted; the close frame or error response, if any, is queued
+	lastRead          atomic.Int64 // time of the last input from the peer, by monotonic; 0: none so far
 }
 
-// UserData is what SetCookie stored, nil before that.
-func (c *Conn) UserData() any { return c.cookie.Load() }
+// UserData returns the value stored with SetUserData, or nil.
+func (c *Conn) UserData() any { return c.userData.Load() }
 
-// SetUserData stores the handler's own record of the connection; always of the same type.
-func (c *Conn) SetUserData(cookie any) { c.cookie.Store(cookie) }
+// SetUserData stores the handler's own record of the connection. The value must always have the same type.
+func (c *Conn) SetUserData(userData any) { c.userData.Store(userData) }
 
-// ID is what SetNumber stored, 0 before that.
-func (c *Conn) ID() uint64 { return c.number.Load() }
+// ID returns the number stored with SetID, or 0.
+func (c *Conn) ID() uint64 { return c.id.Load() }
 
 // SetID stores the handler's own number of the connection.
-func (c *Conn) SetID(n uint64) { c.number.Store(n) }
+func (c *Conn) SetID(n uint64) { c.id.Store(n) }
 
-// RemoteAddr is the other side's address.
-func (c *Conn) RemoteAddr() net.Addr { return c.np.RemoteAddr() }
+// RemoteAddr returns the peer's address.
+func (c *Conn) RemoteAddr() net.Addr { return c.raw.RemoteAddr() }
 
-// ReadIdleTime is for how long nothing has come from the peer.
-func (c *Conn) ReadIdleTime() time.Duration { return monotonic() - time.Duration(c.heard.Load()) }
+// ReadIdleTime returns the time since the last input from the peer.
+func (c *Conn) ReadIdleTime() time.Duration { return monotonic() - time.Duration(c.lastRead.Load()) }
 
 var programStart = time.Now()
 
-// monotonic is the time since the program's start. Steps of the wall clock don't change it. It is never 0.
+// monotonic returns the time since the start of the program. Steps of the wall clock do not change it. It is never 0.
 func monotonic() time.Duration { return max(1, time.Since(programStart)) }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -15,46 +15,48 @@
 	"github.com/gobwas/ws"
 )
 
-// An echo answers each message with itself and keeps what it saw.
-type echo struct {
-	mu     sync.Mutex
-	got    []string
-	unsent []uint64
-	opened chan *Conn
-	closed chan error
+// An echoHandler records all events; on the server side it also sends each message back.
+type echoHandler struct {
+	mu       sync.Mutex
+	received []string
+	unsent   []uint64
+	opened   chan *Conn
+	closed   chan error
 }
 
-func newEcho() *echo { return &echo{opened: make(chan *Conn, 100), closed: make(chan error, 100)} }
+func newEchoHandler() *echoHandler {
+	return &echoHandler{opened: make(chan *Conn, 100), closed: make(chan error, 100)}
+}
 
-func (e *echo) Opened(c *Conn) { e.opened <- c }
+func (e *echoHandler) Opened(c *Conn) { e.opened <- c }
 
-func (e *echo) Message(c *Conn, m []byte) {
+func (e *echoHandler) Message(c *Conn, m []byte) {
 	e.mu.Lock()
-	e.got = append(e.got, string(m))
+	e.received = append(e.received, string(m))
 	e.mu.Unlock()
 	if c.server != nil {
 		c.Send(m, 0)
 	}
 }
 
-func (e *echo) Closed(_ *Conn, why error, unsent []uint64) {
+func (e *echoHandler) Closed(_ *Conn, err error, unsent []uint64) {
 	e.mu.Lock()
 	e.unsent = append(e.unsent, unsent...)
 	e.mu.Unlock()
-	e.closed <- why
+	e.closed <- err
 }
 
-func (e *echo) seen() []string {
+func (e *echoHandler) messages() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]string(nil), e.got...)
+	return append([]string(nil), e.received...)
 }
 
-var bounds = Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 64 << 10, WriteTimeout: 200 * time.Millisecond, HandshakeTimeout: 300 * time.Millisecond}
+var testLimits = Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 64 << 10, WriteTimeout: 200 * time.Millisecond, HandshakeTimeout: 300 * time.Millisecond}
 
-func start(t *testing.T, h Handler) *Server {
+func startServer(t *testing.T, h Handler) *Server {
 	t.Helper()
-	s, err := Serve("127.0.0.1:0", "test.v1", bounds, h)
+	s, err := Serve("127.0.0.1:0", "test.v1", testLimits, h)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,11 +64,11 @@
 	return s
 }
 
-const shake = "GET / HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n" +
+const upgradeRequest = "GET / HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n" +
 	"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Protocol: test.v1\r\n\r\n"
 
-// raw is a peer that writes bytes of its own.
-func raw(t *testing.T, s *Server, head string) (net.Conn, *bufio.Reader) {
+// dialRaw connects without this package and writes the head, so that the test controls every byte sent to the server.
+func dialRaw(t *testing.T, s *Server, head string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
@@ -78,7 +80,8 @@
 	return c, bufio.NewReader(c)
 }
 
-func skipHead(t *testing.T, r *bufio.Reader) string {
+// readResponseHead reads an HTTP response head and returns its first line.
+func readResponseHead(t *testing.T, r *bufio.Reader) string {
 	t.Helper()
 	first, err := r.ReadString('\n')
 	for line := first; err == nil && line != "\r\n"; {
@@ -90,34 +93,36 @@
 	return first
 }
 
-func masked(op ws.OpCode, fin bool, text string) string {
+func maskedFrame(op ws.OpCode, fin bool, text string) string {
 	return string(ws.MustCompileFrame(ws.MaskFrame(ws.NewFrame(op, fin, []byte(text)))))
 }
 
-func TestMessagesCrossBothWaysAndInPieces(t *testing.T) {
-	server, client := newEcho(), newEcho()
-	s := start(t, server)
-	c, err := Dial(s.Address(), "test.v1", time.Second, bounds, client, nil)
+// Guards against messages that are lost or altered when they are large, arrive byte by byte, or are fragmented with a ping
+// between the fragments.
+func TestMessagesAndFragmentsBothWays(t *testing.T) {
+	server, client := newEchoHandler(), newEchoHandler()
+	s := startServer(t, server)
+	c, err := Dial(s.Address(), "test.v1", time.Second, testLimits, client, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Send([]byte("one"), 0)
 	c.Send([]byte(strings.Repeat("x", 4000)), 0)
-	for end := time.Now().Add(5 * time.Second); len(client.seen()) < 2 && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); len(client.messages()) < 2 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if got := client.seen(); len(got) != 2 || got[0] != "one" || len(got[1]) != 4000 {
+	if got := client.messages(); len(got) != 2 || got[0] != "one" || len(got[1]) != 4000 {
 		t.Fatal(len(got))
 	}
-	// Byte by byte, fragmented, with a ping between the fragments.
-	peer, r := raw(t, s, "")
-	all := shake + masked(ws.OpText, false, "he") + masked(ws.OpPing, true, "p") + masked(ws.OpContinuation, true, "y")
+	// The input arrives byte by byte, with a ping between two fragments.
+	peer, r := dialRaw(t, s, "")
+	all := upgradeRequest + maskedFrame(ws.OpText, false, "he") + maskedFrame(ws.OpPing, true, "p") + maskedFrame(ws.OpContinuation, true, "y")
 	for i := range len(all) {
 		if _, err := peer.Write([]byte{all[i]}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	skipHead(t, r)
+	readResponseHead(t, r)
 	for _, want := range []ws.OpCode{ws.OpPong, ws.OpText} {
 		f, err := readFrame(r)
 		if err != nil || f.Header.OpCode != want || want == ws.OpText && string(f.Payload) != "hey" {
@@ -126,12 +131,12 @@
 	}
 }
 
-// A peer that breaks the protocol learns why, and nobody else is disturbed.
-func TestBreachesAreClosedWithTheirCode(t *testing.T) {
-	server := newEcho()
-	s := start(t, server)
-	other, ro := raw(t, s, shake)
-	skipHead(t, ro)
+// Guards against a protocol error that is closed with the wrong status code, or that affects another connection.
+func TestProtocolErrorsCloseWithTheirCode(t *testing.T) {
+	server := newEchoHandler()
+	s := startServer(t, server)
+	other, otherReader := dialRaw(t, s, upgradeRequest)
+	readResponseHead(t, otherReader)
 	huge := []byte{0x81, 0xff, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1, 2, 3, 4}
 	sign := append([]byte{0x81, 0xff, 0xff}, huge[3:]...)
 	for name, c := range map[string]struct {
@@ -139,59 +144,61 @@
 		code  ws.StatusCode
 	}{
 		"unmasked":       {string(ws.MustCompileFrame(ws.NewTextFrame([]byte("x")))), ws.StatusProtocolError},
-		"continuation":   {masked(ws.OpContinuation, true, "x"), ws.StatusProtocolError},
-		"text in text":   {masked(ws.OpText, false, "x") + masked(ws.OpText, true, "x"), ws.StatusProtocolError},
-		"reserved":       {masked(ws.OpCode(5), true, "x"), ws.StatusProtocolError},
-		"binary":         {masked(ws.OpBinary, true, "x"), ws.StatusUnsupportedData},
-		"oversized":      {masked(ws.OpText, true, strings.Repeat("x", 5000)), ws.StatusMessageTooBig},
+		"continuation":   {maskedFrame(ws.OpContinuation, true, "x"), ws.StatusProtocolError},
+		"text in text":   {maskedFrame(ws.OpText, false, "x") + maskedFrame(ws.OpText, true, "x"), ws.StatusProtocolError},
+		"reserved":       {maskedFrame(ws.OpCode(5), true, "x"), ws.StatusProtocolError},
+		"binary":         {maskedFrame(ws.OpBinary, true, "x"), ws.StatusUnsupportedData},
+		"oversized":      {maskedFrame(ws.OpText, true, strings.Repeat("x", 5000)), ws.StatusMessageTooBig},
 		"announced":      {string(huge), ws.StatusMessageTooBig},
 		"signed length":  {string(sign), ws.StatusMessageTooBig},
-		"many fragments": {strings.Repeat(masked(ws.OpContinuation, false, ""), 0) + masked(ws.OpText, false, strings.Repeat("x", 3000)) + masked(ws.OpContinuation, true, strings.Repeat("x", 3000)), ws.StatusMessageTooBig},
+		"many fragments": {strings.Repeat(maskedFrame(ws.OpContinuation, false, ""), 0) + maskedFrame(ws.OpText, false, strings.Repeat("x", 3000)) + maskedFrame(ws.OpContinuation, true, strings.Repeat("x", 3000)), ws.StatusMessageTooBig},
 	} {
-		_, r := raw(t, s, shake+c.bytes)
-		skipHead(t, r)
+		_, r := dialRaw(t, s, upgradeRequest+c.bytes)
+		readResponseHead(t, r)
 		f, err := readFrame(r)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		if code, _ := ws.ParseCloseFrameData(f.Payload); f.Header.OpCode != ws.OpClose || code != c.code {
-			t.Errorf("%s: closed with %d, wanted %d", name, code, c.code)
+			t.Errorf("%s: closed with %d, want %d", name, code, c.code)
 		}
 	}
-	io.WriteString(other, masked(ws.OpText, true, "still here"))
-	if f, err := readFrame(ro); err != nil || string(f.Payload) != "still here" {
+	io.WriteString(other, maskedFrame(ws.OpText, true, "still here"))
+	if f, err := readFrame(otherReader); err != nil || string(f.Payload) != "still here" {
 		t.Fatal(f, err)
 	}
 }
 
-func TestBadHandshakesAreTurnedAway(t *testing.T) {
-	s := start(t, newEcho())
+// Guards against invalid handshakes that are accepted, and against overlong and unfinished ones that keep their connection.
+func TestBadHandshakesAreRejected(t *testing.T) {
+	s := startServer(t, newEchoHandler())
 	for name, head := range map[string]string{
-		"no sub-protocol": strings.Replace(shake, "test.v1", "test.v9", 1),
+		"no sub-protocol": strings.Replace(upgradeRequest, "test.v1", "test.v9", 1),
 		"not a websocket": "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
 		"no HTTP":         "hello\r\n\r\n",
 	} {
-		_, r := raw(t, s, head)
+		_, r := dialRaw(t, s, head)
 		if first, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(first, "HTTP/1.1 4") {
 			t.Errorf("%s: %q %v", name, first, err)
 		}
 	}
-	for _, head := range []string{strings.Repeat("x", headMost+1), "GET / HT"} { // endless; and slow
-		_, r := raw(t, s, head)
+	for _, head := range []string{strings.Repeat("x", maxHandshakeBytes+1), "GET / HT"} { // too long; never completed
+		_, r := dialRaw(t, s, head)
 		if _, err := r.ReadByte(); err == nil {
-			t.Error("not closed")
+			t.Error("the connection was not closed")
 		} else if ne, ok := errors.AsType[net.Error](err); ok && ne.Timeout() {
-			t.Error("held for ever")
+			t.Error("the connection was not closed within 5 s")
 		}
 	}
 }
 
-// A peer that never reads is cut off at its bound, and what was never handed over is named.
-func TestPeerThatNeverReadsIsCutOff(t *testing.T) {
-	server := newEcho()
-	s := start(t, server)
-	_, r := raw(t, s, shake)
-	skipHead(t, r)
+// Guards against a peer that never reads and keeps its connection and an unbounded queue. The messages that were not sent must
+// be reported.
+func TestPeerThatNeverReadsIsDisconnected(t *testing.T) {
+	server := newEchoHandler()
+	s := startServer(t, server)
+	_, r := dialRaw(t, s, upgradeRequest)
+	readResponseHead(t, r)
 	c := <-server.opened
 	chunk := []byte(strings.Repeat("x", 4000))
 	for tag := uint64(1); tag < 1<<20; tag++ {
@@ -200,49 +207,51 @@
 		}
 	}
 	select {
-	case why := <-server.closed:
-		if !errors.Is(why, ErrSlowPeer) {
-			t.Fatal(why)
+	case err := <-server.closed:
+		if !errors.Is(err, ErrSlowPeer) {
+			t.Fatal(err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("still connected")
+		t.Fatal("the connection was not closed")
 	}
-	if len(server.unsent) == 0 || len(server.unsent) > bounds.MaxQueuedBytes/4000+1 {
+	if len(server.unsent) == 0 || len(server.unsent) > testLimits.MaxQueuedBytes/4000+1 {
 		t.Fatal(len(server.unsent))
 	}
 }
 
-func TestWithdrawnMessagesNeverGoOut(t *testing.T) {
-	server := newEcho()
-	s := start(t, server)
-	_, r := raw(t, s, shake)
-	skipHead(t, r)
+// Guards against a cancelled message that is sent, and a cancellation that succeeds twice, for an unknown tag or after the
+// message was sent.
+func TestCancelledMessagesAreNeverSent(t *testing.T) {
+	server := newEchoHandler()
+	s := startServer(t, server)
+	_, r := dialRaw(t, s, upgradeRequest)
+	readResponseHead(t, r)
 	c := <-server.opened
-	// No write runs while the lock is held, so both wait in the queue.
+	// With writing set, Send starts no write of its own, so both messages stay in the queue.
 	c.mu.Lock()
 	c.writing = true
 	c.mu.Unlock()
 	c.Send([]byte("a"), 7)
 	c.Send([]byte("b"), 8)
 	if !c.CancelSend(7) || c.CancelSend(7) || c.CancelSend(9) {
-		t.Fatal("withdrawal")
+		t.Fatal("CancelSend did not return true exactly once")
 	}
-	go c.write()
+	go c.writeQueue()
 	if f, err := readFrame(r); err != nil || string(f.Payload) != "b" {
 		t.Fatal(f, err)
 	}
 	if c.CancelSend(8) {
-		t.Fatal("withdrawn after it went out")
+		t.Fatal("CancelSend succeeded for a message that was sent")
 	}
 }
 
-// A handler that sends under a lock of its own, which its Closed wants too, is not caught in it: a write
-// that fails ends the connection from elsewhere. This hung a whole day once.
-func TestSendMayBeCalledUnderTheHandlersLock(t *testing.T) {
-	h := &locked{opened: make(chan *Conn, 1), closed: make(chan bool, 1)}
-	s := start(t, h)
-	peer, r := raw(t, s, shake)
-	skipHead(t, r)
+// Guards against a deadlock that once hung a whole day's run: a handler calls Send while it holds a lock that its Closed also
+// takes, the write fails, and Closed is called from within Send. Closed must be called from another goroutine.
+func TestSendUnderHandlerLockDoesNotDeadlock(t *testing.T) {
+	h := &lockingHandler{opened: make(chan *Conn, 1), closed: make(chan bool, 1)}
+	s := startServer(t, h)
+	peer, r := dialRaw(t, s, upgradeRequest)
+	readResponseHead(t, r)
 	c := <-h.opened
 	peer.(*net.TCPConn).SetLinger(0)
 	peer.Close() // a reset: the next writes fail
@@ -258,93 +267,96 @@
 		select {
 		case <-ch:
 		case <-time.After(5 * time.Second):
-			t.Fatal("stuck")
+			t.Fatal("deadlock")
 		}
 	}
 }
 
-type locked struct {
+// A lockingHandler takes its lock in Closed.
+type lockingHandler struct {
 	mu     sync.Mutex
 	opened chan *Conn
 	closed chan bool
 }
 
-func (h *locked) Opened(c *Conn)        { h.opened <- c }
-func (h *locked) Message(*Conn, []byte) {}
-func (h *locked) Closed(*Conn, error, []uint64) {
+func (h *lockingHandler) Opened(c *Conn)        { h.opened <- c }
+func (h *lockingHandler) Message(*Conn, []byte) {}
+func (h *lockingHandler) Closed(*Conn, error, []uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.closed <- true
 }
 
-func TestDialSaysWhatFailed(t *testing.T) {
-	s := start(t, newEcho())
-	if _, err := Dial(s.Address(), "other.v1", time.Second, bounds, newEcho(), nil); !errors.Is(err, ErrHandshake) {
+// Guards against a Dial that succeeds, or hides a failed handshake, when the server rejects, ignores or resets it.
+func TestDialReportsHandshakeFailure(t *testing.T) {
+	s := startServer(t, newEchoHandler())
+	if _, err := Dial(s.Address(), "other.v1", time.Second, testLimits, newEchoHandler(), nil); !errors.Is(err, ErrHandshake) {
 		t.Error(err)
 	}
 	s.SetSilent(true)
-	if _, err := Dial(s.Address(), "test.v1", 100*time.Millisecond, bounds, newEcho(), nil); !errors.Is(err, ErrHandshake) {
+	if _, err := Dial(s.Address(), "test.v1", 100*time.Millisecond, testLimits, newEchoHandler(), nil); !errors.Is(err, ErrHandshake) {
 		t.Error(err)
 	}
 	s.SetSilent(false)
 	s.SetRefusing(true)
-	if _, err := Dial(s.Address(), "test.v1", time.Second, bounds, newEcho(), nil); err == nil {
-		t.Error("connected to a machine that refuses")
+	if _, err := Dial(s.Address(), "test.v1", time.Second, testLimits, newEchoHandler(), nil); err == nil {
+		t.Error("connected to a server that resets connections")
 	}
 }
 
-// The close frame's code and reason reach the peer, and both handlers hear of the end once.
-func TestCloseIsToldOnce(t *testing.T) {
-	server, client := newEcho(), newEcho()
-	s := start(t, server)
-	if _, err := Dial(s.Address(), "test.v1", time.Second, bounds, client, nil); err != nil {
+// Guards against a lost status code or reason of a close frame, and against a second call of Closed on either side.
+func TestClosedIsCalledOnce(t *testing.T) {
+	server, client := newEchoHandler(), newEchoHandler()
+	s := startServer(t, server)
+	if _, err := Dial(s.Address(), "test.v1", time.Second, testLimits, client, nil); err != nil {
 		t.Fatal(err)
 	}
 	(<-server.opened).Close(1013, "later")
-	if why := <-client.closed; !errors.Is(why, ErrClosedByPeer) || !strings.Contains(why.Error(), "1013 later") {
-		t.Fatal(why)
+	if err := <-client.closed; !errors.Is(err, ErrClosedByPeer) || !strings.Contains(err.Error(), "1013 later") {
+		t.Fatal(err)
 	}
-	if why := <-server.closed; !errors.Is(why, ErrClosedLocally) {
-		t.Fatal(why)
+	if err := <-server.closed; !errors.Is(err, ErrClosedLocally) {
+		t.Fatal(err)
 	}
 	select {
-	case why := <-server.closed:
-		t.Fatal("told twice", why)
-	case why := <-client.closed:
-		t.Fatal("told twice", why)
+	case err := <-server.closed:
+		t.Fatal("Closed was called twice", err)
+	case err := <-client.closed:
+		t.Fatal("Closed was called twice", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 }
 
-// A reason that quotes the peer's own bytes was cut in the middle of a letter: no UTF-8, for which a peer ends the
-// connection as broken (RFC 6455, 8.1).
+// Guards against a close reason that is not UTF-8: one that quoted the peer's own bytes was shortened in the middle of a
+// character, and a peer fails the connection for that (RFC 6455, 8.1).
 func TestCloseReasonsAreShortUTF8(t *testing.T) {
 	for _, text := range []string{"", "plain", strings.Repeat("é", 100), "x" + strings.Repeat("é", 100), "\xff\xfe", strings.Repeat("\xff", 300)} {
 		if r := closeReason(text); len(r) > 120 || !utf8.ValidString(r) || len(text) <= 120 && utf8.ValidString(text) && r != text {
-			t.Errorf("%q became %q", text, r)
+			t.Errorf("closeReason(%q) = %q", text, r)
 		}
 	}
 }
 
-type clumsy struct{ *echo }
+// A panicOnMessage handler panics on one message and echoes the others.
+type panicOnMessage struct{ *echoHandler }
 
-func (h clumsy) Message(c *Conn, m []byte) {
+func (h panicOnMessage) Message(c *Conn, m []byte) {
 	if string(m) == "trip" {
-		panic("over it")
+		panic("injected by the test")
 	}
-	h.echo.Message(c, m)
+	h.echoHandler.Message(c, m)
 }
 
-// A handler that panicked on a message was counted nowhere, and netpoll's pool wrote about it to standard error itself,
-// which may wait for a reader.
-func TestPanicEndsItsConnectionAlone(t *testing.T) {
-	s := start(t, clumsy{newEcho()})
-	bad, good := newEcho(), newEcho()
-	b, err := Dial(s.Address(), "test.v1", time.Second, bounds, bad, nil)
+// Guards against a handler's panic that is not counted, leaves its connection open or affects another one. Such a panic was
+// once written by netpoll's pool to standard error, which may block on its reader.
+func TestPanicClosesOnlyItsConnection(t *testing.T) {
+	s := startServer(t, panicOnMessage{newEchoHandler()})
+	bad, good := newEchoHandler(), newEchoHandler()
+	b, err := Dial(s.Address(), "test.v1", time.Second, testLimits, bad, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := Dial(s.Address(), "test.v1", time.Second, bounds, good, nil)
+	g, err := Dial(s.Address(), "test.v1", time.Second, testLimits, good, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -353,29 +365,29 @@
 	select {
 	case <-bad.closed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the connection stands")
+		t.Fatal("the connection was not closed")
 	}
 	if InternalErrors() == before {
-		t.Fatal("nobody is told")
+		t.Fatal("the panic was not counted")
 	}
 	g.Send([]byte("well"), 0)
-	for end := time.Now().Add(5 * time.Second); len(good.seen()) == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); len(good.messages()) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the other one is not answered")
+			t.Fatal("the other connection received no answer")
 		}
 	}
 }
 
-// frameMost is more than any frame that a test waits for.
-const frameMost = 64 << 10
+// maxTestFrameBytes exceeds the size of every frame that a test reads.
+const maxTestFrameBytes = 64 << 10
 
-// readFrame reads a frame that a connection has written, of a bounded size.
+// readFrame reads a frame of at most maxTestFrameBytes.
 func readFrame(r io.Reader) (f ws.Frame, err error) {
 	if f.Header, err = ws.ReadHeader(r); err != nil {
 		return f, err
 	}
-	if f.Header.Length > frameMost {
-		return f, fmt.Errorf("a frame of %d bytes", f.Header.Length)
+	if f.Header.Length > maxTestFrameBytes {
+		return f, fmt.Errorf("the frame has %d bytes", f.Header.Length)
 	}
 	f.Payload = make([]byte, f.Header.Length)
 	_, err = io.ReadFull(r, f.Payload)
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -10,108 +10,110 @@
 	"github.com/gobwas/ws"
 )
 
-// Queued tells whether anything that was sent still waits to be written.
+// Queued reports whether any sent message still waits to be written.
 func (c *Conn) Queued() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writing
 }
 
-// A carrier is what is below a connection: a socket, or one in memory.
-type carrier interface {
+// A rawConn is the byte stream under a connection: a socket, or a stream in memory.
+type rawConn interface {
 	Close() error
 	RemoteAddr() net.Addr
-	// write hands bytes to the kernel, as many as it takes now, and never blocks. None and no error: it takes none for
-	// the moment. It is called with the connection's lock held, and never after the connection was settled: its
-	// descriptor may be another's by then.
+	// write passes as many bytes to the kernel as it accepts now, and never blocks. It returns 0 and no error if the
+	// kernel accepts none at the moment. It is called with the connection's lock held, and never after finishClose,
+	// when the descriptor may belong to another file.
 	write(p []byte) (int, error)
-	// reset makes the close that follows a reset. It is called as write is.
-	reset()
-	// closeWithin bounds how long what was written may take to reach the peer after the close. It is called as write is.
-	closeWithin(most time.Duration)
+	// resetOnClose makes the following close a TCP reset. It is called under the same conditions as write.
+	resetOnClose()
+	// setCloseTimeout limits how long the kernel tries to deliver written bytes after the close. It is called under the
+	// same conditions as write.
+	setCloseTimeout(timeout time.Duration)
 }
 
-// socket is a carrier over TCP. Netpoll reads; what is written goes to the descriptor directly.
-type socket struct {
+// socketConn is a rawConn over TCP. Reads go through netpoll, writes go to the descriptor directly.
+type socketConn struct {
 	netpoll.Connection
 	descriptor int
 	calls      *systemCalls
 }
 
-func newSocket(np netpoll.Connection) socket {
-	s := socket{np, -1, system.Load()}
+func newSocket(np netpoll.Connection) socketConn {
+	s := socketConn{np, -1, currentCalls.Load()}
 	if d, ok := np.(netpoll.Conn); ok {
 		s.descriptor = d.Fd()
 	}
 	return s
 }
 
-func (s socket) write(p []byte) (int, error) {
+func (s socketConn) write(p []byte) (int, error) {
 	n, err := s.calls.write(s.descriptor, p)
-	if err != nil && momentary(err) {
+	if err != nil && isTransient(err) {
 		err = nil
 	}
 	return max(0, n), err
 }
 
-func (s socket) reset() { setLinger(s.descriptor) }
+func (s socketConn) resetOnClose() { setResetOnClose(s.descriptor) }
 
-func (s socket) closeWithin(most time.Duration) { setUserTimeout(s.descriptor, most) }
+func (s socketConn) setCloseTimeout(timeout time.Duration) { setUserTimeout(s.descriptor, timeout) }
 
+// A frame is an encoded message or control frame, or the unwritten rest of one.
 type frame struct {
-	tag     uint64
-	advice  uint64
-	expires time.Duration // by monotonic: not begun after that; 0: whenever
-	body    []byte
+	tag        uint64
+	replaceKey uint64
+	expiresAt  time.Duration // latest time, by monotonic, at which writing may begin; 0: no limit
+	body       []byte
 }
 
-// Send queues a message, or writes it where nothing waits; it never calls the handler, so it may be called
-// with any lock held. A tag other than 0 lets Withdraw and Closed name it. It says false where the
-// connection has ended or its queue is full, in which case the connection is ended.
+// Send writes a message, or queues it if others are waiting. It never calls the handler, so it may be called with any lock
+// held. CancelSend and Closed refer to the message by its tag unless that is 0. Send returns false if the connection has
+// ended or the queue is full; in the latter case it ends the connection.
 func (c *Conn) Send(message []byte, tag uint64) bool { return c.send(ws.OpText, message, tag) }
 
-// An Expirer is a Handler that is told of messages of SendWithin that were not begun in time and never will be.
+// An Expirer is a Handler that is notified of messages of SendWithin that were dropped because their time ran out.
 type Expirer interface {
 	Expired(c *Conn, tag uint64)
 }
 
-// SendWithin is Send for a message that is worth nothing unless its first byte is handed to the kernel within a time. Else
-// it is dropped, and the handler told.
-func (c *Conn) SendWithin(message []byte, tag uint64, within time.Duration) bool {
-	return c.put(frame{tag: tag, expires: monotonic() + within, body: c.frame(ws.OpText, message)}, false)
+// SendWithin is Send for a message that is useless unless its first byte is passed to the kernel within the time-out. After
+// that the message is dropped, and the handler is notified if it is an Expirer.
+func (c *Conn) SendWithin(message []byte, tag uint64, timeout time.Duration) bool {
+	return c.writeOrQueue(frame{tag: tag, expiresAt: monotonic() + timeout, body: c.encodeFrame(ws.OpText, message)}, false)
 }
 
-// SendReplaceable queues a message that may be dropped or overtaken: one with the same key that still waits is
-// replaced by it, and nothing is queued where half of the queue's bound is taken. It is for advice, which a
-// later one makes worthless; key 0 replaces nothing.
+// SendReplaceable sends a message that may be dropped or replaced. It replaces a queued message with the same key, except
+// for key 0, and is dropped if more than half of Limits.MaxQueuedBytes is in use. It is meant for advisory messages, which
+// a later one makes obsolete.
 func (c *Conn) SendReplaceable(message []byte, key uint64) {
 	c.mu.Lock()
-	if c.queued*2 > c.bounds.MaxQueuedBytes {
+	if c.queuedBytes*2 > c.limits.MaxQueuedBytes {
 		c.mu.Unlock()
 		return
 	}
 	for i := range c.queue {
-		if f := &c.queue[i]; key != 0 && f.advice == key {
-			body := c.frame(ws.OpText, message)
-			c.queued += len(body) - len(f.body)
+		if f := &c.queue[i]; key != 0 && f.replaceKey == key {
+			body := c.encodeFrame(ws.OpText, message)
+			c.queuedBytes += len(body) - len(f.body)
 			f.body = body
 			c.mu.Unlock()
 			return
 		}
 	}
 	c.mu.Unlock()
-	c.put(frame{body: c.frame(ws.OpText, message), advice: key}, false)
+	c.writeOrQueue(frame{body: c.encodeFrame(ws.OpText, message), replaceKey: key}, false)
 }
 
-// Ping queues a ping.
+// Ping sends a WebSocket ping. A SplitFunc protocol has none.
 func (c *Conn) Ping() bool { return c.split != nil || c.send(ws.OpPing, nil, 0) }
 
 func (c *Conn) send(op ws.OpCode, payload []byte, tag uint64) bool {
-	return c.put(frame{tag: tag, body: c.frame(op, payload)}, op == ws.OpClose)
+	return c.writeOrQueue(frame{tag: tag, body: c.encodeFrame(op, payload)}, op == ws.OpClose)
 }
 
-// frame puts a payload into a frame of its own.
-func (c *Conn) frame(op ws.OpCode, payload []byte) []byte {
+// encodeFrame returns a payload as a single frame.
+func (c *Conn) encodeFrame(op ws.OpCode, payload []byte) []byte {
 	if c.split != nil {
 		return payload
 	}
@@ -122,62 +124,63 @@
 	return ws.MustCompileFrame(f)
 }
 
-// put writes a frame at once where nothing waits, and queues it else.
-func (c *Conn) put(f frame, last bool) bool {
+// writeOrQueue writes a frame at once if the queue is empty, and queues it otherwise. No frame is accepted after one with
+// last set.
+func (c *Conn) writeOrQueue(f frame, last bool) bool {
 	c.mu.Lock()
-	if c.why != nil && !last || c.last {
+	if c.closeErr != nil && !last || c.sendClosed {
 		c.mu.Unlock()
 		return false
 	}
 	if !last && !c.writing && c.usable {
-		n, err := c.np.write(f.body)
+		n, err := c.raw.write(f.body)
 		if err != nil {
 			c.mu.Unlock()
-			go c.fail(err) // the handler's Closed may want a lock that our caller holds
+			go c.closeNow(err) // the handler's Closed may need a lock that the caller holds
 			return false
 		}
 		if n == len(f.body) {
 			c.mu.Unlock()
 			return true
 		}
-		if n > 0 { // the rest can't be had back any more
+		if n > 0 { // a partly written frame can no longer be cancelled, replaced or dropped
 			f = frame{body: f.body[n:]}
 		}
 	}
-	if c.queued+len(f.body) > c.bounds.MaxQueuedBytes && !last {
-		queued := c.queued
+	if c.queuedBytes+len(f.body) > c.limits.MaxQueuedBytes && !last {
+		queuedBytes := c.queuedBytes
 		c.mu.Unlock()
-		go c.fail(fmt.Errorf("%w: %d bytes wait", ErrSlowPeer, queued))
+		go c.closeNow(fmt.Errorf("%w: %d bytes are queued", ErrSlowPeer, queuedBytes))
 		return false
 	}
 	c.queue = append(c.queue, f)
-	c.queued += len(f.body)
-	c.last = c.last || last
+	c.queuedBytes += len(f.body)
+	c.sendClosed = c.sendClosed || last
 	start := !c.writing
 	c.writing = true
 	c.mu.Unlock()
 	if start {
-		go c.write()
+		go c.writeQueue()
 	}
 	return true
 }
 
-// boundClose makes the kernel give up on a peer that takes nothing, after the write time-out. It is called with the lock
-// held, before an orderly close.
-func (c *Conn) boundClose() {
-	if c.bounds.WriteTimeout > 0 {
-		c.np.closeWithin(c.bounds.WriteTimeout)
+// applyCloseTimeout makes the kernel give up after the write time-out on a peer that acknowledges nothing. It is called with
+// the lock held, before an orderly close.
+func (c *Conn) applyCloseTimeout() {
+	if c.limits.WriteTimeout > 0 {
+		c.raw.setCloseTimeout(c.limits.WriteTimeout)
 	}
 }
 
-// CancelSend takes a tagged message out of the queue. It says true if not one byte of it was handed to
-// the kernel, and none ever will be.
+// CancelSend removes the message with the tag from the queue. It returns true if no byte of the message was passed to the
+// kernel and none will be.
 func (c *Conn) CancelSend(tag uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, f := range c.queue {
 		if f.tag == tag {
-			c.queued -= len(f.body)
+			c.queuedBytes -= len(f.body)
 			c.queue = append(c.queue[:i], c.queue[i+1:]...)
 			return true
 		}
@@ -185,73 +188,73 @@
 	return false
 }
 
-// How long the writer waits before it tries again where the kernel takes nothing: at first, and at most. The wait
-// doubles while nothing moves.
+// Initial and maximum delay before a write is tried again when the kernel accepts nothing. The delay doubles while no bytes
+// are accepted.
 const (
-	firstWritePause = 200 * time.Microsecond
-	mostWritePause  = 10 * time.Millisecond
+	initialWriteDelay = 200 * time.Microsecond
+	maxWriteDelay     = 10 * time.Millisecond
 )
 
-// write hands queued frames to the kernel until none is left. One runs at a time for each connection.
-func (c *Conn) write() {
-	pause, since := firstWritePause, monotonic()
+// writeQueue passes queued frames to the kernel until none is left. Each connection runs at most one writeQueue at a time.
+func (c *Conn) writeQueue() {
+	delay, lastFrame := initialWriteDelay, monotonic()
 	for {
-		c.expire()
-		progress, done, err := c.writeFirst()
+		c.dropExpired()
+		progress, done, err := c.writeNextFrame()
 		switch {
 		case err != nil:
-			c.fail(err)
+			c.closeNow(err)
 			return
 		case done:
 			return
 		case progress == frameWritten:
-			pause, since = firstWritePause, monotonic()
+			delay, lastFrame = initialWriteDelay, monotonic()
 			continue
-		case c.bounds.WriteTimeout > 0 && monotonic()-since > c.bounds.WriteTimeout:
-			c.fail(fmt.Errorf("%w: a write stood still for %v", ErrSlowPeer, c.bounds.WriteTimeout))
+		case c.limits.WriteTimeout > 0 && monotonic()-lastFrame > c.limits.WriteTimeout:
+			c.closeNow(fmt.Errorf("%w: no frame was written completely for %v", ErrSlowPeer, c.limits.WriteTimeout))
 			return
-		case progress == someWritten:
-			pause = firstWritePause
+		case progress == partWritten:
+			delay = initialWriteDelay
 		}
-		time.Sleep(pause)
-		pause = min(2*pause, mostWritePause)
+		time.Sleep(delay)
+		delay = min(2*delay, maxWriteDelay)
 	}
 }
 
-// writeProgress is what one look at the queue came to.
+// writeProgress is the result of one write of the first queued frame.
 type writeProgress int
 
 const (
 	nothingWritten writeProgress = iota
-	someWritten
+	partWritten
 	frameWritten
 )
 
-// writeFirst hands over as much of the first frame as the kernel takes. Done says that there is nothing left to write,
-// in which case the connection is closed if that was to follow.
-func (c *Conn) writeFirst() (progress writeProgress, done bool, err error) {
+// writeNextFrame passes as much of the first queued frame to the kernel as it accepts. It returns done if nothing is left to
+// write, after closing the connection if the last frame before the close has been written.
+func (c *Conn) writeNextFrame() (progress writeProgress, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.usable { // what waits is named when the connection is settled
+	if !c.usable { // finishClose reports the queued messages as unsent
 		c.writing = false
 		return nothingWritten, true, nil
 	}
 	if len(c.queue) == 0 {
 		c.writing = false
 		c.queue = nil
-		if c.last && c.why != nil {
-			c.boundClose()
-			go c.np.Close() // the handler's Closed may want this lock
+		if c.sendClosed && c.closeErr != nil {
+			c.applyCloseTimeout()
+			go c.raw.Close() // the handler's Closed may need this lock
 		}
 		return nothingWritten, true, nil
 	}
 	f := &c.queue[0]
-	n, err := c.np.write(f.body)
+	n, err := c.raw.write(f.body)
 	if err != nil {
 		c.writing = false
 		return nothingWritten, false, err
 	}
-	c.queued -= n
+	c.queuedBytes -= n
 	if n == len(f.body) {
 		c.queue = c.queue[1:]
 		return frameWritten, false, nil
@@ -259,20 +262,20 @@
 	if n == 0 {
 		return nothingWritten, false, nil
 	}
-	*f = frame{body: f.body[n:]} // the rest can't be had back any more
-	return someWritten, false, nil
+	*f = frame{body: f.body[n:]} // a partly written frame can no longer be cancelled, replaced or dropped
+	return partWritten, false, nil
 }
 
-// expire drops the queued frames whose time is over.
-func (c *Conn) expire() {
+// dropExpired drops the queued frames whose time has run out, and notifies the handler if it is an Expirer.
+func (c *Conn) dropExpired() {
 	now := monotonic()
 	var tags []uint64
 	c.mu.Lock()
 	c.queue = slices.DeleteFunc(c.queue, func(f frame) bool {
-		if f.expires == 0 || now <= f.expires {
+		if f.expiresAt == 0 || now <= f.expiresAt {
 			return false
 		}
-		c.queued -= len(f.body)
+		c.queuedBytes -= len(f.body)
 		tags = append(tags, f.tag)
 		return true
 	})
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -27,9 +27,9 @@
 
 // The longest word (an id, a key, a name) and sentence (a reason) in bytes.
 const (
-	wordMost     = 128
-	sentenceMost = 256
-	topMost      = 1 << 15
+	maxIdentifierBytes     = 128
+	maxReasonBytes = 256
+	maxRungLimit      = 1 << 15
 )
 
 // The messages of the session API.
@@ -171,13 +171,13 @@
 // DecodeSessionMessage reads and checks a message of the session API, from either side.
 func DecodeSessionMessage(raw []byte) (m SessionMessage, err error) {
 	if err = easyjson.Unmarshal(raw, &m); err != nil {
-		return m, malformed(err)
+		return m, syntaxError(err)
 	}
-	if err = words(m.Type, m.ID, m.Tariff, m.Title, m.Key, m.Session, m.Node, m.Address, m.Ticket); err != nil {
+	if err = checkIdentifiers(m.Type, m.ID, m.Tariff, m.Title, m.Key, m.Session, m.Node, m.Address, m.Ticket); err != nil {
 		return m, err
 	}
-	if len(m.Reason) > sentenceMost {
-		return m, fmt.Errorf("why is longer than %d bytes", sentenceMost)
+	if len(m.Reason) > maxReasonBytes {
+		return m, fmt.Errorf("why is longer than %d bytes", maxReasonBytes)
 	}
 	if m.ID == "" {
 		return m, fmt.Errorf("%q has no id", m.Type)
@@ -191,7 +191,7 @@
 			err = fmt.Errorf("wait_ms %d is not within 1 to 3600000", m.WaitMS)
 		case m.LengthMS < 0 || m.LengthMS > 86_400_000:
 			err = fmt.Errorf("length_ms %d is not within 0 to 86400000", m.LengthMS)
-		case m.MaxRung != nil && (*m.MaxRung < 0 || *m.MaxRung > topMost):
+		case m.MaxRung != nil && (*m.MaxRung < 0 || *m.MaxRung > maxRungLimit):
 			err = fmt.Errorf("top %d is no rung", *m.MaxRung)
 		}
 	case Report:
@@ -208,9 +208,9 @@
 // DecodeNodeMessage reads and checks a message of the node vocabulary, from either side.
 func DecodeNodeMessage(raw []byte) (m NodeMessage, err error) {
 	if err = easyjson.Unmarshal(raw, &m); err != nil {
-		return m, malformed(err)
+		return m, syntaxError(err)
 	}
-	if err = words(m.Type, m.Director, m.Session, m.Tariff, m.Title, m.Reason); err != nil {
+	if err = checkIdentifiers(m.Type, m.Director, m.Session, m.Tariff, m.Title, m.Reason); err != nil {
 		return m, err
 	}
 	switch m.Type {
@@ -242,7 +242,7 @@
 // fleet's by whoever reads them.
 func DecodeDiscoveryMessage(raw []byte) (m DiscoveryMessage, err error) {
 	if err = easyjson.Unmarshal(raw, &m); err != nil {
-		return m, malformed(err)
+		return m, syntaxError(err)
 	}
 	switch m.Type {
 	case Subscribe, Acknowledge, Snapshot, Update:
@@ -250,7 +250,7 @@
 		return m, fmt.Errorf("unknown message %q", m.Type)
 	}
 	for _, e := range m.Nodes {
-		if err = words(e.Node, e.Address, e.MachineKind, e.Zone); err != nil {
+		if err = checkIdentifiers(e.Node, e.Address, e.MachineKind, e.Zone); err != nil {
 			return m, err
 		}
 		switch {
@@ -265,7 +265,7 @@
 		}
 	}
 	for _, t := range m.Titles {
-		if err = words(t.Title); err != nil {
+		if err = checkIdentifiers(t.Title); err != nil {
 			return m, err
 		}
 		if t.Title == "" || t.FirstCell < 0 || t.Copies < 0 {
@@ -275,12 +275,12 @@
 	return m, nil
 }
 
-func malformed(err error) error { return fmt.Errorf("not a message: %w", err) }
+func syntaxError(err error) error { return fmt.Errorf("not a message: %w", err) }
 
-func words(all ...string) error {
+func checkIdentifiers(all ...string) error {
 	for _, w := range all {
-		if len(w) > wordMost {
-			return fmt.Errorf("%.16q... is longer than %d bytes", w, wordMost)
+		if len(w) > maxIdentifierBytes {
+			return fmt.Errorf("%.16q... is longer than %d bytes", w, maxIdentifierBytes)
 		}
 		if !utf8.ValidString(w) {
 			return fmt.Errorf("%.16q is not UTF-8", w)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,11 +8,11 @@
 	"github.com/mailru/easyjson"
 )
 
-func TestBadMessagesSayWhatIsWrong(t *testing.T) {
+func TestDecodeErrorsNameTheCause(t *testing.T) {
 	session := func(raw []byte) error { _, err := DecodeSessionMessage(raw); return err }
 	node := func(raw []byte) error { _, err := DecodeNodeMessage(raw); return err }
 	list := func(raw []byte) error { _, err := DecodeDiscoveryMessage(raw); return err }
-	long := strings.Repeat("x", wordMost+1)
+	long := strings.Repeat("x", maxIdentifierBytes+1)
 	for _, c := range []struct {
 		decode    func([]byte) error
 		raw, want string
@@ -41,7 +41,7 @@
 }
 
 // Rung 0 is the lowest, not an absent one.
-func TestLowestTopIsNotTakenForNone(t *testing.T) {
+func TestMaxRungZeroIsNotAbsent(t *testing.T) {
 	m, err := DecodeSessionMessage(Encode(SessionMessage{Type: Request, ID: "1", Tariff: "a", Title: "b", Key: "k", WaitMS: 5, MaxRung: new(0)}))
 	if err != nil || m.MaxRung == nil || *m.MaxRung != 0 {
 		t.Fatal(m, err)
