--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,7 +1,7 @@
-// Package wire has the message vocabularies that cross the program's sockets: players' (the session
-// API), nodes' and the list's. Messages are JSON objects, one a WebSocket text message; the key "t" names
-// the message. Unknown keys are skipped, so that a version may grow; unknown messages are an error.
-// docs/session-api.md and docs/director.md describe them in full.
+// Package wire defines the messages of the program's three protocols: between clients and directors (the session API), between
+// directors and nodes, and between directors and discovery. Each message is a JSON object in one WebSocket text message; the
+// key "t" holds its type. Unknown keys are ignored, so that a protocol version can add keys; unknown types are an error.
+// docs/session-api.md and docs/director.md describe the messages in full.
 package wire
 
 import (
@@ -11,116 +11,117 @@
 	"github.com/mailru/easyjson"
 )
 
-// The sub-protocols, each with its version. A handshake that offers none of a listener's is turned away.
+// The WebSocket sub-protocols, each with its version. A handshake that does not offer the listener's sub-protocol is rejected.
 const (
 	SessionProtocol   = "fordusher.session.v1"
 	NodeProtocol      = "fordusher.node.v1"
 	DiscoveryProtocol = "fordusher.list.v1"
 )
 
-// The largest message of each vocabulary, in bytes.
+// The largest message of each protocol, in bytes.
 const (
 	MaxSessionMessageBytes   = 4 << 10
 	MaxNodeMessageBytes      = 16 << 10
 	MaxDiscoveryMessageBytes = 8 << 20
 )
 
-// The longest word (an id, a key, a name) and sentence (a reason) in bytes.
+// The longest identifier (an id, a key, a name) and reason in bytes, and the highest value of "top".
 const (
-	maxIdentifierBytes     = 128
-	maxReasonBytes = 256
-	maxRungLimit      = 1 << 15
+	maxIdentifierBytes = 128
+	maxReasonBytes     = 256
+	maxRungLimit       = 1 << 15
 )
 
 // The messages of the session API.
 const (
-	Request      = "want"    // player: a session, please
-	Cancel       = "leave"   // player: no longer wanted
-	Report       = "report"  // player: how it plays
-	Playing      = "plays"   // director: final answer, it plays
-	Nack         = "nack"    // director: final answer, coming again does no harm
-	Errored      = "errored" // director: final answer, no claim
-	Rung         = "rung"    // director: the rung changed; also to a node: change it
-	SessionEnded = "over"    // director: a session that played has ended
+	Request      = "want"    // client: requests a session
+	Cancel       = "leave"   // client: cancels a request or ends its session
+	Report       = "report"  // client: playback quality
+	Playing      = "plays"   // director: final answer, the session plays
+	Nack         = "nack"    // director: final answer, no session; the request may safely be repeated
+	Errored      = "errored" // director: final answer, no session; it does not say whether one ran
+	Rung         = "rung"    // director: to a client, the rung has changed; to a node, change the rung
+	SessionEnded = "over"    // director: a playing session has ended
 )
 
-// SessionMessage is a message between a player and a director. Which fields count goes by Type.
+// SessionMessage is a message between a client and a director. Each comment names the types that use the field, as the values
+// of Type.
 type SessionMessage struct {
 	Type           string  `json:"t"`
-	ID             string  `json:"id"`                   // the player's own name for the request, unique on its connection
+	ID             string  `json:"id"`                   // the client's identifier of the request, unique on its connection
 	Tariff         string  `json:"tariff,omitempty"`     // want
 	Title          string  `json:"title,omitempty"`      // want
-	Key            string  `json:"key,omitempty"`        // want: the viewer's secret; a session is found again by it
-	MaxRung        *int    `json:"top,omitempty"`        // want: best rung that the viewer can use; absent: any
-	WaitMS         int64   `json:"wait_ms,omitempty"`    // want: how long the viewer waits for the answer
-	LengthMS       int64   `json:"length_ms,omitempty"`  // want: how long the session will last, roughly
-	Retry          bool    `json:"again,omitempty"`      // want: not the viewer's first try
-	Session        string  `json:"session,omitempty"`    // answers: the director's name for the session
+	Key            string  `json:"key,omitempty"`        // want: the client's secret, by which its session is resumed
+	MaxRung        *int    `json:"top,omitempty"`        // want: highest rung that the client can use; absent: any
+	WaitMS         int64   `json:"wait_ms,omitempty"`    // want: how long the client waits for the answer
+	LengthMS       int64   `json:"length_ms,omitempty"`  // want: approximate length of the session
+	Retry          bool    `json:"again,omitempty"`      // want: not the client's first attempt
+	Session        string  `json:"session,omitempty"`    // answers: the director's identifier of the session
 	Node           string  `json:"node,omitempty"`       // plays
-	Address        string  `json:"address,omitempty"`    // plays: where the node serves
-	Ticket         string  `json:"ticket,omitempty"`     // plays: what the player shows there
+	Address        string  `json:"address,omitempty"`    // plays: address at which the node serves the session
+	Ticket         string  `json:"ticket,omitempty"`     // plays: credential that the client presents to the node
 	Rung           int     `json:"rung,omitempty"`       // plays, rung, report
-	BackoffMS      int64   `json:"backoff_ms,omitempty"` // nack, over: when to come back
+	BackoffMS      int64   `json:"backoff_ms,omitempty"` // nack, over: time to wait before the next request
 	Reason         string  `json:"why,omitempty"`        // nack, errored, over
-	BufferSeconds  float64 `json:"buffer_s,omitempty"`   // report: seconds of play in the player's buffer
-	StalledSeconds float64 `json:"stalled_s,omitempty"`  // report: seconds stood still since the last report
+	BufferSeconds  float64 `json:"buffer_s,omitempty"`   // report: seconds of media in the client's buffer
+	StalledSeconds float64 `json:"stalled_s,omitempty"`  // report: seconds of stalled playback since the last report
 }
 
 // The messages between directors and nodes.
 const (
-	Hello       = "hello"    // director: who it is; node: its load, once
+	Hello       = "hello"    // director: its name; node: its incarnation and load; sent once by each side
 	Setup       = "setup"    // director: start a session
-	End         = "end"      // director: call a leg off, or end its session
-	Accepted    = "accepted" // node: it plays
-	Full        = "full"     // node: turned away unseen; the leg never ran
-	Failed      = "failed"   // node: the set-up failed; it may have run
-	Unsent      = "unsent"   // node: the set-up never left for it; the leg never ran
+	End         = "end"      // director: cancel a leg, or end its session
+	Accepted    = "accepted" // node: the session plays
+	Full        = "full"     // node: refused before the set-up began; the leg never ran
+	Failed      = "failed"   // node: the set-up failed; the leg may have run
+	Unsent      = "unsent"   // node: the set-up was not sent to it; the leg never ran
 	Ended       = "ended"    // node: the session has ended
-	Measurement = "note"     // node: news of a session, by kind
+	Measurement = "note"     // node: a measurement of a session, by kind
 )
 
-// Why a session has ended, where more is to be said than that it has.
+// The reasons for which a session ends other than by itself.
 const (
-	Lost     = "lost"       // its node or the connection to it
-	Canceled = "called off" // by its viewer, or moved
+	Lost     = "lost"       // the node or the connection to it was lost
+	Canceled = "called off" // the client cancelled it, or it was moved
 )
 
 // NodeMessage is a message between a director and a node.
 type NodeMessage struct {
 	Type             string    `json:"t"`
-	Leg              uint64    `json:"leg,omitempty"`       // the director's number of the leg
+	Leg              uint64    `json:"leg,omitempty"`       // the director's identifier of the leg
 	Director         string    `json:"director,omitempty"`  // hello
-	Session          string    `json:"session,omitempty"`   // setup: also the player's ticket
+	Session          string    `json:"session,omitempty"`   // setup: also the client's ticket
 	Tariff           string    `json:"tariff,omitempty"`    // setup
 	Title            string    `json:"title,omitempty"`     // setup
 	Rung             int       `json:"rung,omitempty"`      // setup, rung
-	RateKB           float64   `json:"rate_kb,omitempty"`   // setup, rung: kB a second that are asked
-	StartWithinMS    int64     `json:"within_ms,omitempty"` // setup: not to be started later than this after it came
-	LengthMS         int64     `json:"length_ms,omitempty"` // setup: the session ends after this by itself
+	RateKB           float64   `json:"rate_kb,omitempty"`   // setup, rung: requested rate in kB/s
+	StartWithinMS    int64     `json:"within_ms,omitempty"` // setup: the node must not start the session later than this after receipt
+	LengthMS         int64     `json:"length_ms,omitempty"` // setup: the session ends by itself after this time
 	Load             *NodeLoad `json:"load,omitempty"`      // hello, answers
-	Incarnation      uint64    `json:"start,omitempty"`     // hello of a node: another number at each start
-	UptimeMS         int64     `json:"age_ms,omitempty"`    // hello of a node: since it started
-	MeasurementKind  int       `json:"kind,omitempty"`      // note: 1 share delivered, 2 rung, 3 link, 4 uplink
+	Incarnation      uint64    `json:"start,omitempty"`     // hello of a node: a different number at each start
+	UptimeMS         int64     `json:"age_ms,omitempty"`    // hello of a node: time since it started
+	MeasurementKind  int       `json:"kind,omitempty"`      // note: 1 delivered share, 2 rung, 3 link load, 4 uplink load
 	MeasurementValue float64   `json:"value,omitempty"`     // note
 	Reason           string    `json:"why,omitempty"`       // ended: "done", "called off", "lost"
 }
 
-// NodeLoad is what a node tells of itself; a figure that it does not tell is absent.
+// NodeLoad is the load that a node reports; a value that it does not report is absent.
 type NodeLoad struct {
-	Streams *float64 `json:"streams,omitempty"` // streams that it runs or sets up
-	Link    *float64 `json:"link,omitempty"`    // asked of its link over what that gives
-	Uplink  *float64 `json:"uplink,omitempty"`  // the same of its rack's uplink
+	Streams *float64 `json:"streams,omitempty"` // streams that are running or being set up
+	Link    *float64 `json:"link,omitempty"`    // requested rate divided by the link's capacity
+	Uplink  *float64 `json:"uplink,omitempty"`  // requested rate divided by the capacity of the rack's uplink
 }
 
-// The messages between directors and the list.
+// The messages between directors and discovery.
 const (
-	Subscribe   = "listen" // director: who it is; send changes from now on
-	Acknowledge = "heard"  // director: it has taken the list of this serial
-	Snapshot    = "whole"  // list: everything; who is not named is gone
-	Update      = "update" // list: what changed
+	Subscribe   = "listen" // director: its name; discovery sends the server list and its changes from now on
+	Acknowledge = "heard"  // director: it has applied the server list with this serial number
+	Snapshot    = "whole"  // discovery: the full server list; a node that is not in it is removed
+	Update      = "update" // discovery: the changes of the server list
 )
 
-// DiscoveryMessage is a message between a director and the list.
+// DiscoveryMessage is a message between a director and discovery.
 type DiscoveryMessage struct {
 	Type     string           `json:"t"`
 	Director string           `json:"director,omitempty"`
@@ -129,37 +130,37 @@
 	Titles   []TitlePlacement `json:"titles,omitempty"`
 }
 
-// The states of a node in the list.
+// The states of a node in the server list.
 const (
 	Up       = "up"
 	Draining = "draining"
 	Removed  = "removed"
 )
 
-// NodeEntry is a node in the list.
+// NodeEntry describes a node in the server list.
 type NodeEntry struct {
 	Node        string  `json:"node"`
 	Address     string  `json:"address,omitempty"`
 	State       string  `json:"state"`
-	MachineKind string  `json:"kind,omitempty"` // of machine
+	MachineKind string  `json:"kind,omitempty"` // kind of machine
 	Zone        string  `json:"zone,omitempty"`
-	Incarnation uint64  `json:"start,omitempty"`  // another number at each start of the node
-	UptimeMS    int64   `json:"age_ms,omitempty"` // since it last started; 0: long ago or not known
-	Weight      float64 `json:"weight,omitempty"` // size of its link
+	Incarnation uint64  `json:"start,omitempty"`  // a different number at each start of the node
+	UptimeMS    int64   `json:"age_ms,omitempty"` // time since the node last started; 0: long ago or unknown
+	Weight      float64 `json:"weight,omitempty"` // capacity of the node's link
 	Cell        int     `json:"cell,omitempty"`
 }
 
-// TitlePlacement is where a title lies: on the nodes of so many cells in a row.
+// TitlePlacement says which nodes hold a title: those of Copies consecutive cells from FirstCell on.
 type TitlePlacement struct {
 	Title     string `json:"title"`
 	FirstCell int    `json:"base"`
-	Copies    int    `json:"copies"` // 0: taken off
+	Copies    int    `json:"copies"` // 0: the title is removed
 }
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all -output_filename codec_gen.go wire.go
 
-// Encode writes a message of any vocabulary. It can't fail on the types of this package as long as
-// their numbers are finite; a message with one that is not is a fault of the program.
+// Encode returns a message of any protocol as JSON. It cannot fail for the types of this package if their numbers are finite;
+// a number that is not finite is a bug in the program, so Encode panics.
 func Encode(message easyjson.Marshaler) []byte {
 	out, err := easyjson.Marshal(message)
 	if err != nil {
@@ -168,7 +169,7 @@
 	return out
 }
 
-// DecodeSessionMessage reads and checks a message of the session API, from either side.
+// DecodeSessionMessage parses and validates a message of the session API, from either side.
 func DecodeSessionMessage(raw []byte) (m SessionMessage, err error) {
 	if err = easyjson.Unmarshal(raw, &m); err != nil {
 		return m, syntaxError(err)
@@ -205,7 +206,7 @@
 	return m, err
 }
 
-// DecodeNodeMessage reads and checks a message of the node vocabulary, from either side.
+// DecodeNodeMessage parses and validates a message of the node protocol, from either side.
 func DecodeNodeMessage(raw []byte) (m NodeMessage, err error) {
 	if err = easyjson.Unmarshal(raw, &m); err != nil {
 		return m, syntaxError(err)
@@ -229,17 +230,17 @@
 		return m, fmt.Errorf("note of kind %d with value %g", m.MeasurementKind, m.MeasurementValue)
 	}
 	if l := m.Load; l != nil {
-		for _, f := range []*float64{l.Streams, l.Link, l.Uplink} {
-			if f != nil && (*f < 0 || *f > 1e6) {
-				return m, fmt.Errorf("load of %g", *f)
+		for _, value := range []*float64{l.Streams, l.Link, l.Uplink} {
+			if value != nil && (*value < 0 || *value > 1e6) {
+				return m, fmt.Errorf("load of %g", *value)
 			}
 		}
 	}
 	return m, nil
 }
 
-// DecodeDiscoveryMessage reads and checks a message of the list, from either side. Cells are counted modulo the
-// fleet's by whoever reads them.
+// DecodeDiscoveryMessage parses and validates a message of the discovery protocol, from either side. It does not limit cells:
+// their users take them modulo the number of cells of the fleet.
 func DecodeDiscoveryMessage(raw []byte) (m DiscoveryMessage, err error) {
 	if err = easyjson.Unmarshal(raw, &m); err != nil {
 		return m, syntaxError(err)
@@ -277,13 +278,14 @@
 
 func syntaxError(err error) error { return fmt.Errorf("not a message: %w", err) }
 
-func checkIdentifiers(all ...string) error {
-	for _, w := range all {
-		if len(w) > maxIdentifierBytes {
-			return fmt.Errorf("%.16q... is longer than %d bytes", w, maxIdentifierBytes)
+// checkIdentifiers checks the length and encoding of each identifier.
+func checkIdentifiers(identifiers ...string) error {
+	for _, s := range identifiers {
+		if len(s) > maxIdentifierBytes {
+			return fmt.Errorf("%.16q... is longer than %d bytes", s, maxIdentifierBytes)
 		}
-		if !utf8.ValidString(w) {
-			return fmt.Errorf("%.16q is not UTF-8", w)
+		if !utf8.ValidString(s) {
+			return fmt.Errorf("%.16q is not UTF-8", s)
 		}
 	}
 	return nil
