--- a/internal/clock/monotonic.go
+++ b/internal/clock/monotonic.go
@@ -1,20 +1,20 @@
-// Package clock gives the time of day to what compares it with times that others tell, in a way that steps of the
-// machine's wall clock don't reach.
+// Package clock gives the time of day for comparison with times that other machines report, unaffected by steps of this
+// machine's wall clock.
 package clock
 
 import "time"
 
-// MonotonicClock tells the time of day from one reading of the wall clock and the monotonic clock since. A step of the wall
-// clock after that reading changes nothing of what it tells.
+// MonotonicClock derives the time of day from a single reading of the wall clock and the monotonic time elapsed since. A step
+// of the wall clock after that reading does not affect it.
 type MonotonicClock struct {
-	wallAtStart  time.Time // the reading
-	startedAt time.Time // the same moment on the monotonic clock
+	wallAtStart time.Time // the reading
+	startedAt   time.Time // the moment of the reading, on the monotonic clock
 }
 
-// NewMonotonicClock reads the wall clock once. In a program wall is time.Now.
+// NewMonotonicClock reads the wall clock once, with the given function; a program passes time.Now.
 func NewMonotonicClock(wall func() time.Time) *MonotonicClock {
-	return &MonotonicClock{wallAtStart: wall().Round(0), startedAt: time.Now()} // Round(0) leaves the wall clock's reading alone
+	return &MonotonicClock{wallAtStart: wall().Round(0), startedAt: time.Now()} // Round(0) strips the monotonic reading
 }
 
-// Now is the time of day.
-func (s *MonotonicClock) Now() time.Time { return s.wallAtStart.Add(time.Since(s.startedAt)) }
+// Now returns the time of day.
+func (c *MonotonicClock) Now() time.Time { return c.wallAtStart.Add(time.Since(c.startedAt)) }
--- a/internal/loopback/address.go
+++ b/internal/loopback/address.go
@@ -1,7 +1,7 @@
-// Package loopback gives TCP addresses on the loopback interface that stay the caller's between two listeners.
+// Package loopback reserves TCP addresses on the loopback interface, also for the time between two listeners.
 //
-// An address found by listening at port 0 and closing again is free for anybody: the system may give its port to the
-// next outgoing connection of any process, and a later listener at it fails with EADDRINUSE.
+// An address that was found by listening at port 0 and closing the listener is not reserved: the system may assign its port
+// to the next outgoing connection of any process, and a later listener at the address fails with EADDRINUSE.
 package loopback
 
 import (
@@ -12,14 +12,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// A ReservedAddress is a TCP address at which anybody may listen with SO_REUSEADDR, as package net does, and which the system
-// gives to no outgoing connection until Close. While nobody listens at it, connections to it are refused.
+// A ReservedAddress is a TCP address that the system assigns to no outgoing connection until Close. Any process may listen
+// at it with SO_REUSEADDR, which package net sets. Without a listener, connections to it are refused.
 type ReservedAddress struct {
 	descriptor int
 	port       int
 }
 
-// Reserve takes an address of 127.0.0.1 with a port that nobody uses.
+// Reserve reserves 127.0.0.1 with a port that is not in use.
 func Reserve() (*ReservedAddress, error) {
 	descriptor, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return &ReservedAddress{descriptor, port}, nil
 }
 
-// bind binds a socket to a free port, which others may bind with SO_REUSEADDR as long as the socket does not listen.
+// bind binds a socket to a free port. Other sockets may bind the port with SO_REUSEADDR as long as this socket does not listen.
 func bind(descriptor int) (port int, err error) {
 	if err := unix.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return 0, fmt.Errorf("SO_REUSEADDR: %w", err)
@@ -41,15 +41,15 @@
 	if err := unix.Bind(descriptor, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		return 0, fmt.Errorf("bind: %w", err)
 	}
-	name, err := unix.Getsockname(descriptor)
+	address, err := unix.Getsockname(descriptor)
 	if err != nil {
 		return 0, fmt.Errorf("getsockname: %w", err)
 	}
-	return name.(*unix.SockaddrInet4).Port, nil
+	return address.(*unix.SockaddrInet4).Port, nil
 }
 
 // String returns the address as host:port.
 func (a *ReservedAddress) String() string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(a.port)) }
 
-// Close gives the address back. Who listens at it is not affected.
+// Close ends the reservation. A listener at the address is not affected.
 func (a *ReservedAddress) Close() error { return unix.Close(a.descriptor) }
--- a/internal/loopback/address_test.go
+++ b/internal/loopback/address_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// A reserved address is no outgoing connection's, also between two listeners, and refuses while nobody listens.
+// Guards against a reserved address that an outgoing connection can use, also between two listeners, or that does not refuse
+// connections while it has no listener.
 func TestReservedAddressStaysFreeForListeners(t *testing.T) {
 	address, err := Reserve()
 	if err != nil {
@@ -26,10 +27,10 @@
 	for range 3 {
 		dialer := net.Dialer{LocalAddr: local}
 		if c, err := dialer.Dial("tcp", other.Addr().String()); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Fatalf("an outgoing connection took the address: %v, %v", c, err)
+			t.Fatalf("an outgoing connection used the address: %v, %v", c, err)
 		}
 		if _, err := net.Dial("tcp", address.String()); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Fatalf("a connection that nobody accepts: %v", err)
+			t.Fatalf("a connection without a listener was not refused: %v", err)
 		}
 		ln, err := net.Listen("tcp", address.String())
 		if err != nil {
@@ -44,7 +45,7 @@
 	}
 }
 
-// A reserved address is given to nobody else who asks for any.
+// Guards against an address that is reserved twice at the same time.
 func TestReservedAddressesAreDistinct(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
@@ -54,7 +55,7 @@
 		}
 		defer address.Close()
 		if seen[address.String()] {
-			t.Fatalf("%s was given twice", address)
+			t.Fatalf("%s was reserved twice", address)
 		}
 		seen[address.String()] = true
 	}
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,8 +1,9 @@
-// Package timerqueue holds times at which something is due: one or two for each connection, session, leg and link, a
-// million and more at a time, each of which can be moved or called off. It reads no clock.
+// Package timerqueue holds timers: one or two for each connection, session, leg and link, a million and more at a time, each
+// of which can be rescheduled or cancelled. It reads no clock.
 //
-// It is a binary heap. A hierarchical wheel stood here for the timers of connections: moving one of a million cost it
-// 437 ns, a heap 494, and a set-up among a million connections the same (docs/hardening-review.md).
+// The queue is a binary heap. A hierarchical timing wheel was used before for the timers of connections: rescheduling one of a
+// million timers took 437 ns with it and takes 494 ns with the heap, and a set-up among a million connections takes the same
+// time with both (docs/hardening-review.md).
 package timerqueue
 
 import (
@@ -10,116 +11,116 @@
 	"time"
 )
 
-// Handle names an alarm. One that has rung or was called off names nothing any more, whoever got its place; the zero
-// value never did.
+// Handle identifies a timer. After the timer has expired or was cancelled the handle identifies none, even if another timer
+// reuses its entry. The zero value never identifies a timer.
 type Handle uint64
 
 type entry[T any] struct {
-	at   time.Duration
-	seq  uint64 // those due together ring in the order in which they were set
-	heapIndex int32  // in the heap; under 0: not set
-	value T
+	deadline  time.Duration
+	seq       uint64 // timers with the same deadline expire in the order in which they were added
+	heapIndex int32  // index in the heap's order; negative: the entry is free
+	value     T
 }
 
-// Queue is a set of them. It is not for use by several goroutines at once.
+// Queue is a set of timers ordered by deadline. It must not be used by several goroutines at once.
 type Queue[T any] struct {
-	entries []entry[T] // as many as were set at one time
-	free    []int32    // places of entries that are not set
-	timers   timerHeap[T]
+	entries []entry[T] // as many as the largest number of timers at one time
+	free    []int32    // indices of free entries
+	timers  timerHeap[T]
 	seq     uint64
 }
 
-// Len counts the alarms that are set.
-func (a *Queue[T]) Len() int { return len(a.timers.order) }
+// Len returns the number of timers.
+func (q *Queue[T]) Len() int { return len(q.timers.order) }
 
-// Add sets an alarm.
-func (a *Queue[T]) Add(at time.Duration, what T) Handle {
-	i := int32(len(a.entries))
-	if n := len(a.free); n > 0 {
-		i, a.free = a.free[n-1], a.free[:n-1]
+// Add adds a timer with a value that Pop returns.
+func (q *Queue[T]) Add(deadline time.Duration, value T) Handle {
+	i := int32(len(q.entries))
+	if n := len(q.free); n > 0 {
+		i, q.free = q.free[n-1], q.free[:n-1]
 	} else {
-		a.entries = append(a.entries, entry[T]{})
+		q.entries = append(q.entries, entry[T]{})
 	}
-	a.seq++
-	q := &a.timers
-	q.entries = a.entries
-	a.entries[i] = entry[T]{at, a.seq, int32(len(q.order)), what}
-	q.order = append(q.order, i)
-	heap.Fix(q, len(q.order)-1)
-	return Handle(a.seq<<32 | uint64(i+1))
+	q.seq++
+	h := &q.timers
+	h.entries = q.entries
+	q.entries[i] = entry[T]{deadline, q.seq, int32(len(h.order)), value}
+	h.order = append(h.order, i)
+	heap.Fix(h, len(h.order)-1)
+	return Handle(q.seq<<32 | uint64(i+1))
 }
 
-// find is the place of an alarm that is set.
-func (a *Queue[T]) find(h Handle) (i int32, ok bool) {
+// find returns the index of the entry of a timer that is in the queue.
+func (q *Queue[T]) find(h Handle) (i int32, ok bool) {
 	i = int32(h&(1<<32-1)) - 1
-	ok = i >= 0 && a.entries[i].heapIndex >= 0 && uint32(a.entries[i].seq) == uint32(h>>32)
+	ok = i >= 0 && q.entries[i].heapIndex >= 0 && uint32(q.entries[i].seq) == uint32(h>>32)
 	return i, ok
 }
 
-// Reschedule sets an alarm to another time. It says false where it is not set any more.
-func (a *Queue[T]) Reschedule(h Handle, at time.Duration) bool {
-	i, ok := a.find(h)
+// Reschedule changes the deadline of a timer. It returns false if the timer has expired or was cancelled.
+func (q *Queue[T]) Reschedule(h Handle, deadline time.Duration) bool {
+	i, ok := q.find(h)
 	if ok {
-		a.entries[i].at = at
-		heap.Fix(&a.timers, int(a.entries[i].heapIndex))
+		q.entries[i].deadline = deadline
+		heap.Fix(&q.timers, int(q.entries[i].heapIndex))
 	}
 	return ok
 }
 
-// Cancel calls an alarm off.
-func (a *Queue[T]) Cancel(h Handle) {
-	if i, ok := a.find(h); ok {
-		a.remove(a.entries[i].heapIndex)
+// Cancel removes a timer. It does nothing if the timer has expired or was cancelled.
+func (q *Queue[T]) Cancel(h Handle) {
+	if i, ok := q.find(h); ok {
+		q.remove(q.entries[i].heapIndex)
 	}
 }
 
-// NextDeadline is when the next alarm rings; ok is false where none is set.
-func (a *Queue[T]) NextDeadline() (at time.Duration, ok bool) {
-	if a.Len() == 0 {
+// NextDeadline returns the earliest deadline; ok is false if the queue is empty.
+func (q *Queue[T]) NextDeadline() (deadline time.Duration, ok bool) {
+	if q.Len() == 0 {
 		return 0, false
 	}
-	return a.entries[a.timers.order[0]].at, true
+	return q.entries[q.timers.order[0]].deadline, true
 }
 
-// Pop takes the next alarm off, which there must be.
-func (a *Queue[T]) Pop() T {
-	what := a.entries[a.timers.order[0]].value
-	a.remove(0)
-	return what
+// Pop removes the timer with the earliest deadline and returns its value. The queue must not be empty.
+func (q *Queue[T]) Pop() T {
+	value := q.entries[q.timers.order[0]].value
+	q.remove(0)
+	return value
 }
 
-func (a *Queue[T]) remove(spot int32) {
-	q, last := &a.timers, len(a.timers.order)-1
-	q.Swap(int(spot), last)
-	i := q.order[last]
-	q.order = q.order[:last]
-	a.entries[i] = entry[T]{heapIndex: -1}
-	a.free = append(a.free, i)
-	if int(spot) < last {
-		heap.Fix(q, int(spot))
+func (q *Queue[T]) remove(heapIndex int32) {
+	h, last := &q.timers, len(q.timers.order)-1
+	h.Swap(int(heapIndex), last)
+	i := h.order[last]
+	h.order = h.order[:last]
+	q.entries[i] = entry[T]{heapIndex: -1}
+	q.free = append(q.free, i)
+	if int(heapIndex) < last {
+		heap.Fix(h, int(heapIndex))
 	}
 }
 
-// A timerHeap is the heap's order of the entries.
+// A timerHeap implements heap.Interface over the indices of the entries.
 type timerHeap[T any] struct {
 	entries []entry[T]
 	order   []int32
 }
 
-func (q *timerHeap[T]) Len() int { return len(q.order) }
+func (h *timerHeap[T]) Len() int { return len(h.order) }
 
-func (q *timerHeap[T]) Less(i, j int) bool {
-	x, y := &q.entries[q.order[i]], &q.entries[q.order[j]]
-	return x.at < y.at || x.at == y.at && x.seq < y.seq
+func (h *timerHeap[T]) Less(i, j int) bool {
+	x, y := &h.entries[h.order[i]], &h.entries[h.order[j]]
+	return x.deadline < y.deadline || x.deadline == y.deadline && x.seq < y.seq
 }
 
-func (q *timerHeap[T]) Swap(i, j int) {
-	q.order[i], q.order[j] = q.order[j], q.order[i]
-	q.entries[q.order[i]].heapIndex, q.entries[q.order[j]].heapIndex = int32(i), int32(j)
+func (h *timerHeap[T]) Swap(i, j int) {
+	h.order[i], h.order[j] = h.order[j], h.order[i]
+	h.entries[h.order[i]].heapIndex, h.entries[h.order[j]].heapIndex = int32(i), int32(j)
 }
 
-// Push and Pop are for heap.Interface alone: adding and taking off go by Fix, which boxes nothing.
-func (q *timerHeap[T]) Push(any) { panic("timerqueue: not used") }
+// Push exists only for heap.Interface. Add and remove use heap.Fix instead, which does not box values.
+func (h *timerHeap[T]) Push(any) { panic("timerqueue: not used") }
 
-// Pop is not used; see Push.
-func (q *timerHeap[T]) Pop() any { panic("timerqueue: not used") }
+// Pop exists only for heap.Interface; see Push.
+func (h *timerHeap[T]) Pop() any { panic("timerqueue: not used") }
