--- a/internal/asynclog/writer.go
+++ b/internal/asynclog/writer.go
@@ -1,8 +1,8 @@
-// Package asynclog writes log lines so that they are never the trouble themselves: whoever logs does not wait for
-// whoever reads, and a storm of lines is cut to its first ones and a pace, with what was left out counted and said.
+// Package asynclog writes log lines without blocking the goroutines that log. It limits a burst of lines to the first ones and
+// a rate from then on, and counts and reports the lines that it drops.
 //
-// zerolog's own diode does not wait either, but it overwrites the oldest lines, and those of an event's beginning are
-// the ones that tell what happened; its samplers drop without a count.
+// The diode of zerolog does not block either, but it overwrites the oldest lines, and the lines from the beginning of an event
+// are the ones that show what happened. The samplers of zerolog drop lines without counting them.
 package asynclog
 
 import (
@@ -15,109 +15,110 @@
 	"golang.org/x/time/rate"
 )
 
-// RateLimit is what is written at most: so many lines at once, and so many a second from then on.
+// RateLimit limits the lines written: Burst lines at once, and PerSecond lines a second from then on.
 type RateLimit struct{ Burst, PerSecond int }
 
-// The paces of a log that tells of changes of mode, and of one that tells of each request.
+// The limits for a log with a line for each change of mode, and for a log with lines for each request.
 var (
 	DefaultRate = RateLimit{Burst: 200, PerSecond: 10}
 	VerboseRate = RateLimit{Burst: 20_000, PerSecond: 5000}
 )
 
-// maxQueuedLines is how many lines that wait for a reader are kept, the first ones; the later ones are left out.
+// maxQueuedLines is the largest number of lines that wait for the output. Later lines are dropped, so that the first ones are
+// kept.
 const maxQueuedLines = 1024
 
-// Writer is a writer of lines. Its methods may be called by any goroutine.
+// Writer writes log lines asynchronously. Its methods may be called from any goroutine.
 type Writer struct {
 	out  io.Writer
 	done chan struct{}
 
-	mu     sync.Mutex
-	limiter   *rate.Limiter
-	queue  [][]byte // emptied as they are written
-	wake   chan struct{}
-	dropped   uint64 // lines left out
-	reported   uint64 // of these, the ones that a line has told of
-	closed bool
+	mu       sync.Mutex
+	limiter  *rate.Limiter
+	queue    [][]byte // lines that wait for the output
+	wake     chan struct{}
+	dropped  uint64 // number of dropped lines
+	reported uint64 // of these, the ones that were reported in the log
+	closed   bool
 }
 
-// New starts writing to out, which may be slow, or stand still for ever, at a pace.
-func New(out io.Writer, pace RateLimit) *Writer {
-	h := &Writer{out: out, done: make(chan struct{}), limiter: rate.NewLimiter(rate.Limit(pace.PerSecond), pace.Burst), wake: make(chan struct{}, 1)}
-	go h.run()
-	return h
+// New starts a writer to out, which may be slow or block forever, with a rate limit.
+func New(out io.Writer, limit RateLimit) *Writer {
+	w := &Writer{out: out, done: make(chan struct{}), limiter: rate.NewLimiter(rate.Limit(limit.PerSecond), limit.Burst), wake: make(chan struct{}, 1)}
+	go w.run()
+	return w
 }
 
-// Write takes a line, or leaves it out and counts it. It never waits and never fails.
-func (h *Writer) Write(line []byte) (int, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.closed || len(h.queue) >= maxQueuedLines || !h.limiter.AllowN(time.Now(), 1) {
-		h.dropped++
+// Write queues a line, or drops and counts it. It never blocks and never returns an error.
+func (w *Writer) Write(line []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.closed || len(w.queue) >= maxQueuedLines || !w.limiter.AllowN(time.Now(), 1) {
+		w.dropped++
 		return len(line), nil
 	}
-	h.queue = append(h.queue, bytes.Clone(line))
-	h.signal()
+	w.queue = append(w.queue, bytes.Clone(line))
+	w.signal()
 	return len(line), nil
 }
 
-func (h *Writer) signal() {
+func (w *Writer) signal() {
 	select {
-	case h.wake <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Dropped is how many lines were left out so far.
-func (h *Writer) Dropped() uint64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.dropped
+// Dropped returns the number of lines dropped so far.
+func (w *Writer) Dropped() uint64 {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.dropped
 }
 
-// dropReportInterval is how often it is said how many lines were left out.
+// dropReportInterval is the interval at which dropped lines are reported in the log.
 const dropReportInterval = time.Second
 
-func (h *Writer) run() {
-	defer close(h.done)
+func (w *Writer) run() {
+	defer close(w.done)
 	tick := time.NewTicker(dropReportInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-h.wake:
+		case <-w.wake:
 		case <-tick.C:
 		}
-		lines, ended := h.takeBatch()
+		lines, closed := w.takeBatch()
 		for _, line := range lines {
-			h.out.Write(line) // there is nowhere to tell of an error
+			w.out.Write(line) // there is no place to report an error
 		}
-		if ended {
+		if closed {
 			return
 		}
 	}
 }
 
-// takeBatch is what is to be written now, with a line on what was left out since the last one.
-func (h *Writer) takeBatch() (lines [][]byte, ended bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	lines, h.queue = h.queue, nil
-	if h.dropped > h.reported {
+// takeBatch returns the lines to write now, with a line that reports the lines dropped since the last report.
+func (w *Writer) takeBatch() (lines [][]byte, closed bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	lines, w.queue = w.queue, nil
+	if w.dropped > w.reported {
 		lines = append(lines, fmt.Appendf(nil, `{"level":"warn","time":%q,"left_out":%d,"message":"%d log lines were left out, %d since the start"}`+"\n",
-			time.Now().Format(time.RFC3339Nano), h.dropped-h.reported, h.dropped-h.reported, h.dropped))
-		h.reported = h.dropped
+			time.Now().Format(time.RFC3339Nano), w.dropped-w.reported, w.dropped-w.reported, w.dropped))
+		w.reported = w.dropped
 	}
-	return lines, h.closed
+	return lines, w.closed
 }
 
-// Close writes what waits, for as long as that may take at most, and takes nothing more.
-func (h *Writer) Close(within time.Duration) {
-	h.mu.Lock()
-	h.closed = true
-	h.signal()
-	h.mu.Unlock()
+// Close writes the queued lines, waiting for that no longer than the time-out. Lines written after Close are dropped.
+func (w *Writer) Close(timeout time.Duration) {
+	w.mu.Lock()
+	w.closed = true
+	w.signal()
+	w.mu.Unlock()
 	select {
-	case <-h.done:
-	case <-time.After(within):
+	case <-w.done:
+	case <-time.After(timeout):
 	}
 }
--- a/internal/asynclog/writer_test.go
+++ b/internal/asynclog/writer_test.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// A blockingOutput is what a reader has of the lines; until it is let go, it does not read.
+// A blockingOutput collects what is written to it. Writes block until unblocked is closed.
 type blockingOutput struct {
-	mu   sync.Mutex
-	text strings.Builder
+	mu        sync.Mutex
+	text      strings.Builder
 	unblocked chan struct{}
 }
 
-func (p *blockingOutput) Write(b []byte) (int, error) {
-	<-p.unblocked
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.text.Write(b)
+func (out *blockingOutput) Write(b []byte) (int, error) {
+	<-out.unblocked
+	out.mu.Lock()
+	defer out.mu.Unlock()
+	return out.text.Write(b)
 }
 
-func (p *blockingOutput) waitFor(t *testing.T, want string) {
+func (out *blockingOutput) waitFor(t *testing.T, want string) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		p.mu.Lock()
-		text := p.text.String()
-		p.mu.Unlock()
+		out.mu.Lock()
+		text := out.text.String()
+		out.mu.Unlock()
 		if strings.Contains(text, want) {
 			return
 		}
@@ -37,36 +37,36 @@
 	}
 }
 
-// A storm of lines to a reader that stands still: nobody waits, the first lines are kept, and once somebody reads it
-// is told how many are missing.
-func TestLogStormWithBlockedReader(t *testing.T) {
-	p := &blockingOutput{unblocked: make(chan struct{})}
-	h := New(p, DefaultRate)
+// Guards against a burst of lines to a blocked output that blocks the goroutines that log, replaces the first lines by later
+// ones, or leaves the number of dropped lines unreported.
+func TestBurstWithBlockedOutput(t *testing.T) {
+	out := &blockingOutput{unblocked: make(chan struct{})}
+	w := New(out, DefaultRate)
 	const lines = 100_000
-	began := time.Now()
+	start := time.Now()
 	for i := range lines {
-		fmt.Fprintf(h, "line %d.\n", i)
+		fmt.Fprintf(w, "line %d.\n", i)
 	}
-	if took := time.Since(began); took > 5*time.Second {
-		t.Fatal("writers waited", took)
+	if elapsed := time.Since(start); elapsed > 5*time.Second {
+		t.Fatal("writing blocked for", elapsed)
 	}
-	left := h.Dropped()
-	if left < uint64(lines-DefaultRate.Burst-1000) || left > uint64(lines-DefaultRate.Burst) {
-		t.Fatal(left, "left out")
+	dropped := w.Dropped()
+	if dropped < uint64(lines-DefaultRate.Burst-1000) || dropped > uint64(lines-DefaultRate.Burst) {
+		t.Fatal(dropped, "lines were dropped")
 	}
-	close(p.unblocked)
-	p.waitFor(t, "line 0.\n")
-	p.waitFor(t, fmt.Sprintf("line %d.\n", DefaultRate.Burst-1))
-	p.waitFor(t, fmt.Sprintf("%d since the start", left))
-	h.Close(time.Second)
+	close(out.unblocked)
+	out.waitFor(t, "line 0.\n")
+	out.waitFor(t, fmt.Sprintf("line %d.\n", DefaultRate.Burst-1))
+	out.waitFor(t, fmt.Sprintf("%d since the start", dropped))
+	w.Close(time.Second)
 }
 
-// What was written before the end is there after it, and an end does not wait for a reader that never reads.
+// Guards against a Close that loses queued lines or waits for a blocked output beyond its time-out.
 func TestCloseFlushesWithinTimeout(t *testing.T) {
-	p := &blockingOutput{unblocked: make(chan struct{})}
-	h := New(p, DefaultRate)
-	fmt.Fprintln(h, "last")
-	h.Close(10 * time.Millisecond)
-	close(p.unblocked)
-	p.waitFor(t, "last")
+	out := &blockingOutput{unblocked: make(chan struct{})}
+	w := New(out, DefaultRate)
+	fmt.Fprintln(w, "last")
+	w.Close(10 * time.Millisecond)
+	close(out.unblocked)
+	out.waitFor(t, "last")
 }
--- a/internal/resultarchive/resultarchive.go
+++ b/internal/resultarchive/resultarchive.go
@@ -1,4 +1,5 @@
-// Package resultarchive writes and reads results as compressed lines of JSON: a head that says what they are, and rows.
+// Package resultarchive writes and reads result files: zstd-compressed JSON lines, of which the first is a head that describes
+// the results and the others are rows.
 package resultarchive
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Save writes a head and rows to a file.
+// Save writes a head and rows to a file, which it creates or replaces.
 func Save[H, R any](file string, head H, rows []R) (err error) {
 	f, err := os.Create(file)
 	if err != nil {
@@ -42,8 +43,8 @@
 	return z.Close()
 }
 
-// Load reads what Save wrote. A file that was cut off, or is something else, is an error that names it, never
-// half of the rows.
+// Load reads a file written by Save. If the file is truncated or has another format, Load returns an error that names the file,
+// and no rows.
 func Load[H, R any](file string) (head H, rows []R, err error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -57,7 +58,7 @@
 	defer z.Close()
 	d := json.NewDecoder(z)
 	if err := d.Decode(&head); err != nil {
-		return head, nil, fmt.Errorf("%s: its head: %w", file, err)
+		return head, nil, fmt.Errorf("%s: head: %w", file, err)
 	}
 	for {
 		var r R
--- a/internal/resultarchive/resultarchive_test.go
+++ b/internal/resultarchive/resultarchive_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// What was saved reads back; a file that was cut off never reads as whole, and a disk that is full is an error.
+// Guards against saved results that are read back changed, a truncated file that is read without an error, and a full disk
+// that Save does not report.
 func TestSaveAndLoad(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x")
 	rows := []int{1, 2, 3}
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,13 +1,12 @@
-// Package testseed is for tests. It gives the drawn tests of every package that imports it one seed, so that a run is the
-// same as the last: a verdict never changes without a change of the code. On the command line -rapid.seed still draws
-// others.
+// Package testseed fixes the seed of the property-based tests in every package whose tests import it, so that each run draws the
+// same values and a result changes only with the code. The flag -rapid.seed on the command line overrides the seed.
 package testseed
 
 import (
 	"flag"
 	"fmt"
 
-	_ "pgregory.net/rapid" // has the flags
+	_ "pgregory.net/rapid" // defines the flags
 )
 
 func init() {
