--- a/internal/clock/monotonic.go
+++ b/internal/clock/monotonic.go
@@ -1,4 +1,4 @@
-// Package clock gives the time of day for comparison with times that other machines report, unaffected by steps of this
+// Package clock gives the time of day for comparison with times that others report. It is not affected by steps of the
 // machine's wall clock.
 package clock
 
--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -86,7 +86,7 @@
 }
 
 // closeReason shortens a text to fit into a close frame and makes it valid UTF-8, which a peer may require (RFC 6455, 5.5.1).
-// A text that quotes the peer's own bytes may be invalid.
+// A text that quotes the peer's own bytes may be invalid UTF-8.
 func closeReason(text string) string {
 	const maxBytes = 120
 	text = strings.ToValidUTF8(text, "?")
--- a/internal/transport/tcp.go
+++ b/internal/transport/tcp.go
@@ -11,8 +11,8 @@
 )
 
 // A SplitFunc returns the size of the complete message at the beginning of the input, or 0 if the message is not complete.
-// An error means that no further input can make the bytes valid; the connection is ended. The result must not depend on how
-// the input is divided into reads, and on nothing but the input.
+// An error means that no further input can make the bytes valid; the connection is ended. The result must depend on the
+// input alone, and not on how it is divided into reads.
 type SplitFunc func(in []byte) (size int, err error)
 
 // ServeTCP is Serve for a protocol without a handshake that frames its messages itself. The first complete message of a
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// updateMessageTimer starts or stops the timer that ends the input of a peer that does not complete a message within the
-// handshake time-out.
+// updateMessageTimer runs a timer while a message is incomplete. When the handshake time-out expires before the message is
+// complete, the timer ends the input of the connection.
 func (c *Conn) updateMessageTimer() {
 	if c.messageTimer != nil && (c.messageCompleted || len(c.partial) == 0) {
 		c.messageTimer.Stop()
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -33,10 +33,10 @@
 type Limits struct {
 	MaxMessageBytes      int           // largest message that is read, all fragments together
 	MaxQueuedBytes       int           // bytes of messages that wait to be written
-	WriteTimeout         time.Duration // longest time that writing one frame may take
+	WriteTimeout         time.Duration // longest time for writing one frame, and for delivery by the kernel after a close
 	HandshakeTimeout     time.Duration // longest time that a handshake may take
-	KernelBufferBytes    int           // socket send buffer, which bounds what the kernel holds for a peer that does not read; 0: system default
-	MaxPendingHandshakes int           // connections whose handshake is not completely received; further ones are reset; 0: no limit
+	KernelBufferBytes    int           // socket send buffer, which bounds the unsent bytes in the kernel; 0: system default
+	MaxPendingHandshakes int           // connections with an unfinished handshake; further ones are reset; 0: no limit
 }
 
 // Conn is a connection: WebSocket, or a protocol with a SplitFunc.
