--- a/internal/loopback/address_test.go
+++ b/internal/loopback/address_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// A reserved address is no outgoing connection's, also between two listeners, and refuses while nobody listens.
-func TestAReservedAddressStaysFreeForListeners(t *testing.T) {
+// Guards against a reserved address that an outgoing connection can use, also between two listeners, or that does not refuse
+// connections while it has no listener.
+func TestReservedAddressStaysFreeForListeners(t *testing.T) {
 	address, err := Reserve()
 	if err != nil {
 		t.Fatal(err)
@@ -26,10 +27,10 @@
 	for range 3 {
 		dialer := net.Dialer{LocalAddr: local}
 		if c, err := dialer.Dial("tcp", other.Addr().String()); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Fatalf("an outgoing connection took the address: %v, %v", c, err)
+			t.Fatalf("an outgoing connection used the address: %v, %v", c, err)
 		}
 		if _, err := net.Dial("tcp", address.String()); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Fatalf("a connection that nobody accepts: %v", err)
+			t.Fatalf("a connection without a listener was not refused: %v", err)
 		}
 		ln, err := net.Listen("tcp", address.String())
 		if err != nil {
@@ -44,8 +45,8 @@
 	}
 }
 
-// A reserved address is given to nobody else who asks for any.
-func TestReservedAddressesDiffer(t *testing.T) {
+// Guards against an address that is reserved twice at the same time.
+func TestReservedAddressesAreDistinct(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
 		address, err := Reserve()
@@ -54,7 +55,7 @@
 		}
 		defer address.Close()
 		if seen[address.String()] {
-			t.Fatalf("%s was given twice", address)
+			t.Fatalf("%s was reserved twice", address)
 		}
 		seen[address.String()] = true
 	}
