--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -13,278 +13,280 @@
 	"fordusher/internal/wire"
 )
 
-// A crowd is the model of all viewers: what client.Population does with goroutines on sockets, as events.
-type crowd struct {
-	w       *world
-	rate    float64
-	hot     float64
-	came    int
-	due     float64
-	active  int
-	wanted  float64 // credit a second, if all who are there played at their best rung
-	conns   uint64
-	seats   map[uint64]*seat // emptied as connections end
-	latency []time.Duration
-	inTime  map[string]bool
-	asked   map[string]float64
+// A clientModel emulates all clients of a day. It does with events what client.Population does with goroutines
+// and sockets.
+type clientModel struct {
+	sim             *simulation
+	arrivalRate     float64 // factor on the normal arrival rate
+	hotShare        float64 // share of arriving clients that request one of two titles
+	arrived         int
+	pendingArrivals float64 // clients due to arrive, with the fraction carried to the next interval
+	active          int     // clients that play, wait, or pause before a retry
+	maxEarning      float64 // credit per second if all active clients played at their best rung
+	lastConnID      uint64
+	conns           map[uint64]*clientConn // by connection id; open connections only
+	latencies       []time.Duration
+	startedInTime   map[string]bool    // sessions that started within their goal time
+	requestedValue  map[string]float64 // by tariff: requested seconds, weighted by the value of the best rung
 }
 
-// A viewer is one viewer's evening.
-type viewer struct {
+// An emulatedClient is one client from its arrival until it stops retrying.
+type emulatedClient struct {
 	client.Request
-	r     *rand.Rand
-	try   int
-	key   int
-	left  time.Duration
-	began time.Duration
+	random        *rand.Rand
+	retries       int
+	sessionNumber int           // suffix of the session key; a retry for another session increments it
+	remaining     time.Duration // playing time that the client still requests
+	waitingSince  time.Duration // time of the arrival, or of the last interruption
 }
 
-// A seat is a viewer's connection for one try.
-type seat struct {
-	v       *viewer
-	conn    uint64
-	post    int
-	boot    int
-	id      string
-	asked   time.Duration
-	plays   time.Duration // since; 0: not yet
-	leaving bool          // it has said so and listens a little longer
-	over    bool
+// A clientConn is a client's connection for one attempt.
+type clientConn struct {
+	client       *emulatedClient
+	id           uint64
+	director     int
+	boot         int
+	requestID    string
+	requestedAt  time.Duration
+	playingSince time.Duration // 0: not playing yet
+	cancelling   bool          // the client has sent a cancellation and still receives for 100 ms
+	closed       bool
 }
 
-// arriveEvery is how often it is looked whether viewers come.
-const arriveEvery = 5 * time.Millisecond
+// arrivalInterval is the time between batches of arriving clients.
+const arrivalInterval = 5 * time.Millisecond
 
-func (c *crowd) begin(w *world) {
-	*c = crowd{w: w, rate: 1, seats: map[uint64]*seat{}, inTime: map[string]bool{}, asked: map[string]float64{}}
-	w.events.put(settle, c.arrive)
+func (c *clientModel) start(sim *simulation) {
+	*c = clientModel{sim: sim, arrivalRate: 1, conns: map[uint64]*clientConn{}, startedInTime: map[string]bool{}, requestedValue: map[string]float64{}}
+	sim.events.schedule(settleTime, c.addArrivals)
 }
 
-// arrive lets viewers come at the day's rate.
-func (c *crowd) arrive(at time.Duration) {
-	w := c.w
-	c.due += float64(w.script.Requests) / w.layout.WeightedSeconds() * c.rate * arriveEvery.Seconds()
-	for ; c.due >= 1 && c.came < w.script.Requests; c.due-- {
-		x, r := w.layout.Client(w.house, c.came, c.hot)
-		c.came++
+// addArrivals adds the clients that are due at the day's arrival rate.
+func (c *clientModel) addArrivals(at time.Duration) {
+	sim := c.sim
+	c.pendingArrivals += float64(sim.script.Requests) / sim.layout.WeightedSeconds() * c.arrivalRate * arrivalInterval.Seconds()
+	for ; c.pendingArrivals >= 1 && c.arrived < sim.script.Requests; c.pendingArrivals-- {
+		request, random := sim.layout.Client(sim.config, c.arrived, c.hotShare)
+		c.arrived++
 		c.active++
-		c.wanted += x.BestRungValue * w.credit[x.Tariff]
-		c.asked[x.Tariff] += x.Length.Seconds() * x.BestRungValue
-		v := &viewer{Request: x, r: r, left: x.Length, began: at}
-		c.ask(at, v)
+		c.maxEarning += request.BestRungValue * sim.creditByTariff[request.Tariff]
+		c.requestedValue[request.Tariff] += request.Length.Seconds() * request.BestRungValue
+		cl := &emulatedClient{Request: request, random: random, remaining: request.Length, waitingSince: at}
+		c.connect(at, cl)
 	}
-	if c.came < w.script.Requests {
-		w.events.put(at+arriveEvery, c.arrive)
+	if c.arrived < sim.script.Requests {
+		sim.events.schedule(at+arrivalInterval, c.addArrivals)
 	} else {
-		c.home()
+		c.checkFinished()
 	}
 }
 
-// home ends the day once everybody has gone.
-func (c *crowd) home() {
-	c.w.over = c.came == c.w.script.Requests && c.active == 0
+// checkFinished ends the day once all clients have arrived and none is active.
+func (c *clientModel) checkFinished() {
+	c.sim.finished = c.arrived == c.sim.script.Requests && c.active == 0
 }
 
-// ask begins a try: the viewer knocks at a director.
-func (c *crowd) ask(at time.Duration, v *viewer) {
-	w := c.w
-	p := w.posts[v.r.IntN(len(w.posts))]
-	if !p.up { // nobody there
-		c.end(at, v, ending{again: true})
+// connect begins an attempt: the client connects to a random director.
+func (c *clientModel) connect(at time.Duration, cl *emulatedClient) {
+	sim := c.sim
+	d := sim.directors[cl.random.IntN(len(sim.directors))]
+	if !d.running { // the connection is refused
+		c.finishAttempt(at, cl, attemptOutcome{retry: true})
 		return
 	}
-	c.conns++
-	s := &seat{v: v, conn: c.conns, post: p.number, boot: p.boot, id: strconv.Itoa(v.try + 1)}
-	c.seats[s.conn] = s
-	w.answer(at+w.delay(v.r), p, p.boot, director.ClientConnecting{Conn: s.conn, Address: addressOf(s.conn)})
+	c.lastConnID++
+	conn := &clientConn{client: cl, id: c.lastConnID, director: d.index, boot: d.boot, requestID: strconv.Itoa(cl.retries + 1)}
+	c.conns[conn.id] = conn
+	sim.deliver(at+sim.drawLatency(cl.random), d, d.boot, director.ClientConnecting{Conn: conn.id, Address: clientAddress(conn.id)})
 }
 
-// welcome lets a viewer ask who has been let in.
-func (w *world) welcome(at time.Duration, conn uint64) {
-	c := &w.crowd
-	s := c.seats[conn]
-	if s == nil || s.over {
+// clientAccepted sends the request of a client whose connection the director has accepted.
+func (sim *simulation) clientAccepted(at time.Duration, connID uint64) {
+	c := &sim.clients
+	conn := c.conns[connID]
+	if conn == nil || conn.closed {
 		return
 	}
-	v := s.v
-	h := w.script.Behavior
-	s.asked = at
-	m := wire.SessionMessage{Type: wire.Request, ID: s.id, Tariff: v.Tariff, Title: v.Title, Key: fmt.Sprintf("%s-%d", v.Key, v.key), MaxRung: v.MaxRung,
-		WaitMS: v.Wait.Milliseconds(), LengthMS: v.left.Milliseconds(), Retry: v.try > 0}
-	c.say(at, s, m, rulecheck.Record{Tariff: v.Tariff, Title: v.Title, Wait: v.Wait, Retry: v.try > 0})
-	if v.r.Float64() < h.DuplicateShare {
-		c.say(at, s, m, rulecheck.Record{Tariff: v.Tariff})
+	cl := conn.client
+	behavior := sim.script.Behavior
+	conn.requestedAt = at
+	m := wire.SessionMessage{Type: wire.Request, ID: conn.requestID, Tariff: cl.Tariff, Title: cl.Title, Key: fmt.Sprintf("%s-%d", cl.Key, cl.sessionNumber), MaxRung: cl.MaxRung,
+		WaitMS: cl.Wait.Milliseconds(), LengthMS: cl.remaining.Milliseconds(), Retry: cl.retries > 0}
+	c.send(at, conn, m, rulecheck.Record{Tariff: cl.Tariff, Title: cl.Title, Wait: cl.Wait, Retry: cl.retries > 0})
+	if cl.random.Float64() < behavior.DuplicateShare {
+		c.send(at, conn, m, rulecheck.Record{Tariff: cl.Tariff})
 	}
-	w.events.put(at+v.Wait+400*time.Millisecond, func(at time.Duration) { // an answer that comes late is still seen
-		if !s.over && s.plays == 0 && !s.leaving {
-			w.add(at, c.record(s, rulecheck.ClientTimedOut))
-			c.leave(at, s, ending{again: !v.Paid})
+	sim.events.schedule(at+cl.Wait+400*time.Millisecond, func(at time.Duration) { // a late answer is still recorded
+		if !conn.closed && conn.playingSince == 0 && !conn.cancelling {
+			sim.addRecord(at, c.newRecord(conn, rulecheck.ClientTimedOut))
+			c.disconnect(at, conn, attemptOutcome{retry: !cl.Paid})
 		}
 	})
-	if v.r.Float64() < h.CancelShare { // around the time of an answer, so that the two often cross
-		w.events.put(at+time.Duration(v.r.Int64N(int64(60*time.Millisecond))), func(at time.Duration) {
-			if s.over || s.plays > 0 {
+	if cl.random.Float64() < behavior.CancelShare { // close to the time of the answer, so that cancellation and answer often cross
+		sim.events.schedule(at+time.Duration(cl.random.Int64N(int64(60*time.Millisecond))), func(at time.Duration) {
+			if conn.closed || conn.playingSince > 0 {
 				return
 			}
-			s.leaving = true
-			c.say(at, s, wire.SessionMessage{Type: wire.Cancel, ID: s.id}, rulecheck.Record{})
-			w.events.put(at+100*time.Millisecond, func(at time.Duration) { c.leave(at, s, ending{}) })
+			conn.cancelling = true
+			c.send(at, conn, wire.SessionMessage{Type: wire.Cancel, ID: conn.requestID}, rulecheck.Record{})
+			sim.events.schedule(at+100*time.Millisecond, func(at time.Duration) { c.disconnect(at, conn, attemptOutcome{}) })
 		})
 	}
 }
 
-func (c *crowd) record(s *seat, what string) rulecheck.Record {
-	return rulecheck.Record{Kind: what, Client: s.v.ClientNumber, Conn: s.conn, Director: c.w.posts[s.post].name, RequestID: s.id}
+func (c *clientModel) newRecord(conn *clientConn, kind string) rulecheck.Record {
+	return rulecheck.Record{Kind: kind, Client: conn.client.ClientNumber, Conn: conn.id, Director: c.sim.directors[conn.director].name, RequestID: conn.requestID}
 }
 
-// say sends a viewer's message, by way of the codec.
-func (c *crowd) say(at time.Duration, s *seat, m wire.SessionMessage, also rulecheck.Record) {
-	r := c.record(s, m.Type)
-	r.Tariff, r.Title, r.Wait, r.Retry = also.Tariff, also.Title, also.Wait, also.Retry
-	c.w.add(at, r)
-	raw, p, boot := wire.Encode(m), c.w.posts[s.post], s.boot
-	if p.boot != boot || !p.up {
+// send records a client's message and delivers it to the director through the codec. The record gets the
+// request's fields from the argument of that name.
+func (c *clientModel) send(at time.Duration, conn *clientConn, m wire.SessionMessage, fields rulecheck.Record) {
+	r := c.newRecord(conn, m.Type)
+	r.Tariff, r.Title, r.Wait, r.Retry = fields.Tariff, fields.Title, fields.Wait, fields.Retry
+	c.sim.addRecord(at, r)
+	raw, d, boot := wire.Encode(m), c.sim.directors[conn.director], conn.boot
+	if d.boot != boot || !d.running {
 		return
 	}
-	// The shortest way that there is: messages of one viewer keep their order.
-	p.put(at+c.w.opt.Latency.Max, func(at time.Duration) {
-		if p.boot != boot || !p.up {
+	// A fixed latency, the maximum, keeps the messages of one client in order.
+	d.schedule(at+c.sim.opt.Latency.Max, func(at time.Duration) {
+		if d.boot != boot || !d.running {
 			return
 		}
 		message, err := wire.DecodeSessionMessage(raw)
 		if err != nil {
-			panic(fmt.Sprintf("the model of the viewers said what is no message: %v", err))
+			panic(fmt.Sprintf("the client model sent an undecodable message: %v", err))
 		}
-		p.step(at, director.ClientReceived{Conn: s.conn, Message: message})
+		d.step(at, director.ClientReceived{Conn: conn.id, Message: message})
 	})
 }
 
-// playerHears takes a director's message to a viewer.
-func (w *world) playerHears(at time.Duration, conn uint64, raw []byte) {
-	c := &w.crowd
-	s := c.seats[conn]
-	if s == nil || s.over {
+// clientReceives handles a director's message at the client.
+func (sim *simulation) clientReceives(at time.Duration, connID uint64, raw []byte) {
+	c := &sim.clients
+	conn := c.conns[connID]
+	if conn == nil || conn.closed {
 		return
 	}
 	m, err := wire.DecodeSessionMessage(raw)
 	if err != nil {
-		w.err = fmt.Errorf("%s told a player what is no message: %w", w.posts[s.post].name, err)
+		sim.err = fmt.Errorf("%s sent a client an undecodable message: %w", sim.directors[conn.director].name, err)
 		return
 	}
 	switch m.Type {
 	case wire.Playing, wire.Nack, wire.Errored:
-		r := c.record(s, m.Type)
+		r := c.newRecord(conn, m.Type)
 		r.RequestID, r.Session, r.Node, r.Rung, r.Reason = m.ID, m.Session, m.Node, m.Rung, m.Reason
-		w.add(at, r)
+		sim.addRecord(at, r)
 	}
-	if s.leaving {
+	if conn.cancelling {
 		return
 	}
-	v := s.v
+	cl := conn.client
 	switch {
-	case m.Type == wire.SessionEnded && s.plays > 0:
-		c.leave(at, s, ending{played: at - s.plays, again: m.Reason != "ended"})
-	case s.plays > 0:
+	case m.Type == wire.SessionEnded && conn.playingSince > 0:
+		c.disconnect(at, conn, attemptOutcome{played: at - conn.playingSince, retry: m.Reason != "ended"})
+	case conn.playingSince > 0:
 	case m.Type == wire.Nack:
-		c.leave(at, s, ending{backoff: time.Duration(m.BackoffMS) * time.Millisecond, again: true})
+		c.disconnect(at, conn, attemptOutcome{backoff: time.Duration(m.BackoffMS) * time.Millisecond, retry: true})
 	case m.Type == wire.Errored:
-		c.leave(at, s, ending{again: !v.Paid})
+		c.disconnect(at, conn, attemptOutcome{retry: !cl.Paid})
 	case m.Type == wire.Playing:
-		c.latency = append(c.latency, at-s.asked)
-		if at-v.began <= v.StartGoal {
-			c.inTime[m.Session] = true
+		c.latencies = append(c.latencies, at-conn.requestedAt)
+		if at-cl.waitingSince <= cl.StartGoal {
+			c.startedInTime[m.Session] = true
 		}
-		s.plays = at
-		left := v.left
-		w.events.put(at+left+time.Second, func(at time.Duration) { c.leave(at, s, ending{played: left}) }) // the node ends it; this is for one that does not
-		if v.r.Float64() < w.script.Behavior.DisconnectShare {
-			w.events.put(at+time.Duration(v.r.Int64N(int64(max(1, left)))), func(at time.Duration) {
-				c.leave(at, s, ending{played: at - s.plays, again: true, same: true})
+		conn.playingSince = at
+		remaining := cl.remaining
+		sim.events.schedule(at+remaining+time.Second, func(at time.Duration) { c.disconnect(at, conn, attemptOutcome{played: remaining}) }) // for a node that does not end the session itself
+		if cl.random.Float64() < sim.script.Behavior.DisconnectShare {
+			sim.events.schedule(at+time.Duration(cl.random.Int64N(int64(max(1, remaining)))), func(at time.Duration) {
+				c.disconnect(at, conn, attemptOutcome{played: at - conn.playingSince, retry: true, sameSession: true})
 			})
 		}
 	}
 }
 
-// playerClosed ends a viewer's connection from the other side.
-func (w *world) playerClosed(at time.Duration, conn uint64, why, by string) {
-	s := w.crowd.seats[conn]
-	if s == nil || s.over {
+// clientClosed handles the loss of a client's connection, or its closing by the director.
+func (sim *simulation) clientClosed(at time.Duration, connID uint64, reason, by string) {
+	conn := sim.clients.conns[connID]
+	if conn == nil || conn.closed {
 		return
 	}
-	w.crowd.close(at, s, why, by)
-	e := ending{again: true}
-	if s.plays > 0 {
-		e.played = at - s.plays
+	sim.clients.closeConn(at, conn, reason, by)
+	outcome := attemptOutcome{retry: true}
+	if conn.playingSince > 0 {
+		outcome.played = at - conn.playingSince
 	}
-	if s.leaving {
-		e = ending{}
+	if conn.cancelling {
+		outcome = attemptOutcome{}
 	}
-	w.crowd.end(at, s.v, e)
+	sim.clients.finishAttempt(at, conn.client, outcome)
 }
 
-// cut ends the connections of all viewers of a director that is no more.
-func (c *crowd) cut(at time.Duration, post int) {
+// loseConnections ends all client connections of a director that has exited.
+func (c *clientModel) loseConnections(at time.Duration, index int) {
 	var conns []uint64
-	for conn, s := range c.seats {
-		if s.post == post {
-			conns = append(conns, conn)
+	for id, conn := range c.conns {
+		if conn.director == index {
+			conns = append(conns, id)
 		}
 	}
 	slices.Sort(conns)
-	for _, conn := range conns {
-		c.w.events.put(at+c.w.delay(c.w.chance), func(at time.Duration) { c.w.playerClosed(at, conn, "connection lost", rulecheck.ClosedByPeer) })
+	for _, id := range conns {
+		c.sim.events.schedule(at+c.sim.drawLatency(c.sim.random), func(at time.Duration) { c.sim.clientClosed(at, id, "connection lost", rulecheck.ClosedByPeer) })
 	}
 }
 
-func (c *crowd) close(at time.Duration, s *seat, why, by string) {
-	s.over = true
-	delete(c.seats, s.conn)
-	if s.asked > 0 { // who was never let in has asked nothing
-		r := c.record(s, rulecheck.ConnClosed)
-		r.RequestID, r.ClosedBy, r.Reason = "", by, why
-		c.w.add(at, r)
+func (c *clientModel) closeConn(at time.Duration, conn *clientConn, reason, by string) {
+	conn.closed = true
+	delete(c.conns, conn.id)
+	if conn.requestedAt > 0 { // a connection that was never accepted carried no request and is not recorded
+		r := c.newRecord(conn, rulecheck.ConnClosed)
+		r.RequestID, r.ClosedBy, r.Reason = "", by, reason
+		c.sim.addRecord(at, r)
 	}
 }
 
-// leave ends a try from the viewer's side.
-func (c *crowd) leave(at time.Duration, s *seat, e ending) {
-	if s.over {
+// disconnect ends an attempt from the client's side.
+func (c *clientModel) disconnect(at time.Duration, conn *clientConn, outcome attemptOutcome) {
+	if conn.closed {
 		return
 	}
-	c.close(at, s, "closed here", rulecheck.ClosedByRecorder)
-	p := c.w.posts[s.post]
-	c.w.answer(at+c.w.opt.Latency.Max, p, s.boot, director.ClientLost{Conn: s.conn})
-	c.end(at, s.v, e)
+	c.closeConn(at, conn, "closed here", rulecheck.ClosedByRecorder)
+	d := c.sim.directors[conn.director]
+	c.sim.deliver(at+c.sim.opt.Latency.Max, d, conn.boot, director.ClientLost{Conn: conn.id})
+	c.finishAttempt(at, conn.client, outcome)
 }
 
-// An ending is how a try ended.
-type ending struct {
-	played  time.Duration
-	backoff time.Duration // told by a nack
-	again   bool          // the viewer would come again,
-	same    bool          // for the same session
+// An attemptOutcome describes how an attempt ended.
+type attemptOutcome struct {
+	played      time.Duration
+	backoff     time.Duration // from a nack; 0: none
+	retry       bool          // the client may retry
+	sameSession bool          // a retry asks for the same session
 }
 
-// end lets a viewer come again, or go home.
-func (c *crowd) end(at time.Duration, v *viewer, e ending) {
-	w, h := c.w, c.w.script.Behavior
-	v.left -= e.played
-	if e.played > 0 {
-		v.began = at
+// finishAttempt schedules the client's retry, or removes the client from the day.
+func (c *clientModel) finishAttempt(at time.Duration, cl *emulatedClient, outcome attemptOutcome) {
+	sim, behavior := c.sim, c.sim.script.Behavior
+	cl.remaining -= outcome.played
+	if outcome.played > 0 {
+		cl.waitingSince = at
 	}
-	if !e.same {
-		v.key++
+	if !outcome.sameSession {
+		cl.sessionNumber++
 	}
-	if !e.again || v.left < 200*time.Millisecond || v.r.Float64() >= h.RetryShare || at > settle+w.script.Length+2*time.Second {
+	if !outcome.retry || cl.remaining < 200*time.Millisecond || cl.random.Float64() >= behavior.RetryShare || at > settleTime+sim.script.Length+2*time.Second {
 		c.active--
-		c.wanted -= v.BestRungValue * w.credit[v.Tariff]
-		c.home()
+		c.maxEarning -= cl.BestRungValue * sim.creditByTariff[cl.Tariff]
+		c.checkFinished()
 		return
 	}
-	pause := h.MinRetryDelay + time.Duration(v.r.Int64N(int64(max(1, h.MaxRetryDelay-h.MinRetryDelay))))
-	if e.backoff > 0 && v.r.Float64() < h.HonorsBackoffShare {
-		pause = max(pause, e.backoff)
+	pause := behavior.MinRetryDelay + time.Duration(cl.random.Int64N(int64(max(1, behavior.MaxRetryDelay-behavior.MinRetryDelay))))
+	if outcome.backoff > 0 && cl.random.Float64() < behavior.HonorsBackoffShare {
+		pause = max(pause, outcome.backoff)
 	}
-	v.try++
-	w.events.put(at+pause, func(at time.Duration) { c.ask(at, v) })
+	cl.retries++
+	sim.events.schedule(at+pause, func(at time.Duration) { c.connect(at, cl) })
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,9 +1,11 @@
-// Package emulator plays a day in virtual time: the directors' own loops with the module, the codec, the model
-// of the nodes, and models of the list, the network and the viewers, hundreds of each in one process. Nothing
-// of it reads a clock, and chance is seeded, so a day is the same to the byte each time, on any number of cores.
+// Package emulator runs a scripted day in virtual time. One process holds hundreds of directors with their real
+// loops, policy module and codec, together with models of the nodes, discovery, the network and the clients.
+// Nothing reads a clock and all random sources are seeded, so a day produces the same records byte for byte on
+// every run, on any number of cores.
 //
-// Time goes in windows as long as the shortest way through the network. Within one, directors can't reach each
-// other or the world, so all of them run side by side; then the world (nodes, list, viewers) has its turn.
+// Virtual time advances in windows as long as the minimum network latency. Within a window no message can travel
+// from a director to another director or to the environment, so the directors run in parallel. Afterwards the
+// environment (nodes, discovery, clients) processes the same window.
 package emulator
 
 import (
@@ -23,303 +25,306 @@
 	"fordusher/internal/wire"
 )
 
-// LatencyRange is how long messages are on their way, each drawn between the two.
+// LatencyRange bounds the network latency; each message draws a value between Min and Max.
 type LatencyRange struct {
 	Min, Max time.Duration
 }
 
-// Options are how a day is played.
+// Options configure a run of a day in virtual time.
 type Options struct {
-	Latency     LatencyRange // zero: half a millisecond to two
-	Workers     int          // cores; 0: one. It changes nothing but the time that a day takes
+	Latency     LatencyRange // zero: 0.5 ms to 2 ms
+	Workers     int          // cores; 0: one. The number affects only the wall-clock time of the run
 	Until       time.Duration
-	NewDecider  func(h *conf.Config, seed uint64) director.Decider // nil: the module
-	Log         func(line string)                                  // a line for each action; may be nil
-	Actions     []day.Action                                       // in place of the script's timeline; nil: that
-	Config      *conf.Config                                       // as in day.Options
+	NewDecider  func(h *conf.Config, seed uint64) director.Decider // nil: the policy module
+	Log         func(line string)                                  // receives one line per action; may be nil
+	Actions     []day.Action                                       // replace the script's timeline; nil: the script's timeline
+	Config      *conf.Config                                       // see day.Options
 	ListUpdates []day.ListUpdate
 }
 
-// settle is how long directors run before the day begins.
-const settle = 300 * time.Millisecond
+// settleTime is how long the directors run before the day begins.
+const settleTime = 300 * time.Millisecond
 
-// events are what happens, each at its time; those of one time happen in the order in which they were put.
-type events struct {
+// An eventQueue runs scheduled functions in order of time; those of the same time run in the order in which they
+// were scheduled.
+type eventQueue struct {
 	timerqueue.Queue[func(at time.Duration)]
 }
 
-func (q *events) put(at time.Duration, do func(at time.Duration)) { q.Add(at, do) }
+func (q *eventQueue) schedule(at time.Duration, do func(at time.Duration)) { q.Add(at, do) }
 
-func (q *events) next() time.Duration {
+func (q *eventQueue) nextAt() time.Duration {
 	if at, ok := q.NextDeadline(); ok {
 		return at
 	}
 	return math.MaxInt64
 }
 
-// happen lets the next event happen.
-func (q *events) happen() {
-	at := q.next()
+// runNext removes the earliest event and runs it.
+func (q *eventQueue) runNext() {
+	at := q.nextAt()
 	q.Pop()(at)
 }
 
-// A post is one director and what it hears; nobody but itself touches it within a window.
-type post struct {
-	w      *world
-	number int
-	name   string
-	boot   int
-	up     bool
-	began  time.Duration
-	loop   *director.Loop
-	in     events
-	stale  bool   // its next time has to be worked out again
-	out    []sent // what it has sent within the window, in order
-	chance *rand.Rand
-	lasts  map[uint64]time.Duration // by link or connection: messages of one do not overtake each other
-	heard  map[uint64]time.Duration // by link
-	nodes  map[uint64]int           // by link: the machine it leads to
-	end    bool                     // it has ended in order
+// A simDirector is one director with its incoming events. Within a window no other goroutine accesses it.
+type simDirector struct {
+	sim          *simulation
+	index        int
+	name         string
+	boot         int
+	running      bool
+	startedAt    time.Duration
+	loop         *director.Loop
+	events       eventQueue
+	nextAtStale  bool            // the cached result of nextAt is out of date
+	outgoing     []outgoingEvent // outputs of the current window, in order
+	random       *rand.Rand
+	lastArrivals map[uint64]time.Duration // by route: messages on one route do not overtake each other
+	lastReceived map[uint64]time.Duration // by link
+	nodeByLink   map[uint64]int           // by link: the index of the link's node
+	shutdownDone bool                     // the director has completed its shutdown
 }
 
-// sent is something that leaves a director.
-type sent struct {
-	at time.Duration
-	do func(at time.Duration)
+// An outgoingEvent is a director's output that takes effect in the environment at a later time.
+type outgoingEvent struct {
+	at  time.Duration
+	run func(at time.Duration)
 }
 
-// next is when a director has something to do.
-func (p *post) next() time.Duration {
-	if !p.up {
+// nextAt returns the time of the next event or timer of the director.
+func (d *simDirector) nextAt() time.Duration {
+	if !d.running {
 		return math.MaxInt64
 	}
-	next := p.in.next()
-	if at := p.loop.Next(); at < math.MaxInt64-p.began {
-		next = min(next, p.began+at)
+	next := d.events.nextAt()
+	if at := d.loop.Next(); at < math.MaxInt64-d.startedAt {
+		next = min(next, d.startedAt+at)
 	}
 	return next
 }
 
-// put puts something where the director finds it.
-func (p *post) put(at time.Duration, do func(at time.Duration)) {
-	p.stale = true
-	p.in.put(at, do)
+// schedule adds an event to the director's queue.
+func (d *simDirector) schedule(at time.Duration, do func(at time.Duration)) {
+	d.nextAtStale = true
+	d.events.schedule(at, do)
 }
 
-// run lets a director work until the window ends.
-func (p *post) run(stop time.Duration) {
-	p.stale = true
-	for at := p.next(); at < stop; at = p.next() {
-		if p.in.next() <= at { // what happened comes before what is due
-			p.in.happen()
+// runUntil processes events and timers until the window ends.
+func (d *simDirector) runUntil(stop time.Duration) {
+	d.nextAtStale = true
+	for at := d.nextAt(); at < stop; at = d.nextAt() {
+		if d.events.nextAt() <= at { // an event precedes a timer of the same time
+			d.events.runNext()
 		} else {
-			p.step(at, director.Tick{})
+			d.step(at, director.Tick{})
 		}
 	}
 }
 
-func (p *post) step(at time.Duration, in director.Input) {
-	p.carryOut(at, p.loop.Step(at-p.began, in))
+func (d *simDirector) step(at time.Duration, in director.Input) {
+	d.execute(at, d.loop.Step(at-d.startedAt, in))
 }
 
-// hear puts an input where the director finds it; what was meant for an earlier run of it is lost.
-func (p *post) hear(at time.Duration, in director.Input) {
-	boot := p.boot
-	p.put(at, func(at time.Duration) {
-		if p.boot == boot && p.up {
-			p.step(at, in)
+// deliver schedules an input for the current run of the director. The input is dropped if that run has ended by
+// then.
+func (d *simDirector) deliver(at time.Duration, in director.Input) {
+	boot := d.boot
+	d.schedule(at, func(at time.Duration) {
+		if d.boot == boot && d.running {
+			d.step(at, in)
 		}
 	})
 }
 
-// send lets something leave for the world.
-func (p *post) send(at time.Duration, way uint64, do func(at time.Duration)) {
-	at = max(at+p.w.delay(p.chance), p.lasts[way])
-	p.lasts[way] = at
-	p.out = append(p.out, sent{at, do})
+// send schedules an output's effect in the environment after the network latency.
+func (d *simDirector) send(at time.Duration, route uint64, do func(at time.Duration)) {
+	at = max(at+d.sim.drawLatency(d.random), d.lastArrivals[route])
+	d.lastArrivals[route] = at
+	d.outgoing = append(d.outgoing, outgoingEvent{at, do})
 }
 
-// player ways are odd and links are even, so that both share one table.
-func playerWay(conn uint64) uint64 { return conn<<1 | 1 }
-func linkWay(link uint64) uint64   { return link << 1 }
+// clientRoute and linkRoute give the keys of lastArrivals: client connections have odd keys and links even ones,
+// so that both share one table.
+func clientRoute(conn uint64) uint64 { return conn<<1 | 1 }
+func linkRoute(link uint64) uint64   { return link << 1 }
 
-// listWay is the way to the list.
-const listWay = 1 << 63
+// discoveryRoute is the key of lastArrivals for the discovery connection.
+const discoveryRoute = 1 << 63
 
-func (p *post) carryOut(at time.Duration, outs []director.Output) {
-	w, boot := p.w, p.boot
+func (d *simDirector) execute(at time.Duration, outs []director.Output) {
+	sim, boot := d.sim, d.boot
 	for _, o := range outs {
 		switch o := o.(type) {
 		case director.SendClient:
 			raw := wire.Encode(o.Message)
-			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.playerHears(at, o.Conn, raw) })
+			d.send(at, clientRoute(o.Conn), func(at time.Duration) { sim.clientReceives(at, o.Conn, raw) })
 		case director.AcceptClient:
-			p.hear(at, director.ClientAccepted(o))
-			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.welcome(at, o.Conn) })
+			d.deliver(at, director.ClientAccepted(o))
+			d.send(at, clientRoute(o.Conn), func(at time.Duration) { sim.clientAccepted(at, o.Conn) })
 		case director.RejectClient:
-			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.playerClosed(at, o.Conn, "turned away", rulecheck.ClosedByPeer) })
+			d.send(at, clientRoute(o.Conn), func(at time.Duration) { sim.clientClosed(at, o.Conn, "turned away", rulecheck.ClosedByPeer) })
 		case director.CloseClient:
-			p.hear(at, director.ClientLost{Conn: o.Conn})
+			d.deliver(at, director.ClientLost{Conn: o.Conn})
 			why := fmt.Sprintf("closed by peer: %d %s", o.Code, o.Reason)
-			p.send(at, playerWay(o.Conn), func(at time.Duration) { w.playerClosed(at, o.Conn, why, rulecheck.ClosedByPeer) })
-			delete(p.lasts, playerWay(o.Conn))
+			d.send(at, clientRoute(o.Conn), func(at time.Duration) { sim.clientClosed(at, o.Conn, why, rulecheck.ClosedByPeer) })
+			delete(d.lastArrivals, clientRoute(o.Conn))
 		case director.ProbeClient:
-			p.hear(at, director.ClientAlive{Conn: o.Conn})
+			d.deliver(at, director.ClientAlive{Conn: o.Conn})
 		case director.Connect:
-			m := w.machine[o.Node]
-			p.nodes[o.Link] = m
-			dialled := at
-			p.send(at, linkWay(o.Link), func(at time.Duration) { w.dial(at, p, boot, m, o.Link, dialled+o.Timeout) })
+			node := sim.nodeIndex[o.Node]
+			d.nodeByLink[o.Link] = node
+			dialedAt := at
+			d.send(at, linkRoute(o.Link), func(at time.Duration) { sim.dial(at, d, boot, node, o.Link, dialedAt+o.Timeout) })
 		case director.SendNode:
 			raw := wire.Encode(o.Message)
-			p.send(at, linkWay(o.Link), func(at time.Duration) { w.nodeHears(at, wayTo{p.number, boot, o.Link}, raw) })
+			d.send(at, linkRoute(o.Link), func(at time.Duration) { sim.nodeReceives(at, linkKey{d.index, boot, o.Link}, raw) })
 		case director.ProbeLink:
-			quiet := time.Duration(0)
-			if since := w.deaf[p.nodes[o.Link]]; since >= 0 { // as it was when the window began
-				quiet = at - max(since, p.heard[o.Link])
+			idle := time.Duration(0)
+			if since := sim.unresponsiveSince[d.nodeByLink[o.Link]]; since >= 0 { // state at the start of the window
+				idle = at - max(since, d.lastReceived[o.Link])
 			}
-			p.hear(at, director.LinkAlive{Link: o.Link, IdleFor: quiet})
+			d.deliver(at, director.LinkAlive{Link: o.Link, IdleFor: idle})
 		case director.CloseLink:
-			p.send(at, linkWay(o.Link), func(at time.Duration) { w.hungUp(at, wayTo{p.number, boot, o.Link}) })
-			p.forget(o.Link)
+			d.send(at, linkRoute(o.Link), func(at time.Duration) { sim.closedByDirector(at, linkKey{d.index, boot, o.Link}) })
+			d.forgetLink(o.Link)
 		case director.SendDiscovery:
 			raw := wire.Encode(o.Message)
-			p.send(at, listWay, func(at time.Duration) { w.list.hears(at, p, boot, raw) })
-		case director.Withdraw: // what was sent has left: the kernel has it
+			d.send(at, discoveryRoute, func(at time.Duration) { sim.discovery.receive(at, d, boot, raw) })
+		case director.Withdraw: // nothing to withdraw: sent messages have already left the process
 		case director.Log:
-			if w.opt.Log != nil {
+			if sim.opt.Log != nil {
 				line := o.Text
-				// Whether anybody listens must change nothing: no chance is drawn for it.
-				p.out = append(p.out, sent{at + w.opt.Latency.Min, func(at time.Duration) { w.say(at, "%s: %s", p.name, line) }})
+				// Logging must not affect the run, so no random latency is drawn for it.
+				d.outgoing = append(d.outgoing, outgoingEvent{at + sim.opt.Latency.Min, func(at time.Duration) { sim.logf(at, "%s: %s", d.name, line) }})
 			}
 		case director.ShutdownComplete:
-			p.up, p.end = false, true
+			d.running, d.shutdownDone = false, true
 		}
 	}
 }
 
-func (p *post) forget(link uint64) {
-	delete(p.lasts, linkWay(link))
-	delete(p.heard, link)
-	delete(p.nodes, link)
+func (d *simDirector) forgetLink(link uint64) {
+	delete(d.lastArrivals, linkRoute(link))
+	delete(d.lastReceived, link)
+	delete(d.nodeByLink, link)
 }
 
-// start begins a run of a director.
-func (p *post) start(at time.Duration) error {
-	house, _, err := p.w.layout.DirectorConfig(p.number, "127.0.0.1:1")
+// start starts the director with an empty state.
+func (d *simDirector) start(at time.Duration) error {
+	config, _, err := d.sim.layout.DirectorConfig(d.index, "127.0.0.1:1")
 	if err != nil {
 		return err
 	}
-	p.boot++
-	seed := p.w.layout.Seed*1000 + uint64(p.number)<<20 + uint64(p.boot)
-	var module director.Decider
-	if p.w.opt.NewDecider != nil {
-		module = p.w.opt.NewDecider(house, seed)
+	d.boot++
+	seed := d.sim.layout.Seed*1000 + uint64(d.index)<<20 + uint64(d.boot)
+	var decider director.Decider
+	if d.sim.opt.NewDecider != nil {
+		decider = d.sim.opt.NewDecider(config, seed)
 	} else {
-		module = house.NewDecider(seed)
+		decider = config.NewDecider(seed)
 	}
-	p.loop = house.NewLoop(fmt.Sprint(p.boot), seed, module)
-	p.began, p.up, p.stale = at, true, true
-	p.in = events{}
-	p.lasts, p.heard, p.nodes = map[uint64]time.Duration{}, map[uint64]time.Duration{}, map[uint64]int{}
-	p.hear(at+p.w.delay(p.chance), director.DiscoveryConnected{})
+	d.loop = config.NewLoop(fmt.Sprint(d.boot), seed, decider)
+	d.startedAt, d.running, d.nextAtStale = at, true, true
+	d.events = eventQueue{}
+	d.lastArrivals, d.lastReceived, d.nodeByLink = map[uint64]time.Duration{}, map[uint64]time.Duration{}, map[uint64]int{}
+	d.deliver(at+d.sim.drawLatency(d.random), director.DiscoveryConnected{})
 	return nil
 }
 
-// Run plays a day.
+// Run runs a day in virtual time.
 func Run(s *day.Script, seed uint64, opt Options) (*Result, error) {
 	if opt.Latency.Max == 0 {
 		opt.Latency = LatencyRange{500 * time.Microsecond, 2 * time.Millisecond}
 	}
-	w, err := newWorld(s, seed, opt)
+	sim, err := newSimulation(s, seed, opt)
 	if err != nil {
 		return nil, err
 	}
-	if err := w.play(); err != nil {
+	if err := sim.run(); err != nil {
 		return nil, err
 	}
-	return w.result(), nil
+	return sim.result(), nil
 }
 
-// play goes from window to window until all viewers have gone home, or time is up.
-func (w *world) play() error {
-	crew := newCrew(max(1, w.opt.Workers))
-	defer crew.end()
-	end := settle + w.script.Length + 30*time.Second
-	if w.opt.Until > 0 {
-		end = min(end, w.opt.Until)
+// run processes one window after another until all clients have finished or the time limit is reached.
+func (sim *simulation) run() error {
+	pool := newWorkerPool(max(1, sim.opt.Workers))
+	defer pool.close()
+	end := settleTime + sim.script.Length + 30*time.Second
+	if sim.opt.Until > 0 {
+		end = min(end, sim.opt.Until)
 	}
-	nexts := make([]time.Duration, len(w.posts))
-	var some []*post
-	for w.err == nil && !w.over {
-		t := w.events.next()
-		if at, ok := w.farm.NextDeadline(); ok {
+	nexts := make([]time.Duration, len(sim.directors))
+	var due []*simDirector
+	for sim.err == nil && !sim.finished {
+		t := sim.events.nextAt()
+		if at, ok := sim.nodes.NextDeadline(); ok {
 			t = min(t, at)
 		}
-		for i, p := range w.posts {
-			if p.stale {
-				nexts[i], p.stale = p.next(), false
+		for i, d := range sim.directors {
+			if d.nextAtStale {
+				nexts[i], d.nextAtStale = d.nextAt(), false
 			}
 			t = min(t, nexts[i])
 		}
 		if t >= end {
 			break
 		}
-		stop := t + w.opt.Latency.Min
-		some = some[:0]
-		for i, p := range w.posts {
+		stop := t + sim.opt.Latency.Min
+		due = due[:0]
+		for i, d := range sim.directors {
 			if nexts[i] < stop {
-				some = append(some, p)
+				due = append(due, d)
 			}
 		}
-		crew.run(some, stop)
-		for _, p := range some {
-			for _, x := range p.out {
-				w.events.put(x.at, x.do)
+		pool.run(due, stop)
+		for _, d := range due {
+			for _, x := range d.outgoing {
+				sim.events.schedule(x.at, x.run)
 			}
-			clear(p.out)
-			p.out = p.out[:0]
-			if p.end {
-				p.end = false
-				w.ended(stop, p)
+			clear(d.outgoing)
+			d.outgoing = d.outgoing[:0]
+			if d.shutdownDone {
+				d.shutdownDone = false
+				sim.disconnectAll(stop, d)
 			}
 		}
-		w.run(stop)
+		sim.runEnvironment(stop)
 	}
-	return w.err
+	return sim.err
 }
 
-// run lets the world work until the window ends.
-func (w *world) run(stop time.Duration) {
+// runEnvironment processes the events of nodes, discovery and clients until the window ends.
+func (sim *simulation) runEnvironment(stop time.Duration) {
 	for {
-		at := w.events.next()
-		if due, ok := w.farm.NextDeadline(); ok && due < at {
-			if due >= stop {
+		at := sim.events.nextAt()
+		if nodeAt, ok := sim.nodes.NextDeadline(); ok && nodeAt < at {
+			if nodeAt >= stop {
 				return
 			}
-			w.nodesDo(due, w.farm.Step(due))
+			sim.applyNodeOutputs(nodeAt, sim.nodes.Step(nodeAt))
 			continue
 		}
 		if at >= stop {
 			return
 		}
-		w.events.happen()
+		sim.events.runNext()
 	}
 }
 
-// A crew runs directors side by side.
-type crew struct {
-	wait  sync.WaitGroup
-	work  chan func()
-	size  int
-	taken atomic.Int64
+// A workerPool runs directors in parallel.
+type workerPool struct {
+	wait    sync.WaitGroup
+	tasks   chan func()
+	size    int
+	claimed atomic.Int64
 }
 
-func newCrew(size int) *crew {
-	c := &crew{work: make(chan func()), size: size}
+func newWorkerPool(size int) *workerPool {
+	c := &workerPool{tasks: make(chan func()), size: size}
 	for range size - 1 {
 		go func() {
-			for f := range c.work {
+			for f := range c.tasks {
 				f()
 				c.wait.Done()
 			}
@@ -328,35 +333,35 @@
 	return c
 }
 
-func (c *crew) end() { close(c.work) }
+func (p *workerPool) close() { close(p.tasks) }
 
-func (c *crew) run(posts []*post, stop time.Duration) {
-	if len(posts) < 4 || c.size == 1 {
-		for _, p := range posts {
-			p.run(stop)
+func (p *workerPool) run(directors []*simDirector, stop time.Duration) {
+	if len(directors) < 4 || p.size == 1 {
+		for _, d := range directors {
+			d.runUntil(stop)
 		}
 		return
 	}
-	c.taken.Store(0)
-	some := func() {
+	p.claimed.Store(0)
+	worker := func() {
 		for {
-			i := int(c.taken.Add(1)) - 1
-			if i >= len(posts) {
+			i := int(p.claimed.Add(1)) - 1
+			if i >= len(directors) {
 				return
 			}
-			posts[i].run(stop)
+			directors[i].runUntil(stop)
 		}
 	}
-	helpers := min(c.size, len(posts)/2) - 1
-	c.wait.Add(helpers)
+	helpers := min(p.size, len(directors)/2) - 1
+	p.wait.Add(helpers)
 	for range helpers {
-		c.work <- some
+		p.tasks <- worker
 	}
-	some()
-	c.wait.Wait()
+	worker()
+	p.wait.Wait()
 }
 
-// addressOf gives each viewer's connection an address.
-func addressOf(conn uint64) netip.Addr {
+// clientAddress returns a distinct address for each client connection.
+func clientAddress(conn uint64) netip.Addr {
 	return netip.AddrFrom4([4]byte{10, byte(conn >> 16), byte(conn >> 8), byte(conn)})
 }
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -22,22 +22,22 @@
 	"fordusher/internal/resultarchive"
 )
 
-// An Experiment is a grid of days in virtual time: each place of the grid is played with each policy on each
-// seed, so that policies are compared on the same days.
+// An Experiment is a grid of days in virtual time. Each point of the grid runs with each policy on each seed, so that
+// policies are compared on the same days.
 type Experiment struct {
 	Name      string
 	Script    *day.Script
 	Seeds     int
-	FirstSeed int // the first seed
+	FirstSeed int
 	Policies  []string
 	Directors []int
 	Loads     []float64
 }
 
-// DefaultPolicy is the name of the module among the policies.
+// DefaultPolicy is the name of the policy module among the policies of an experiment.
 const DefaultPolicy = "module"
 
-// LoadExperiment reads an experiment's file; what is wrong with it comes back as conf.Problems.
+// LoadExperiment reads an experiment from a file. Mistakes in the file are returned as conf.Problems.
 func LoadExperiment(file string) (*Experiment, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 	for _, p := range x.Policies {
 		if p != DefaultPolicy && day.Baselines[p] == nil {
-			r.AddProblem(o.OffsetOf("policies"), "there is no policy %q; there are %s and %s", p, DefaultPolicy, strings.Join(names(day.Baselines), ", "))
+			r.AddProblem(o.OffsetOf("policies"), "there is no policy %q; there are %s and %s", p, DefaultPolicy, strings.Join(sortedKeys(day.Baselines), ", "))
 		}
 	}
 	o.ReportUnknownKeys()
@@ -78,7 +78,7 @@
 	return x, err
 }
 
-func names[V any](m map[string]V) (all []string) {
+func sortedKeys[V any](m map[string]V) (all []string) {
 	for k := range m {
 		all = append(all, k)
 	}
@@ -86,7 +86,7 @@
 	return all
 }
 
-// A GridPoint is a place of the grid.
+// A GridPoint is one combination of settings in an experiment's grid.
 type GridPoint struct {
 	Directors int     `json:"directors"`
 	Load      float64 `json:"load"`
@@ -94,7 +94,7 @@
 
 func (c GridPoint) String() string { return fmt.Sprintf("%d directors, load %g", c.Directors, c.Load) }
 
-// An ExperimentRun is one day of an experiment.
+// An ExperimentRun is one day of an experiment: one grid point, policy and seed.
 type ExperimentRun struct {
 	GridPoint
 	Policy      string    `json:"policy"`
@@ -108,20 +108,20 @@
 	P99         float64   `json:"p99_ms"`
 	Credit      float64   `json:"credit"`
 	Violations  int       `json:"broken"`
-	Recoveries  []float64 `json:"recoveries"` // seconds, of the troubles after which credit came back
-	Unrecovered int       `json:"unmended"`   // troubles after which it did not while the day lasted
+	Recoveries  []float64 `json:"recoveries"` // in seconds, of the incidents after which earnings recovered
+	Unrecovered int       `json:"unmended"`   // incidents after which earnings did not recover within the day
 	Samples     []Sample  `json:"points"`
 }
 
-// ExperimentResult is the days of an experiment.
+// An ExperimentResult holds all days of an experiment.
 type ExperimentResult struct {
 	Name string          `json:"name"`
 	Runs []ExperimentRun `json:"-"`
 }
 
-// Run plays the whole grid on so many cores.
+// Run runs the whole grid on a number of workers.
 func (x *Experiment) Run(ctx context.Context, workers int) (*ExperimentResult, error) {
-	t := &ExperimentResult{Name: x.Name}
+	result := &ExperimentResult{Name: x.Name}
 	directors, loads := x.Directors, x.Loads
 	if len(directors) == 0 {
 		directors = []int{x.Script.Directors}
@@ -129,47 +129,47 @@
 	if len(loads) == 0 {
 		loads = []float64{x.Script.Load}
 	}
-	for _, d := range directors {
+	for _, count := range directors {
 		for _, l := range loads {
 			for _, p := range x.Policies {
 				for i := range x.Seeds {
-					t.Runs = append(t.Runs, ExperimentRun{GridPoint: GridPoint{d, l}, Policy: p, Seed: uint64(x.FirstSeed + i)})
+					result.Runs = append(result.Runs, ExperimentRun{GridPoint: GridPoint{count, l}, Policy: p, Seed: uint64(x.FirstSeed + i)})
 				}
 			}
 		}
 	}
-	return t, inParallel(workers, len(t.Runs), func(i int) error {
+	return result, inParallel(workers, len(result.Runs), func(i int) error {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		d := &t.Runs[i]
+		run := &result.Runs[i]
 		s := *x.Script
-		s.Directors, s.Load = d.Directors, d.Load
-		var module func(h *conf.Config, seed uint64) director.Decider
-		if d.Policy != DefaultPolicy {
-			module = day.Baselines[d.Policy]
+		s.Directors, s.Load = run.Directors, run.Load
+		var decider func(h *conf.Config, seed uint64) director.Decider
+		if run.Policy != DefaultPolicy {
+			decider = day.Baselines[run.Policy]
 		}
-		r, err := Run(&s, d.Seed, Options{NewDecider: module})
+		r, err := Run(&s, run.Seed, Options{NewDecider: decider})
 		if err != nil {
 			return err
 		}
-		d.Hash, d.Received, d.Played, d.Nacked, d.Errored, d.Legs, d.P99, d.Credit = r.Hash, r.Received, r.Played, r.Nacked, r.Errored, r.Legs, r.P99, r.Credit
-		d.Violations, d.Samples = r.broken(), r.Samples
+		run.Hash, run.Received, run.Played, run.Nacked, run.Errored, run.Legs, run.P99, run.Credit = r.Hash, r.Received, r.Played, r.Nacked, r.Errored, r.Legs, r.P99, r.Credit
+		run.Violations, run.Samples = r.violations(), r.Samples
 		for _, e := range r.Incidents {
 			if took, ok := r.RecoveryTime(e); ok {
-				d.Recoveries = append(d.Recoveries, took.Seconds())
+				run.Recoveries = append(run.Recoveries, took.Seconds())
 			} else {
-				d.Unrecovered++
+				run.Unrecovered++
 			}
 		}
 		return nil
 	})
 }
 
-// Save keeps a trial in a compressed file.
+// Save writes the result to a compressed file.
 func (t *ExperimentResult) Save(file string) error { return resultarchive.Save(file, t, t.Runs) }
 
-// LoadExperimentResult reads what Save wrote.
+// LoadExperimentResult reads a file that Save wrote.
 func LoadExperimentResult(file string) (*ExperimentResult, error) {
 	t, days, err := resultarchive.Load[*ExperimentResult, ExperimentRun](file)
 	switch {
@@ -182,8 +182,8 @@
 	return t, nil
 }
 
-// interval is the half width of the 95% confidence interval of a mean.
-func interval(x []float64) float64 {
+// confidenceInterval returns the half width of the 95% confidence interval of a mean.
+func confidenceInterval(x []float64) float64 {
 	if len(x) < 2 {
 		return math.NaN()
 	}
@@ -191,8 +191,8 @@
 	return t * stat.StdDev(x, nil) / math.Sqrt(float64(len(x)))
 }
 
-// group is the days of one place and policy, by seed.
-func (t *ExperimentResult) group(c GridPoint, policy string) (days []ExperimentRun) {
+// runsOf returns the days of one grid point and policy, by seed.
+func (t *ExperimentResult) runsOf(c GridPoint, policy string) (days []ExperimentRun) {
 	for _, d := range t.Runs {
 		if d.GridPoint == c && d.Policy == policy {
 			days = append(days, d)
@@ -201,7 +201,7 @@
 	return days
 }
 
-func (t *ExperimentResult) cells() (all []GridPoint) {
+func (t *ExperimentResult) gridPoints() (all []GridPoint) {
 	for _, d := range t.Runs {
 		if !slices.Contains(all, d.GridPoint) {
 			all = append(all, d.GridPoint)
@@ -219,32 +219,32 @@
 	return all
 }
 
-func of(days []ExperimentRun, f func(d ExperimentRun) float64) (all []float64) {
+func mapRuns(days []ExperimentRun, f func(d ExperimentRun) float64) (all []float64) {
 	for _, d := range days {
 		all = append(all, f(d))
 	}
 	return all
 }
 
-// Table writes means over seeds with their 95% confidence intervals, and each policy's paired difference in
-// credit to the first one, day by day.
+// Table formats the means over seeds with their 95% confidence intervals, and each policy's difference in credit
+// from the first policy, paired by seed.
 func (t *ExperimentResult) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n%-26s %-14s %5s %16s %16s %8s %9s %9s %10s %9s %7s\n", t.Name, "", "policy", "days", "credit", "over the first", "nacked", "errored",
 		"legs/play", "recovery s", "unmended", "broken")
-	for _, c := range t.cells() {
+	for _, c := range t.gridPoints() {
 		var first []float64
 		for _, p := range t.policies() {
-			days := t.group(c, p)
+			days := t.runsOf(c, p)
 			if len(days) == 0 {
 				continue
 			}
-			credit := of(days, func(d ExperimentRun) float64 { return d.Credit })
-			over := ""
+			credit := mapRuns(days, func(d ExperimentRun) float64 { return d.Credit })
+			diff := ""
 			if first == nil {
 				first = credit
 			} else if len(first) == len(credit) {
-				over = difference(credit, first)
+				diff = pairedDifference(credit, first)
 			}
 			sum := func(f func(d ExperimentRun) int) (n int) {
 				for _, d := range days {
@@ -256,13 +256,13 @@
 			for _, d := range days {
 				recoveries = append(recoveries, d.Recoveries...)
 			}
-			taken := float64(sum(func(d ExperimentRun) int { return d.Received }))
+			received := float64(sum(func(d ExperimentRun) int { return d.Received }))
 			mean := math.NaN()
 			if len(recoveries) > 0 {
 				mean = stat.Mean(recoveries, nil)
 			}
-			fmt.Fprintf(&b, "%-26s %-14s %5d %8.3f ± %.3f %16s %7.1f%% %8.2f%% %9.3f %10.2f %9d %7d\n", c, p, len(days), stat.Mean(credit, nil), interval(credit), over,
-				100*float64(sum(func(d ExperimentRun) int { return d.Nacked }))/taken, 100*float64(sum(func(d ExperimentRun) int { return d.Errored }))/taken,
+			fmt.Fprintf(&b, "%-26s %-14s %5d %8.3f ± %.3f %16s %7.1f%% %8.2f%% %9.3f %10.2f %9d %7d\n", c, p, len(days), stat.Mean(credit, nil), confidenceInterval(credit), diff,
+				100*float64(sum(func(d ExperimentRun) int { return d.Nacked }))/received, 100*float64(sum(func(d ExperimentRun) int { return d.Errored }))/received,
 				float64(sum(func(d ExperimentRun) int { return d.Legs }))/float64(max(1, sum(func(d ExperimentRun) int { return d.Played }))), mean,
 				sum(func(d ExperimentRun) int { return d.Unrecovered }), sum(func(d ExperimentRun) int { return d.Violations }))
 		}
@@ -270,62 +270,63 @@
 	return b.String()
 }
 
-// difference is the mean of paired differences with its interval.
-func difference(a, b []float64) string {
+// pairedDifference formats the mean of paired differences with its confidence interval.
+func pairedDifference(a, b []float64) string {
 	d := make([]float64, len(a))
 	for i := range a {
 		d[i] = a[i] - b[i]
 	}
-	return fmt.Sprintf("%+.3f ± %.3f", stat.Mean(d, nil), interval(d))
+	return fmt.Sprintf("%+.3f ± %.3f", stat.Mean(d, nil), confidenceInterval(d))
 }
 
-// Compare compares two trials, place by place and policy by policy, on the seeds that both have.
-func (t *ExperimentResult) Compare(o *ExperimentResult) string {
+// Compare formats the differences in credit between two results, for each grid point and policy, on the seeds that
+// both have.
+func (t *ExperimentResult) Compare(other *ExperimentResult) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s over %s, paired by seed\n%-26s %-14s %5s %16s\n", t.Name, o.Name, "", "policy", "days", "credit")
-	for _, c := range t.cells() {
+	fmt.Fprintf(&b, "%s over %s, paired by seed\n%-26s %-14s %5s %16s\n", t.Name, other.Name, "", "policy", "days", "credit")
+	for _, c := range t.gridPoints() {
 		for _, p := range t.policies() {
-			was := map[uint64]float64{}
-			for _, d := range o.group(c, p) {
-				was[d.Seed] = d.Credit
+			creditBySeed := map[uint64]float64{}
+			for _, d := range other.runsOf(c, p) {
+				creditBySeed[d.Seed] = d.Credit
 			}
 			var x, y []float64
-			for _, d := range t.group(c, p) {
-				if before, both := was[d.Seed]; both {
-					x, y = append(x, d.Credit), append(y, before)
+			for _, d := range t.runsOf(c, p) {
+				if otherCredit, both := creditBySeed[d.Seed]; both {
+					x, y = append(x, d.Credit), append(y, otherCredit)
 				}
 			}
 			if len(x) > 1 {
-				fmt.Fprintf(&b, "%-26s %-14s %5d %16s\n", c, p, len(x), difference(x, y))
+				fmt.Fprintf(&b, "%-26s %-14s %5d %16s\n", c, p, len(x), pairedDifference(x, y))
 			}
 		}
 	}
 	return b.String()
 }
 
-// DrawCharts draws, for each place of the grid, what part of what was wanted was earned in each second, the mean
-// over seeds, a line for each policy.
+// DrawCharts draws a chart for each grid point: the share of the maximum earnings that was earned in each second, as
+// the mean over seeds, with a line for each policy.
 func (t *ExperimentResult) DrawCharts(path, form string) (drawn []string, err error) {
-	for i, c := range t.cells() {
+	for i, c := range t.gridPoints() {
 		p := plot.New()
 		p.Title.Text = t.Name + ": " + c.String()
-		p.X.Label.Text, p.Y.Label.Text = "seconds", "credit a second, of what was wanted"
+		p.X.Label.Text, p.Y.Label.Text = "seconds", "credit per second, share of the maximum"
 		p.Y.Min, p.Y.Max = 0, 1
 		p.Add(plotter.NewGrid())
 		for k, policy := range t.policies() {
-			days := t.group(c, policy)
+			days := t.runsOf(c, policy)
 			var line plotter.XYs
 			for second := 0; ; second++ {
-				var parts []float64
+				var shares []float64
 				for _, d := range days {
 					if second < len(d.Samples) && d.Samples[second].MaxEarning > 0 {
-						parts = append(parts, min(1, d.Samples[second].Earning/d.Samples[second].MaxEarning))
+						shares = append(shares, min(1, d.Samples[second].Earning/d.Samples[second].MaxEarning))
 					}
 				}
-				if len(parts) < max(1, len(days)/2) {
+				if len(shares) < max(1, len(days)/2) {
 					break
 				}
-				line = append(line, plotter.XY{X: float64(second), Y: stat.Mean(parts, nil)})
+				line = append(line, plotter.XY{X: float64(second), Y: stat.Mean(shares, nil)})
 			}
 			if len(line) == 0 {
 				continue
--- a/internal/emulator/experiment_test.go
+++ b/internal/emulator/experiment_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// An experiment runs every point of its grid, survives saving and loading, and names mistakes in its file.
 func TestExperiment(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -23,26 +24,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	trial, err := x.Run(t.Context(), 4)
-	if err != nil || len(trial.Runs) != 12 {
-		t.Fatal(len(trial.Runs), err)
+	result, err := x.Run(t.Context(), 4)
+	if err != nil || len(result.Runs) != 12 {
+		t.Fatal(len(result.Runs), err)
 	}
-	kept := filepath.Join(dir, "x.zst")
-	if err := trial.Save(kept); err != nil {
+	saved := filepath.Join(dir, "x.zst")
+	if err := result.Save(saved); err != nil {
 		t.Fatal(err)
 	}
-	again, err := LoadExperimentResult(kept)
-	if err != nil || again.Table() != trial.Table() || !strings.Contains(trial.Table(), "round-robin") {
-		t.Fatal(err, trial.Table())
+	loaded, err := LoadExperimentResult(saved)
+	if err != nil || loaded.Table() != result.Table() || !strings.Contains(result.Table(), "round-robin") {
+		t.Fatal(err, result.Table())
 	}
-	if drawn, err := again.DrawCharts(filepath.Join(dir, "c"), "svg"); err != nil || len(drawn) != 2 {
+	if drawn, err := loaded.DrawCharts(filepath.Join(dir, "c"), "svg"); err != nil || len(drawn) != 2 {
 		t.Fatal(drawn, err)
 	}
-	// Against itself there is no difference.
-	if text := trial.Compare(again); strings.Count(text, "+0.000 ± 0.000") != 4 {
+	// Compared with itself, a result shows no difference.
+	if text := result.Compare(loaded); strings.Count(text, "+0.000 ± 0.000") != 4 {
 		t.Error(text)
 	}
-	for _, d := range trial.Runs {
+	for _, d := range result.Runs {
 		if d.Policy == DefaultPolicy && (d.Violations > 0 || d.Played < 200) {
 			t.Errorf("%+v", d.GridPoint)
 		}
@@ -54,19 +55,21 @@
 	}
 }
 
-// The interval of a mean, against a table of Student's distribution: four values, 3 degrees of freedom, 3.182.
-func TestInterval(t *testing.T) {
+// The confidence interval of a mean uses Student's t distribution: for four values (3 degrees of freedom) the table
+// gives 3.182.
+func TestConfidenceInterval(t *testing.T) {
 	x := []float64{1, 2, 3, 4}
-	if got, want := interval(x), 3.18245*math.Sqrt(5.0/3)/2; math.Abs(got-want) > 1e-4 {
+	if got, want := confidenceInterval(x), 3.18245*math.Sqrt(5.0/3)/2; math.Abs(got-want) > 1e-4 {
 		t.Error(got, want)
 	}
-	if !math.IsNaN(interval(x[:1])) {
-		t.Error("one value has an interval")
+	if !math.IsNaN(confidenceInterval(x[:1])) {
+		t.Error("a single value has a confidence interval")
 	}
 }
 
-// Recovery is counted from a trouble's end until the part earned is back at 95% of the five seconds before it.
-func TestRecovery(t *testing.T) {
+// The recovery time counts from an incident's end until the share earned is back at 95% of its mean over the five
+// seconds before the incident.
+func TestRecoveryTime(t *testing.T) {
 	r := &Result{}
 	for second, earning := range []float64{10, 10, 10, 10, 10, 2, 2, 5, 9, 9.6, 10} {
 		r.Samples = append(r.Samples, Sample{Second: second, Earning: earning, MaxEarning: 10})
@@ -76,6 +79,6 @@
 	}
 	r.Samples = r.Samples[:9]
 	if _, ok := r.RecoveryTime(IncidentInterval{Begin: 5e9, End: 7e9}); ok {
-		t.Error("recovered though the day ended before")
+		t.Error("a recovery was reported although the day ended before it")
 	}
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -10,44 +10,44 @@
 	"fordusher/internal/rulecheck"
 )
 
-// slack is what the witness forgives: messages on their way, and answers that cross.
-const slack = 50 * time.Millisecond
+// tolerance is the time that the rule checker allows for messages in transit and for answers that cross them.
+const tolerance = 50 * time.Millisecond
 
-// A Result is how a day in virtual time went.
+// A Result is the outcome of a day in virtual time.
 type Result struct {
 	*day.Result
-	Hash     string        `json:"hash"` // of all that was recorded
-	Duration time.Duration `json:"span"` // of virtual time
+	Hash     string        `json:"hash"` // of all records
+	Duration time.Duration `json:"span"` // in virtual time
 
 	Samples       []Sample           `json:"-"`
-	Incidents     []IncidentInterval `json:"-"`          // of troubles, for what recovering took
-	MinMarginRule string             `json:"least_rule"` // that came nearest to being broken
-	MinMargin     float64            `json:"least"`      // what part of what it allows was left over then
+	Incidents     []IncidentInterval `json:"-"`          // input of RecoveryTime
+	MinMarginRule string             `json:"least_rule"` // the rule with the least margin
+	MinMargin     float64            `json:"least"`      // that margin, as a share of what the rule allows
 }
 
-// IncidentInterval is a trouble that has ended.
+// An IncidentInterval is the time span of one incident.
 type IncidentInterval struct {
 	Kind  string
 	Begin time.Duration
 	End   time.Duration
 }
 
-func (w *world) result() *Result {
-	r := &Result{Result: day.CheckRecords(day.RuleLimits(w.house, slack), w.records)}
-	r.Seed, r.Clients = w.layout.Seed, w.crowd.came
-	r.Summarize(w.crowd.latency, w.crowd.inTime, w.crowd.asked)
+func (sim *simulation) result() *Result {
+	r := &Result{Result: day.CheckRecords(day.RuleLimits(sim.config, tolerance), sim.records)}
+	r.Seed, r.Clients = sim.layout.Seed, sim.clients.arrived
+	r.Summarize(sim.clients.latencies, sim.clients.startedInTime, sim.clients.requestedValue)
 	h := sha256.New()
 	e := json.NewEncoder(h)
-	for i := range w.records {
-		e.Encode(&w.records[i]) // a hash takes all that it is given
+	for i := range sim.records {
+		e.Encode(&sim.records[i]) // a write to a hash never fails
 	}
 	r.Hash = hex.EncodeToString(h.Sum(nil)[:8])
-	if n := len(w.records); n > 0 {
-		r.Duration = w.records[n-1].At
+	if n := len(sim.records); n > 0 {
+		r.Duration = sim.records[n-1].At
 	}
 	rulecheck.Sort(r.Records)
-	r.Samples = w.points
-	for _, t := range w.script.Incidents {
+	r.Samples = sim.samples
+	for _, t := range sim.script.Incidents {
 		r.Incidents = append(r.Incidents, IncidentInterval{t.Kind, t.At, t.At + t.Duration})
 	}
 	r.MinMargin = 1
@@ -59,24 +59,24 @@
 	return r
 }
 
-// back is the part of the credit before a trouble that counts as recovered.
-const back = 0.95
+// recoveredShare is the share of the earnings before an incident that counts as recovered.
+const recoveredShare = 0.95
 
-// RecoveryTime is how long it took from a trouble's end until credit was back at 95% of what it was in the five
-// seconds before the trouble, as a part of what was wanted; ok is false where there is no such time: nothing was
-// earned before, or it did not come back while the day lasted.
-func (r *Result) RecoveryTime(e IncidentInterval) (took time.Duration, ok bool) {
-	part := func(p Sample) float64 {
+// RecoveryTime returns the time from an incident's end until earnings, as a share of the maximum, were back at 95%
+// of their mean over the five seconds before the incident. It returns false if nothing was earned before the
+// incident, or if earnings did not recover within the day.
+func (r *Result) RecoveryTime(incident IncidentInterval) (took time.Duration, ok bool) {
+	share := func(p Sample) float64 {
 		if p.MaxEarning == 0 {
 			return 0
 		}
 		return p.Earning / p.MaxEarning
 	}
-	begin, end := int(e.Begin/time.Second), int((e.End+time.Second-1)/time.Second)
+	begin, end := int(incident.Begin/time.Second), int((incident.End+time.Second-1)/time.Second)
 	before, n := 0.0, 0
 	for _, p := range r.Samples {
 		if p.Second >= begin-5 && p.Second < begin {
-			before += part(p)
+			before += share(p)
 			n++
 		}
 	}
@@ -84,8 +84,8 @@
 		return 0, false
 	}
 	for _, p := range r.Samples {
-		if p.Second >= end && part(p) >= back*before/float64(n) {
-			return time.Duration(p.Second)*time.Second - e.End, true
+		if p.Second >= end && share(p) >= recoveredShare*before/float64(n) {
+			return time.Duration(p.Second)*time.Second - incident.End, true
 		}
 	}
 	return 0, false
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -9,446 +9,448 @@
 	"fordusher/internal/conf"
 	"fordusher/internal/day"
 	"fordusher/internal/director"
-	book "fordusher/internal/emulated/discovery"
+	"fordusher/internal/emulated/discovery"
 	"fordusher/internal/emulated/node"
 	"fordusher/internal/rulecheck"
 	"fordusher/internal/wire"
 )
 
-// wayTo names a connection from a run of a director to a node.
-type wayTo struct {
-	post, boot int
-	link       uint64
+// A linkKey identifies a connection from one run of a director to a node.
+type linkKey struct {
+	director, boot int
+	link           uint64 // the director's number of the link
 }
 
-// A link is such a connection as the node has it.
+// A link is the node's side of such a connection.
 type link struct {
-	wayTo
-	number  uint64 // the node's own
-	machine int
-	name    string // of the director, once it has said so
-	last    time.Duration
+	linkKey
+	id           uint64 // the node model's number of the link
+	node         int    // index of the node
+	directorName string // from the director's hello; empty before it
+	lastArrival  time.Duration
 }
 
-// A world is all that is not a director.
-type world struct {
-	opt     Options
-	script  *day.Script
-	layout  *day.Layout
-	house   *conf.Config
-	chance  *rand.Rand
-	posts   []*post
-	events  events
-	farm    *node.Model
-	machine map[string]int
-	down    []bool          // machines whose process has ended
-	silent  []bool          // machines that neither hear nor say anything
-	hung    []bool          // machines whose process stands still
-	deaf    []time.Duration // machines that answer nothing, since when; under 0: they do
-	links   map[wayTo]*link // emptied as connections end
-	numbers map[uint64]*link
-	lastNo  uint64
-	list    *list
-	records []rulecheck.Record
-	crowd   crowd
-	credit  map[string]float64 // of tariffs
-	points  []Sample
-	over    bool
-	err     error
+// A simulation is the state of one run: the directors and their environment.
+type simulation struct {
+	opt               Options
+	script            *day.Script
+	layout            *day.Layout
+	config            *conf.Config
+	random            *rand.Rand
+	directors         []*simDirector
+	events            eventQueue
+	nodes             *node.Model
+	nodeIndex         map[string]int    // by node name
+	exited            []bool            // by node: the process has exited
+	silent            []bool            // by node: neither receives nor sends anything
+	hung              []bool            // by node: the process is suspended
+	unresponsiveSince []time.Duration   // by node: since when it answers no probes; negative: it answers
+	links             map[linkKey]*link // open connections only
+	linksByID         map[uint64]*link
+	lastLinkID        uint64
+	discovery         *discoveryModel
+	records           []rulecheck.Record
+	clients           clientModel
+	creditByTariff    map[string]float64
+	samples           []Sample
+	finished          bool
+	err               error
 }
 
-func newWorld(s *day.Script, seed uint64, opt Options) (*world, error) {
-	w := &world{opt: opt, script: s, chance: rand.New(rand.NewPCG(seed, 21)), machine: map[string]int{}, links: map[wayTo]*link{},
-		numbers: map[uint64]*link{}}
+func newSimulation(s *day.Script, seed uint64, opt Options) (*simulation, error) {
+	sim := &simulation{opt: opt, script: s, random: rand.New(rand.NewPCG(seed, 21)), nodeIndex: map[string]int{}, links: map[linkKey]*link{},
+		linksByID: map[uint64]*link{}}
 	var err error
 	if opt.Config == nil {
-		w.layout = day.NewLayout(s, seed)
-	} else if w.layout, err = day.NewLayoutFromConfig(s, seed, opt.Config, opt.ListUpdates); err != nil {
+		sim.layout = day.NewLayout(s, seed)
+	} else if sim.layout, err = day.NewLayoutFromConfig(s, seed, opt.Config, opt.ListUpdates); err != nil {
 		return nil, err
 	}
-	y := w.layout
-	if w.house, _, err = y.DirectorConfig(0, "127.0.0.1:1"); err != nil {
+	layout := sim.layout
+	if sim.config, _, err = layout.DirectorConfig(0, "127.0.0.1:1"); err != nil {
 		return nil, err
 	}
-	w.farm = node.NewModel(seed, y.Site, y.Nodes)
-	n := len(y.Nodes)
-	w.down, w.silent, w.hung, w.deaf = make([]bool, n), make([]bool, n), make([]bool, n), make([]time.Duration, n)
-	w.list = &list{w: w, directors: map[int]int{}, entries: slices.Clone(y.Entries)}
+	sim.nodes = node.NewModel(seed, layout.Site, layout.Nodes)
+	count := len(layout.Nodes)
+	sim.exited, sim.silent, sim.hung, sim.unresponsiveSince = make([]bool, count), make([]bool, count), make([]bool, count), make([]time.Duration, count)
+	sim.discovery = &discoveryModel{sim: sim, subscribers: map[int]int{}, entries: slices.Clone(layout.Entries)}
 	var listed []wire.NodeEntry
-	for i, m := range y.Nodes {
-		w.machine[m.Name] = i
-		w.deaf[i] = -1
-		if y.Entries[i].State == wire.Removed {
-			w.fault(0, node.Fault{Node: m.Name, Crash: true})
+	for i, m := range layout.Nodes {
+		sim.nodeIndex[m.Name] = i
+		sim.unresponsiveSince[i] = -1
+		if layout.Entries[i].State == wire.Removed {
+			sim.applyFault(0, node.Fault{Node: m.Name, Crash: true})
 		} else {
-			listed = append(listed, w.entry(0, i, y.Entries[i].State))
+			listed = append(listed, sim.nodeEntry(0, i, layout.Entries[i].State))
 		}
 	}
-	w.list.book = book.NewModel(listed)
+	sim.discovery.model = discovery.NewModel(listed)
 	for i := range s.Directors {
-		p := &post{w: w, number: i, name: day.DirectorName(i), chance: rand.New(rand.NewPCG(seed, uint64(i)<<8|22))}
-		w.posts = append(w.posts, p)
-		if err := p.start(0); err != nil {
+		d := &simDirector{sim: sim, index: i, name: day.DirectorName(i), random: rand.New(rand.NewPCG(seed, uint64(i)<<8|22))}
+		sim.directors = append(sim.directors, d)
+		if err := d.start(0); err != nil {
 			return nil, err
 		}
-		w.add(0, rulecheck.Record{Kind: rulecheck.DirectorStarted, Director: p.name})
+		sim.addRecord(0, rulecheck.Record{Kind: rulecheck.DirectorStarted, Director: d.name})
 	}
 	timeline := opt.Actions
 	if timeline == nil {
-		timeline = y.Timeline()
+		timeline = layout.Timeline()
 	}
 	for _, a := range timeline {
-		w.events.put(settle+a.At, func(at time.Duration) { w.act(at, a) })
+		sim.events.schedule(settleTime+a.At, func(at time.Duration) { sim.apply(at, a) })
 	}
-	w.crowd.begin(w)
-	w.credit = map[string]float64{}
-	for _, t := range w.house.Tariffs {
-		w.credit[t.Name] = t.Credit
+	sim.clients.start(sim)
+	sim.creditByTariff = map[string]float64{}
+	for _, t := range sim.config.Tariffs {
+		sim.creditByTariff[t.Name] = t.Credit
 	}
-	w.events.put(settle, w.sample)
-	return w, nil
+	sim.events.schedule(settleTime, sim.takeSample)
+	return sim, nil
 }
 
-// A Sample is how a day stands at one second.
+// A Sample is the state of a day at one second.
 type Sample struct {
 	Second        int     `json:"second"`
-	Earning       float64 `json:"earning"` // credit a second, of all that play
-	MaxEarning    float64 `json:"wanted"`  // the same if all who are there played at their best rung
+	Earning       float64 `json:"earning"` // credit per second of all playing sessions
+	MaxEarning    float64 `json:"wanted"`  // credit per second if all active clients played at their best rung
 	Playing       int     `json:"playing"`
-	ActiveClients int     `json:"there"` // viewers who play, wait, or pause before they come again
+	ActiveClients int     `json:"there"` // clients that play, wait, or pause before a retry
 }
 
-// sample keeps how the day stands, each second.
-func (w *world) sample(at time.Duration) {
-	p := Sample{Second: len(w.points), ActiveClients: w.crowd.active, MaxEarning: w.crowd.wanted}
-	p.Earning, p.Playing = w.farm.EarningRate(w.credit)
-	w.points = append(w.points, p)
-	w.events.put(at+time.Second, w.sample)
+// takeSample appends a Sample each second.
+func (sim *simulation) takeSample(at time.Duration) {
+	sample := Sample{Second: len(sim.samples), ActiveClients: sim.clients.active, MaxEarning: sim.clients.maxEarning}
+	sample.Earning, sample.Playing = sim.nodes.EarningRate(sim.creditByTariff)
+	sim.samples = append(sim.samples, sample)
+	sim.events.schedule(at+time.Second, sim.takeSample)
 }
 
-func (w *world) add(at time.Duration, r rulecheck.Record) {
+func (sim *simulation) addRecord(at time.Duration, r rulecheck.Record) {
 	r.At = at
-	w.records = append(w.records, r)
+	sim.records = append(sim.records, r)
 }
 
-func (w *world) say(at time.Duration, format string, args ...any) {
-	if w.opt.Log != nil {
-		w.opt.Log(fmt.Sprintf("%9.3fs  ", (at-settle).Seconds()) + fmt.Sprintf(format, args...))
+func (sim *simulation) logf(at time.Duration, format string, args ...any) {
+	if sim.opt.Log != nil {
+		sim.opt.Log(fmt.Sprintf("%9.3fs  ", (at-settleTime).Seconds()) + fmt.Sprintf(format, args...))
 	}
 }
 
-// delay is how long a message is on its way.
-func (w *world) delay(r *rand.Rand) time.Duration {
-	n := w.opt.Latency
-	return n.Min + time.Duration(r.Int64N(int64(n.Max-n.Min)+1))
+// drawLatency returns a random network latency.
+func (sim *simulation) drawLatency(random *rand.Rand) time.Duration {
+	latency := sim.opt.Latency
+	return latency.Min + time.Duration(random.Int64N(int64(latency.Max-latency.Min)+1))
 }
 
-// act does what the timeline has.
-func (w *world) act(at time.Duration, a day.Action) {
+// apply carries out an action of the timeline.
+func (sim *simulation) apply(at time.Duration, a day.Action) {
 	if a.Say != "" {
-		w.say(at, "%s", a.Say)
+		sim.logf(at, "%s", a.Say)
 	}
 	if a.Fault != nil {
-		w.fault(at, *a.Fault)
+		sim.applyFault(at, *a.Fault)
 	}
 	if a.List != nil {
-		w.list.set(at, *a.List)
+		sim.discovery.update(at, *a.List)
 	}
 	if a.Lag != nil {
-		w.list.book.SetLag(*a.Lag)
-		w.list.wake(at)
+		sim.discovery.model.SetLag(*a.Lag)
+		sim.discovery.scheduleRun(at)
 	}
 	if a.Rate != nil {
-		w.crowd.rate = *a.Rate
+		sim.clients.arrivalRate = *a.Rate
 	}
 	if a.Hot != nil {
-		w.crowd.hot = *a.Hot
+		sim.clients.hotShare = *a.Hot
 	}
 	for _, i := range a.Kill {
-		w.kill(at, w.posts[i])
+		sim.kill(at, sim.directors[i])
 	}
 	for _, i := range a.Start {
-		if p := w.posts[i]; !p.up {
-			w.err = p.start(at)
-			w.add(at, rulecheck.Record{Kind: rulecheck.DirectorStarted, Director: p.name})
+		if d := sim.directors[i]; !d.running {
+			sim.err = d.start(at)
+			sim.addRecord(at, rulecheck.Record{Kind: rulecheck.DirectorStarted, Director: d.name})
 		}
 	}
 }
 
-// kill ends a director at once: whoever it was connected to sees that a moment later.
-func (w *world) kill(at time.Duration, p *post) {
-	if !p.up {
+// kill ends a director at once. Its peers notice that after the network latency.
+func (sim *simulation) kill(at time.Duration, d *simDirector) {
+	if !d.running {
 		return
 	}
-	w.add(at, rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: p.name})
-	p.up, p.stale = false, true
-	p.in = events{}
-	w.ended(at, p)
+	sim.addRecord(at, rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: d.name})
+	d.running, d.nextAtStale = false, true
+	d.events = eventQueue{}
+	sim.disconnectAll(at, d)
 }
 
-// ended cuts all connections of a director that is no more.
-func (w *world) ended(at time.Duration, p *post) {
-	boot := p.boot
-	delete(w.list.directors, p.number)
-	var ways []wayTo
-	for way := range w.links {
-		if way.post == p.number && way.boot == boot {
-			ways = append(ways, way)
+// disconnectAll closes all connections of a director that has exited.
+func (sim *simulation) disconnectAll(at time.Duration, d *simDirector) {
+	boot := d.boot
+	delete(sim.discovery.subscribers, d.index)
+	var keys []linkKey
+	for key := range sim.links {
+		if key.director == d.index && key.boot == boot {
+			keys = append(keys, key)
 		}
 	}
-	slices.SortFunc(ways, func(a, b wayTo) int { return int(min(1, max(-1, int64(a.link)-int64(b.link)))) })
-	for _, way := range ways {
-		w.events.put(at+w.delay(w.chance), func(at time.Duration) { w.hungUp(at, way) })
+	slices.SortFunc(keys, func(a, b linkKey) int { return int(min(1, max(-1, int64(a.link)-int64(b.link)))) })
+	for _, key := range keys {
+		sim.events.schedule(at+sim.drawLatency(sim.random), func(at time.Duration) { sim.closedByDirector(at, key) })
 	}
-	w.crowd.cut(at, p.number)
+	sim.clients.loseConnections(at, d.index)
 }
 
-// fault does a fault to the machines, as a host on sockets does.
-func (w *world) fault(at time.Duration, x node.Fault) {
-	for i, m := range w.layout.Nodes {
-		if x.Node != "" && x.Node != m.Name || x.Rack != nil {
+// applyFault applies a fault to the nodes, as node.Host does for nodes on sockets.
+func (sim *simulation) applyFault(at time.Duration, fault node.Fault) {
+	for i, spec := range sim.layout.Nodes {
+		if fault.Node != "" && fault.Node != spec.Name || fault.Rack != nil {
 			continue
 		}
-		if x.Hang != nil {
-			w.hung[i] = *x.Hang
+		if fault.Hang != nil {
+			sim.hung[i] = *fault.Hang
 		}
 		switch {
-		case x.Crash:
-			w.add(at, rulecheck.Record{Kind: rulecheck.NodeExited, Node: m.Name})
-			w.down[i] = true
-		case x.Silent != nil && *x.Silent:
-			w.silent[i] = true
-		case x.Start:
-			if w.silent[i] {
-				w.add(at, rulecheck.Record{Kind: rulecheck.NodeExited, Node: m.Name, Reason: "came back anew"})
+		case fault.Crash:
+			sim.addRecord(at, rulecheck.Record{Kind: rulecheck.NodeExited, Node: spec.Name})
+			sim.exited[i] = true
+		case fault.Silent != nil && *fault.Silent:
+			sim.silent[i] = true
+		case fault.Start:
+			if sim.silent[i] {
+				sim.addRecord(at, rulecheck.Record{Kind: rulecheck.NodeExited, Node: spec.Name, Reason: "came back anew"})
 			}
-			w.down[i], w.silent[i], w.hung[i] = false, false, false
-			w.add(at, rulecheck.Record{Kind: rulecheck.NodeStarted, Node: m.Name, MaxStreams: float64(m.MaxStreams)})
+			sim.exited[i], sim.silent[i], sim.hung[i] = false, false, false
+			sim.addRecord(at, rulecheck.Record{Kind: rulecheck.NodeStarted, Node: spec.Name, MaxStreams: float64(spec.MaxStreams)})
 		}
-		w.hearing(at, i)
+		sim.updateResponsiveness(at, i)
 	}
-	w.nodesDo(at, w.farm.Apply(at, x))
+	sim.applyNodeOutputs(at, sim.nodes.Apply(at, fault))
 }
 
-// hearing notes whether a machine answers signs of life.
-func (w *world) hearing(at time.Duration, m int) {
-	switch deaf := w.silent[m] || w.hung[m]; {
-	case deaf && w.deaf[m] < 0:
-		w.deaf[m] = at
-	case !deaf:
-		w.deaf[m] = -1
+// updateResponsiveness records whether a node answers probes, and since when it doesn't.
+func (sim *simulation) updateResponsiveness(at time.Duration, i int) {
+	switch unresponsive := sim.silent[i] || sim.hung[i]; {
+	case unresponsive && sim.unresponsiveSince[i] < 0:
+		sim.unresponsiveSince[i] = at
+	case !unresponsive:
+		sim.unresponsiveSince[i] = -1
 	}
 }
 
-// entry is the list's line of a machine as it is now.
-func (w *world) entry(at time.Duration, m int, state string) wire.NodeEntry {
-	e := w.list.entries[m]
-	e.State, e.Address = state, "10.0.0.1:"+fmt.Sprint(1+m)
-	e.Incarnation, _ = w.farm.Start(at, e.Node)
-	return e
+// nodeEntry returns the server list's entry for a node with its current address and start.
+func (sim *simulation) nodeEntry(at time.Duration, i int, state string) wire.NodeEntry {
+	entry := sim.discovery.entries[i]
+	entry.State, entry.Address = state, "10.0.0.1:"+fmt.Sprint(1+i)
+	entry.Incarnation, _ = sim.nodes.Start(at, entry.Node)
+	return entry
 }
 
-// dial takes a director's try to connect to a node.
-func (w *world) dial(at time.Duration, p *post, boot, m int, number uint64, until time.Duration) {
-	back := at + w.delay(w.chance)
+// dial handles a director's attempt to connect to a node. An exited node refuses the connection; a silent or
+// hung one lets the attempt time out.
+func (sim *simulation) dial(at time.Duration, d *simDirector, boot, i int, linkID uint64, deadline time.Duration) {
+	answerAt := at + sim.drawLatency(sim.random)
 	switch {
-	case w.down[m]:
-		w.answer(back, p, boot, director.LinkFailed{Node: w.layout.Nodes[m].Name, Link: number})
+	case sim.exited[i]:
+		sim.deliver(answerAt, d, boot, director.LinkFailed{Node: sim.layout.Nodes[i].Name, Link: linkID})
 		return
-	case w.silent[m] || w.hung[m]:
-		w.answer(max(back, until), p, boot, director.LinkFailed{Node: w.layout.Nodes[m].Name, Link: number})
+	case sim.silent[i] || sim.hung[i]:
+		sim.deliver(max(answerAt, deadline), d, boot, director.LinkFailed{Node: sim.layout.Nodes[i].Name, Link: linkID})
 		return
 	}
-	w.lastNo++
-	l := &link{wayTo: wayTo{p.number, boot, number}, number: w.lastNo, machine: m, last: back}
-	w.links[l.wayTo], w.numbers[l.number] = l, l
-	w.answer(back, p, boot, director.LinkConnected{Node: w.layout.Nodes[m].Name, Link: number})
-	w.nodesDo(at, w.farm.ConnOpened(at, w.layout.Nodes[m].Name, l.number))
+	sim.lastLinkID++
+	l := &link{linkKey: linkKey{d.index, boot, linkID}, id: sim.lastLinkID, node: i, lastArrival: answerAt}
+	sim.links[l.linkKey], sim.linksByID[l.id] = l, l
+	sim.deliver(answerAt, d, boot, director.LinkConnected{Node: sim.layout.Nodes[i].Name, Link: linkID})
+	sim.applyNodeOutputs(at, sim.nodes.ConnOpened(at, sim.layout.Nodes[i].Name, l.id))
 }
 
-// answer lets a director hear something at a time, if it still runs then.
-func (w *world) answer(at time.Duration, p *post, boot int, in director.Input) {
-	if p.boot == boot && p.up {
-		p.hear(at, in)
+// deliver schedules an input for a run of a director, unless that run has ended.
+func (sim *simulation) deliver(at time.Duration, d *simDirector, boot int, in director.Input) {
+	if d.boot == boot && d.running {
+		d.deliver(at, in)
 	}
 }
 
-// nodeHears takes a director's message to a node.
-func (w *world) nodeHears(at time.Duration, way wayTo, raw []byte) {
-	l := w.links[way]
+// nodeReceives handles a director's message at a node.
+func (sim *simulation) nodeReceives(at time.Duration, key linkKey, raw []byte) {
+	l := sim.links[key]
 	if l == nil {
 		return
 	}
 	m, err := wire.DecodeNodeMessage(raw)
 	if err != nil {
-		w.err = fmt.Errorf("director %d sent what is no message: %w", way.post, err)
+		sim.err = fmt.Errorf("director %d sent a node an undecodable message: %w", key.director, err)
 		return
 	}
 	if m.Type == wire.Hello {
-		l.name = m.Director
+		l.directorName = m.Director
 	}
-	w.seen(at, l, m)
-	if !w.silent[l.machine] {
-		w.nodesDo(at, w.farm.Receive(at, w.layout.Nodes[l.machine].Name, l.number, m))
+	sim.recordNodeMessage(at, l, m)
+	if !sim.silent[l.node] {
+		sim.applyNodeOutputs(at, sim.nodes.Receive(at, sim.layout.Nodes[l.node].Name, l.id, m))
 	}
 }
 
-// seen records what crosses a link; notes and greetings prove nothing.
-func (w *world) seen(at time.Duration, l *link, m wire.NodeMessage) {
+// recordNodeMessage records a message on a link. Hellos and measurements aren't recorded: no rule needs them.
+func (sim *simulation) recordNodeMessage(at time.Duration, l *link, m wire.NodeMessage) {
 	if m.Type == wire.Hello || m.Type == wire.Measurement {
 		return
 	}
-	w.add(at, rulecheck.Record{Kind: m.Type, Node: w.layout.Nodes[l.machine].Name, Conn: l.number, Director: l.name, Session: m.Session, Leg: m.Leg,
+	sim.addRecord(at, rulecheck.Record{Kind: m.Type, Node: sim.layout.Nodes[l.node].Name, Conn: l.id, Director: l.directorName, Session: m.Session, Leg: m.Leg,
 		Tariff: m.Tariff, Title: m.Title, Rung: m.Rung, StartTimeout: time.Duration(m.StartWithinMS) * time.Millisecond, Reason: m.Reason})
 }
 
-// hungUp ends a link from the director's side.
-func (w *world) hungUp(at time.Duration, way wayTo) {
-	if l := w.links[way]; l != nil {
-		w.close(at, l)
+// closedByDirector handles a link that the director has closed.
+func (sim *simulation) closedByDirector(at time.Duration, key linkKey) {
+	if l := sim.links[key]; l != nil {
+		sim.closeLink(at, l)
 	}
 }
 
-func (w *world) close(at time.Duration, l *link) {
-	delete(w.links, l.wayTo)
-	delete(w.numbers, l.number)
-	name := w.layout.Nodes[l.machine].Name
-	w.add(at, rulecheck.Record{Kind: rulecheck.ConnClosed, Node: name, Conn: l.number})
-	w.nodesDo(at, w.farm.ConnClosed(at, name, l.number))
+func (sim *simulation) closeLink(at time.Duration, l *link) {
+	delete(sim.links, l.linkKey)
+	delete(sim.linksByID, l.id)
+	name := sim.layout.Nodes[l.node].Name
+	sim.addRecord(at, rulecheck.Record{Kind: rulecheck.ConnClosed, Node: name, Conn: l.id})
+	sim.applyNodeOutputs(at, sim.nodes.ConnClosed(at, name, l.id))
 }
 
-// nodesDo carries out what the model of the nodes wants.
-func (w *world) nodesDo(at time.Duration, outs []node.Output) {
-	outs = slices.Clone(outs) // the model is called again meanwhile
+// applyNodeOutputs carries out the outputs of the node model.
+func (sim *simulation) applyNodeOutputs(at time.Duration, outs []node.Output) {
+	outs = slices.Clone(outs) // the loop below calls the model again, which reuses the slice
 	for _, o := range outs {
-		m := w.machine[o.Node]
+		i := sim.nodeIndex[o.Node]
 		switch {
 		case o.Overloaded:
-			w.add(at, rulecheck.Record{Kind: rulecheck.NodeExited, Node: o.Node, Reason: "pushed over"})
-			w.down[m] = true
-			w.say(at, "%s was pushed over and stays down", o.Node)
+			sim.addRecord(at, rulecheck.Record{Kind: rulecheck.NodeExited, Node: o.Node, Reason: "pushed over"})
+			sim.exited[i] = true
+			sim.logf(at, "%s failed from overload and stays down", o.Node)
 			continue
 		case o.Earning != nil:
-			w.add(at, rulecheck.Record{Kind: rulecheck.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
+			sim.addRecord(at, rulecheck.Record{Kind: rulecheck.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
 			continue
 		}
-		l := w.numbers[o.Link]
+		l := sim.linksByID[o.Link]
 		if l == nil {
 			continue
 		}
-		p := w.posts[l.post]
-		l.last = max(l.last, at+w.delay(w.chance))
+		d := sim.directors[l.director]
+		l.lastArrival = max(l.lastArrival, at+sim.drawLatency(sim.random))
 		if o.Reset {
-			w.answer(l.last, p, l.boot, director.LinkLost{Link: l.link})
-			w.close(at, l)
+			sim.deliver(l.lastArrival, d, l.boot, director.LinkLost{Link: l.link})
+			sim.closeLink(at, l)
 			continue
 		}
-		if w.silent[m] {
+		if sim.silent[i] {
 			continue
 		}
-		w.seen(at, l, o.Message)
-		raw, number, boot := wire.Encode(o.Message), l.link, l.boot
-		if p.boot != boot || !p.up {
+		sim.recordNodeMessage(at, l, o.Message)
+		raw, linkID, boot := wire.Encode(o.Message), l.link, l.boot
+		if d.boot != boot || !d.running {
 			continue
 		}
-		p.put(l.last, func(at time.Duration) {
-			if p.boot != boot || !p.up {
+		d.schedule(l.lastArrival, func(at time.Duration) {
+			if d.boot != boot || !d.running {
 				return
 			}
 			message, err := wire.DecodeNodeMessage(raw)
 			if err != nil {
-				panic(fmt.Sprintf("the model of the nodes said what is no message: %v", err))
+				panic(fmt.Sprintf("the node model sent an undecodable message: %v", err))
 			}
-			if _, there := p.nodes[number]; there {
-				p.heard[number] = at
+			if _, open := d.nodeByLink[linkID]; open {
+				d.lastReceived[linkID] = at
 			}
-			p.step(at, director.LinkReceived{Link: number, Message: message})
+			d.step(at, director.LinkReceived{Link: linkID, Message: message})
 		})
 	}
 }
 
-// A list is the list's source: its book, and the directors that listen.
-type list struct {
-	w         *world
-	book      *book.Model
-	entries   []wire.NodeEntry // of machines, as the list has or will have them
-	directors map[int]int      // boots of the directors that listen
-	rings     time.Duration    // the next run that is arranged; 0: none
+// A discoveryModel is the emulated discovery: its model of the server list, and the subscribed directors.
+type discoveryModel struct {
+	sim         *simulation
+	model       *discovery.Model
+	entries     []wire.NodeEntry // by node: the entry that is listed, or will be after its delay
+	subscribers map[int]int      // by director: the run that has subscribed
+	nextRunAt   time.Duration    // the next scheduled run; 0: none
 }
 
-func (l *list) set(at time.Duration, word day.ListChange) {
-	if word.Entry != nil {
-		l.entries[word.Machine] = *word.Entry
+func (disc *discoveryModel) update(at time.Duration, change day.ListChange) {
+	if change.Entry != nil {
+		disc.entries[change.Machine] = *change.Entry
 	}
-	born := time.Duration(0)
-	if word.Born {
-		born = at
+	startedAt := time.Duration(0)
+	if change.Born {
+		startedAt = at
 	}
-	l.book.ScheduleUpdate(l.w.entry(at, word.Machine, word.State), born, at+word.Late)
-	l.wake(at)
+	disc.model.ScheduleUpdate(disc.sim.nodeEntry(at, change.Machine, change.State), startedAt, at+change.Late)
+	disc.scheduleRun(at)
 }
 
-// wake runs the list when something is due.
-func (l *list) wake(now time.Duration) {
-	if at, ok := l.book.NextDeadline(); ok && (l.rings == 0 || at < l.rings) {
-		l.rings = max(now, at)
-		l.w.events.put(l.rings, l.run)
+// scheduleRun schedules run for the time of the next pending update.
+func (disc *discoveryModel) scheduleRun(now time.Duration) {
+	if at, ok := disc.model.NextDeadline(); ok && (disc.nextRunAt == 0 || at < disc.nextRunAt) {
+		disc.nextRunAt = max(now, at)
+		disc.sim.events.schedule(disc.nextRunAt, disc.run)
 	}
 }
 
-// run tells what is due.
-func (l *list) run(at time.Duration) {
-	if at == l.rings {
-		l.rings = 0
+// run sends due updates to all subscribers.
+func (disc *discoveryModel) run(at time.Duration) {
+	if at == disc.nextRunAt {
+		disc.nextRunAt = 0
 	}
-	if m, ok := l.book.TakeDue(at); ok {
+	if m, ok := disc.model.TakeDue(at); ok {
 		raw := wire.Encode(m)
-		for i, p := range l.w.posts {
-			if boot, listens := l.directors[i]; listens {
-				l.tell(at, p, boot, raw)
+		for i, d := range disc.sim.directors {
+			if boot, subscribed := disc.subscribers[i]; subscribed {
+				disc.send(at, d, boot, raw)
 			}
 		}
 	}
-	l.wake(at)
+	disc.scheduleRun(at)
 }
 
-// tell is a message to a director: in order, as on one connection.
-func (l *list) tell(at time.Duration, p *post, boot int, raw []byte) {
-	if p.boot != boot || !p.up {
+// send delivers a message to a director. The fixed latency, the maximum, keeps messages in order, as on one
+// connection.
+func (disc *discoveryModel) send(at time.Duration, d *simDirector, boot int, raw []byte) {
+	if d.boot != boot || !d.running {
 		return
 	}
-	p.put(at+l.w.opt.Latency.Max, func(at time.Duration) {
-		if p.boot != boot || !p.up {
+	d.schedule(at+disc.sim.opt.Latency.Max, func(at time.Duration) {
+		if d.boot != boot || !d.running {
 			return
 		}
 		m, err := wire.DecodeDiscoveryMessage(raw)
 		if err != nil {
-			panic(fmt.Sprintf("the model of the list said what is no message: %v", err))
+			panic(fmt.Sprintf("the discovery model sent an undecodable message: %v", err))
 		}
-		p.step(at, director.DiscoveryReceived{Message: m})
+		d.step(at, director.DiscoveryReceived{Message: m})
 	})
 }
 
-// hears takes a director's word.
-func (l *list) hears(at time.Duration, p *post, boot int, raw []byte) {
+// receive handles a director's message at discovery.
+func (disc *discoveryModel) receive(at time.Duration, d *simDirector, boot int, raw []byte) {
 	m, err := wire.DecodeDiscoveryMessage(raw)
 	if err != nil {
-		l.w.err = fmt.Errorf("%s told the list what is no message: %w", p.name, err)
+		disc.sim.err = fmt.Errorf("%s sent discovery an undecodable message: %w", d.name, err)
 		return
 	}
-	if p.boot != boot || !p.up {
+	if d.boot != boot || !d.running {
 		return
 	}
 	switch m.Type {
 	case wire.Subscribe:
-		if _, listens := l.directors[p.number]; !listens {
-			l.w.add(at, rulecheck.Record{Kind: rulecheck.ListRequested, Director: m.Director})
+		if _, subscribed := disc.subscribers[d.index]; !subscribed {
+			disc.sim.addRecord(at, rulecheck.Record{Kind: rulecheck.ListRequested, Director: m.Director})
 		}
-		l.directors[p.number] = boot
-		l.tell(at, p, boot, wire.Encode(l.book.Snapshot(at, l.w.layout.Titles)))
+		disc.subscribers[d.index] = boot
+		disc.send(at, d, boot, wire.Encode(disc.model.Snapshot(at, disc.sim.layout.Titles)))
 	case wire.Acknowledge:
-		for _, e := range l.book.EntriesOf(m.Serial) {
-			l.w.add(at, rulecheck.Record{Kind: rulecheck.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
+		for _, e := range disc.model.EntriesOf(m.Serial) {
+			disc.sim.addRecord(at, rulecheck.Record{Kind: rulecheck.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
 		}
 	}
 }
