--- a/internal/day/baseline.go
+++ b/internal/day/baseline.go
@@ -9,63 +9,65 @@
 	"fordusher/policy"
 )
 
-// Baselines are deciders to measure the module against, behind the same loop: they know the list and
-// drains, and keep a paid session from a second set-up, but judge nothing.
+// Baselines are simple deciders, by name, that the policy module is compared with. They run in the same director
+// loop. They follow the server list, avoid draining nodes and never set up a paid session twice, but judge neither
+// failures nor slow start nor, apart from least-middle's count of streams, load.
 var Baselines = map[string]func(h *conf.Config, seed uint64) director.Decider{
-	"random-lowest": func(h *conf.Config, seed uint64) director.Decider { return newBaseline(h, seed, atRandom) },
-	"least-middle":  func(h *conf.Config, seed uint64) director.Decider { return newBaseline(h, seed, leastFirst) },
-	"round-robin":   func(h *conf.Config, seed uint64) director.Decider { return newBaseline(h, seed, inTurn) },
+	"random-lowest": func(h *conf.Config, seed uint64) director.Decider { return newBaseline(h, seed, selectRandom) },
+	"least-middle":  func(h *conf.Config, seed uint64) director.Decider { return newBaseline(h, seed, selectLeastLoaded) },
+	"round-robin":   func(h *conf.Config, seed uint64) director.Decider { return newBaseline(h, seed, selectRoundRobin) },
 }
 
-// choice is how a baseline picks a holder.
-type choice int
+// selection is the rule by which a baseline selects one of the nodes that hold a title.
+type selection int
 
 const (
-	atRandom   choice = iota // at the lowest rung
-	leastFirst               // the one with the fewest streams, at the middle rung
-	inTurn                   // the next, at the middle rung
+	selectRandom      selection = iota // a random node, at the lowest rung
+	selectLeastLoaded                  // the node with the fewest streams, at the middle rung
+	selectRoundRobin                   // the nodes in rotation, at the middle rung
 )
 
-// A baseline sets up at once on some holder and never looks back.
+// A baseline dispatches each request at once to one of the nodes that hold its title.
 type baseline struct {
-	house    *conf.Config
-	chance   *rand.Rand
-	how      choice
-	turn     int
-	nodes    map[string]policy.NodeEntry
-	order    []string
-	streams  map[string]float64
-	sessions map[uint64]*plain // emptied as sessions end
+	config    *conf.Config
+	random    *rand.Rand
+	selection selection
+	next      int
+	nodes     map[string]policy.NodeEntry
+	nodeNames []string
+	streams   map[string]float64
+	sessions  map[uint64]*baselineSession // active sessions only
 }
 
-type plain struct {
+// A baselineSession is a session as a baseline tracks it.
+type baselineSession struct {
 	policy.Request
-	legs int
-	node string
-	ran  bool
+	legs       int
+	node       string // of the current leg; empty: none
+	mayHaveRun bool   // an earlier leg may have been set up on its node
 }
 
-func newBaseline(h *conf.Config, seed uint64, how choice) *baseline {
-	return &baseline{house: h, chance: rand.New(rand.NewPCG(seed, 5)), how: how, nodes: map[string]policy.NodeEntry{},
-		streams: map[string]float64{}, sessions: map[uint64]*plain{}}
+func newBaseline(config *conf.Config, seed uint64, selection selection) *baseline {
+	return &baseline{config: config, random: rand.New(rand.NewPCG(seed, 5)), selection: selection, nodes: map[string]policy.NodeEntry{},
+		streams: map[string]float64{}, sessions: map[uint64]*baselineSession{}}
 }
 
-// Step takes what happened and returns what is to be done.
+// Step implements director.Decider.
 func (b *baseline) Step(now time.Duration, e policy.Event) []policy.Action {
 	switch e := e.(type) {
 	case policy.ServerList:
 		if e.Kind != policy.ListUpdate {
 			clear(b.nodes)
-			b.order = nil
+			b.nodeNames = nil
 		}
-		for _, x := range e.Entries {
-			if _, known := b.nodes[x.Node]; !known {
-				b.order = append(b.order, x.Node)
+		for _, entry := range e.Entries {
+			if _, known := b.nodes[entry.Node]; !known {
+				b.nodeNames = append(b.nodeNames, entry.Node)
 			}
-			b.nodes[x.Node] = x
+			b.nodes[entry.Node] = entry
 		}
 	case policy.Request:
-		s := &plain{Request: e}
+		s := &baselineSession{Request: e}
 		b.sessions[e.ID] = s
 		return b.place(now, s)
 	case policy.LegResult:
@@ -84,7 +86,7 @@
 			delete(b.sessions, e.ID)
 			return nil
 		}
-		s.ran = s.ran || e.Outcome != policy.Full && e.Outcome != policy.ConnectFailed && e.Outcome != policy.NeverStarted
+		s.mayHaveRun = s.mayHaveRun || e.Outcome != policy.Full && e.Outcome != policy.ConnectFailed && e.Outcome != policy.NeverStarted
 		return b.place(now, s)
 	case policy.ClientGone:
 		if s := b.sessions[e.ID]; s != nil && s.node == "" {
@@ -94,43 +96,43 @@
 	return nil
 }
 
-func (b *baseline) place(now time.Duration, s *plain) []policy.Action {
-	t := &b.house.Tariffs[s.Tariff]
-	cells := b.house.Fleet.Cells
+func (b *baseline) place(now time.Duration, s *baselineSession) []policy.Action {
+	tariff := &b.config.Tariffs[s.Tariff]
+	cells := b.config.Fleet.Cells
 	var holders []string
-	for _, name := range b.order {
+	for _, name := range b.nodeNames {
 		if n := b.nodes[name]; n.State == policy.Up && (n.Cell-s.FirstCell+cells)%cells < s.Copies {
 			holders = append(holders, name)
 		}
 	}
-	if s.ran && t.AtMostOnce || len(holders) == 0 || s.legs >= b.house.Legs.MaxLegs || now >= s.Deadline {
+	if s.mayHaveRun && tariff.AtMostOnce || len(holders) == 0 || s.legs >= b.config.Legs.MaxLegs || now >= s.Deadline {
 		delete(b.sessions, s.ID)
-		if s.ran && t.AtMostOnce {
+		if s.mayHaveRun && tariff.AtMostOnce {
 			return []policy.Action{policy.Fail{ID: s.ID}}
 		}
-		return []policy.Action{policy.Nack{ID: s.ID, Backoff: b.house.ReportTiming.MaxBackoff}}
+		return []policy.Action{policy.Nack{ID: s.ID, Backoff: b.config.ReportTiming.MaxBackoff}}
 	}
-	at, rung := holders[b.chance.IntN(len(holders))], t.Floor
-	if b.how == inTurn {
-		b.turn++
-		at = holders[b.turn%len(holders)]
+	node, rung := holders[b.random.IntN(len(holders))], tariff.Floor
+	if b.selection == selectRoundRobin {
+		b.next++
+		node = holders[b.next%len(holders)]
 	}
-	if b.how != atRandom {
-		rung = max(t.Floor, min(len(b.house.Ladder.Rates)/2, t.Top, s.MaxRung))
+	if b.selection != selectRandom {
+		rung = max(tariff.Floor, min(len(b.config.Ladder.Rates)/2, tariff.Top, s.MaxRung))
 	}
-	if b.how == leastFirst {
+	if b.selection == selectLeastLoaded {
 		for _, name := range holders {
-			if b.streams[name] < b.streams[at] {
-				at = name
+			if b.streams[name] < b.streams[node] {
+				node = name
 			}
 		}
 	}
 	s.legs++
-	s.node = at
-	b.streams[at]++
-	var within time.Duration
-	if !t.AtMostOnce {
-		within = min(t.GoalTime*2/5, s.Deadline-now)
+	s.node = node
+	b.streams[node]++
+	var timeout time.Duration
+	if !tariff.AtMostOnce {
+		timeout = min(tariff.GoalTime*2/5, s.Deadline-now)
 	}
-	return []policy.Action{policy.SetRung{ID: s.ID, Rung: rung}, policy.Dispatch{ID: s.ID, Node: at, Timeout: within}}
+	return []policy.Action{policy.SetRung{ID: s.ID, Rung: rung}, policy.Dispatch{ID: s.ID, Node: node, Timeout: timeout}}
 }
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -14,9 +14,9 @@
 	"fordusher/policy"
 )
 
-// short is a bad day of six seconds: drains, a crash, lost answers, a lagging list and killed directors
+// shortDay is a script of six seconds in which drains, a crash, lost answers, a delayed server list and killed directors
 // overlap.
-const short = `{
+const shortDay = `{
   "length": "6s", "requests": 500, "directors": 3, "nodes": 12, "racks": 3, "titles": 10, "load": 0.8,
   "viewers": {"mean_length": "1500ms", "hasty": 0.1, "repeats": 0.05, "drops": 0.1},
   "list": {"notice_low": "100ms", "notice_high": "400ms", "silent_notice": "1s"},
@@ -31,16 +31,17 @@
   ],
 }`
 
-// CI machines stall; what the witness must not forgive there is far larger than a second.
-const slack = 400 * time.Millisecond
+// testTolerance allows for stalls of CI machines. The violations that the rule checker must find here exceed a second
+// by far.
+const testTolerance = 400 * time.Millisecond
 
-func run(t *testing.T, text string, opt Options) *Result {
+func runScript(t *testing.T, text string, opt Options) *Result {
 	t.Helper()
 	s, err := ParseScript("test.jsonc", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	opt.Log, opt.Tolerance = zerolog.Nop(), slack
+	opt.Log, opt.Tolerance = zerolog.Nop(), testTolerance
 	if opt.Seed == 0 {
 		opt.Seed = 1
 	}
@@ -51,11 +52,12 @@
 	return r
 }
 
-func TestShortBadDayKeepsTheRules(t *testing.T) {
-	r := run(t, short, Options{})
+// Overlapping incidents of many kinds lead to no violation of a rule and no unanswered request.
+func TestShortDayKeepsTheRules(t *testing.T) {
+	r := runScript(t, shortDay, Options{})
 	if !r.Passed() {
 		r.Print(os.Stderr)
-		t.Fatal("a rule was broken")
+		t.Fatal("a rule was violated")
 	}
 	if r.Received != r.Played+r.Nacked+r.Errored+r.Abandoned || r.Played < 100 || r.Clients != 500 {
 		t.Fatalf("%+v", r)
@@ -67,35 +69,37 @@
 	}
 }
 
-// Every kind of trouble runs, one after another, in a day of its own kind.
-func TestEveryTroubleRuns(t *testing.T) {
-	var troubles []string
+// One day with an incident of every kind, all at the same time, violates no rule.
+func TestEveryIncidentKind(t *testing.T) {
+	var incidents []string
 	for _, k := range IncidentKinds {
-		troubles = append(troubles, `{"kind": "`+k+`", "at": "300ms", "for": "700ms", "share": 0.08}`)
+		incidents = append(incidents, `{"kind": "`+k+`", "at": "300ms", "for": "700ms", "share": 0.08}`)
 	}
-	r := run(t, `{"length": "3s", "requests": 200, "directors": 2, "nodes": 20, "racks": 4, "titles": 10,
+	r := runScript(t, `{"length": "3s", "requests": 200, "directors": 2, "nodes": 20, "racks": 4, "titles": 10,
 		"viewers": {"mean_length": "800ms"}, "list": {"notice_low": "50ms", "notice_high": "200ms"},
-		"troubles": [`+strings.Join(troubles, ",")+`]}`, Options{Seed: 2})
+		"troubles": [`+strings.Join(incidents, ",")+`]}`, Options{Seed: 2})
 	if !r.Passed() {
 		r.Print(os.Stderr)
-		t.Fatal("a rule was broken")
+		t.Fatal("a rule was violated")
 	}
 }
 
-// A broken module, as far as the loop lets it break a rule, is seen by the witness.
-type broken struct {
+// A brokenDecider changes the actions of a decider so that they violate a rule.
+type brokenDecider struct {
 	director.Decider
-	change func(policy.Event, []policy.Action) []policy.Action
+	rewrite func(policy.Event, []policy.Action) []policy.Action
 }
 
-func (b broken) Step(now time.Duration, e policy.Event) []policy.Action {
-	return b.change(e, b.Decider.Step(now, e))
+func (b brokenDecider) Step(now time.Duration, e policy.Event) []policy.Action {
+	return b.rewrite(e, b.Decider.Step(now, e))
 }
 
-func TestWitnessSeesABrokenModule(t *testing.T) {
+// The rule checker reports each rule that a broken decider violates. The guard of the director loop is off, since it
+// would block the actions.
+func TestCheckerDetectsBrokenDecider(t *testing.T) {
 	drained := map[string]bool{}
-	for rule, change := range map[string]func(policy.Event, []policy.Action) []policy.Action{
-		// A floor is ignored, in the module's own words.
+	for rule, rewrite := range map[string]func(policy.Event, []policy.Action) []policy.Action{
+		// All sessions play at rung 0, below the floor of their tariff.
 		rulecheck.RuleTariffLimits: func(_ policy.Event, out []policy.Action) []policy.Action {
 			for i, a := range out {
 				if r, ok := a.(policy.SetRung); ok {
@@ -104,7 +108,7 @@
 			}
 			return out
 		},
-		// Whoever drains is sent to on purpose.
+		// Requests are dispatched to nodes that drain.
 		rulecheck.RuleDrain: func(e policy.Event, out []policy.Action) []policy.Action {
 			if r, ok := e.(policy.ServerList); ok {
 				for _, x := range r.Entries {
@@ -122,7 +126,7 @@
 			}
 			return out
 		},
-		// Whoever failed is tried again, paid or not.
+		// A failed set-up is repeated at the same node, for paid sessions too.
 		rulecheck.RuleSetupOnce: func(e policy.Event, out []policy.Action) []policy.Action {
 			if r, ok := e.(policy.LegResult); ok && r.Outcome == policy.Errored && !r.Final {
 				return []policy.Action{policy.Dispatch{ID: r.ID, Node: r.Node}}
@@ -134,14 +138,15 @@
 			"viewers": {"mean_length": "500ms"}, "list": {"notice_low": "50ms", "notice_high": "100ms"},
 			"troubles": [{"kind": "fast_errors", "at": "200ms", "for": "2s", "share": 0.5, "size": 0.5},
 				{"kind": "preempt", "at": "300ms", "for": "500ms", "share": 0.3, "size": 2}]}`
-		r := run(t, script, Options{DisableGuard: true, WrapDecider: func(d director.Decider) director.Decider { return broken{d, change} }})
+		r := runScript(t, script, Options{DisableGuard: true, WrapDecider: func(d director.Decider) director.Decider { return brokenDecider{d, rewrite} }})
 		if r.Rules[rule].Violations == 0 {
-			t.Errorf("%s is broken on purpose and not seen: %+v", rule, r.Rules[rule])
+			t.Errorf("%s is violated on purpose, but the checker reports no violation: %+v", rule, r.Rules[rule])
 		}
 	}
 }
 
-func TestScriptMistakesAreNamed(t *testing.T) {
+// A mistake in a script is reported with its place and, for an unknown key, a suggestion.
+func TestScriptErrors(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{`{"lenght": "5s"}`, `s:1:2: unknown key "lenght"; did you mean "length"?`},
 		{`{"troubles": [{"kind": "flood", "at": "1s"}]}`, `unknown trouble "flood"`},
--- a/internal/day/harness.go
+++ b/internal/day/harness.go
@@ -22,28 +22,28 @@
 	"fordusher/internal/wire"
 )
 
-// Options are how a day is run.
+// Options configure a run of a day on loopback sockets.
 type Options struct {
 	Seed       uint64
 	Log        zerolog.Logger
-	Progress   func(line string)                                  // a line now and then; may be nil
-	NewDecider func(h *conf.Config, seed uint64) director.Decider // nil: the module
-	// DisableGuard is for tests: the loop sends what a module that is broken on purpose wants sent.
+	Progress   func(line string)                                  // receives progress lines; may be nil
+	NewDecider func(h *conf.Config, seed uint64) director.Decider // nil: the policy module
+	// DisableGuard is for tests with a decider that is broken on purpose: the loop sends its actions unchecked.
 	DisableGuard bool
-	WrapDecider  func(d director.Decider) director.Decider // for tests that break it; may be nil
-	Launcher     Launcher                                  // nil: everything in this process
-	Tolerance    time.Duration                             // of the witness; 0: 100 ms
-	Config       *conf.Config                              // a director's file with nodes and titles to play instead of the script's own; may be nil
-	ListUpdates  []ListUpdate                              // what the list says in the course of the day
+	WrapDecider  func(d director.Decider) director.Decider // wraps the decider in tests; may be nil
+	Launcher     Launcher                                  // nil: all parts run in this process
+	Tolerance    time.Duration                             // of the rule checker; 0: 100 ms
+	Config       *conf.Config                              // a director's config with nodes and titles that replace the script's; may be nil
+	ListUpdates  []ListUpdate                              // changes of the server list during the day
 }
 
-// ListUpdate is a line of the list at a time of the day.
+// A ListUpdate is a change of one entry of the server list at a time of the day.
 type ListUpdate struct {
 	At    time.Duration
 	Entry wire.NodeEntry
 }
 
-// A DirectorHandle that runs somewhere.
+// A DirectorHandle controls a running director, in this process or another one.
 type DirectorHandle interface {
 	Address() string
 	Kill()
@@ -51,214 +51,215 @@
 	Done() <-chan struct{}
 }
 
-// NodeFleet is the stand-in nodes, wherever they run.
+// A NodeFleet controls the emulated nodes, in this process or another one.
 type NodeFleet interface {
 	Address(node string) string
+	// Start returns the identity of a node's current start, and the time since then.
 	Start(node string) (start uint64, age time.Duration)
 	Inject(x node.Fault)
-	// Records are what the nodes saw, where that is not in the day's own record.
+	// Records returns what the nodes recorded, unless they write to the day's own recorder.
 	Records() ([]rulecheck.Record, error)
 	Close()
 }
 
-// A Launcher starts the parts of a day in processes of their own.
+// A Launcher starts the parts of a day in separate processes.
 type Launcher interface {
-	StartNodes(seed uint64, site node.Environment, machines []node.Spec, record *rulecheck.Recorder, fell func(string)) (NodeFleet, error)
-	StartDirector(house []byte, name, boot string, seed uint64) (DirectorHandle, error)
+	StartNodes(seed uint64, site node.Environment, nodes []node.Spec, record *rulecheck.Recorder, onOverload func(string)) (NodeFleet, error)
+	StartDirector(config []byte, name, boot string, seed uint64) (DirectorHandle, error)
 }
 
-// rig is a day under way.
-type rig struct {
-	script *Script
-	opt    Options
-	layout *Layout
-	record *rulecheck.Recorder
-	fleet  NodeFleet
-	list   *discovery.Source
-	crowd  *client.Population
-	first  *conf.Config
+// A harness is a running day.
+type harness struct {
+	script      *Script
+	opt         Options
+	layout      *Layout
+	recorder    *rulecheck.Recorder
+	nodes       NodeFleet
+	discovery   *discovery.Source
+	clients     *client.Population
+	firstConfig *conf.Config
 
-	mu        sync.Mutex
-	directors []*post
-	entries   []wire.NodeEntry // as the list has the machines, or will
-	rate      float64          // of arrivals, times the usual
-	hot       float64          // share of arrivals that want one of a few titles
-	boots     int
-	began     time.Time
-	waiting   sync.WaitGroup
+	mu             sync.Mutex
+	directors      []*directorSlot
+	entries        []wire.NodeEntry // by node: the entry that is listed, or will be after its delay
+	arrivalRate    float64          // factor on the normal arrival rate
+	hotShare       float64          // share of arriving clients that request one of two titles
+	starts         int              // of directors, for distinct boots and seeds
+	startedAt      time.Time
+	clientsRunning sync.WaitGroup
 }
 
-// A post is one director's place: who stands there now, and where viewers believe it to be.
-type post struct {
+// A directorSlot holds one director of the fleet across its restarts, and the address at which clients connect to it.
+type directorSlot struct {
 	name    string
-	now     DirectorHandle // nil while it is down
+	handle  DirectorHandle // nil while the director is down
 	address string
 }
 
-// Run runs a day and returns how it went.
+// Run runs a day and returns its result.
 func Run(ctx context.Context, s *Script, opt Options) (*Result, error) {
-	g := &rig{script: s, opt: opt, record: &rulecheck.Recorder{}, rate: 1}
-	if err := g.build(); err != nil {
-		g.close()
+	h := &harness{script: s, opt: opt, recorder: &rulecheck.Recorder{}, arrivalRate: 1}
+	if err := h.build(); err != nil {
+		h.close()
 		return nil, err
 	}
-	defer g.close()
-	time.Sleep(300 * time.Millisecond) // the directors dial every node at once; loopback needs no more
-	g.run(ctx)
-	return g.result()
+	defer h.close()
+	time.Sleep(300 * time.Millisecond) // enough for the directors to connect to all nodes on loopback
+	h.run(ctx)
+	return h.result()
 }
 
-// build lays out the site, and starts the nodes, the list and the directors.
-func (g *rig) build() (err error) {
-	if g.opt.Config == nil {
-		g.layout = NewLayout(g.script, g.opt.Seed)
-	} else if g.layout, err = NewLayoutFromConfig(g.script, g.opt.Seed, g.opt.Config, g.opt.ListUpdates); err != nil {
+// build creates the layout and starts the nodes, discovery and the directors.
+func (h *harness) build() (err error) {
+	if h.opt.Config == nil {
+		h.layout = NewLayout(h.script, h.opt.Seed)
+	} else if h.layout, err = NewLayoutFromConfig(h.script, h.opt.Seed, h.opt.Config, h.opt.ListUpdates); err != nil {
 		return err
 	}
-	y := g.layout
-	fell := func(name string) { g.say("%s was pushed over and stays down", name) }
-	if g.opt.Launcher != nil {
-		g.fleet, err = g.opt.Launcher.StartNodes(g.opt.Seed, y.Site, y.Nodes, g.record, fell)
+	layout := h.layout
+	onOverload := func(name string) { h.progressf("%s failed from overload and stays down", name) }
+	if h.opt.Launcher != nil {
+		h.nodes, err = h.opt.Launcher.StartNodes(h.opt.Seed, layout.Site, layout.Nodes, h.recorder, onOverload)
 	} else {
-		g.fleet, err = node.StartHost(node.NewModel(g.opt.Seed, y.Site, y.Nodes), g.record, fell)
+		h.nodes, err = node.StartHost(node.NewModel(h.opt.Seed, layout.Site, layout.Nodes), h.recorder, onOverload)
 	}
 	if err != nil {
 		return err
 	}
-	g.entries = slices.Clone(y.Entries)
+	h.entries = slices.Clone(layout.Entries)
 	var entries []wire.NodeEntry
-	for i, e := range y.Entries {
-		if e.State == wire.Removed { // the plan adds it
-			g.fleet.Inject(node.Fault{Node: e.Node, Crash: true})
+	for i, e := range layout.Entries {
+		if e.State == wire.Removed { // a later list update adds the node
+			h.nodes.Inject(node.Fault{Node: e.Node, Crash: true})
 		} else {
-			entries = append(entries, g.entry(i, e.State))
+			entries = append(entries, h.nodeEntry(i, e.State))
 		}
 	}
-	if g.list, err = discovery.Start(g.record, entries, y.Titles); err != nil {
+	if h.discovery, err = discovery.Start(h.recorder, entries, layout.Titles); err != nil {
 		return err
 	}
-	for i := range g.script.Directors {
-		g.directors = append(g.directors, &post{name: DirectorName(i)})
-		if err := g.start(i); err != nil {
+	for i := range h.script.Directors {
+		h.directors = append(h.directors, &directorSlot{name: DirectorName(i)})
+		if err := h.startDirector(i); err != nil {
 			return err
 		}
 	}
-	g.crowd = &client.Population{Behavior: g.script.Behavior, Recorder: g.record, PickDirector: g.pick}
+	h.clients = &client.Population{Behavior: h.script.Behavior, Recorder: h.recorder, PickDirector: h.pickDirector}
 	return nil
 }
 
-// entry is the list's line of a machine, in a state, as the machine is now.
-func (g *rig) entry(machine int, state string) wire.NodeEntry {
-	g.mu.Lock()
-	e := g.entries[machine]
-	g.mu.Unlock()
-	e.State, e.Address = state, g.fleet.Address(e.Node)
-	e.Incarnation, _ = g.fleet.Start(e.Node)
-	return e
+// nodeEntry returns the server list's entry for a node in a state, with its current address and start.
+func (h *harness) nodeEntry(i int, state string) wire.NodeEntry {
+	h.mu.Lock()
+	entry := h.entries[i]
+	h.mu.Unlock()
+	entry.State, entry.Address = state, h.nodes.Address(entry.Node)
+	entry.Incarnation, _ = h.nodes.Start(entry.Node)
+	return entry
 }
 
-// start puts a director at its post.
-func (g *rig) start(i int) error {
-	p := g.directors[i]
-	house, text, err := g.layout.DirectorConfig(i, g.list.Address())
+// startDirector starts the director of a slot with its own config.
+func (h *harness) startDirector(i int) error {
+	slot := h.directors[i]
+	config, text, err := h.layout.DirectorConfig(i, h.discovery.Address())
 	if err != nil {
 		return err
 	}
-	return g.post(p, house, text)
+	return h.launchDirector(slot, config, text)
 }
 
-// post starts a director of a house; its text is for one in a process of its own.
-func (g *rig) post(p *post, house *conf.Config, text []byte) (err error) {
-	g.mu.Lock()
-	g.boots++
-	boot, seed := strconv.Itoa(g.boots), g.opt.Seed*1000+uint64(g.boots)
-	if g.first == nil {
-		g.first = house
+// launchDirector starts a director with a config. The config's text is used if the director runs in its own process.
+func (h *harness) launchDirector(slot *directorSlot, config *conf.Config, text []byte) (err error) {
+	h.mu.Lock()
+	h.starts++
+	boot, seed := strconv.Itoa(h.starts), h.opt.Seed*1000+uint64(h.starts)
+	if h.firstConfig == nil {
+		h.firstConfig = config
 	}
-	g.mu.Unlock()
-	var d DirectorHandle
-	if g.opt.Launcher != nil {
-		d, err = g.opt.Launcher.StartDirector(text, p.name, boot, seed)
+	h.mu.Unlock()
+	var handle DirectorHandle
+	if h.opt.Launcher != nil {
+		handle, err = h.opt.Launcher.StartDirector(text, slot.name, boot, seed)
 	} else {
-		house.DisableGuard = g.opt.DisableGuard
-		var module director.Decider = house.NewDecider(seed)
-		if g.opt.NewDecider != nil {
-			module = g.opt.NewDecider(house, seed)
+		config.DisableGuard = h.opt.DisableGuard
+		var decider director.Decider = config.NewDecider(seed)
+		if h.opt.NewDecider != nil {
+			decider = h.opt.NewDecider(config, seed)
 		}
-		if g.opt.WrapDecider != nil {
-			module = g.opt.WrapDecider(module)
+		if h.opt.WrapDecider != nil {
+			decider = h.opt.WrapDecider(decider)
 		}
-		d, err = daemon.Start(house, boot, seed, module, g.opt.Log.With().Str("director", p.name).Logger())
+		handle, err = daemon.Start(config, boot, seed, decider, h.opt.Log.With().Str("director", slot.name).Logger())
 	}
 	if err != nil {
 		return err
 	}
-	g.record.Add(rulecheck.Record{Kind: rulecheck.DirectorStarted, Director: p.name})
-	g.mu.Lock()
-	p.now, p.address = d, d.Address()
-	g.mu.Unlock()
+	h.recorder.Add(rulecheck.Record{Kind: rulecheck.DirectorStarted, Director: slot.name})
+	h.mu.Lock()
+	slot.handle, slot.address = handle, handle.Address()
+	h.mu.Unlock()
 	return nil
 }
 
-// pick is the director that a viewer goes to; one that is down is still tried by some.
-func (g *rig) pick(r *rand.Rand) (name, address string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	p := g.directors[r.IntN(len(g.directors))]
-	return p.name, p.address
+// pickDirector returns a random director for a client to connect to, which may be down at the moment.
+func (h *harness) pickDirector(r *rand.Rand) (name, address string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	slot := h.directors[r.IntN(len(h.directors))]
+	return slot.name, slot.address
 }
 
-func (g *rig) say(format string, args ...any) {
-	if g.opt.Progress != nil {
-		g.opt.Progress(fmt.Sprintf("%6.1fs  ", time.Since(g.began).Seconds()) + fmt.Sprintf(format, args...))
+func (h *harness) progressf(format string, args ...any) {
+	if h.opt.Progress != nil {
+		h.opt.Progress(fmt.Sprintf("%6.1fs  ", time.Since(h.startedAt).Seconds()) + fmt.Sprintf(format, args...))
 	}
 }
 
-// run lets viewers come until the day's length is over, and waits for the last of them.
-func (g *rig) run(ctx context.Context) {
-	g.began = time.Now()
-	if g.opt.Config == nil {
-		g.record.Add(rulecheck.Record{Kind: rulecheck.RunStarted, RequestID: strconv.FormatUint(g.opt.Seed, 10), Reason: string(g.script.Format(""))})
+// run starts clients until all of the script's have arrived, and waits for the last of them.
+func (h *harness) run(ctx context.Context) {
+	h.startedAt = time.Now()
+	if h.opt.Config == nil {
+		h.recorder.Add(rulecheck.Record{Kind: rulecheck.RunStarted, RequestID: strconv.FormatUint(h.opt.Seed, 10), Reason: string(h.script.Format(""))})
 	}
-	end := g.began.Add(g.script.Length)
-	g.crowd.Deadline = end.Add(2 * time.Second)
-	day, cancel := context.WithDeadline(ctx, end)
+	end := h.startedAt.Add(h.script.Length)
+	h.clients.Deadline = end.Add(2 * time.Second)
+	dayCtx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	var troubles sync.WaitGroup
-	timeline := g.layout.Timeline()
-	troubles.Go(func() { g.carryOut(day, timeline, false) })
-	troubles.Go(func() { g.carryOut(day, timeline, true) })
-	rest, stop := context.WithDeadline(ctx, end.Add(30*time.Second))
+	var actions sync.WaitGroup
+	timeline := h.layout.Timeline()
+	actions.Go(func() { h.runTimeline(dayCtx, timeline, false) })
+	actions.Go(func() { h.runTimeline(dayCtx, timeline, true) })
+	clientCtx, stop := context.WithDeadline(ctx, end.Add(30*time.Second))
 	defer stop()
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
-	per := float64(g.script.Requests) / g.layout.WeightedSeconds()
-	came, due, last, said := 0, 0.0, g.began, g.began
-	for came < g.script.Requests && ctx.Err() == nil {
+	perSecond := float64(h.script.Requests) / h.layout.WeightedSeconds()
+	arrived, due, last, reported := 0, 0.0, h.startedAt, h.startedAt
+	for arrived < h.script.Requests && ctx.Err() == nil {
 		<-tick.C
 		now := time.Now()
-		g.mu.Lock()
-		due += per * g.rate * now.Sub(last).Seconds()
-		hot := g.hot
-		g.mu.Unlock()
+		h.mu.Lock()
+		due += perSecond * h.arrivalRate * now.Sub(last).Seconds()
+		hot := h.hotShare
+		h.mu.Unlock()
 		last = now
-		for ; due >= 1 && came < g.script.Requests; due-- {
-			v, r := g.layout.Client(g.first, came, hot)
-			came++
-			g.waiting.Go(func() { g.crowd.RunClient(rest, v, r) })
+		for ; due >= 1 && arrived < h.script.Requests; due-- {
+			request, r := h.layout.Client(h.firstConfig, arrived, hot)
+			arrived++
+			h.clientsRunning.Go(func() { h.clients.RunClient(clientCtx, request, r) })
 		}
-		if now.Sub(said) >= 2*time.Second {
-			said = now
-			g.say("%d viewers have come", came)
+		if now.Sub(reported) >= 2*time.Second {
+			reported = now
+			h.progressf("%d clients have arrived", arrived)
 		}
 	}
-	troubles.Wait()
-	g.waiting.Wait()
-	time.Sleep(50 * time.Millisecond) // what is still on its way
+	actions.Wait()
+	h.clientsRunning.Wait()
+	time.Sleep(50 * time.Millisecond) // lets messages in transit arrive
 }
 
-// carryOut does what the timeline has, of directors or of all else, each at its time.
-func (g *rig) carryOut(ctx context.Context, timeline []Action, directors bool) {
+// runTimeline applies the timeline's actions at their times: those on directors, or all others.
+func (h *harness) runTimeline(ctx context.Context, timeline []Action, directors bool) {
 	for _, a := range timeline {
 		if a.Director != directors {
 			continue
@@ -266,85 +267,85 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(a.At - time.Since(g.began)):
+		case <-time.After(a.At - time.Since(h.startedAt)):
 		}
 		if a.Say != "" {
-			g.say("%s", a.Say)
+			h.progressf("%s", a.Say)
 		}
-		g.act(a)
+		h.apply(a)
 	}
 }
 
-func (g *rig) act(a Action) {
-	if what, err := json.Marshal(a); err == nil {
-		g.record.Add(rulecheck.Record{Kind: rulecheck.ActionApplied, Reason: string(what)})
+func (h *harness) apply(a Action) {
+	if text, err := json.Marshal(a); err == nil {
+		h.recorder.Add(rulecheck.Record{Kind: rulecheck.ActionApplied, Reason: string(text)})
 	}
 	if a.Fault != nil {
-		g.fleet.Inject(*a.Fault)
+		h.nodes.Inject(*a.Fault)
 	}
-	if w := a.List; w != nil {
-		if w.Entry != nil {
-			g.mu.Lock()
-			g.entries[w.Machine] = *w.Entry
-			g.mu.Unlock()
+	if change := a.List; change != nil {
+		if change.Entry != nil {
+			h.mu.Lock()
+			h.entries[change.Machine] = *change.Entry
+			h.mu.Unlock()
 		}
-		born := time.Duration(0)
-		if w.Born {
-			born = rulecheck.MonotonicNow()
+		startedAt := time.Duration(0)
+		if change.Born {
+			startedAt = rulecheck.MonotonicNow()
 		}
-		g.list.UpdateNode(g.entry(w.Machine, w.State), born, w.Late)
+		h.discovery.UpdateNode(h.nodeEntry(change.Machine, change.State), startedAt, change.Late)
 	}
 	if a.Lag != nil {
-		g.list.SetLag(*a.Lag)
+		h.discovery.SetLag(*a.Lag)
 	}
-	g.mu.Lock()
+	h.mu.Lock()
 	if a.Rate != nil {
-		g.rate = *a.Rate
+		h.arrivalRate = *a.Rate
 	}
 	if a.Hot != nil {
-		g.hot = *a.Hot
+		h.hotShare = *a.Hot
 	}
-	g.mu.Unlock()
+	h.mu.Unlock()
 	for _, i := range a.Kill {
-		g.kill(g.directors[i])
+		h.kill(h.directors[i])
 	}
 	for _, i := range a.Start {
-		if err := g.start(i); err != nil {
-			g.say("%s does not start: %v", g.directors[i].name, err)
+		if err := h.startDirector(i); err != nil {
+			h.progressf("%s failed to start: %v", h.directors[i].name, err)
 		}
 	}
 }
 
-// kill ends a director at once. Around the moment, what it still owes is excused from the earlier word, and
-// what it still sent is held against it until the later one.
-func (g *rig) kill(p *post) {
-	g.record.Add(rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: p.name})
-	g.mu.Lock()
-	d := p.now
-	p.now = nil
-	g.mu.Unlock()
-	if d != nil {
-		d.Kill()
+// kill ends a director at once. It records the kill before and after: from the first record on, unanswered requests
+// of the director are excused, and until the second one, its messages are still checked against the rules.
+func (h *harness) kill(slot *directorSlot) {
+	h.recorder.Add(rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: slot.name})
+	h.mu.Lock()
+	handle := slot.handle
+	slot.handle = nil
+	h.mu.Unlock()
+	if handle != nil {
+		handle.Kill()
 	}
-	g.record.Add(rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: p.name})
+	h.recorder.Add(rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: slot.name})
 }
 
-func (g *rig) close() {
-	g.mu.Lock()
-	directors := g.directors
-	g.mu.Unlock()
-	for _, p := range directors {
-		g.mu.Lock()
-		d := p.now
-		g.mu.Unlock()
-		if d != nil {
-			d.Kill()
+func (h *harness) close() {
+	h.mu.Lock()
+	directors := h.directors
+	h.mu.Unlock()
+	for _, slot := range directors {
+		h.mu.Lock()
+		handle := slot.handle
+		h.mu.Unlock()
+		if handle != nil {
+			handle.Kill()
 		}
 	}
-	if g.list != nil {
-		g.list.Close()
+	if h.discovery != nil {
+		h.discovery.Close()
 	}
-	if g.fleet != nil {
-		g.fleet.Close()
+	if h.nodes != nil {
+		h.nodes.Close()
 	}
 }
--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -20,17 +20,19 @@
 )
 
 //go:embed house.jsonc
-var houseText string
+var configText string
 
-var houseTemplate = template.Must(template.New("house").Parse(houseText))
+var configTemplate = template.Must(template.New("house").Parse(configText))
 
-// What a second earns at each rung, and loses where its rate is short; the directors' file has the first too.
-var worth = []float64{0.23, 0.52, 0.76, 1}
+// rungValues is the credit of a second at each rung, as a share of the highest rung's. house.jsonc has the same
+// numbers under "worth". stallCost is the loss of credit per missing share of the rung's rate; see
+// node.Environment.
+var rungValues = []float64{0.23, 0.52, 0.76, 1}
 
 const stallCost = 7
 
-// houseFacts fill in the directors' file.
-type houseFacts struct {
+// configValues fill in the template of the directors' config, house.jsonc.
+type configValues struct {
 	Name          string
 	Me, Directors int
 	List          string
@@ -39,170 +41,172 @@
 	Places, Seats int
 }
 
-// A Layout is the place that a day is played in: nodes, racks, titles, and what directors are told of them.
-// The same script and seed always give the same one.
+// A Layout describes the site of a day: nodes, racks, titles, and the directors' config. The same script and seed
+// always give the same layout.
 type Layout struct {
 	Script      *Script
 	Seed        uint64
 	Site        node.Environment
 	Nodes       []node.Spec
-	Entries     []wire.NodeEntry // of the machines, addresses and starts left out; Removed: not there at first
+	Entries     []wire.NodeEntry // of the nodes, without addresses and starts; Removed: not running at first
 	Titles      []wire.TitlePlacement
 	Worth       []float64
 	ListUpdates []ListUpdate
 
-	house  *conf.Config // of an imported fleet; nil: the script's own
-	facts  houseFacts
-	chance *rand.Rand
+	config *conf.Config // of an imported fleet; nil: the script describes the fleet
+	values configValues
+	random *rand.Rand
 }
 
-// NewLayout lays out the place that a script describes.
+// NewLayout returns the layout that a script describes.
 func NewLayout(s *Script, seed uint64) *Layout {
-	y := &Layout{Script: s, Seed: seed, Worth: worth, chance: rand.New(rand.NewPCG(seed, 2))}
-	const middle = 703.0
+	layout := &Layout{Script: s, Seed: seed, Worth: rungValues, random: rand.New(rand.NewPCG(seed, 2))}
+	const middleRate = 703.0
 	concurrent := float64(s.Requests) / s.Length.Seconds() * s.MeanLength.Seconds()
-	link := max(3*middle, concurrent*middle/s.Load/float64(s.Nodes))
+	link := max(3*middleRate, concurrent*middleRate/s.Load/float64(s.Nodes))
 	perRack := (s.Nodes + s.Racks - 1) / s.Racks
-	y.facts = houseFacts{
+	layout.values = configValues{
 		Directors: s.Directors, Cells: s.Nodes, Racks: s.Racks, Link: link,
-		Uplink: link * float64(perRack) * 0.95, Places: int(math.Ceil(link / middle * 2.5)),
+		Uplink: link * float64(perRack) * 0.95, Places: int(math.Ceil(link / middleRate * 2.5)),
 	}
-	y.facts.Seats = max(2, int(concurrent/float64(s.Directors)/8))
+	layout.values.Seats = max(2, int(concurrent/float64(s.Directors)/8))
 	var uplinks []float64
 	for range s.Racks {
-		uplinks = append(uplinks, y.facts.Uplink*(0.85+0.3*y.chance.Float64()))
+		uplinks = append(uplinks, layout.values.Uplink*(0.85+0.3*layout.random.Float64()))
 	}
 	for i := range s.Nodes {
-		y.machine(wire.NodeEntry{Node: "node-" + strconv.Itoa(i), State: wire.Up, MachineKind: "box", Zone: "hall", Weight: 1, Cell: i}, s.Racks, y.facts.Places, link)
+		layout.addNode(wire.NodeEntry{Node: "node-" + strconv.Itoa(i), State: wire.Up, MachineKind: "box", Zone: "hall", Weight: 1, Cell: i}, s.Racks, layout.values.Places, link)
 	}
-	y.Site = node.Environment{
+	layout.Site = node.Environment{
 		Uplinks: uplinks, Warmup: 5 * time.Second, InitialShare: 0.4, OverloadMultiple: 4, OverloadWindow: time.Second,
 		ReportDelay: 600 * time.Millisecond, ReportInterval: 2 * time.Second, LoadRefresh: 300 * time.Millisecond,
-		RungValues: worth, StallCost: stallCost,
+		RungValues: rungValues, StallCost: stallCost,
 	}
 	copies := max(min(3, s.Nodes), s.Nodes/5)
 	for i := range s.Titles {
-		y.Titles = append(y.Titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i), FirstCell: y.chance.IntN(s.Nodes), Copies: copies})
+		layout.Titles = append(layout.Titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i), FirstCell: layout.random.IntN(s.Nodes), Copies: copies})
 	}
-	return y
+	return layout
 }
 
-func (y *Layout) machine(e wire.NodeEntry, racks, places int, link float64) {
-	y.Entries = append(y.Entries, e)
-	y.Nodes = append(y.Nodes, node.Spec{Name: e.Node, Kind: e.MachineKind, Rack: e.Cell % racks, MaxStreams: places,
-		LinkRate: link * (0.85 + 0.3*y.chance.Float64()), Cores: 2, SetupTime: 3 * time.Millisecond})
+func (layout *Layout) addNode(entry wire.NodeEntry, racks, places int, link float64) {
+	layout.Entries = append(layout.Entries, entry)
+	layout.Nodes = append(layout.Nodes, node.Spec{Name: entry.Node, Kind: entry.MachineKind, Rack: entry.Cell % racks, MaxStreams: places,
+		LinkRate: link * (0.85 + 0.3*layout.random.Float64()), Cores: 2, SetupTime: 3 * time.Millisecond})
 }
 
-// NewLayoutFromConfig lays out the place that a director's file describes: its nodes behind stand-ins, its titles.
-func NewLayoutFromConfig(s *Script, seed uint64, h *conf.Config, plan []ListUpdate) (*Layout, error) {
-	if len(h.Nodes) == 0 || len(h.Titles) == 0 {
-		return nil, fmt.Errorf("the director's file has %d nodes and %d titles: a day needs some of both", len(h.Nodes), len(h.Titles))
+// NewLayoutFromConfig returns the layout that a director's config describes: an emulated node for each of its nodes and
+// of those that the updates add, and its titles.
+func NewLayoutFromConfig(s *Script, seed uint64, config *conf.Config, updates []ListUpdate) (*Layout, error) {
+	if len(config.Nodes) == 0 || len(config.Titles) == 0 {
+		return nil, fmt.Errorf("the director's config has %d nodes and %d titles: a day needs at least one of each", len(config.Nodes), len(config.Titles))
 	}
-	y := &Layout{Script: s, Seed: seed, Titles: h.Titles, Worth: h.Ladder.Worth, ListUpdates: plan, house: h, chance: rand.New(rand.NewPCG(seed, 2))}
-	if len(y.Worth) == 0 {
-		for _, r := range h.Ladder.Rates {
-			y.Worth = append(y.Worth, r/h.Ladder.Rates[len(h.Ladder.Rates)-1])
+	layout := &Layout{Script: s, Seed: seed, Titles: config.Titles, Worth: config.Ladder.Worth, ListUpdates: updates, config: config, random: rand.New(rand.NewPCG(seed, 2))}
+	if len(layout.Worth) == 0 {
+		for _, r := range config.Ladder.Rates {
+			layout.Worth = append(layout.Worth, r/config.Ladder.Rates[len(config.Ladder.Rates)-1])
 		}
 	}
-	all := slices.Clone(h.Nodes)
+	all := slices.Clone(config.Nodes)
 	known := map[string]bool{}
 	for _, e := range all {
 		known[e.Node] = true
 	}
-	for _, t := range plan {
-		if !known[t.Entry.Node] {
-			known[t.Entry.Node] = true
-			e := t.Entry
+	for _, u := range updates {
+		if !known[u.Entry.Node] {
+			known[u.Entry.Node] = true
+			e := u.Entry
 			e.State = wire.Removed
 			all = append(all, e)
 		}
 	}
 	for _, e := range all {
-		kind := slices.Index(h.MachineKinds, e.MachineKind)
+		kind := slices.Index(config.MachineKinds, e.MachineKind)
 		if kind < 0 {
-			return nil, fmt.Errorf("node %s is of kind %q, which fleet.machines does not have", e.Node, e.MachineKind)
+			return nil, fmt.Errorf("node %s is of kind %q, which is missing from fleet.machines", e.Node, e.MachineKind)
 		}
-		y.machine(e, h.Fleet.Racks, int(h.Ramp.MaxStreams[kind]), h.Fleet.LinkUnit*e.Weight)
+		layout.addNode(e, config.Fleet.Racks, int(config.Ramp.MaxStreams[kind]), config.Fleet.LinkUnit*e.Weight)
 	}
-	y.Site = node.Environment{Warmup: h.Ramp.Warmup, InitialShare: h.Ramp.InitialShare, OverloadMultiple: h.Ramp.OverloadMultiple, OverloadWindow: h.Ramp.OverloadWindow,
-		ReportDelay: h.ReportTiming.Delay, ReportInterval: h.ReportTiming.Interval, LoadRefresh: 300 * time.Millisecond, RungValues: y.Worth, StallCost: stallCost}
-	for range h.Fleet.Racks {
-		y.Site.Uplinks = append(y.Site.Uplinks, h.Fleet.Uplink*(0.85+0.3*y.chance.Float64()))
+	layout.Site = node.Environment{Warmup: config.Ramp.Warmup, InitialShare: config.Ramp.InitialShare, OverloadMultiple: config.Ramp.OverloadMultiple, OverloadWindow: config.Ramp.OverloadWindow,
+		ReportDelay: config.ReportTiming.Delay, ReportInterval: config.ReportTiming.Interval, LoadRefresh: 300 * time.Millisecond, RungValues: layout.Worth, StallCost: stallCost}
+	for range config.Fleet.Racks {
+		layout.Site.Uplinks = append(layout.Site.Uplinks, config.Fleet.Uplink*(0.85+0.3*layout.random.Float64()))
 	}
-	return y, nil
+	return layout, nil
 }
 
-// DirectorName is the name of a director by its number.
+// DirectorName returns the name of the director with an index.
 func DirectorName(i int) string { return "director-" + strconv.Itoa(i) }
 
-// DirectorConfig is what a director is told at its start, and, of the script's own place, the text that says so.
-func (y *Layout) DirectorConfig(i int, list string) (*conf.Config, []byte, error) {
+// DirectorConfig returns a director's config and, unless the fleet is imported, its text.
+func (layout *Layout) DirectorConfig(i int, discoveryAddress string) (*conf.Config, []byte, error) {
 	name := DirectorName(i)
-	if y.house != nil {
-		h := *y.house
-		h.Name, h.Peers.Index, h.Peers.Directors, h.ListenAddress, h.DiscoveryAddress, h.MetricsAddress = name, i, y.Script.Directors, "127.0.0.1:0", list, ""
-		h.Nodes, h.Titles = nil, nil // the list has them
-		return &h, nil, nil
-	}
-	facts := y.facts
-	facts.Name, facts.Me, facts.List = name, i, list
+	if layout.config != nil {
+		config := *layout.config
+		config.Name, config.Peers.Index, config.Peers.Directors, config.ListenAddress, config.DiscoveryAddress, config.MetricsAddress = name, i, layout.Script.Directors, "127.0.0.1:0", discoveryAddress, ""
+		config.Nodes, config.Titles = nil, nil // discovery provides them
+		return &config, nil, nil
+	}
+	values := layout.values
+	values.Name, values.Me, values.List = name, i, discoveryAddress
 	var text bytes.Buffer
-	if err := houseTemplate.Execute(&text, facts); err != nil {
+	if err := configTemplate.Execute(&text, values); err != nil {
 		return nil, nil, err
 	}
-	house, err := conf.Decode(name+".jsonc", text.Bytes())
-	return house, text.Bytes(), err
+	config, err := conf.Decode(name+".jsonc", text.Bytes())
+	return config, text.Bytes(), err
 }
 
-// Client is the viewer of a number; hot is the share of them that want one of two titles.
-func (y *Layout) Client(h *conf.Config, number int, hot float64) (client.Request, *rand.Rand) {
-	r := rand.New(rand.NewPCG(y.Seed, uint64(number)+1000))
-	v := client.Request{ClientNumber: number + 1, Key: strconv.FormatUint(r.Uint64(), 36)}
+// Client returns the request of the client with a number, and the client's random source. Hot is the share of clients
+// that request one of two titles.
+func (layout *Layout) Client(config *conf.Config, number int, hot float64) (client.Request, *rand.Rand) {
+	random := rand.New(rand.NewPCG(layout.Seed, uint64(number)+1000))
+	request := client.Request{ClientNumber: number + 1, Key: strconv.FormatUint(random.Uint64(), 36)}
 	i := 0
-	if x := r.Float64(); x < 0.3 {
+	if x := random.Float64(); x < 0.3 {
 		i = 1
 	} else if x < 0.5 {
 		i = 2
 	}
-	t := h.Tariffs[i%len(h.Tariffs)]
-	v.Tariff, v.Paid, v.Wait, v.StartGoal = t.Name, t.AtMostOnce, t.HardStop, t.GoalTime
-	// Some titles are wanted far more than others.
-	x := r.Float64()
-	title := int(x * x * float64(len(y.Titles)))
-	if r.Float64() < hot {
-		title = r.IntN(min(2, len(y.Titles)))
-	}
-	v.Title = y.Titles[title].Title
-	v.Length = time.Duration(float64(y.Script.MeanLength) * (0.4 + 1.2*r.Float64()))
-	best := min(t.Top, len(y.Worth)-1)
-	if r.Float64() < 0.2 {
-		v.MaxRung = new(min(best, r.IntN(2)+1))
-		best = min(best, *v.MaxRung)
-	}
-	v.BestRungValue = y.Worth[best]
-	return v, r
+	tariff := config.Tariffs[i%len(config.Tariffs)]
+	request.Tariff, request.Paid, request.Wait, request.StartGoal = tariff.Name, tariff.AtMostOnce, tariff.HardStop, tariff.GoalTime
+	// Titles of low index are requested far more often than others.
+	x := random.Float64()
+	title := int(x * x * float64(len(layout.Titles)))
+	if random.Float64() < hot {
+		title = random.IntN(min(2, len(layout.Titles)))
+	}
+	request.Title = layout.Titles[title].Title
+	request.Length = time.Duration(float64(layout.Script.MeanLength) * (0.4 + 1.2*random.Float64()))
+	best := min(tariff.Top, len(layout.Worth)-1)
+	if random.Float64() < 0.2 {
+		request.MaxRung = new(min(best, random.IntN(2)+1))
+		best = min(best, *request.MaxRung)
+	}
+	request.BestRungValue = layout.Worth[best]
+	return request, random
 }
 
-// WeightedSeconds is the day's length in seconds, with bursts counted as often as they multiply.
-func (y *Layout) WeightedSeconds() float64 {
-	seconds := y.Script.Length.Seconds()
-	for _, t := range y.Script.Incidents {
+// WeightedSeconds returns the day's length in seconds, with the time of each burst multiplied by its arrival rate.
+func (layout *Layout) WeightedSeconds() float64 {
+	seconds := layout.Script.Length.Seconds()
+	for _, t := range layout.Script.Incidents {
 		if t.Kind == "burst" {
-			seconds += min(t.Duration, y.Script.Length-t.At).Seconds() * (t.Size - 1)
+			seconds += min(t.Duration, layout.Script.Length-t.At).Seconds() * (t.Size - 1)
 		}
 	}
 	return seconds
 }
 
-// RuleLimits are the figures of the rules, as directors of a house were told them.
-func RuleLimits(h *conf.Config, slack time.Duration) rulecheck.Limits {
-	t := rulecheck.Limits{
-		Tariffs: map[string]rulecheck.TariffLimits{}, DrainGrace: h.DrainGrace, Warmup: h.Ramp.Warmup, InitialShare: h.Ramp.InitialShare,
-		OverloadMultiple: h.Ramp.OverloadMultiple, OverloadWindow: h.Ramp.OverloadWindow, MaxLegs: h.Legs.MaxLegs, MinRetries: h.Legs.MinRetries, RetryRatio: h.Legs.RetryRatio,
-		RetryWindow: h.Legs.Window, Tolerance: slack,
+// RuleLimits returns the limits that the rule checker applies, taken from the directors' config.
+func RuleLimits(config *conf.Config, tolerance time.Duration) rulecheck.Limits {
+	limits := rulecheck.Limits{
+		Tariffs: map[string]rulecheck.TariffLimits{}, DrainGrace: config.DrainGrace, Warmup: config.Ramp.Warmup, InitialShare: config.Ramp.InitialShare,
+		OverloadMultiple: config.Ramp.OverloadMultiple, OverloadWindow: config.Ramp.OverloadWindow, MaxLegs: config.Legs.MaxLegs, MinRetries: config.Legs.MinRetries, RetryRatio: config.Legs.RetryRatio,
+		RetryWindow: config.Legs.Window, Tolerance: tolerance,
 	}
-	for _, x := range h.Tariffs {
-		t.Tariffs[x.Name] = rulecheck.TariffLimits{Paid: x.AtMostOnce, MinRung: x.Floor, Seats: x.Seats, Credit: x.Credit, StartGoal: x.GoalTime}
+	for _, x := range config.Tariffs {
+		limits.Tariffs[x.Name] = rulecheck.TariffLimits{Paid: x.AtMostOnce, MinRung: x.Floor, Seats: x.Seats, Credit: x.Credit, StartGoal: x.GoalTime}
 	}
-	return t
+	return limits
 }
--- a/internal/day/replay.go
+++ b/internal/day/replay.go
@@ -10,10 +10,10 @@
 	"fordusher/internal/rulecheck"
 )
 
-// ReconstructRun finds in a day's record what it was and what was done in its course, each at the time at which it was
-// really done: the incident, to be gone through again.
+// ReconstructRun reads the script, the seed and the applied actions from a day's records, so that the day can be
+// replayed. Each action gets the time at which it was actually applied.
 func ReconstructRun(records []rulecheck.Record) (s *Script, seed uint64, timeline []Action, err error) {
-	var began time.Duration
+	var startedAt time.Duration
 	for _, r := range records {
 		switch r.Kind {
 		case rulecheck.RunStarted:
@@ -23,18 +23,18 @@
 			if seed, err = strconv.ParseUint(r.RequestID, 10, 64); err != nil {
 				return nil, 0, nil, fmt.Errorf("the record's seed: %w", err)
 			}
-			began = r.At
+			startedAt = r.At
 		case rulecheck.ActionApplied:
 			var a Action
 			if err := json.Unmarshal([]byte(r.Reason), &a); err != nil {
 				return nil, 0, nil, fmt.Errorf("the record's action at %v: %w", r.At, err)
 			}
-			a.At = r.At - began
+			a.At = r.At - startedAt
 			timeline = append(timeline, a)
 		}
 	}
 	if s == nil {
-		return nil, 0, nil, errors.New("the record does not tell its script: it is of an earlier version, or of an imported fleet")
+		return nil, 0, nil, errors.New("the record contains no script: an earlier version wrote it, or the fleet was imported")
 	}
 	return s, seed, timeline, nil
 }
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -1,5 +1,5 @@
-// Package day runs a scripted day on loopback: directors, stand-in nodes, list and players, troubles that
-// overlap, and the verdict from what crossed the sockets.
+// Package day runs a scripted day on loopback sockets: directors with emulated nodes, discovery and clients, and
+// incidents that overlap. A rule checker judges the day from the messages that crossed the sockets.
 package day
 
 import (
@@ -15,16 +15,17 @@
 )
 
 //go:embed bad.jsonc
-var badDay []byte
+var defaultScriptText []byte
 
 //go:embed quarter.jsonc
-var badQuarter []byte
+var quarterScriptText []byte
 
-// IncidentKinds are the troubles that a script may name.
+// IncidentKinds are the kinds of incidents that a script may contain.
 var IncidentKinds = []string{"ageing", "answer_lost", "balancer_roll", "burst", "crash", "deploy", "discovery_stale", "fast_errors",
 	"hang", "hot_key", "origin_slow", "preempt", "shared_slow", "vanish"}
 
-// Incident is one thing that goes wrong.
+// An Incident is a fault, a change of load, or a rollout during a day. What Share and Size stand for depends on the
+// kind.
 type Incident struct {
 	Kind     string
 	At       time.Duration
@@ -33,38 +34,38 @@
 	Size     float64
 }
 
-// Script is a day.
+// A Script describes a day: one run of a fleet with its clients and incidents.
 type Script struct {
 	Length              time.Duration
-	Requests            int // viewers who come; those who come again are on top
+	Requests            int // clients that arrive; their retries are not counted
 	Directors           int
 	Nodes               int
 	Racks               int
 	Titles              int
-	Load                float64 // of the links at the middle rate
+	Load                float64 // of the links, at the middle rung's rate; 1: all links full
 	MeanLength          time.Duration
 	Behavior            client.Behavior
 	MinListDelay        time.Duration
 	MaxListDelay        time.Duration
 	SilentNodeListDelay time.Duration
 	Incidents           []Incident
-	Seed                uint64 // what chance is drawn from where nobody says otherwise; 0: 1
+	Seed                uint64 // used unless the command line gives a seed; 0: 1
 }
 
-// DefaultScript is the script that ships with the program.
+// DefaultScript returns the script that ships with the program.
 func DefaultScript() *Script {
-	s, err := ParseScript("bad.jsonc", badDay)
+	s, err := ParseScript("bad.jsonc", defaultScriptText)
 	if err != nil {
-		panic(fmt.Sprintf("the script that ships with the program: %v", err))
+		panic(fmt.Sprintf("the embedded default script: %v", err))
 	}
 	return s
 }
 
-// LoadScript reads a script's file, or the one that ships under the name bad-quarter; what is wrong with it comes
-// back as conf.Problems.
+// LoadScript reads a script from a file; the name bad-quarter selects the embedded one. Mistakes in the file are
+// returned as conf.Problems.
 func LoadScript(file string) (*Script, error) {
 	if file == "bad-quarter" {
-		return ParseScript("quarter.jsonc", badQuarter)
+		return ParseScript("quarter.jsonc", quarterScriptText)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -73,7 +74,7 @@
 	return ParseScript(file, text)
 }
 
-// ParseScript reads a script from its text.
+// ParseScript parses a script.
 func ParseScript(file string, text []byte) (*Script, error) {
 	r, o := conf.Parse(file, text)
 	if err := r.Err(); err != nil {
@@ -92,44 +93,44 @@
 	if s.Racks > s.Nodes {
 		r.AddProblem(o.OffsetOf("racks"), "there are %d racks for %d nodes", s.Racks, s.Nodes)
 	}
-	v := o.Object("viewers", false)
-	s.MeanLength = v.Duration("mean_length", 3*time.Second, 100*time.Millisecond, time.Hour, false)
+	clients := o.Object("viewers", false)
+	s.MeanLength = clients.Duration("mean_length", 3*time.Second, 100*time.Millisecond, time.Hour, false)
 	s.Behavior = client.Behavior{
-		RetryShare:         v.Number("returns", 0.88, 0, 1, false),
-		MinRetryDelay:      v.Duration("pause_low", 200*time.Millisecond, 0, time.Hour, false),
-		MaxRetryDelay:      v.Duration("pause_high", 1200*time.Millisecond, 0, time.Hour, false),
-		HonorsBackoffShare: v.Number("heeds", 0.8, 0, 1, false),
-		CancelShare:        v.Number("hasty", 0.04, 0, 1, false),
-		DuplicateShare:     v.Number("repeats", 0.02, 0, 1, false),
-		DisconnectShare:    v.Number("drops", 0.03, 0, 1, false),
+		RetryShare:         clients.Number("returns", 0.88, 0, 1, false),
+		MinRetryDelay:      clients.Duration("pause_low", 200*time.Millisecond, 0, time.Hour, false),
+		MaxRetryDelay:      clients.Duration("pause_high", 1200*time.Millisecond, 0, time.Hour, false),
+		HonorsBackoffShare: clients.Number("heeds", 0.8, 0, 1, false),
+		CancelShare:        clients.Number("hasty", 0.04, 0, 1, false),
+		DuplicateShare:     clients.Number("repeats", 0.02, 0, 1, false),
+		DisconnectShare:    clients.Number("drops", 0.03, 0, 1, false),
 	}
 	if s.Behavior.MinRetryDelay > s.Behavior.MaxRetryDelay {
-		r.AddProblem(v.OffsetOf("pause_low"), "pause_low is %v, longer than pause_high, which is %v", s.Behavior.MinRetryDelay, s.Behavior.MaxRetryDelay)
+		r.AddProblem(clients.OffsetOf("pause_low"), "pause_low is %v, longer than pause_high, which is %v", s.Behavior.MinRetryDelay, s.Behavior.MaxRetryDelay)
 	}
-	v.ReportUnknownKeys()
-	l := o.Object("list", false)
-	s.MinListDelay = l.Duration("notice_low", 200*time.Millisecond, 0, time.Hour, false)
-	s.MaxListDelay = l.Duration("notice_high", 900*time.Millisecond, 0, time.Hour, false)
-	s.SilentNodeListDelay = l.Duration("silent_notice", 3*time.Second, 0, time.Hour, false)
+	clients.ReportUnknownKeys()
+	list := o.Object("list", false)
+	s.MinListDelay = list.Duration("notice_low", 200*time.Millisecond, 0, time.Hour, false)
+	s.MaxListDelay = list.Duration("notice_high", 900*time.Millisecond, 0, time.Hour, false)
+	s.SilentNodeListDelay = list.Duration("silent_notice", 3*time.Second, 0, time.Hour, false)
 	if s.MinListDelay > s.MaxListDelay {
-		r.AddProblem(l.OffsetOf("notice_low"), "notice_low is %v, longer than notice_high, which is %v", s.MinListDelay, s.MaxListDelay)
+		r.AddProblem(list.OffsetOf("notice_low"), "notice_low is %v, longer than notice_high, which is %v", s.MinListDelay, s.MaxListDelay)
 	}
-	l.ReportUnknownKeys()
-	o.Objects("troubles", false, func(_ int, t *conf.Object) {
+	list.ReportUnknownKeys()
+	o.Objects("troubles", false, func(_ int, incident *conf.Object) {
 		x := Incident{
-			Kind:     t.Text("kind", "", true),
-			At:       t.Duration("at", 0, 0, time.Hour, true),
-			Duration: t.Duration("for", time.Second, time.Millisecond, time.Hour, false),
-			Share:    t.Number("share", 0.1, 0, 1, false),
-			Size:     t.Number("size", defaultSize(t.Text("kind", "", false)), 0, 1000, false),
+			Kind:     incident.Text("kind", "", true),
+			At:       incident.Duration("at", 0, 0, time.Hour, true),
+			Duration: incident.Duration("for", time.Second, time.Millisecond, time.Hour, false),
+			Share:    incident.Number("share", 0.1, 0, 1, false),
+			Size:     incident.Number("size", defaultSize(incident.Text("kind", "", false)), 0, 1000, false),
 		}
 		if x.Kind != "" && !slices.Contains(IncidentKinds, x.Kind) {
-			r.AddProblem(t.OffsetOf("kind"), "unknown trouble %q; the troubles are %s", x.Kind, strings.Join(IncidentKinds, ", "))
+			r.AddProblem(incident.OffsetOf("kind"), "unknown trouble %q; the troubles are %s", x.Kind, strings.Join(IncidentKinds, ", "))
 		}
 		if x.At >= s.Length {
-			r.AddProblem(t.OffsetOf("at"), "%s begins at %v, but the day ends at %v", x.Kind, x.At, s.Length)
+			r.AddProblem(incident.OffsetOf("at"), "%s begins at %v, but the day ends at %v", x.Kind, x.At, s.Length)
 		}
-		t.ReportUnknownKeys()
+		incident.ReportUnknownKeys()
 		s.Incidents = append(s.Incidents, x)
 	})
 	o.ReportUnknownKeys()
@@ -139,7 +140,7 @@
 	return s, nil
 }
 
-// Format writes a script as a file that Read reads.
+// Format returns the script as text that ParseScript accepts, under an optional comment.
 func (s *Script) Format(comment string) []byte {
 	var b strings.Builder
 	if comment != "" {
@@ -158,7 +159,7 @@
 	return []byte(b.String())
 }
 
-// defaultSize is what a trouble's size is where the script does not say.
+// defaultSize returns the size of incidents of a kind if the script gives none.
 func defaultSize(kind string) float64 {
 	switch kind {
 	case "ageing":
--- a/internal/day/timeline.go
+++ b/internal/day/timeline.go
@@ -10,240 +10,243 @@
 	"fordusher/internal/wire"
 )
 
-// An Action is one thing that is done at a time of a day, counted from its begin. What it does not name it
-// leaves alone.
+// An Action is a set of changes at a time that counts from the day's beginning. Fields that are not set change nothing.
+// Actions are stored as JSON in a day's records, under their field names.
 type Action struct {
 	At       time.Duration
 	Fault    *node.Fault
 	List     *ListChange
-	Lag      *time.Duration // of the list, from now on
-	Kill     []int          // directors
-	Start    []int
-	Rate     *float64 // of arrivals, times the usual
-	Hot      *float64 // share of viewers that want one of two titles
-	Say      string
-	Director bool // it is about directors: kept apart, since starting one takes its time
+	Lag      *time.Duration // delay of the server list from then on
+	Kill     []int          // directors to kill
+	Start    []int          // directors to start
+	Rate     *float64       // factor on the normal arrival rate
+	Hot      *float64       // share of arriving clients that request one of two titles
+	Say      string         // progress line
+	Director bool           // the action is on directors; these run separately, since starting a director takes time
 }
 
-// A ListChange is what the list is to say of a machine, and how late.
+// A ListChange is a change of a node's entry in the server list.
 type ListChange struct {
-	Machine int
+	Machine int // index of the node
 	State   string
-	Entry   *wire.NodeEntry // what else changes; nil: nothing
-	Born    bool            // it has started just now
-	Late    time.Duration
+	Entry   *wire.NodeEntry // the new entry; nil: only the state changes
+	Born    bool            // the node has just started
+	Late    time.Duration   // delay until the list shows the change
 }
 
-// course compiles troubles into actions.
-type course struct {
-	y     *Layout
-	until []time.Duration // a machine is some trouble's until then
-	all   []Action
+// A timelineBuilder translates a script's incidents and the layout's list updates into actions.
+type timelineBuilder struct {
+	layout    *Layout
+	busyUntil []time.Duration // by node: an incident affects it until then
+	actions   []Action
 }
 
-// Timeline is what happens in the course of a day: the same for the same layout, so that a day on sockets and
-// one in virtual time go through the same incident.
-func (y *Layout) Timeline() []Action {
-	c := &course{y: y, until: make([]time.Duration, len(y.Nodes))}
-	planned := map[string]bool{}
-	for _, t := range y.ListUpdates {
-		planned[t.Entry.Node] = true
+// Timeline returns the actions of a day in order of time. The same layout always gives the same timeline, so that a day
+// on sockets and one in virtual time have the same incidents.
+func (layout *Layout) Timeline() []Action {
+	b := &timelineBuilder{layout: layout, busyUntil: make([]time.Duration, len(layout.Nodes))}
+	hasUpdate := map[string]bool{}
+	for _, update := range layout.ListUpdates {
+		hasUpdate[update.Entry.Node] = true
 	}
-	for i, e := range y.Entries {
-		if e.State != wire.Up || planned[e.Node] { // troubles bring machines back up, and these are not to be
-			c.until[i] = 1 << 62
+	for i, e := range layout.Entries {
+		if e.State != wire.Up || hasUpdate[e.Node] { // incidents restart nodes, which must not happen to these
+			b.busyUntil[i] = 1 << 62
 		}
 	}
-	c.plan()
-	troubles := slices.Clone(y.Script.Incidents)
-	slices.SortStableFunc(troubles, func(a, b Incident) int { return cmp.Compare(a.At, b.At) })
-	for _, t := range troubles {
-		c.trouble(t)
+	b.addListUpdates()
+	incidents := slices.Clone(layout.Script.Incidents)
+	slices.SortStableFunc(incidents, func(a, b Incident) int { return cmp.Compare(a.At, b.At) })
+	for _, incident := range incidents {
+		b.addIncident(incident)
 	}
-	slices.SortStableFunc(c.all, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
-	return c.all
+	slices.SortStableFunc(b.actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
+	return b.actions
 }
 
-func (c *course) do(a Action) { c.all = append(c.all, a) }
+func (b *timelineBuilder) add(a Action) { b.actions = append(b.actions, a) }
 
-func (c *course) say(at time.Duration, format string, args ...any) {
-	c.do(Action{At: at, Say: fmt.Sprintf(format, args...)})
+func (b *timelineBuilder) announce(at time.Duration, format string, args ...any) {
+	b.add(Action{At: at, Say: fmt.Sprintf(format, args...)})
 }
 
-// notice is how late the list learns of a change.
-func (c *course) notice() time.Duration {
-	s := c.y.Script
-	return s.MinListDelay + time.Duration(c.y.chance.Int64N(int64(s.MaxListDelay-s.MinListDelay)+1))
+// drawListDelay returns a random delay until the list shows a change.
+func (b *timelineBuilder) drawListDelay() time.Duration {
+	s := b.layout.Script
+	return s.MinListDelay + time.Duration(b.layout.random.Int64N(int64(s.MaxListDelay-s.MinListDelay)+1))
 }
 
-func (c *course) fault(at time.Duration, x node.Fault) { c.do(Action{At: at, Fault: &x}) }
+func (b *timelineBuilder) addFault(at time.Duration, fault node.Fault) {
+	b.add(Action{At: at, Fault: &fault})
+}
 
-func (c *course) list(at time.Duration, m int, state string, late time.Duration) {
-	c.do(Action{At: at, List: &ListChange{Machine: m, State: state, Late: late}})
+func (b *timelineBuilder) updateList(at time.Duration, i int, state string, delay time.Duration) {
+	b.add(Action{At: at, List: &ListChange{Machine: i, State: state, Late: delay}})
 }
 
-func (c *course) name(m int) string { return c.y.Nodes[m].Name }
+func (b *timelineBuilder) nodeName(i int) string { return b.layout.Nodes[i].Name }
 
-func (c *course) die(at time.Duration, m int) {
-	c.fault(at, node.Fault{Node: c.name(m), Crash: true})
-	c.list(at, m, wire.Removed, c.notice())
+func (b *timelineBuilder) crash(at time.Duration, i int) {
+	b.addFault(at, node.Fault{Node: b.nodeName(i), Crash: true})
+	b.updateList(at, i, wire.Removed, b.drawListDelay())
 }
 
-func (c *course) comeBack(at time.Duration, m int) {
-	c.fault(at, node.Fault{Node: c.name(m), Start: true})
-	c.do(Action{At: at, List: &ListChange{Machine: m, State: wire.Up, Born: true, Late: c.notice()}})
+func (b *timelineBuilder) restart(at time.Duration, i int) {
+	b.addFault(at, node.Fault{Node: b.nodeName(i), Start: true})
+	b.add(Action{At: at, List: &ListChange{Machine: i, State: wire.Up, Born: true, Late: b.drawListDelay()}})
 }
 
-// plan is what the layout's plan has for the day, machines that are added starting cold.
-func (c *course) plan() {
-	at := map[string]int{}
-	down := make([]bool, len(c.y.Nodes))
-	for i, e := range c.y.Entries {
-		at[e.Node] = i
+// addListUpdates adds the layout's list updates. Nodes that they add start cold, and nodes that they remove exit.
+func (b *timelineBuilder) addListUpdates() {
+	index := map[string]int{}
+	down := make([]bool, len(b.layout.Nodes))
+	for i, e := range b.layout.Entries {
+		index[e.Node] = i
 		down[i] = e.State == wire.Removed
 	}
-	for _, t := range c.y.ListUpdates {
-		m := at[t.Entry.Node]
-		w := &ListChange{Machine: m, State: t.Entry.State, Entry: &t.Entry}
-		if down[m] && t.Entry.State != wire.Removed {
-			c.fault(t.At, node.Fault{Node: t.Entry.Node, Start: true})
-			w.Born = true
+	for _, update := range b.layout.ListUpdates {
+		i := index[update.Entry.Node]
+		change := &ListChange{Machine: i, State: update.Entry.State, Entry: &update.Entry}
+		if down[i] && update.Entry.State != wire.Removed {
+			b.addFault(update.At, node.Fault{Node: update.Entry.Node, Start: true})
+			change.Born = true
 		}
-		c.say(t.At, "the list: %s %s", t.Entry.Node, t.Entry.State)
-		c.do(Action{At: t.At, List: w})
-		if down[m] = t.Entry.State == wire.Removed; down[m] {
-			c.fault(t.At, node.Fault{Node: t.Entry.Node, Crash: true})
+		b.announce(update.At, "the list: %s %s", update.Entry.Node, update.Entry.State)
+		b.add(Action{At: update.At, List: change})
+		if down[i] = update.Entry.State == wire.Removed; down[i] {
+			b.addFault(update.At, node.Fault{Node: update.Entry.Node, Crash: true})
 		}
 	}
 }
 
-// take gives a trouble its share of the machines, of those that no other trouble has hold of meanwhile.
-func (c *course) take(t Incident, until time.Duration) (machines []int) {
-	want := max(1, int(t.Share*float64(len(c.y.Nodes))+0.5))
-	for _, m := range c.y.chance.Perm(len(c.y.Nodes)) {
-		if len(machines) < want && c.until[m] <= t.At {
-			c.until[m] = until
-			machines = append(machines, m)
+// claimNodes selects an incident's share of the nodes at random, among those that no other incident affects at its
+// start, and reserves them until the given time.
+func (b *timelineBuilder) claimNodes(incident Incident, until time.Duration) (nodes []int) {
+	count := max(1, int(incident.Share*float64(len(b.layout.Nodes))+0.5))
+	for _, i := range b.layout.random.Perm(len(b.layout.Nodes)) {
+		if len(nodes) < count && b.busyUntil[i] <= incident.At {
+			b.busyUntil[i] = until
+			nodes = append(nodes, i)
 		}
 	}
-	return machines
+	return nodes
 }
 
-// each does something to each machine of a trouble's share.
-func (c *course) each(t Incident, lasts time.Duration, what string, f func(m int)) {
-	machines := c.take(t, t.At+lasts)
-	c.say(t.At, "%s: %d nodes %s", t.Kind, len(machines), what)
-	for _, m := range machines {
-		f(m)
+// forEachNode claims an incident's share of the nodes for a time and calls f for each.
+func (b *timelineBuilder) forEachNode(incident Incident, duration time.Duration, effect string, f func(i int)) {
+	nodes := b.claimNodes(incident, incident.At+duration)
+	b.announce(incident.At, "%s: %d nodes %s", incident.Kind, len(nodes), effect)
+	for _, i := range nodes {
+		f(i)
 	}
 }
 
-// faults turns a fault on and off again.
-func (c *course) faults(t Incident, what string, on, off node.Fault) {
-	c.each(t, t.Duration, what, func(m int) {
-		on, off := on, off // every machine has its own
-		on.Node, off.Node = c.name(m), c.name(m)
-		c.fault(t.At, on)
-		c.fault(t.At+t.Duration, off)
+// addTemporaryFault applies a fault to an incident's share of the nodes and reverts it at the incident's end.
+func (b *timelineBuilder) addTemporaryFault(incident Incident, effect string, on, off node.Fault) {
+	b.forEachNode(incident, incident.Duration, effect, func(i int) {
+		on, off := on, off // each node needs its own copy
+		on.Node, off.Node = b.nodeName(i), b.nodeName(i)
+		b.addFault(incident.At, on)
+		b.addFault(incident.At+incident.Duration, off)
 	})
 }
 
-// trouble is one thing that goes wrong, from its time to its end.
-func (c *course) trouble(t Incident) {
-	end := t.At + t.Duration
-	size := time.Duration(t.Size * float64(time.Second))
-	switch t.Kind {
+// addIncident adds the actions of one incident.
+func (b *timelineBuilder) addIncident(incident Incident) {
+	end := incident.At + incident.Duration
+	size := time.Duration(incident.Size * float64(time.Second))
+	switch incident.Kind {
 	case "crash":
-		c.each(t, t.Duration, "die, back cold", func(m int) {
-			c.die(t.At, m)
-			c.comeBack(end, m)
+		b.forEachNode(incident, incident.Duration, "die, back cold", func(i int) {
+			b.crash(incident.At, i)
+			b.restart(end, i)
 		})
 	case "vanish":
-		c.each(t, t.Duration, "fall silent, back cold", func(m int) {
-			c.fault(t.At, node.Fault{Node: c.name(m), Silent: new(true)})
-			c.list(t.At, m, wire.Removed, c.y.Script.SilentNodeListDelay)
-			c.comeBack(end, m)
+		b.forEachNode(incident, incident.Duration, "fall silent, back cold", func(i int) {
+			b.addFault(incident.At, node.Fault{Node: b.nodeName(i), Silent: new(true)})
+			b.updateList(incident.At, i, wire.Removed, b.layout.Script.SilentNodeListDelay)
+			b.restart(end, i)
 		})
 	case "hang":
-		c.faults(t, "take work and answer nothing", node.Fault{Hang: new(true)}, node.Fault{Hang: new(false)})
+		b.addTemporaryFault(incident, "take work and answer nothing", node.Fault{Hang: new(true)}, node.Fault{Hang: new(false)})
 	case "fast_errors":
-		c.faults(t, "fail set-ups quickly", node.Fault{FailShare: &t.Size}, node.Fault{FailShare: new(0.0)})
+		b.addTemporaryFault(incident, "fail set-ups quickly", node.Fault{FailShare: &incident.Size}, node.Fault{FailShare: new(0.0)})
 	case "answer_lost":
-		c.faults(t, "lose answers", node.Fault{LossShare: &t.Size}, node.Fault{LossShare: new(0.0)})
+		b.addTemporaryFault(incident, "lose answers", node.Fault{LossShare: &incident.Size}, node.Fault{LossShare: new(0.0)})
 	case "ageing":
-		c.each(t, t.Duration+2*time.Second, "grow slower and then die", func(m int) {
-			for i := 1; i <= 20; i++ {
-				c.fault(t.At+t.Duration*time.Duration(i-1)/20, node.Fault{Node: c.name(m), SlowFactor: new(1 + (t.Size-1)*float64(i)/20)})
+		b.forEachNode(incident, incident.Duration+2*time.Second, "grow slower and then die", func(i int) {
+			for step := 1; step <= 20; step++ {
+				b.addFault(incident.At+incident.Duration*time.Duration(step-1)/20, node.Fault{Node: b.nodeName(i), SlowFactor: new(1 + (incident.Size-1)*float64(step)/20)})
 			}
-			c.die(end, m)
-			c.comeBack(end+2*time.Second, m)
+			b.crash(end, i)
+			b.restart(end+2*time.Second, i)
 		})
 	case "deploy":
-		c.deploy(t, size)
+		b.addDeploy(incident, size)
 	case "preempt":
-		c.each(t, size+t.Duration, "are taken away, replaced cold", func(m int) {
-			c.list(t.At, m, wire.Draining, c.notice())
-			c.die(t.At+size, m)
-			c.comeBack(t.At+size+t.Duration, m)
+		b.forEachNode(incident, size+incident.Duration, "are taken away, replaced cold", func(i int) {
+			b.updateList(incident.At, i, wire.Draining, b.drawListDelay())
+			b.crash(incident.At+size, i)
+			b.restart(incident.At+size+incident.Duration, i)
 		})
 	case "discovery_stale":
-		c.say(t.At, "the list falls %.1f s behind", t.Size)
-		c.do(Action{At: t.At, Lag: &size})
-		c.do(Action{At: end, Lag: new(time.Duration(0)), Say: "the list is back"})
+		b.announce(incident.At, "the list falls %.1f s behind", incident.Size)
+		b.add(Action{At: incident.At, Lag: &size})
+		b.add(Action{At: end, Lag: new(time.Duration(0)), Say: "the list is back"})
 	case "balancer_roll":
-		c.roll(t, size)
+		b.addDirectorRestarts(incident, size)
 	case "burst":
-		c.do(Action{At: t.At, Rate: &t.Size, Say: fmt.Sprintf("a crowd comes: %.1f times the usual", t.Size)})
-		c.do(Action{At: end, Rate: new(1.0)})
+		b.add(Action{At: incident.At, Rate: &incident.Size, Say: fmt.Sprintf("a crowd comes: %.1f times the usual", incident.Size)})
+		b.add(Action{At: end, Rate: new(1.0)})
 	case "hot_key":
-		c.do(Action{At: t.At, Hot: &t.Size, Say: fmt.Sprintf("%.0f%% of the viewers want two titles", 100*t.Size)})
-		c.do(Action{At: end, Hot: new(0.0)})
+		b.add(Action{At: incident.At, Hot: &incident.Size, Say: fmt.Sprintf("%.0f%% of the viewers want two titles", 100*incident.Size)})
+		b.add(Action{At: end, Hot: new(0.0)})
 	case "shared_slow":
-		c.say(t.At, "all links give %.1f times less", t.Size)
-		c.fault(t.At, node.Fault{BandwidthDivisor: &t.Size})
-		c.fault(end, node.Fault{BandwidthDivisor: new(1.0)})
+		b.announce(incident.At, "all links give %.1f times less", incident.Size)
+		b.addFault(incident.At, node.Fault{BandwidthDivisor: &incident.Size})
+		b.addFault(end, node.Fault{BandwidthDivisor: new(1.0)})
 	case "origin_slow":
-		racks := max(1, len(c.y.Site.Uplinks)*3/10)
-		c.say(t.At, "the uplinks of %d racks give %.1f times less", racks, t.Size)
+		racks := max(1, len(b.layout.Site.Uplinks)*3/10)
+		b.announce(incident.At, "the uplinks of %d racks give %.1f times less", racks, incident.Size)
 		for i := range racks {
-			c.fault(t.At, node.Fault{Rack: &i, BandwidthDivisor: &t.Size})
-			c.fault(end, node.Fault{Rack: &i, BandwidthDivisor: new(1.0)})
+			b.addFault(incident.At, node.Fault{Rack: &i, BandwidthDivisor: &incident.Size})
+			b.addFault(end, node.Fault{Rack: &i, BandwidthDivisor: new(1.0)})
 		}
 	}
 }
 
-// deploy replaces a share of the machines, an eighth of the fleet at a time: listed as draining, then ended
-// after a second, then back, cold, after size.
-func (c *course) deploy(t Incident, size time.Duration) {
-	machines := c.take(t, t.At+t.Duration+size+c.y.Script.MaxListDelay+time.Second)
-	c.say(t.At, "deploy: %d nodes are replaced in waves", len(machines))
-	batch := max(1, len(c.y.Nodes)/8)
-	waves := (len(machines) + batch - 1) / batch
-	at := t.At
-	for w := range waves {
-		down := at + c.y.Script.MaxListDelay + time.Second
-		for _, m := range machines[w*batch : min(len(machines), (w+1)*batch)] {
-			c.list(at, m, wire.Draining, c.notice())
-			c.die(down, m)
-			c.comeBack(down+size, m)
+// addDeploy replaces a share of the nodes in waves of an eighth of the fleet. The nodes of a wave are listed as
+// draining, exit a second after the maximum list delay, and restart cold after the incident's size.
+func (b *timelineBuilder) addDeploy(incident Incident, downtime time.Duration) {
+	nodes := b.claimNodes(incident, incident.At+incident.Duration+downtime+b.layout.Script.MaxListDelay+time.Second)
+	b.announce(incident.At, "deploy: %d nodes are replaced in waves", len(nodes))
+	batch := max(1, len(b.layout.Nodes)/8)
+	waves := (len(nodes) + batch - 1) / batch
+	at := incident.At
+	for wave := range waves {
+		exitAt := at + b.layout.Script.MaxListDelay + time.Second
+		for _, i := range nodes[wave*batch : min(len(nodes), (wave+1)*batch)] {
+			b.updateList(at, i, wire.Draining, b.drawListDelay())
+			b.crash(exitAt, i)
+			b.restart(exitAt+downtime, i)
 		}
-		at = max(at+t.Duration/time.Duration(waves), down+size)
+		at = max(at+incident.Duration/time.Duration(waves), exitAt+downtime)
 	}
 }
 
-// roll kills directors, a share at a time until all have been, and starts them again after size with nothing of
-// what they knew.
-func (c *course) roll(t Incident, size time.Duration) {
-	n := c.y.Script.Directors
-	batch := max(1, int(t.Share*float64(n)))
-	at := t.At
-	for first := 0; first < n; first += batch {
-		var some []int
-		for i := first; i < min(n, first+batch); i++ {
-			some = append(some, i)
+// addDirectorRestarts kills all directors in batches of the incident's share and restarts each batch after the
+// incident's size, with an empty state.
+func (b *timelineBuilder) addDirectorRestarts(incident Incident, downtime time.Duration) {
+	count := b.layout.Script.Directors
+	batch := max(1, int(incident.Share*float64(count)))
+	at := incident.At
+	for first := 0; first < count; first += batch {
+		var directors []int
+		for i := first; i < min(count, first+batch); i++ {
+			directors = append(directors, i)
 		}
-		c.do(Action{At: at, Kill: some, Director: true, Say: fmt.Sprintf("directors %d to %d are killed", some[0], some[len(some)-1])})
-		c.do(Action{At: at + size, Start: some, Director: true})
-		at = max(at+size, at+t.Duration*time.Duration(batch)/time.Duration(n))
+		b.add(Action{At: at, Kill: directors, Director: true, Say: fmt.Sprintf("directors %d to %d are killed", directors[0], directors[len(directors)-1])})
+		b.add(Action{At: at + downtime, Start: directors, Director: true})
+		at = max(at+downtime, at+incident.Duration*time.Duration(batch)/time.Duration(count))
 	}
 }
