--- a/internal/load/archive.go
+++ b/internal/load/archive.go
@@ -9,35 +9,35 @@
 	"fordusher/internal/resultarchive"
 )
 
-// An ArchiveHeader begins an archive.
+// An ArchiveHeader is the first entry of an archive.
 type ArchiveHeader struct {
 	Scenario *Scenario `json:"scenario"`
-	Cores    int       `json:"cores"` // of the machine
+	Cores    int       `json:"cores"` // of the machine that ran the load
 	At       string    `json:"at"`
 }
 
-// An ArchiveRow is one second of one run: of a part, or of a director where Part is empty.
+// An ArchiveRow is one second of one run, either of a part, or, if Part is empty, of a director.
 type ArchiveRow struct {
 	Run    string `json:"run"` // "with", "without"
 	Repeat int    `json:"repeat,omitempty"`
 	Sample
-	Director int           `json:"director,omitempty"`
-	Usage    *ProcessUsage `json:"used,omitempty"`
-	h        *hdrhistogram.Histogram
+	Director  int           `json:"director,omitempty"`
+	Usage     *ProcessUsage `json:"used,omitempty"`
+	histogram *hdrhistogram.Histogram
 }
 
-// ProcessUsage is what a director's process used.
+// ProcessUsage holds the resources that a director's process used in one second.
 type ProcessUsage struct {
-	CPU          float64 `json:"cpu"`    // cores, in this second
+	CPU          float64 `json:"cpu"`    // cores
 	RSS          float64 `json:"rss"`    // bytes
 	Heap         float64 `json:"heap"`   // bytes
-	SocketMemory float64 `json:"kernel"` // bytes that the machine's TCP sockets hold, all processes'
-	Conns        float64 `json:"conns"`  // players connected
-	LoopDelay    float64 `json:"late"`   // seconds, the loop's greatest lateness
-	OverloadMode float64 `json:"mode"`
+	SocketMemory float64 `json:"kernel"` // bytes held by the TCP sockets of all processes of the machine
+	Conns        float64 `json:"conns"`  // connected clients
+	LoopDelay    float64 `json:"late"`   // maximum delay of the director's loop, in seconds
+	OverloadMode float64 `json:"mode"`   // the fordusher_room_mode metric
 }
 
-// An Archive is a scenario's results, every second of them.
+// An Archive holds the results of a scenario for each second.
 type Archive struct {
 	Header ArchiveHeader
 	Rows   []ArchiveRow
@@ -46,37 +46,39 @@
 // Save writes an archive to a compressed file.
 func (a *Archive) Save(file string) error { return resultarchive.Save(file, a.Header, a.Rows) }
 
-// LoadArchive reads what Save wrote; a cut or foreign file is an error that names it.
+// LoadArchive reads a file that Save wrote. For a truncated or foreign file it returns an error with the file's name.
 func LoadArchive(file string) (*Archive, error) {
-	head, rows, err := resultarchive.Load[ArchiveHeader, ArchiveRow](file)
+	header, rows, err := resultarchive.Load[ArchiveHeader, ArchiveRow](file)
 	switch {
 	case err != nil:
 		return nil, err
-	case head.Scenario == nil:
-		return nil, fmt.Errorf("%s: not a load's results", file)
+	case header.Scenario == nil:
+		return nil, fmt.Errorf("%s: not the results of a load scenario", file)
 	}
 	for i := range rows {
 		if r := &rows[i]; len(r.Latency) > 0 {
-			if r.h, err = hdrhistogram.Decode(r.Latency); err != nil {
+			if r.histogram, err = hdrhistogram.Decode(r.Latency); err != nil {
 				return nil, fmt.Errorf("%s: row %d: %w", file, i+1, err)
 			}
 		}
 	}
-	return &Archive{head, rows}, nil
+	return &Archive{header, rows}, nil
 }
 
-// A Summary is one part over the measured seconds of all repeats of one run.
+// A Summary adds up one part over the measured seconds of all repeats of one run.
 type Summary struct {
 	Run string
 	Sample
-	h *hdrhistogram.Histogram
+	histogram *hdrhistogram.Histogram
 }
 
-// Percentile is a quantile's latency, in ms.
-func (s *Summary) Percentile(q float64) float64 { return float64(s.h.ValueAtQuantile(q)) / 1000 }
+// Percentile returns the latency at a percentile, in ms.
+func (s *Summary) Percentile(q float64) float64 {
+	return float64(s.histogram.ValueAtQuantile(q)) / 1000
+}
 
-// runs are the runs of an archive, in their order of coming.
-func (a *Archive) runs() (names []string) {
+// runNames returns the names of the archive's runs in the order of their rows.
+func (a *Archive) runNames() (names []string) {
 	seen := map[string]bool{}
 	for _, r := range a.Rows {
 		if !seen[r.Run] {
@@ -87,25 +89,25 @@
 	return names
 }
 
-// Summaries adds up the measured seconds, by run and part.
+// Summaries returns a Summary for each run and part. Seconds of the warm-up are left out.
 func (a *Archive) Summaries() (all []*Summary) {
-	warm := int(a.Header.Scenario.Warmup / time.Second)
-	for _, run := range a.runs() {
+	warmup := int(a.Header.Scenario.Warmup / time.Second)
+	for _, run := range a.runNames() {
 		for _, p := range a.Header.Scenario.Parts {
-			s := &Summary{Run: run, Sample: Sample{Part: p.Name}, h: newHistogram()}
-			seen := false
+			s := &Summary{Run: run, Sample: Sample{Part: p.Name}, histogram: newHistogram()}
+			found := false
 			for _, r := range a.Rows {
-				if r.Run != run || r.Part != p.Name || r.Second < warm {
+				if r.Run != run || r.Part != p.Name || r.Second < warmup {
 					continue
 				}
-				seen = true
+				found = true
 				s.add(&r.Sample)
 				s.Open = r.Open
-				if r.h != nil {
-					s.h.Merge(r.h)
+				if r.histogram != nil {
+					s.histogram.Merge(r.histogram)
 				}
 			}
-			if seen {
+			if found {
 				all = append(all, s)
 			}
 		}
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// DrawLatencyChart draws latency over quantiles into a file, whose ending (.svg, .png) tells the form.
+// DrawLatencyChart draws latencies over percentiles into a file. The file's extension (.svg, .png) selects the format.
 func DrawLatencyChart(file, title string, results ...*SetupResult) error {
 	p := plot.New()
 	p.Title.Text = title
@@ -42,8 +42,8 @@
 	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, file)
 }
 
-// Table writes an archive's parts over the measured seconds, what the directors used, and, where the
-// scenario says what to leave out, the ratio of each part's p99 with it to that without.
+// Table formats the archive's parts over the measured seconds and the resource usage of the directors. If the scenario
+// excludes parts from a second run, it adds the ratio of each part's p99 with the excluded parts to that without them.
 func (a *Archive) Table() string {
 	var b strings.Builder
 	s := a.Header.Scenario
@@ -54,30 +54,30 @@
 	all := a.Summaries()
 	for _, x := range all {
 		fmt.Fprintf(&b, "%-8s %-14s %9d %9d %8d %8d %8d %8d %8d", x.Run, x.Part, x.Due, x.Answered, x.Nacked, x.Errored, x.Rejected, x.Lost, x.Open)
-		if x.h.TotalCount() > 0 {
-			fmt.Fprintf(&b, " %9.3f %9.3f %9.3f", x.Percentile(50), x.Percentile(99), float64(x.h.Max())/1000)
+		if x.histogram.TotalCount() > 0 {
+			fmt.Fprintf(&b, " %9.3f %9.3f %9.3f", x.Percentile(50), x.Percentile(99), float64(x.histogram.Max())/1000)
 		}
 		b.WriteByte('\n')
 	}
-	warm := int(s.Warmup / time.Second)
-	for _, run := range a.runs() {
-		var n, cpu, rss, heap, kernel, conns, late float64
+	warmup := int(s.Warmup / time.Second)
+	for _, run := range a.runNames() {
+		var n, cpu, rss, heap, sockets, conns, loopDelay float64
 		for _, r := range a.Rows {
-			if r.Run == run && r.Usage != nil && r.Second >= warm {
+			if r.Run == run && r.Usage != nil && r.Second >= warmup {
 				n++
 				cpu += r.Usage.CPU
 				conns += r.Usage.Conns
-				rss, heap, kernel, late = max(rss, r.Usage.RSS), max(heap, r.Usage.Heap), max(kernel, r.Usage.SocketMemory), max(late, r.Usage.LoopDelay)
+				rss, heap, sockets, loopDelay = max(rss, r.Usage.RSS), max(heap, r.Usage.Heap), max(sockets, r.Usage.SocketMemory), max(loopDelay, r.Usage.LoopDelay)
 			}
 		}
 		if n > 0 {
-			fmt.Fprintf(&b, "%-8s a director: %.2f cores, %.0f connections (means); at the most %.1f MB resident, %.1f MB heap, loop late by %.1f ms; all sockets here %.1f MB\n",
-				run, cpu/n, conns/n, rss/1e6, heap/1e6, late*1000, kernel/1e6)
+			fmt.Fprintf(&b, "%-8s per director: mean %.2f cores, %.0f connections; maximum %.1f MB resident, %.1f MB heap, loop delay %.1f ms; all sockets of the machine %.1f MB\n",
+				run, cpu/n, conns/n, rss/1e6, heap/1e6, loopDelay*1000, sockets/1e6)
 		}
 	}
 	for _, x := range all {
 		for _, y := range all {
-			if x.Run == "with" && y.Run == "without" && x.Part == y.Part && y.h.TotalCount() > 0 && x.h.TotalCount() > 0 {
+			if x.Run == "with" && y.Run == "without" && x.Part == y.Part && y.histogram.TotalCount() > 0 && x.histogram.TotalCount() > 0 {
 				fmt.Fprintf(&b, "%s, p99 with %s over without: %.2f (p50 %.2f)\n", x.Part, strings.Join(s.ExcludedParts, ", "), x.Percentile(99)/y.Percentile(99), x.Percentile(50)/y.Percentile(50))
 			}
 		}
@@ -85,7 +85,8 @@
 	return b.String()
 }
 
-// DrawCharts draws an archive into files that begin with a path: p99 by second, what directors used by second.
+// DrawCharts draws the archive by second: p99 latency, answers, and the directors' CPU, memory and connections. The
+// names of the files begin with path.
 func (a *Archive) DrawCharts(path, form string) (drawn []string, err error) {
 	type series struct {
 		file, title, unit string
@@ -93,7 +94,7 @@
 	}
 	part := func(f func(r *ArchiveRow) float64) func(r *ArchiveRow) (string, float64, bool) {
 		return func(r *ArchiveRow) (string, float64, bool) {
-			if r.Part == "" || r.h == nil {
+			if r.Part == "" || r.histogram == nil {
 				return "", 0, false
 			}
 			return r.Part + " " + r.Run, f(r), true
@@ -108,18 +109,18 @@
 		}
 	}
 	for _, x := range []series{
-		{"p99", "p99 of each second", "ms from the due time", part(func(r *ArchiveRow) float64 { return float64(r.h.ValueAtQuantile(99)) / 1000 })},
-		{"answers", "answers as wished", "a second", part(func(r *ArchiveRow) float64 { return float64(r.Answered) })},
-		{"cpu", "processor", "cores", used(func(u *ProcessUsage) float64 { return u.CPU })},
+		{"p99", "p99 of each second", "ms from the due time", part(func(r *ArchiveRow) float64 { return float64(r.histogram.ValueAtQuantile(99)) / 1000 })},
+		{"answers", "answers with a playing session", "per second", part(func(r *ArchiveRow) float64 { return float64(r.Answered) })},
+		{"cpu", "CPU", "cores", used(func(u *ProcessUsage) float64 { return u.CPU })},
 		{"memory", "resident memory", "MB", used(func(u *ProcessUsage) float64 { return u.RSS / 1e6 })},
-		{"connections", "players connected", "", used(func(u *ProcessUsage) float64 { return u.Conns })},
+		{"connections", "connected clients", "", used(func(u *ProcessUsage) float64 { return u.Conns })},
 	} {
 		lines := map[string]plotter.XYs{}
 		var names []string
 		for i := range a.Rows {
 			r := &a.Rows[i]
 			name, y, ok := x.of(r)
-			if !ok || r.Repeat > 0 { // one repeat is enough to see the course
+			if !ok || r.Repeat > 0 { // one repeat is enough for a chart over time
 				continue
 			}
 			if lines[name] == nil {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -22,28 +22,28 @@
 )
 
 //go:embed scenario_house.jsonc
-var scenarioHouse string
+var scenarioConfigText string
 
-var scenarioTemplate = template.Must(template.New("house").Parse(scenarioHouse))
+var scenarioConfigTemplate = template.Must(template.New("house").Parse(scenarioConfigText))
 
 // A Launcher starts the processes of a scenario.
 type Launcher interface {
-	// StartDirector starts a director on so many cores.
-	StartDirector(house []byte, cores int) (MonitoredProcess, error)
-	// StartClient starts a client process; what is written to in and read from out is as Client has it.
+	// StartDirector starts a director with a config on a number of cores.
+	StartDirector(config []byte, cores int) (MonitoredProcess, error)
+	// StartClient starts a client process. RunClient describes what is written to in and read from out.
 	StartClient() (in io.WriteCloser, out *bufio.Reader, end func(), err error)
 }
 
-// Run plays a scenario: each repeat without the parts that are to be left out, where there are any, and
-// with all of them.
-func (s *Scenario) Run(ctx context.Context, theatre Launcher, say func(format string, args ...any)) (*Archive, error) {
+// Run runs a scenario. Each repeat runs once with all parts and, if the scenario excludes parts, before that once
+// without the excluded ones.
+func (s *Scenario) Run(ctx context.Context, launcher Launcher, logf func(format string, args ...any)) (*Archive, error) {
 	a := &Archive{Header: ArchiveHeader{Scenario: s, Cores: runtime.NumCPU(), At: time.Now().UTC().Format(time.RFC3339)}}
 	for repeat := range s.Repeats {
 		for _, run := range []string{"without", "with"} {
 			if run == "without" && len(s.ExcludedParts) == 0 {
 				continue
 			}
-			rows, err := s.play(ctx, theatre, run, s.Seed+uint64(repeat))
+			rows, err := s.runOnce(ctx, launcher, run, s.Seed+uint64(repeat))
 			if err != nil {
 				return nil, fmt.Errorf("%s, repeat %d: %w", run, repeat+1, err)
 			}
@@ -51,20 +51,20 @@
 				rows[i].Repeat = repeat
 			}
 			a.Rows = append(a.Rows, rows...)
-			say("%s, repeat %d of %d done", run, repeat+1, s.Repeats)
+			logf("%s, repeat %d of %d done", run, repeat+1, s.Repeats)
 		}
 	}
 	return a, nil
 }
 
-// play is one run.
-func (s *Scenario) play(ctx context.Context, theatre Launcher, run string, seed uint64) ([]ArchiveRow, error) {
-	site := SetupLoad{Rate: 1, Playing: s.Playing, Nodes: s.Nodes, Racks: s.Racks, Titles: s.Titles, Seed: seed}
-	st, err := site.open()
+// runOnce runs the scenario once, with or without the excluded parts.
+func (s *Scenario) runOnce(ctx context.Context, launcher Launcher, run string, seed uint64) ([]ArchiveRow, error) {
+	load := SetupLoad{Rate: 1, Playing: s.Playing, Nodes: s.Nodes, Racks: s.Racks, Titles: s.Titles, Seed: seed}
+	f, err := load.startFixture()
 	if err != nil {
 		return nil, err
 	}
-	defer st.close()
+	defer f.close()
 	var directors []MonitoredProcess
 	defer func() {
 		var wait sync.WaitGroup
@@ -76,67 +76,67 @@
 	var addresses []string
 	for i := range s.Directors {
 		var text bytes.Buffer
-		m := st.machines[0]
-		err := scenarioTemplate.Execute(&text, map[string]any{"Me": i, "Directors": s.Directors, "List": st.list.Address(), "Nodes": s.Nodes,
-			"Racks": s.Racks, "Link": m.LinkRate, "Uplink": m.LinkRate * float64((s.Nodes+s.Racks-1)/s.Racks), "Places": m.MaxStreams,
+		spec := f.nodeSpecs[0]
+		err := scenarioConfigTemplate.Execute(&text, map[string]any{"Me": i, "Directors": s.Directors, "List": f.discovery.Address(), "Nodes": s.Nodes,
+			"Racks": s.Racks, "Link": spec.LinkRate, "Uplink": spec.LinkRate * float64((s.Nodes+s.Racks-1)/s.Racks), "Places": spec.MaxStreams,
 			"Ping": s.Ping.String(), "Room": s.MaxConnections})
 		if err != nil {
 			return nil, err
 		}
-		d, err := theatre.StartDirector(text.Bytes(), s.Cores)
+		d, err := launcher.StartDirector(text.Bytes(), s.Cores)
 		if err != nil {
 			return nil, err
 		}
 		directors = append(directors, d)
 		addresses = append(addresses, d.Address())
 	}
-	time.Sleep(1500 * time.Millisecond) // connections to all nodes, and past the caution of a new director
+	time.Sleep(1500 * time.Millisecond) // until the director has connected to all nodes and its cautious phase after a start has passed
 
-	cast := make([]*client, s.Clients)
-	for i := range cast {
-		o := ClientOrder{Client: i, Seed: seed, Directors: addresses, Titles: s.Titles, Warmup: s.Warmup, Duration: s.Duration}
+	clients := make([]*clientProcess, s.Clients)
+	for i := range clients {
+		order := ClientOrder{Client: i, Seed: seed, Directors: addresses, Titles: s.Titles, Warmup: s.Warmup, Duration: s.Duration}
 		for _, p := range s.Parts {
-			if p = p.deal(i, s.Clients); p.Connections > 0 && (run == "with" || !slices.Contains(s.ExcludedParts, p.Name)) {
-				o.Parts = append(o.Parts, p)
+			if p = p.share(i, s.Clients); p.Connections > 0 && (run == "with" || !slices.Contains(s.ExcludedParts, p.Name)) {
+				order.Parts = append(order.Parts, p)
 			}
 		}
-		c, err := hire(theatre, o)
+		client, err := startClient(launcher, order)
 		if err != nil {
 			return nil, err
 		}
-		defer c.end()
-		cast[i] = c
+		defer client.end()
+		clients[i] = client
 	}
-	for i, c := range cast {
-		if _, err := c.out.ReadBytes('\n'); err != nil {
+	for i, client := range clients {
+		if _, err := client.out.ReadBytes('\n'); err != nil {
 			return nil, fmt.Errorf("client %d could not connect: %w", i, err)
 		}
 	}
 	for _, d := range directors {
-		d.CollectGarbage() // what connecting left behind is no part of what connections cost
+		d.CollectGarbage() // garbage from connecting must not count as memory of the connections
 	}
-	began := rulecheck.MonotonicNow() + 200*time.Millisecond
-	for _, c := range cast {
-		if _, err := fmt.Fprintln(c.in, strconv.FormatInt(int64(began), 10)); err != nil {
+	startedAt := rulecheck.MonotonicNow() + 200*time.Millisecond
+	for _, client := range clients {
+		if _, err := fmt.Fprintln(client.in, strconv.FormatInt(int64(startedAt), 10)); err != nil {
 			return nil, err
 		}
 	}
 	seconds := int((s.Warmup+s.Duration)/time.Second) + 1
 	var rows []ArchiveRow
-	watched := make(chan []ArchiveRow)
-	go func() { watched <- s.watch(directors, run, began, seconds) }()
+	usageRows := make(chan []ArchiveRow)
+	go func() { usageRows <- s.monitor(directors, run, startedAt, seconds) }()
 	all := map[string]*ArchiveRow{}
-	for _, c := range cast {
-		if err := c.read(run, all, seconds*len(c.order.Parts)); err != nil {
-			<-watched
+	for _, client := range clients {
+		if err := client.read(run, all, seconds*len(client.order.Parts)); err != nil {
+			<-usageRows
 			return nil, err
 		}
 	}
 	for second := range seconds {
 		for _, p := range s.Parts {
 			if r := all[fmt.Sprint(second, p.Name)]; r != nil {
-				if r.h != nil {
-					if r.Latency, err = r.h.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err != nil {
+				if r.histogram != nil {
+					if r.Latency, err = r.histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err != nil {
 						return nil, err
 					}
 				}
@@ -144,27 +144,27 @@
 			}
 		}
 	}
-	return append(rows, <-watched...), ctx.Err()
+	return append(rows, <-usageRows...), ctx.Err()
 }
 
-// watch reads what the directors use, each second.
-func (s *Scenario) watch(directors []MonitoredProcess, run string, began time.Duration, seconds int) (rows []ArchiveRow) {
+// monitor reads the resource usage of the directors each second.
+func (s *Scenario) monitor(directors []MonitoredProcess, run string, startedAt time.Duration, seconds int) (rows []ArchiveRow) {
 	before := make([]time.Duration, len(directors))
 	last := rulecheck.MonotonicNow()
 	for i, d := range directors {
 		before[i] = d.CPU()
 	}
 	for second := range seconds {
-		time.Sleep(began + time.Duration(second+1)*time.Second - rulecheck.MonotonicNow())
-		kernel := socketMemory()
+		time.Sleep(startedAt + time.Duration(second+1)*time.Second - rulecheck.MonotonicNow())
+		sockets := socketMemory()
 		now := rulecheck.MonotonicNow()
 		for i, d := range directors {
-			figures := d.Metrics()
+			metrics := d.Metrics()
 			cpu := d.CPU()
 			rows = append(rows, ArchiveRow{Run: run, Sample: Sample{Second: second}, Director: i, Usage: &ProcessUsage{
-				CPU: (cpu - before[i]).Seconds() / (now - last).Seconds(), RSS: float64(d.RSS()), Heap: figures["go_memstats_heap_inuse_bytes"],
-				SocketMemory: kernel, Conns: figures["fordusher_player_connections"], LoopDelay: figures["fordusher_loop_late_seconds"],
-				OverloadMode: figures["fordusher_room_mode"]}})
+				CPU: (cpu - before[i]).Seconds() / (now - last).Seconds(), RSS: float64(d.RSS()), Heap: metrics["go_memstats_heap_inuse_bytes"],
+				SocketMemory: sockets, Conns: metrics["fordusher_player_connections"], LoopDelay: metrics["fordusher_loop_late_seconds"],
+				OverloadMode: metrics["fordusher_room_mode"]}})
 			before[i] = cpu
 		}
 		last = now
@@ -172,21 +172,21 @@
 	return rows
 }
 
-// A client is a client process as the parent has it.
-type client struct {
+// A clientProcess is the parent's handle on a client process.
+type clientProcess struct {
 	order ClientOrder
 	in    io.WriteCloser
 	out   *bufio.Reader
 	end   func()
 }
 
-func hire(theatre Launcher, o ClientOrder) (*client, error) {
-	line, err := json.Marshal(o)
+func startClient(launcher Launcher, order ClientOrder) (*clientProcess, error) {
+	line, err := json.Marshal(order)
 	if err != nil {
 		return nil, err
 	}
-	c := &client{order: o}
-	if c.in, c.out, c.end, err = theatre.StartClient(); err != nil {
+	c := &clientProcess{order: order}
+	if c.in, c.out, c.end, err = launcher.StartClient(); err != nil {
 		return nil, err
 	}
 	if _, err := c.in.Write(append(line, '\n')); err != nil {
@@ -196,8 +196,8 @@
 	return c, nil
 }
 
-// read adds a client's samples to the rows of all.
-func (c *client) read(run string, all map[string]*ArchiveRow, n int) error {
+// read reads n samples from a client process and adds them to the rows of all processes.
+func (c *clientProcess) read(run string, all map[string]*ArchiveRow, n int) error {
 	d := json.NewDecoder(c.out)
 	for range n {
 		var x Sample
@@ -216,16 +216,16 @@
 			if err != nil {
 				return err
 			}
-			if r.h == nil {
-				r.h = newHistogram()
+			if r.histogram == nil {
+				r.histogram = newHistogram()
 			}
-			r.h.Merge(h)
+			r.histogram.Merge(h)
 		}
 	}
 	return nil
 }
 
-// add adds another's counts.
+// add adds the counts of another sample.
 func (s *Sample) add(x *Sample) {
 	s.Due, s.Answered, s.Nacked, s.Errored = s.Due+x.Due, s.Answered+x.Answered, s.Nacked+x.Nacked, s.Errored+x.Errored
 	s.Rejected, s.Lost, s.Open = s.Rejected+x.Rejected, s.Lost+x.Lost, s.Open+x.Open
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -10,66 +10,66 @@
 	"fordusher/internal/conf"
 )
 
-// A Scenario is a load made of parts that run at the same time, told in JSON with comments.
+// A Scenario is a load of parts that run at the same time. Its file is JSON with comments.
 type Scenario struct {
 	Name           string        `json:"name"`
 	Directors      int           `json:"directors"` // processes
 	Cores          int           `json:"cores"`     // of each
-	Clients        int           `json:"clients"`   // processes over which the parts are dealt
+	Clients        int           `json:"clients"`   // processes that share the parts
 	Nodes          int           `json:"nodes"`
 	Racks          int           `json:"racks"`
 	Titles         int           `json:"titles"`
-	Playing        int           `json:"playing"` // sessions that the nodes have room for, several times over
-	Ping           time.Duration `json:"ping"`    // a director asks a player for a sign of life so often
-	MaxConnections int           `json:"room"`    // players' connections that a director takes
+	Playing        int           `json:"playing"` // playing sessions that the nodes are sized for, with room for several times as many
+	Ping           time.Duration `json:"ping"`    // heartbeat interval of the directors' client connections
+	MaxConnections int           `json:"room"`    // client connections that a director accepts
 	Warmup         time.Duration `json:"warm"`    // not measured
 	Duration       time.Duration `json:"for"`
 	Repeats        int           `json:"repeats"`
 	Seed           uint64        `json:"seed"`
 	Parts          []Part        `json:"parts"`
-	ExcludedParts  []string      `json:"without"` // parts left out of a second run beside each, for the ratio
+	ExcludedParts  []string      `json:"without"` // parts that a second run of each repeat leaves out, for comparison
 }
 
-// A Part is clients of one habit.
+// A Part is a number of clients with the same behavior.
 type Part struct {
 	Name        string        `json:"name"`
 	Kind        string        `json:"kind"`
 	Connections int           `json:"connections"`
-	Rate        float64       `json:"rate"`   // a second, of all its connections together
+	Rate        float64       `json:"rate"`   // per second, over all connections
 	Length      time.Duration `json:"length"` // of a session
-	Bytes       int           `json:"bytes"`  // that a burst makes the director answer
+	Bytes       int           `json:"bytes"`  // that one burst makes the director answer
 }
 
 // The kinds of parts.
 const (
-	KindIdle         = "idle"          // connected, silent, answering signs of life
-	KindSetups       = "set-ups"       // asks for sessions at a rate
-	KindDuplicates   = "chatter"       // plays, and repeats its request at a rate
-	KindReconnects   = "reconnects"    // comes, asks, leaves, at a rate
-	KindSlowReaders  = "slow-readers"  // makes the director write, reads a byte a second
+	KindIdle         = "idle"          // stays connected, sends nothing but answers to pings
+	KindSetups       = "set-ups"       // requests sessions at a rate
+	KindDuplicates   = "chatter"       // plays and repeats its request at a rate
+	KindReconnects   = "reconnects"    // connects, requests a session and disconnects, at a rate
+	KindSlowReaders  = "slow-readers"  // makes the director write, reads one byte per second
 	KindNeverReaders = "never-readers" // makes the director write, reads nothing
 )
 
-var kinds = []string{KindIdle, KindSetups, KindDuplicates, KindReconnects, KindSlowReaders, KindNeverReaders}
+var partKinds = []string{KindIdle, KindSetups, KindDuplicates, KindReconnects, KindSlowReaders, KindNeverReaders}
 
 //go:embed scenarios/*.jsonc
-var shipped embed.FS
+var shippedScenarios embed.FS
 
-// ScenarioNames are the names of those that ship with the program.
+// ScenarioNames returns the names of the scenarios that ship with the program.
 func ScenarioNames() (names []string) {
-	files, _ := shipped.ReadDir("scenarios")
+	files, _ := shippedScenarios.ReadDir("scenarios")
 	for _, f := range files {
 		names = append(names, strings.TrimSuffix(f.Name(), ".jsonc"))
 	}
 	return names
 }
 
-// LoadScenario reads a scenario that ships with the program, by its name, or one from a file; what is wrong
-// with it comes back as conf.Problems.
+// LoadScenario reads a scenario that ships with the program, by its name, or one from a file. Mistakes in the file are
+// returned as conf.Problems.
 func LoadScenario(name string) (*Scenario, error) {
 	if slices.Contains(ScenarioNames(), name) {
 		file := "scenarios/" + name + ".jsonc"
-		text, err := shipped.ReadFile(file)
+		text, err := shippedScenarios.ReadFile(file)
 		if err != nil {
 			return nil, err
 		}
@@ -82,7 +82,7 @@
 	return ParseScenario(name, text)
 }
 
-// ParseScenario reads a scenario from its text.
+// ParseScenario parses a scenario.
 func ParseScenario(file string, text []byte) (*Scenario, error) {
 	r, o := conf.Parse(file, text)
 	if err := r.Err(); err != nil {
@@ -109,30 +109,30 @@
 	}
 	var names []string
 	o.Objects("parts", true, func(_ int, p *conf.Object) {
-		x := Part{Kind: p.Text("kind", "", true)}
-		x.Name = p.Text("name", x.Kind, false)
-		x.Connections = p.Int("connections", 1, 1, 10_000_000, false)
-		x.Rate = p.Number("rate", 0, 0, 1_000_000, slices.Contains([]string{KindSetups, KindDuplicates, KindReconnects}, x.Kind))
-		x.Length = p.Duration("length", time.Second, time.Millisecond, time.Hour, false)
-		x.Bytes = p.Bytes("bytes", 200<<10, 1, 1<<30)
-		if x.Kind != "" && !slices.Contains(kinds, x.Kind) {
-			r.AddProblem(p.OffsetOf("kind"), "unknown kind %q; the kinds are %s", x.Kind, strings.Join(kinds, ", "))
+		part := Part{Kind: p.Text("kind", "", true)}
+		part.Name = p.Text("name", part.Kind, false)
+		part.Connections = p.Int("connections", 1, 1, 10_000_000, false)
+		part.Rate = p.Number("rate", 0, 0, 1_000_000, slices.Contains([]string{KindSetups, KindDuplicates, KindReconnects}, part.Kind))
+		part.Length = p.Duration("length", time.Second, time.Millisecond, time.Hour, false)
+		part.Bytes = p.Bytes("bytes", 200<<10, 1, 1<<30)
+		if part.Kind != "" && !slices.Contains(partKinds, part.Kind) {
+			r.AddProblem(p.OffsetOf("kind"), "unknown kind %q; the kinds are %s", part.Kind, strings.Join(partKinds, ", "))
 		}
-		if slices.Contains(names, x.Name) {
-			r.AddProblem(p.OffsetOf("name"), "two parts are called %q; give one of them a name of its own", x.Name)
+		if slices.Contains(names, part.Name) {
+			r.AddProblem(p.OffsetOf("name"), "two parts are called %q; give one of them a name of its own", part.Name)
 		}
-		names = append(names, x.Name)
+		names = append(names, part.Name)
 		p.ReportUnknownKeys()
-		s.Parts = append(s.Parts, x)
+		s.Parts = append(s.Parts, part)
 	})
 	s.ExcludedParts = o.Texts("without", false)
-	for _, w := range s.ExcludedParts {
-		if !slices.Contains(names, w) {
-			r.AddProblem(o.OffsetOf("without"), "there is no part %q", w)
+	for _, name := range s.ExcludedParts {
+		if !slices.Contains(names, name) {
+			r.AddProblem(o.OffsetOf("without"), "there is no part %q", name)
 		}
 	}
 	if len(s.Parts) == 0 && o.Has("parts") {
-		r.AddProblem(o.OffsetOf("parts"), "a scenario needs a part")
+		r.AddProblem(o.OffsetOf("parts"), "a scenario needs at least one part")
 	}
 	o.ReportUnknownKeys()
 	if err := r.Err(); err != nil {
@@ -141,8 +141,8 @@
 	return s, nil
 }
 
-// deal gives a client its share of a part: connections and rate divided as evenly as they go.
-func (p Part) deal(client, clients int) Part {
+// share returns a client process's share of a part. Connections and rate are divided as evenly as possible.
+func (p Part) share(client, clients int) Part {
 	share := p.Connections / clients
 	if client < p.Connections%clients {
 		share++
--- a/internal/load/scenario_test.go
+++ b/internal/load/scenario_test.go
@@ -13,7 +13,8 @@
 	_ "fordusher/internal/testseed"
 )
 
-func TestShippedScenariosAreRead(t *testing.T) {
+// Every scenario that ships with the program parses and has its file's name.
+func TestShippedScenarios(t *testing.T) {
 	names := ScenarioNames()
 	if len(names) < 5 {
 		t.Fatal(names)
@@ -25,7 +26,8 @@
 	}
 }
 
-func TestScenarioMistakesAreNamed(t *testing.T) {
+// A mistake in a scenario is reported with its place.
+func TestScenarioErrors(t *testing.T) {
 	for _, x := range []struct{ text, want string }{
 		{`{"name": "a", "parts": [{"kind": "idel"}]}`, `s:1:34: unknown kind "idel"; the kinds are idle,`},
 		{`{"name": "a", "parts": [{"kind": "set-ups"}]}`, `s:1:25: "rate" is missing`},
@@ -41,14 +43,15 @@
 	}
 }
 
-// Whatever is dealt: no connection is lost or made up, and the rates of all add up.
-func TestDeal(t *testing.T) {
+// The shares of all client processes add up to the part: no connection is lost or added, and the rates sum to the
+// part's rate.
+func TestPartShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Part{Connections: rapid.IntRange(1, 1000).Draw(t, "n"), Rate: rapid.Float64Range(0, 1e4).Draw(t, "rate")}
 		clients := rapid.IntRange(1, 20).Draw(t, "clients")
 		n, rate := 0, 0.0
 		for i := range clients {
-			x := p.deal(i, clients)
+			x := p.share(i, clients)
 			n += x.Connections
 			rate += x.Rate
 		}
@@ -58,7 +61,8 @@
 	})
 }
 
-// An archive comes back as it was, sums up the measured seconds alone, and one that was cut off is named.
+// A saved archive loads with all rows, its summaries leave out the warm-up, and the error for a truncated file names the
+// file.
 func TestArchive(t *testing.T) {
 	s := &Scenario{Name: "x", Warmup: time.Second, Duration: 2 * time.Second, Parts: []Part{{Name: "p", Kind: KindSetups}}}
 	a := &Archive{Header: ArchiveHeader{Scenario: s, Cores: 4}}
@@ -103,12 +107,13 @@
 	}
 }
 
-// Idle connections whose timers are all due in one moment, while set-ups go on and drains come: every set-up is
-// answered, none comes to a node after its grace, nobody is lost. The command with a million is the measure.
-func TestIdleTimersDueTogether(t *testing.T) {
+// The heartbeat timers of 20,000 idle connections expire at once while set-ups and drains arrive. The work on the timers
+// must not hold up other events so long that a set-up goes unanswered or reaches a node after its drain grace, or that
+// a connection is lost. The load command measures the same with a million connections.
+func TestIdleTimersAligned(t *testing.T) {
 	x := InMemoryLoad{Connections: 20_000, Ping: time.Minute, Rate: 100, Duration: 1500 * time.Millisecond, Nodes: 10}
 	var r *InMemoryResult
-	for try := range 3 { // a machine that stands still is late by itself, but not three times running
+	for try := range 3 { // a stall of the machine delays a set-up too, but not three times in a row
 		var err error
 		if r, err = x.Run(t.Context(), t.Logf); err != nil {
 			t.Fatal(err)
--- a/internal/load/setup_rate.go
+++ b/internal/load/setup_rate.go
@@ -1,6 +1,6 @@
-// Package load puts an open-loop load on a director and measures what it adds. Requests are due by a
-// schedule that waits for nobody, and latencies count from when a request was due: a stalled server is not
-// flattered by a client that stalls with it.
+// Package load puts an open-loop load on directors and measures the latency and the resource usage that they add.
+// Requests follow a schedule that does not wait for answers, and latencies count from a request's due time. So the
+// measurement does not hide a stall of the server behind a client that stalls with it.
 package load
 
 import (
@@ -26,16 +26,16 @@
 )
 
 //go:embed house.jsonc
-var houseText string
+var configText string
 
-var houseTemplate = template.Must(template.New("house").Parse(houseText))
+var configTemplate = template.Must(template.New("house").Parse(configText))
 
-// SetupLoad is a load of set-ups at a steady rate, with so many sessions playing meanwhile.
+// A SetupLoad is a load of set-ups at a steady rate, with a steady number of playing sessions.
 type SetupLoad struct {
-	Rate        float64       `json:"rate"` // a second
+	Rate        float64       `json:"rate"` // per second
 	Playing     int           `json:"playing"`
-	Duration    time.Duration `json:"for"`  // measured
-	Warmup      time.Duration `json:"warm"` // before that, at the same rate
+	Duration    time.Duration `json:"for"`  // measured time
+	Warmup      time.Duration `json:"warm"` // time before the measurement, at the same rate
 	Nodes       int           `json:"nodes"`
 	Racks       int           `json:"racks"`
 	Titles      int           `json:"titles"`
@@ -43,7 +43,7 @@
 	Seed        uint64        `json:"seed"`
 }
 
-// SetupResult is how one run of a load went.
+// A SetupResult holds the results of one run of a SetupLoad.
 type SetupResult struct {
 	Name      string    `json:"name"`
 	Due       int       `json:"due"`
@@ -55,117 +55,119 @@
 	P99       float64   `json:"p99_ms"`
 	P999      float64   `json:"p999_ms"`
 	Max       float64   `json:"max_ms"`
-	CPU       float64   `json:"cpu"` // cores that the director used; 0 where there is none
+	CPU       float64   `json:"cpu"` // cores that the director used; 0 without a director
 	Quantiles []float64 `json:"quantiles"`
 	Millis    []float64 `json:"millis"`
 }
 
-// Process is a director that the load runs against.
+// A Process is a running director that receives the load.
 type Process interface {
 	Address() string
-	CPU() time.Duration // used so far
+	CPU() time.Duration // total CPU time used
 	Kill()
 }
 
-// A site is the stand-ins of one run.
-type site struct {
-	s        SetupLoad
-	host     *node.Host
-	list     *discovery.Source
-	machines []node.Spec
-	titles   []wire.TitlePlacement
+// A fixture holds the emulated nodes and discovery of one run.
+type fixture struct {
+	load      SetupLoad
+	nodes     *node.Host
+	discovery *discovery.Source
+	nodeSpecs []node.Spec
+	titles    []wire.TitlePlacement
 }
 
-func (s SetupLoad) open() (*site, error) { return s.openWith(rulecheck.DiscardRecorder) }
+func (s SetupLoad) startFixture() (*fixture, error) {
+	return s.startFixtureWith(rulecheck.DiscardRecorder)
+}
 
-// openWith starts the stand-ins with a recorder.
-func (s SetupLoad) openWith(record *rulecheck.Recorder) (*site, error) {
-	st := &site{s: s}
-	r := rand.New(rand.NewPCG(s.Seed, 3))
-	const middle = 703.0
-	places := s.Playing/s.Nodes*4 + 20
-	link := middle * float64(places)
+// startFixtureWith starts the emulated nodes and discovery with a recorder.
+func (s SetupLoad) startFixtureWith(recorder *rulecheck.Recorder) (*fixture, error) {
+	f := &fixture{load: s}
+	random := rand.New(rand.NewPCG(s.Seed, 3))
+	const middleRate = 703.0
+	maxStreams := s.Playing/s.Nodes*4 + 20
+	link := middleRate * float64(maxStreams)
 	uplink := link * float64((s.Nodes+s.Racks-1)/s.Racks)
 	var uplinks []float64
 	for range s.Racks {
 		uplinks = append(uplinks, uplink)
 	}
 	for i := range s.Nodes {
-		st.machines = append(st.machines, node.Spec{Name: "node-" + strconv.Itoa(i), Kind: "box", Rack: i % s.Racks, MaxStreams: places,
+		f.nodeSpecs = append(f.nodeSpecs, node.Spec{Name: "node-" + strconv.Itoa(i), Kind: "box", Rack: i % s.Racks, MaxStreams: maxStreams,
 			LinkRate: link, Cores: 64, SetupTime: 0})
 	}
 	var err error
-	st.host, err = node.StartHost(node.NewModel(s.Seed, node.Environment{Uplinks: uplinks, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4,
+	f.nodes, err = node.StartHost(node.NewModel(s.Seed, node.Environment{Uplinks: uplinks, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4,
 		OverloadWindow: time.Second, ReportDelay: 900 * time.Millisecond, ReportInterval: 3750 * time.Millisecond, LoadRefresh: 300 * time.Millisecond},
-		st.machines), record, nil)
+		f.nodeSpecs), recorder, nil)
 	if err != nil {
 		return nil, err
 	}
 	var entries []wire.NodeEntry
-	for i, m := range st.machines {
-		start, _ := st.host.Start(m.Name)
-		entries = append(entries, wire.NodeEntry{Node: m.Name, Address: st.host.Address(m.Name), State: wire.Up, MachineKind: "box", Weight: 1, Cell: i, Incarnation: start})
+	for i, m := range f.nodeSpecs {
+		start, _ := f.nodes.Start(m.Name)
+		entries = append(entries, wire.NodeEntry{Node: m.Name, Address: f.nodes.Address(m.Name), State: wire.Up, MachineKind: "box", Weight: 1, Cell: i, Incarnation: start})
 	}
 	for i := range s.Titles {
-		st.titles = append(st.titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i), FirstCell: r.IntN(s.Nodes), Copies: min(6, s.Nodes)})
+		f.titles = append(f.titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i), FirstCell: random.IntN(s.Nodes), Copies: min(6, s.Nodes)})
 	}
-	st.list, err = discovery.Start(record, entries, st.titles)
+	f.discovery, err = discovery.Start(recorder, entries, f.titles)
 	if err != nil {
-		st.host.Close()
+		f.nodes.Close()
 		return nil, err
 	}
-	return st, nil
+	return f, nil
 }
 
-func (st *site) close() {
-	st.list.Close()
-	st.host.Close()
+func (f *fixture) close() {
+	f.discovery.Close()
+	f.nodes.Close()
 }
 
-func (st *site) house() ([]byte, error) {
+func (f *fixture) directorConfig() ([]byte, error) {
 	var text bytes.Buffer
-	m := st.machines[0]
-	err := houseTemplate.Execute(&text, map[string]any{
-		"List": st.list.Address(), "Nodes": st.s.Nodes, "Racks": st.s.Racks, "Link": m.LinkRate,
-		"Uplink": m.LinkRate * float64((st.s.Nodes+st.s.Racks-1)/st.s.Racks), "Places": m.MaxStreams,
+	spec := f.nodeSpecs[0]
+	err := configTemplate.Execute(&text, map[string]any{
+		"List": f.discovery.Address(), "Nodes": f.load.Nodes, "Racks": f.load.Racks, "Link": spec.LinkRate,
+		"Uplink": spec.LinkRate * float64((f.load.Nodes+f.load.Racks-1)/f.load.Racks), "Places": spec.MaxStreams,
 	})
 	return text.Bytes(), err
 }
 
-// A meter takes latencies from many goroutines.
-type meter struct {
-	mu       sync.Mutex
-	from     time.Duration // what was due before is not measured
-	h        *hdrhistogram.Histogram
-	played   int64
-	nacked   atomic.Int64
-	errored  atomic.Int64
-	answered atomic.Int64
+// A latencyRecorder collects latencies and outcomes from many goroutines.
+type latencyRecorder struct {
+	mu          sync.Mutex
+	measureFrom time.Duration // requests that were due earlier are not measured
+	histogram   *hdrhistogram.Histogram
+	played      int64
+	nacked      atomic.Int64
+	errored     atomic.Int64
+	answered    atomic.Int64
 }
 
-func newMeter(from time.Duration) *meter {
-	return &meter{from: from, h: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+func newLatencyRecorder(from time.Duration) *latencyRecorder {
+	return &latencyRecorder{measureFrom: from, histogram: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 }
 
-func (m *meter) took(due, now time.Duration) {
+func (m *latencyRecorder) recordAnswer(due, now time.Duration) {
 	m.answered.Add(1)
-	if due < m.from {
+	if due < m.measureFrom {
 		return
 	}
 	m.mu.Lock()
 	m.played++
-	m.h.RecordValue(max(1, (now - due).Microseconds()))
+	m.histogram.RecordValue(max(1, (now - due).Microseconds()))
 	m.mu.Unlock()
 }
 
 var quantiles = []float64{0, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.95, 99.99, 100}
 
-func (m *meter) result(name string, due int) *SetupResult {
+func (m *latencyRecorder) result(name string, due int) *SetupResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	at := func(q float64) float64 { return float64(m.h.ValueAtQuantile(q)) / 1000 }
+	at := func(q float64) float64 { return float64(m.histogram.ValueAtQuantile(q)) / 1000 }
 	r := &SetupResult{Name: name, Due: due, Played: m.played, Nacked: m.nacked.Load(), Errored: m.errored.Load(),
-		P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(m.h.Max()) / 1000}
+		P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(m.histogram.Max()) / 1000}
 	for _, q := range quantiles {
 		r.Quantiles = append(r.Quantiles, q)
 		r.Millis = append(r.Millis, at(q))
@@ -173,19 +175,19 @@
 	return r
 }
 
-// schedule calls send for each request when it is due, or at once where that is past, and tells how many
-// were due after the warm-up. Gaps are drawn from the exponential distribution.
-func (s SetupLoad) schedule(ctx context.Context, began time.Duration, send func(n int, due time.Duration)) (measured int) {
+// schedule calls send for each request when it is due, or at once if that time has passed, and returns how many were
+// due after the warm-up. Gaps between requests are exponentially distributed.
+func (s SetupLoad) schedule(ctx context.Context, startedAt time.Duration, send func(n int, due time.Duration)) (measured int) {
 	r := rand.New(rand.NewPCG(s.Seed, 4))
-	from, end := began+s.Warmup, began+s.Warmup+s.Duration
-	due := began
+	from, end := startedAt+s.Warmup, startedAt+s.Warmup+s.Duration
+	due := startedAt
 	for n := 1; ; n++ {
 		due += time.Duration(r.ExpFloat64() / s.Rate * float64(time.Second))
 		if due >= end || ctx.Err() != nil {
 			return measured
 		}
 		for now := rulecheck.MonotonicNow(); now < due; now = rulecheck.MonotonicNow() {
-			time.Sleep(due - now) // what oversleeps counts as latency, with a director and without
+			time.Sleep(due - now) // oversleeping counts as latency, both with and without a director
 		}
 		if due >= from {
 			measured++
@@ -194,31 +196,31 @@
 	}
 }
 
-var bounds = transport.Limits{MaxMessageBytes: wire.MaxNodeMessageBytes, MaxQueuedBytes: 64 << 20, WriteTimeout: 10 * time.Second}
+var connLimits = transport.Limits{MaxMessageBytes: wire.MaxNodeMessageBytes, MaxQueuedBytes: 64 << 20, WriteTimeout: 10 * time.Second}
 
-// RunDirect measures players that speak to nodes themselves: what is there without a director.
+// RunDirect measures clients that send set-ups to the nodes themselves, as the baseline without a director.
 func (s SetupLoad) RunDirect(ctx context.Context) (*SetupResult, error) {
-	st, err := s.open()
+	f, err := s.startFixture()
 	if err != nil {
 		return nil, err
 	}
-	defer st.close()
-	began := rulecheck.MonotonicNow()
-	m := newMeter(began + s.Warmup)
-	h := &direct{m: m}
+	defer f.close()
+	startedAt := rulecheck.MonotonicNow()
+	m := newLatencyRecorder(startedAt + s.Warmup)
+	h := &directHandler{recorder: m}
 	var conns []*transport.Conn
-	for _, x := range st.machines {
-		c, err := transport.Dial(st.host.Address(x.Name), wire.NodeProtocol, 5*time.Second, bounds, h, nil)
+	for _, x := range f.nodeSpecs {
+		c, err := transport.Dial(f.nodes.Address(x.Name), wire.NodeProtocol, 5*time.Second, connLimits, h, nil)
 		if err != nil {
 			return nil, err
 		}
 		defer c.Abort()
 		conns = append(conns, c)
 	}
-	began = rulecheck.MonotonicNow()
-	m.from = began + s.Warmup
+	startedAt = rulecheck.MonotonicNow()
+	m.measureFrom = startedAt + s.Warmup
 	length := s.length()
-	due := s.schedule(ctx, began, func(n int, due time.Duration) {
+	due := s.schedule(ctx, startedAt, func(n int, due time.Duration) {
 		conns[n%len(conns)].Send(wire.Encode(wire.NodeMessage{Type: wire.Setup, Leg: uint64(due), Session: "s", Tariff: "clip", Title: "t",
 			Rung: 1, RateKB: 347, LengthMS: length.Milliseconds()}), 0)
 	})
@@ -226,48 +228,48 @@
 	return m.result("direct", due), nil
 }
 
-// length is how long a session plays so that so many play at one time.
+// length returns the session length at which the load's number of sessions plays at a time.
 func (s SetupLoad) length() time.Duration {
 	return max(time.Millisecond, time.Duration(float64(s.Playing)/s.Rate*float64(time.Second)))
 }
 
-type direct struct{ m *meter }
+type directHandler struct{ recorder *latencyRecorder }
 
-func (h *direct) Opened(*transport.Conn)                  {}
-func (h *direct) Closed(*transport.Conn, error, []uint64) {}
-func (h *direct) Message(_ *transport.Conn, raw []byte) {
+func (h *directHandler) Opened(*transport.Conn)                  {}
+func (h *directHandler) Closed(*transport.Conn, error, []uint64) {}
+func (h *directHandler) Message(_ *transport.Conn, raw []byte) {
 	now := rulecheck.MonotonicNow()
 	m, err := wire.DecodeNodeMessage(raw)
 	switch {
 	case err != nil:
 	case m.Type == wire.Accepted:
-		h.m.took(time.Duration(m.Leg), now)
+		h.recorder.recordAnswer(time.Duration(m.Leg), now)
 	case m.Type == wire.Full:
-		h.m.nacked.Add(1)
+		h.recorder.nacked.Add(1)
 	case m.Type == wire.Failed:
-		h.m.errored.Add(1)
+		h.recorder.errored.Add(1)
 	}
 }
 
-// RunThroughDirector measures players that ask a director.
-func (s SetupLoad) RunThroughDirector(ctx context.Context, launch func(house []byte) (Process, error)) (*SetupResult, error) {
-	st, err := s.open()
+// RunThroughDirector measures clients that send requests to a director, which launch starts.
+func (s SetupLoad) RunThroughDirector(ctx context.Context, launch func(config []byte) (Process, error)) (*SetupResult, error) {
+	f, err := s.startFixture()
 	if err != nil {
 		return nil, err
 	}
-	defer st.close()
-	house, err := st.house()
+	defer f.close()
+	config, err := f.directorConfig()
 	if err != nil {
 		return nil, err
 	}
-	p, err := launch(house)
+	p, err := launch(config)
 	if err != nil {
 		return nil, err
 	}
 	defer p.Kill()
-	time.Sleep(1500 * time.Millisecond) // connections to all nodes, and past the caution of a new director
+	time.Sleep(1500 * time.Millisecond) // until the director has connected to all nodes and its cautious phase after a start has passed
 	var cpu, from time.Duration
-	r, err := s.measure(ctx, st, p.Address(), "through a director", func() { from, cpu = rulecheck.MonotonicNow(), p.CPU() })
+	r, err := s.measure(ctx, f, p.Address(), "through a director", func() { from, cpu = rulecheck.MonotonicNow(), p.CPU() })
 	if err != nil {
 		return nil, err
 	}
@@ -278,46 +280,46 @@
 	return r, nil
 }
 
-// against measures players that ask a director which runs already.
-func (s SetupLoad) against(ctx context.Context, st *site, address, name string) (*SetupResult, error) {
-	return s.measure(ctx, st, address, name, func() {})
+// runAgainst measures clients that send requests to a running director.
+func (s SetupLoad) runAgainst(ctx context.Context, f *fixture, address, name string) (*SetupResult, error) {
+	return s.measure(ctx, f, address, name, func() {})
 }
 
-// measure puts the load on a director; begin is called when what is due begins to count.
-func (s SetupLoad) measure(ctx context.Context, st *site, address, name string, begin func()) (*SetupResult, error) {
-	m := newMeter(0)
-	h := &through{m: m}
+// measure puts the load on a director. It calls begin when the first measured request is due.
+func (s SetupLoad) measure(ctx context.Context, f *fixture, address, name string, begin func()) (*SetupResult, error) {
+	m := newLatencyRecorder(0)
+	h := &directorHandler{recorder: m}
 	var conns []*transport.Conn
 	for range s.Connections {
-		c, err := transport.Dial(address, wire.SessionProtocol, 5*time.Second, bounds, h, nil)
+		c, err := transport.Dial(address, wire.SessionProtocol, 5*time.Second, connLimits, h, nil)
 		if err != nil {
 			return nil, err
 		}
 		defer c.Abort()
 		conns = append(conns, c)
 	}
-	began := rulecheck.MonotonicNow()
-	m.from = began + s.Warmup
+	startedAt := rulecheck.MonotonicNow()
+	m.measureFrom = startedAt + s.Warmup
 	length := s.length()
-	counts := false
-	due := s.schedule(ctx, began, func(n int, due time.Duration) {
-		if !counts && due >= m.from {
-			counts = true
+	measuring := false
+	due := s.schedule(ctx, startedAt, func(n int, due time.Duration) {
+		if !measuring && due >= m.measureFrom {
+			measuring = true
 			begin()
 		}
 		id := strconv.FormatInt(int64(due), 36)
-		conns[n%len(conns)].Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip", Title: st.titles[n%len(st.titles)].Title,
+		conns[n%len(conns)].Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip", Title: f.titles[n%len(f.titles)].Title,
 			Key: "k" + id, WaitMS: 3000, LengthMS: length.Milliseconds()}), 0)
 	})
 	time.Sleep(500 * time.Millisecond)
 	return m.result(name, due), nil
 }
 
-type through struct{ m *meter }
+type directorHandler struct{ recorder *latencyRecorder }
 
-func (h *through) Opened(*transport.Conn)                  {}
-func (h *through) Closed(*transport.Conn, error, []uint64) {}
-func (h *through) Message(_ *transport.Conn, raw []byte) {
+func (h *directorHandler) Opened(*transport.Conn)                  {}
+func (h *directorHandler) Closed(*transport.Conn, error, []uint64) {}
+func (h *directorHandler) Message(_ *transport.Conn, raw []byte) {
 	now := rulecheck.MonotonicNow()
 	m, err := wire.DecodeSessionMessage(raw)
 	if err != nil {
@@ -326,16 +328,16 @@
 	switch m.Type {
 	case wire.Playing:
 		if due, err := strconv.ParseInt(m.ID, 36, 64); err == nil {
-			h.m.took(time.Duration(due), now)
+			h.recorder.recordAnswer(time.Duration(due), now)
 		}
 	case wire.Nack:
-		h.m.nacked.Add(1)
+		h.recorder.nacked.Add(1)
 	case wire.Errored:
-		h.m.errored.Add(1)
+		h.recorder.errored.Add(1)
 	}
 }
 
-// SetupTable writes results side by side.
+// SetupTable formats results as a table.
 func SetupTable(results ...*SetupResult) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-20s %8s %8s %7s %8s %9s %9s %9s %9s %9s %6s\n", "", "due", "played", "nacked", "errored", "p50 ms", "p90 ms", "p99 ms",
