--- a/internal/day/baseline.go
+++ b/internal/day/baseline.go
@@ -12,10 +12,16 @@
 // Baselines are simple deciders, by name, that the policy module is compared with. They run in the same director
 // loop. They follow the server list, avoid draining nodes and never set up a paid session twice, but judge neither
 // failures nor slow start nor, apart from least-middle's count of streams, load.
-var Baselines = map[string]func(h *conf.Config, seed uint64) director.Decider{
-	"random-lowest": func(h *conf.Config, seed uint64) director.Decider { return newBaseline(h, seed, selectRandom) },
-	"least-middle":  func(h *conf.Config, seed uint64) director.Decider { return newBaseline(h, seed, selectLeastLoaded) },
-	"round-robin":   func(h *conf.Config, seed uint64) director.Decider { return newBaseline(h, seed, selectRoundRobin) },
+var Baselines = map[string]func(config *conf.Config, seed uint64) director.Decider{
+	"random-lowest": func(config *conf.Config, seed uint64) director.Decider {
+		return newBaseline(config, seed, selectRandom)
+	},
+	"least-middle": func(config *conf.Config, seed uint64) director.Decider {
+		return newBaseline(config, seed, selectLeastLoaded)
+	},
+	"round-robin": func(config *conf.Config, seed uint64) director.Decider {
+		return newBaseline(config, seed, selectRoundRobin)
+	},
 }
 
 // selection is the rule by which a baseline selects one of the nodes that hold a title.
@@ -35,7 +41,7 @@
 	next      int
 	nodes     map[string]policy.NodeEntry
 	nodeNames []string
-	streams   map[string]float64
+	streams   map[string]float64          // by node name, from load reports and own legs
 	sessions  map[uint64]*baselineSession // active sessions only
 }
 
@@ -96,6 +102,7 @@
 	return nil
 }
 
+// place dispatches a session to a node, or ends it with a nack or a failure.
 func (b *baseline) place(now time.Duration, s *baselineSession) []policy.Action {
 	tariff := &b.config.Tariffs[s.Tariff]
 	cells := b.config.Fleet.Cells
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -99,7 +99,7 @@
 func TestCheckerDetectsBrokenDecider(t *testing.T) {
 	drained := map[string]bool{}
 	for rule, rewrite := range map[string]func(policy.Event, []policy.Action) []policy.Action{
-		// All sessions play at rung 0, below the floor of their tariff.
+		// All sessions play at rung 0, even if their tariff has a higher floor.
 		rulecheck.RuleTariffLimits: func(_ policy.Event, out []policy.Action) []policy.Action {
 			for i, a := range out {
 				if r, ok := a.(policy.SetRung); ok {
--- a/internal/day/harness.go
+++ b/internal/day/harness.go
@@ -26,8 +26,8 @@
 type Options struct {
 	Seed       uint64
 	Log        zerolog.Logger
-	Progress   func(line string)                                  // receives progress lines; may be nil
-	NewDecider func(h *conf.Config, seed uint64) director.Decider // nil: the policy module
+	Progress   func(line string)                                       // receives progress lines; may be nil
+	NewDecider func(config *conf.Config, seed uint64) director.Decider // nil: the policy module
 	// DisableGuard is for tests with a decider that is broken on purpose: the loop sends its actions unchecked.
 	DisableGuard bool
 	WrapDecider  func(d director.Decider) director.Decider // wraps the decider in tests; may be nil
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -32,13 +32,13 @@
 
 // Options configure a run of a day in virtual time.
 type Options struct {
-	Latency     LatencyRange // zero: 0.5 ms to 2 ms
-	Workers     int          // cores; 0: one. The number affects only the wall-clock time of the run
-	Until       time.Duration
-	NewDecider  func(h *conf.Config, seed uint64) director.Decider // nil: the policy module
-	Log         func(line string)                                  // receives one line per action; may be nil
-	Actions     []day.Action                                       // replace the script's timeline; nil: the script's timeline
-	Config      *conf.Config                                       // see day.Options
+	Latency     LatencyRange                                            // zero: 0.5 ms to 2 ms
+	Workers     int                                                     // cores; 0: one. The number affects only the wall-clock time of the run
+	Until       time.Duration                                           // virtual time at which the run ends, if it has not ended before; 0: no limit
+	NewDecider  func(config *conf.Config, seed uint64) director.Decider // nil: the policy module
+	Log         func(line string)                                       // receives progress and log lines; may be nil
+	Actions     []day.Action                                            // replace the script's timeline; nil: the script's timeline
+	Config      *conf.Config                                            // see day.Options
 	ListUpdates []day.ListUpdate
 }
 
@@ -91,7 +91,7 @@
 	run func(at time.Duration)
 }
 
-// nextAt returns the time of the next event or timer of the director.
+// nextAt returns the time of the director's next event or timer.
 func (d *simDirector) nextAt() time.Duration {
 	if !d.running {
 		return math.MaxInt64
@@ -151,6 +151,7 @@
 // discoveryRoute is the key of lastArrivals for the discovery connection.
 const discoveryRoute = 1 << 63
 
+// execute carries out the outputs of the director's loop.
 func (d *simDirector) execute(at time.Duration, outs []director.Output) {
 	sim, boot := d.sim, d.boot
 	for _, o := range outs {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -170,7 +170,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for name, decider := range map[string]func(h *conf.Config, seed uint64) director.Decider{"module": nil, "baseline": day.Baselines["least-middle"]} {
+		for name, decider := range map[string]func(config *conf.Config, seed uint64) director.Decider{"module": nil, "baseline": day.Baselines["least-middle"]} {
 			r, err := Run(s, uint64(seed), Options{Workers: 4, NewDecider: decider})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -92,7 +92,7 @@
 	Load      float64 `json:"load"`
 }
 
-func (c GridPoint) String() string { return fmt.Sprintf("%d directors, load %g", c.Directors, c.Load) }
+func (p GridPoint) String() string { return fmt.Sprintf("%d directors, load %g", p.Directors, p.Load) }
 
 // An ExperimentRun is one day of an experiment: one grid point, policy and seed.
 type ExperimentRun struct {
@@ -130,10 +130,10 @@
 		loads = []float64{x.Script.Load}
 	}
 	for _, count := range directors {
-		for _, l := range loads {
-			for _, p := range x.Policies {
+		for _, load := range loads {
+			for _, policy := range x.Policies {
 				for i := range x.Seeds {
-					result.Runs = append(result.Runs, ExperimentRun{GridPoint: GridPoint{count, l}, Policy: p, Seed: uint64(x.FirstSeed + i)})
+					result.Runs = append(result.Runs, ExperimentRun{GridPoint: GridPoint{count, load}, Policy: policy, Seed: uint64(x.FirstSeed + i)})
 				}
 			}
 		}
@@ -145,7 +145,7 @@
 		run := &result.Runs[i]
 		s := *x.Script
 		s.Directors, s.Load = run.Directors, run.Load
-		var decider func(h *conf.Config, seed uint64) director.Decider
+		var decider func(config *conf.Config, seed uint64) director.Decider
 		if run.Policy != DefaultPolicy {
 			decider = day.Baselines[run.Policy]
 		}
@@ -167,19 +167,19 @@
 }
 
 // Save writes the result to a compressed file.
-func (t *ExperimentResult) Save(file string) error { return resultarchive.Save(file, t, t.Runs) }
+func (r *ExperimentResult) Save(file string) error { return resultarchive.Save(file, r, r.Runs) }
 
 // LoadExperimentResult reads a file that Save wrote.
 func LoadExperimentResult(file string) (*ExperimentResult, error) {
-	t, days, err := resultarchive.Load[*ExperimentResult, ExperimentRun](file)
+	result, days, err := resultarchive.Load[*ExperimentResult, ExperimentRun](file)
 	switch {
 	case err != nil:
 		return nil, err
-	case t == nil || t.Name == "":
-		return nil, fmt.Errorf("%s: not an experiment's results", file)
+	case result == nil || result.Name == "":
+		return nil, fmt.Errorf("%s: not the results of an experiment", file)
 	}
-	t.Runs = days
-	return t, nil
+	result.Runs = days
+	return result, nil
 }
 
 // confidenceInterval returns the half width of the 95% confidence interval of a mean.
@@ -192,17 +192,18 @@
 }
 
 // runsOf returns the days of one grid point and policy, by seed.
-func (t *ExperimentResult) runsOf(c GridPoint, policy string) (days []ExperimentRun) {
-	for _, d := range t.Runs {
-		if d.GridPoint == c && d.Policy == policy {
+func (r *ExperimentResult) runsOf(point GridPoint, policy string) (days []ExperimentRun) {
+	for _, d := range r.Runs {
+		if d.GridPoint == point && d.Policy == policy {
 			days = append(days, d)
 		}
 	}
 	return days
 }
 
-func (t *ExperimentResult) gridPoints() (all []GridPoint) {
-	for _, d := range t.Runs {
+// gridPoints returns the grid points of the runs, in their order.
+func (r *ExperimentResult) gridPoints() (all []GridPoint) {
+	for _, d := range r.Runs {
 		if !slices.Contains(all, d.GridPoint) {
 			all = append(all, d.GridPoint)
 		}
@@ -210,8 +211,9 @@
 	return all
 }
 
-func (t *ExperimentResult) policies() (all []string) {
-	for _, d := range t.Runs {
+// policies returns the policies of the runs, in their order.
+func (r *ExperimentResult) policies() (all []string) {
+	for _, d := range r.Runs {
 		if !slices.Contains(all, d.Policy) {
 			all = append(all, d.Policy)
 		}
@@ -219,6 +221,7 @@
 	return all
 }
 
+// mapRuns returns f of each run.
 func mapRuns(days []ExperimentRun, f func(d ExperimentRun) float64) (all []float64) {
 	for _, d := range days {
 		all = append(all, f(d))
@@ -228,14 +231,14 @@
 
 // Table formats the means over seeds with their 95% confidence intervals, and each policy's difference in credit
 // from the first policy, paired by seed.
-func (t *ExperimentResult) Table() string {
+func (r *ExperimentResult) Table() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s\n%-26s %-14s %5s %16s %16s %8s %9s %9s %10s %9s %7s\n", t.Name, "", "policy", "days", "credit", "over the first", "nacked", "errored",
+	fmt.Fprintf(&b, "%s\n%-26s %-14s %5s %16s %16s %8s %9s %9s %10s %9s %7s\n", r.Name, "", "policy", "days", "credit", "over the first", "nacked", "errored",
 		"legs/play", "recovery s", "unmended", "broken")
-	for _, c := range t.gridPoints() {
+	for _, point := range r.gridPoints() {
 		var first []float64
-		for _, p := range t.policies() {
-			days := t.runsOf(c, p)
+		for _, policy := range r.policies() {
+			days := r.runsOf(point, policy)
 			if len(days) == 0 {
 				continue
 			}
@@ -261,7 +264,7 @@
 			if len(recoveries) > 0 {
 				mean = stat.Mean(recoveries, nil)
 			}
-			fmt.Fprintf(&b, "%-26s %-14s %5d %8.3f ± %.3f %16s %7.1f%% %8.2f%% %9.3f %10.2f %9d %7d\n", c, p, len(days), stat.Mean(credit, nil), confidenceInterval(credit), diff,
+			fmt.Fprintf(&b, "%-26s %-14s %5d %8.3f ± %.3f %16s %7.1f%% %8.2f%% %9.3f %10.2f %9d %7d\n", point, policy, len(days), stat.Mean(credit, nil), confidenceInterval(credit), diff,
 				100*float64(sum(func(d ExperimentRun) int { return d.Nacked }))/received, 100*float64(sum(func(d ExperimentRun) int { return d.Errored }))/received,
 				float64(sum(func(d ExperimentRun) int { return d.Legs }))/float64(max(1, sum(func(d ExperimentRun) int { return d.Played }))), mean,
 				sum(func(d ExperimentRun) int { return d.Unrecovered }), sum(func(d ExperimentRun) int { return d.Violations }))
@@ -281,23 +284,23 @@
 
 // Compare formats the differences in credit between two results, for each grid point and policy, on the seeds that
 // both have.
-func (t *ExperimentResult) Compare(other *ExperimentResult) string {
+func (r *ExperimentResult) Compare(other *ExperimentResult) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s over %s, paired by seed\n%-26s %-14s %5s %16s\n", t.Name, other.Name, "", "policy", "days", "credit")
-	for _, c := range t.gridPoints() {
-		for _, p := range t.policies() {
+	fmt.Fprintf(&b, "%s over %s, paired by seed\n%-26s %-14s %5s %16s\n", r.Name, other.Name, "", "policy", "days", "credit")
+	for _, point := range r.gridPoints() {
+		for _, policy := range r.policies() {
 			creditBySeed := map[uint64]float64{}
-			for _, d := range other.runsOf(c, p) {
+			for _, d := range other.runsOf(point, policy) {
 				creditBySeed[d.Seed] = d.Credit
 			}
 			var x, y []float64
-			for _, d := range t.runsOf(c, p) {
+			for _, d := range r.runsOf(point, policy) {
 				if otherCredit, both := creditBySeed[d.Seed]; both {
 					x, y = append(x, d.Credit), append(y, otherCredit)
 				}
 			}
 			if len(x) > 1 {
-				fmt.Fprintf(&b, "%-26s %-14s %5d %16s\n", c, p, len(x), pairedDifference(x, y))
+				fmt.Fprintf(&b, "%-26s %-14s %5d %16s\n", point, policy, len(x), pairedDifference(x, y))
 			}
 		}
 	}
@@ -306,15 +309,15 @@
 
 // DrawCharts draws a chart for each grid point: the share of the maximum earnings that was earned in each second, as
 // the mean over seeds, with a line for each policy.
-func (t *ExperimentResult) DrawCharts(path, form string) (drawn []string, err error) {
-	for i, c := range t.gridPoints() {
+func (r *ExperimentResult) DrawCharts(path, form string) (drawn []string, err error) {
+	for i, point := range r.gridPoints() {
 		p := plot.New()
-		p.Title.Text = t.Name + ": " + c.String()
+		p.Title.Text = r.Name + ": " + point.String()
 		p.X.Label.Text, p.Y.Label.Text = "seconds", "credit per second, share of the maximum"
 		p.Y.Min, p.Y.Max = 0, 1
 		p.Add(plotter.NewGrid())
-		for k, policy := range t.policies() {
-			days := t.runsOf(c, policy)
+		for k, policy := range r.policies() {
+			days := r.runsOf(point, policy)
 			var line plotter.XYs
 			for second := 0; ; second++ {
 				var shares []float64
--- a/internal/load/client_process.go
+++ b/internal/load/client_process.go
@@ -61,33 +61,33 @@
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
 
-func (t *partCounter) update(f func(s *Sample)) {
-	t.mu.Lock()
-	f(&t.current)
-	t.mu.Unlock()
+func (c *partCounter) update(f func(s *Sample)) {
+	c.mu.Lock()
+	f(&c.current)
+	c.mu.Unlock()
 }
 
 // recordAnswer counts an answer and records its latency from the time at which the request was due.
-func (t *partCounter) recordAnswer(due time.Duration) {
-	t.mu.Lock()
-	t.current.Answered++
-	t.latencies.RecordValue(max(1, (rulecheck.MonotonicNow() - due).Microseconds()))
-	t.mu.Unlock()
+func (c *partCounter) recordAnswer(due time.Duration) {
+	c.mu.Lock()
+	c.current.Answered++
+	c.latencies.RecordValue(max(1, (rulecheck.MonotonicNow() - due).Microseconds()))
+	c.mu.Unlock()
 }
 
 // flush returns the sample of the current second and resets the counts.
-func (t *partCounter) flush(second int, part string) (Sample, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	s := t.current
-	s.Second, s.Part, s.Open = second, part, t.open.Load()
-	t.current = Sample{}
-	if t.latencies.TotalCount() == 0 {
+func (c *partCounter) flush(second int, part string) (Sample, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.current
+	s.Second, s.Part, s.Open = second, part, c.open.Load()
+	c.current = Sample{}
+	if c.latencies.TotalCount() == 0 {
 		return s, nil
 	}
 	var err error
-	s.Latency, err = t.latencies.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
-	t.latencies.Reset()
+	s.Latency, err = c.latencies.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	c.latencies.Reset()
 	return s, err
 }
 
@@ -222,17 +222,17 @@
 			c.sendRequest(c.conns[n%len(c.conns)], "s"+strconv.FormatInt(int64(due), 36), n)
 		})
 	case KindDuplicates:
-		for i, x := range c.conns {
-			c.sendRequest(x, "c", i)
+		for i, conn := range c.conns {
+			c.sendRequest(conn, "c", i)
 		}
 		c.schedule(ctx, startedAt, func(n int, due time.Duration) {
-			x := c.conns[n%len(c.conns)]
+			conn := c.conns[n%len(c.conns)]
 			c.mu.Lock()
-			if q := c.pendingDuplicates[x]; len(q) < 64 {
-				c.pendingDuplicates[x] = append(q, due)
+			if q := c.pendingDuplicates[conn]; len(q) < 64 {
+				c.pendingDuplicates[conn] = append(q, due)
 			}
 			c.mu.Unlock()
-			c.sendRequest(x, "c", n%len(c.conns))
+			c.sendRequest(conn, "c", n%len(c.conns))
 		})
 	case KindReconnects:
 		c.runReconnects(ctx, startedAt)
@@ -274,13 +274,13 @@
 
 func (c *partClients) Opened(*transport.Conn) {}
 
-func (c *partClients) Closed(x *transport.Conn, cause error, _ []uint64) {
+func (c *partClients) Closed(conn *transport.Conn, cause error, _ []uint64) {
 	c.counter.open.Add(-1)
 	if transport.CauseLabel(cause) != "here" {
 		c.counter.update(func(s *Sample) { s.Lost++ })
 	}
 	c.mu.Lock()
-	delete(c.pendingDuplicates, x)
+	delete(c.pendingDuplicates, conn)
 	c.mu.Unlock()
 }
 
@@ -331,17 +331,17 @@
 		}
 		wait.Go(func() {
 			defer func() { <-slots }()
-			x, err := c.dial(n)
+			conn, err := c.dial(n)
 			if err != nil {
 				c.counter.update(func(s *Sample) { s.Rejected++ })
 				return
 			}
-			c.sendRequest(x, "r"+strconv.FormatInt(int64(due), 36), n)
+			c.sendRequest(conn, "r"+strconv.FormatInt(int64(due), 36), n)
 			select {
 			case <-ctx.Done():
 			case <-time.After(c.Length):
 			}
-			x.Close(1000, "bye")
+			conn.Close(1000, "bye")
 		})
 	})
 }
--- a/internal/load/idle_connections.go
+++ b/internal/load/idle_connections.go
@@ -113,11 +113,12 @@
 	return r, nil
 }
 
+// A closeCounter is a connection handler that counts closed connections.
 type closeCounter struct{ closed atomic.Int64 }
 
-func (q *closeCounter) Opened(*transport.Conn)                  {}
-func (q *closeCounter) Message(*transport.Conn, []byte)         {}
-func (q *closeCounter) Closed(*transport.Conn, error, []uint64) { q.closed.Add(1) }
+func (c *closeCounter) Opened(*transport.Conn)                  {}
+func (c *closeCounter) Message(*transport.Conn, []byte)         {}
+func (c *closeCounter) Closed(*transport.Conn, error, []uint64) { c.closed.Add(1) }
 
 // socketMemory returns the memory of all TCP sockets in bytes, as the kernel reports it.
 func socketMemory() float64 {
@@ -180,6 +181,7 @@
 	return nil
 }
 
+// discardFrames reads and discards frames until the connection closes.
 func discardFrames(r *bufio.ReadWriter) {
 	for {
 		h, err := ws.ReadHeader(r)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -180,6 +180,7 @@
 	end   func()
 }
 
+// startClient starts a client process and sends it its order.
 func startClient(launcher Launcher, order ClientOrder) (*clientProcess, error) {
 	line, err := json.Marshal(order)
 	if err != nil {
--- a/internal/load/setup_rate.go
+++ b/internal/load/setup_rate.go
@@ -124,6 +124,7 @@
 	f.nodes.Close()
 }
 
+// directorConfig returns the text of a config for a director of the fixture.
 func (f *fixture) directorConfig() ([]byte, error) {
 	var text bytes.Buffer
 	spec := f.nodeSpecs[0]
@@ -233,6 +234,7 @@
 	return max(time.Millisecond, time.Duration(float64(s.Playing)/s.Rate*float64(time.Second)))
 }
 
+// A directHandler records the answers of nodes.
 type directHandler struct{ recorder *latencyRecorder }
 
 func (h *directHandler) Opened(*transport.Conn)                  {}
@@ -315,6 +317,7 @@
 	return m.result(name, due), nil
 }
 
+// A directorHandler records the answers of a director.
 type directorHandler struct{ recorder *latencyRecorder }
 
 func (h *directorHandler) Opened(*transport.Conn)                  {}
