--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// A mistake in a script is reported with its place and, for an unknown key, a suggestion.
+// The error for a mistake in a script names the mistake, and for an unknown key suggests a known one.
 func TestScriptErrors(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{`{"lenght": "5s"}`, `s:1:2: unknown key "lenght"; did you mean "length"?`},
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -66,11 +66,11 @@
 // 200 random scripts violate no rule and leave no request unanswered.
 func TestRandomScripts(t *testing.T) {
 	search := Search{Seed: 5, Runs: 200, Workers: runtime.GOMAXPROCS(0), MaxResults: 3}
-	finds, features, err := search.Run(t.Context(), func(string, ...any) {})
+	results, features, err := search.Run(t.Context(), func(string, ...any) {})
 	if err != nil || features < 150 {
 		t.Fatal(features, err)
 	}
-	for _, f := range finds {
+	for _, f := range results {
 		if !f.Result.Passed() {
 			t.Errorf("%+v\n%s", f.Result.Rules, f.Script.Format("broken"))
 		}
--- a/internal/emulator/search.go
+++ b/internal/emulator/search.go
@@ -53,7 +53,7 @@
 const batchSize = 32
 
 // Run runs the search and returns the worst days, the worst first, and the number of distinct features seen.
-func (search Search) Run(ctx context.Context, logf func(format string, args ...any)) (finds []*SearchResult, seen int, err error) {
+func (search Search) Run(ctx context.Context, logf func(format string, args ...any)) (results []*SearchResult, seen int, err error) {
 	random := rand.New(rand.NewPCG(search.Seed, 31))
 	features := map[string]bool{}
 	var corpus []*day.Script
@@ -75,27 +75,27 @@
 		}); err != nil {
 			return nil, 0, err
 		}
-		for _, found := range batch {
-			for _, x := range found.features() {
+		for _, result := range batch {
+			for _, x := range result.features() {
 				if !features[x] {
 					features[x] = true
-					found.NewFeatures++
+					result.NewFeatures++
 				}
 			}
-			if found.NewFeatures > 0 {
-				corpus = append(corpus, found.Script)
+			if result.NewFeatures > 0 {
+				corpus = append(corpus, result.Script)
 			}
-			found.Result.Records, found.Result.Samples = nil, nil
-			finds = append(finds, found)
+			result.Result.Records, result.Result.Samples = nil, nil
+			results = append(results, result)
 		}
 		done += len(batch)
-		slices.SortStableFunc(finds, compareSeverity)
-		finds = finds[:min(len(finds), max(1, search.MaxResults))]
-		worst := finds[0]
+		slices.SortStableFunc(results, compareSeverity)
+		results = results[:min(len(results), max(1, search.MaxResults))]
+		worst := results[0]
 		logf("%d days, %d features; worst day: %d violations, margin %.2f of rule %s, credit %.3f", done, len(features), worst.Result.violations(), worst.Result.MinMargin,
 			worst.Result.MinMarginRule, worst.Result.Credit)
 	}
-	return finds, len(features), ctx.Err()
+	return results, len(features), ctx.Err()
 }
 
 // inParallel calls do for 0 to n-1 on a number of workers and returns the error of the lowest index that failed.
--- a/internal/load/scenario_test.go
+++ b/internal/load/scenario_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// A mistake in a scenario is reported with its place.
+// The error for a mistake in a scenario names the mistake.
 func TestScenarioErrors(t *testing.T) {
 	for _, x := range []struct{ text, want string }{
 		{`{"name": "a", "parts": [{"kind": "idel"}]}`, `s:1:34: unknown kind "idel"; the kinds are idle,`},
