--- a/cmd/fordusher/day.go
+++ b/cmd/fordusher/day.go
@@ -20,24 +20,24 @@
 )
 
 type dayCommand struct {
-	Script    string        `help:"The day's script, or bad-quarter, which ships with the program as the bad day does that is played without one."`
-	Conf      string        `help:"A director's file with nodes and titles, played on stand-ins in place of the script's own fleet." type:"path"`
-	Plan      string        `help:"With --conf: list updates in the course of the day, as import haproxy --plan writes them." type:"path"`
-	Virtual   bool          `help:"In virtual time: the same loops and codec, models of all else, the same to the byte for a script and a seed."`
-	Workers   int           `help:"Cores for a day in virtual time; they change nothing else." default:"${cores}"`
-	Replay    string        `help:"In virtual time, the incident of a day on sockets whose record was kept." type:"path"`
-	Until     time.Duration `help:"End a day in virtual time there: the shortest that still shows what is looked for."`
-	Profile   string        `help:"Write a profile of the processor time into this file." type:"path"`
-	Requests  int           `help:"Viewers who come, over what the script says."`
-	Directors int           `help:"Directors, over what the script says."`
-	Nodes     int           `help:"Nodes, over what the script says."`
-	Seed      uint64        `help:"What chance is drawn from; without it what the script says, or 1."`
-	JSON      bool          `help:"Print one object as the last line."`
-	Record    string        `help:"Keep the witness record in this file; fordusher verify checks it again." type:"path"`
-	Processes bool          `help:"Run directors and nodes as processes of their own, so that they are killed outright."`
-	Baseline  string        `help:"Put a baseline in the module's place: random-lowest, least-middle or round-robin." enum:"random-lowest,least-middle,round-robin,none" default:"none"`
-	Slack     time.Duration `help:"What the witness forgives of what is seen late or out of order." default:"100ms"`
-	Logs      bool          `help:"Show the directors' log."`
+	Script    string        `help:"A script file, or bad-quarter, which ships with the program; by default the bad day, which ships with it as well."`
+	Conf      string        `help:"A director's configuration file with nodes and titles; emulated nodes are started for it instead of the script's nodes." type:"path"`
+	Plan      string        `help:"With --conf: updates to the server list during the day, in a file written by import haproxy --plan." type:"path"`
+	Virtual   bool          `help:"Run in virtual time: with the real event loops and codec and models of everything else; byte for byte reproducible for a script and a seed."`
+	Workers   int           `help:"Number of cores for a day in virtual time; the results do not depend on it." default:"${cores}"`
+	Replay    string        `help:"With --virtual: replay a day that ran on sockets, from the file that --record wrote." type:"path"`
+	Until     time.Duration `help:"End a day in virtual time at this point, so that it is no longer than needed to show a failure."`
+	Profile   string        `help:"Write a CPU profile to this file." type:"path"`
+	Requests  int           `help:"Number of clients that send requests; overrides the script."`
+	Directors int           `help:"Number of directors; overrides the script."`
+	Nodes     int           `help:"Number of nodes; overrides the script."`
+	Seed      uint64        `help:"Seed of the random source; by default the script's seed, or 1."`
+	JSON      bool          `help:"Print the results as one JSON object on the last line."`
+	Record    string        `help:"Save the recorded messages and events to this file; fordusher verify checks the rules on it again." type:"path"`
+	Processes bool          `help:"Run directors and nodes as separate processes, so that directors are killed with SIGKILL."`
+	Baseline  string        `help:"Use a baseline placement policy instead of the director's own: random-lowest, least-middle or round-robin." enum:"random-lowest,least-middle,round-robin,none" default:"none"`
+	Slack     time.Duration `help:"Tolerance of the rule checks for messages that are recorded late or out of order." default:"100ms"`
+	Logs      bool          `help:"Print the directors' log."`
 }
 
 func (c *dayCommand) Run() error {
@@ -51,7 +51,7 @@
 	var actions []day.Action
 	if c.Replay != "" {
 		if !c.Virtual {
-			return badInput{errors.New("--replay needs --virtual")}
+			return inputError{errors.New("--replay needs --virtual")}
 		}
 		_, records, err := resultarchive.Load[rulecheck.Limits, rulecheck.Record](c.Replay)
 		if err != nil {
@@ -59,7 +59,7 @@
 		}
 		var seed uint64
 		if s, seed, actions, err = day.ReconstructRun(records); err != nil {
-			return badInput{fmt.Errorf("%s: %w", c.Replay, err)}
+			return inputError{fmt.Errorf("%s: %w", c.Replay, err)}
 		}
 		if c.Seed == 0 {
 			c.Seed = seed
@@ -82,18 +82,18 @@
 	defer stop()
 	log := zerolog.Nop()
 	if c.Logs {
-		log = logger(os.Stderr)
+		log = newLogger(os.Stderr)
 	}
 	opt := day.Options{Seed: c.Seed, Log: log, Tolerance: c.Slack, Progress: func(line string) { fmt.Fprintln(os.Stderr, line) }}
 	opt.NewDecider = day.Baselines[c.Baseline]
-	if err := c.imported(&opt); err != nil {
+	if err := c.readConfig(&opt); err != nil {
 		return err
 	}
 	if c.Processes && c.Virtual {
-		return badInput{errors.New("a day in virtual time has no processes: leave out --processes or --virtual")}
+		return inputError{errors.New("a day in virtual time runs in one process: use either --processes or --virtual")}
 	}
 	if c.Processes && opt.NewDecider != nil {
-		return errors.New("a baseline runs in the day's own process only: leave out --processes or --baseline")
+		return errors.New("a baseline policy needs directors in the day's own process: use either --processes or --baseline")
 	}
 	if c.Processes {
 		p, err := newProcesses()
@@ -116,14 +116,14 @@
 	}
 	var r *day.Result
 	if c.Virtual {
-		began := time.Now()
+		start := time.Now()
 		v, err := emulator.Run(s, c.Seed, emulator.Options{Workers: c.Workers, NewDecider: opt.NewDecider, Log: opt.Progress, Config: opt.Config, ListUpdates: opt.ListUpdates, Until: c.Until,
 			Actions: actions})
 		if err != nil {
 			return err
 		}
 		r = v.Result
-		fmt.Printf("%v of virtual time in %v, hash %s\n", v.Duration.Round(time.Millisecond), time.Since(began).Round(time.Millisecond), v.Hash)
+		fmt.Printf("%v of virtual time in %v, hash %s\n", v.Duration.Round(time.Millisecond), time.Since(start).Round(time.Millisecond), v.Hash)
 	} else {
 		var err error
 		if r, err = day.Run(ctx, s, opt); err != nil {
@@ -135,30 +135,32 @@
 			return err
 		}
 	}
-	return report(r, c.JSON)
+	return printResult(r, c.JSON)
 }
 
-// imported reads what a day plays in place of its script's fleet.
-func (c *dayCommand) imported(opt *day.Options) (err error) {
+// readConfig reads the configuration whose nodes and titles replace those of the script, and the plan of updates to the
+// server list.
+func (c *dayCommand) readConfig(opt *day.Options) (err error) {
 	switch {
 	case c.Conf == "" && c.Plan != "":
-		return badInput{errors.New("--plan needs --conf: it changes the fleet that is there")}
+		return inputError{errors.New("--plan needs --conf: a plan changes the nodes of that configuration")}
 	case c.Conf == "":
 		return nil
 	case c.Processes:
-		return badInput{errors.New("--conf is played in the day's own process: leave out --processes")}
+		return inputError{errors.New("--conf needs directors and nodes in the day's own process: leave out --processes")}
 	}
 	if opt.Config, err = conf.Load(c.Conf); err != nil || c.Plan == "" {
 		return err
 	}
-	lines, at, err := readPlan(c.Plan)
+	lines, times, err := readPlan(c.Plan)
 	for i, l := range lines {
-		opt.ListUpdates = append(opt.ListUpdates, day.ListUpdate{At: at[i], Entry: *l.Entry})
+		opt.ListUpdates = append(opt.ListUpdates, day.ListUpdate{At: times[i], Entry: *l.Entry})
 	}
 	return err
 }
 
-func report(r *day.Result, asJSON bool) error {
+// printResult prints the results of a day, and returns errRuleViolated if a rule was violated.
+func printResult(r *day.Result, asJSON bool) error {
 	r.Print(os.Stdout)
 	if asJSON {
 		line, err := json.Marshal(r)
@@ -168,7 +170,7 @@
 		fmt.Println(string(line))
 	}
 	if !r.Passed() {
-		return errBroken
+		return errRuleViolated
 	}
 	return nil
 }
--- a/cmd/fordusher/experiment.go
+++ b/cmd/fordusher/experiment.go
@@ -12,31 +12,31 @@
 )
 
 type experimentCommand struct {
-	File    string `arg:"" help:"An experiment, or, ending in .zst, the kept results of one." type:"path"`
-	Workers int    `help:"Cores; they change nothing else." default:"${cores}"`
-	Out     string `short:"o" help:"Keep all days in this file (compressed lines of JSON)." type:"path"`
-	Charts  string `help:"Draw the charts into this folder." type:"path"`
-	Form    string `help:"Of the charts: svg or png." enum:"svg,png" default:"svg"`
-	Against string `help:"Compare with the kept results of another, paired by seed." type:"path"`
+	File    string `arg:"" help:"An experiment file, or the saved results of an experiment, in a file that ends in .zst." type:"path"`
+	Workers int    `help:"Number of cores to use; the results do not depend on it." default:"${cores}"`
+	Out     string `short:"o" help:"Save all runs to this file (compressed lines of JSON)." type:"path"`
+	Charts  string `help:"Draw the charts into this directory." type:"path"`
+	Form    string `help:"Format of the charts: svg or png." enum:"svg,png" default:"svg"`
+	Against string `help:"Compare with the saved results of another experiment, paired by seed." type:"path"`
 }
 
 func (c *experimentCommand) Run() error {
-	t, err := c.trial()
+	r, err := c.result()
 	if err != nil {
 		return err
 	}
 	if c.Out != "" {
-		if err := t.Save(c.Out); err != nil {
+		if err := r.Save(c.Out); err != nil {
 			return err
 		}
 	}
-	fmt.Print(t.Table())
+	fmt.Print(r.Table())
 	if c.Against != "" {
-		o, err := emulator.LoadExperimentResult(c.Against)
+		other, err := emulator.LoadExperimentResult(c.Against)
 		if err != nil {
 			return err
 		}
-		fmt.Print(t.Compare(o))
+		fmt.Print(r.Compare(other))
 	}
 	if c.Charts == "" {
 		return nil
@@ -45,14 +45,15 @@
 		return err
 	}
 	name, _, _ := strings.Cut(filepath.Base(c.File), ".")
-	drawn, err := t.DrawCharts(filepath.Join(c.Charts, name), c.Form)
+	drawn, err := r.DrawCharts(filepath.Join(c.Charts, name), c.Form)
 	for _, d := range drawn {
 		fmt.Println(d)
 	}
 	return err
 }
 
-func (c *experimentCommand) trial() (*emulator.ExperimentResult, error) {
+// result loads the saved results of an experiment, or runs the experiment.
+func (c *experimentCommand) result() (*emulator.ExperimentResult, error) {
 	if strings.HasSuffix(c.File, ".zst") {
 		return emulator.LoadExperimentResult(c.File)
 	}
--- a/cmd/fordusher/hunt.go
+++ b/cmd/fordusher/hunt.go
@@ -13,31 +13,31 @@
 )
 
 type huntCommand struct {
-	Days    int    `help:"Days to draw." default:"200"`
-	Seed    uint64 `help:"What chance is drawn from." default:"1"`
-	Workers int    `help:"Cores; they change nothing else." default:"${cores}"`
-	Keep    int    `help:"Keep so many of the worst days." default:"5"`
-	Out     string `short:"o" help:"Write them into this folder, as scripts." type:"path"`
+	Days    int    `help:"Number of random days to run." default:"200"`
+	Seed    uint64 `help:"Seed of the random source." default:"1"`
+	Workers int    `help:"Number of cores to use; the results do not depend on it." default:"${cores}"`
+	Keep    int    `help:"Number of worst days to keep." default:"5"`
+	Out     string `short:"o" help:"Write the scripts of the worst days to this directory." type:"path"`
 }
 
 func (c *huntCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	h := emulator.Search{Seed: c.Seed, Runs: c.Days, Workers: c.Workers, MaxResults: c.Keep}
-	finds, features, err := h.Run(ctx, func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
+	search := emulator.Search{Seed: c.Seed, Runs: c.Days, Workers: c.Workers, MaxResults: c.Keep}
+	results, features, err := search.Run(ctx, func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
 	if err != nil && !errors.Is(err, context.Canceled) {
 		return err
 	}
 	fmt.Printf("%d days, %d features\n", c.Days, features)
-	broken := false
-	for i, f := range finds {
-		words := fmt.Sprintf("%d requests; broken: %t; least left: %.3f of %s; credit %.3f", f.Result.Received, !f.Result.Passed(), f.Result.MinMargin,
-			f.Result.MinMarginRule, f.Result.Credit)
-		fmt.Printf("%d. seed %d: %s\n", i+1, f.Script.Seed, words)
-		if !f.Result.Passed() {
-			broken = true
-			for rule, x := range f.Result.Rules {
-				for _, e := range x.Examples {
+	violated := false
+	for i, r := range results {
+		summary := fmt.Sprintf("%d requests; rules violated: %t; smallest margin: %.3f of %s; credit %.3f", r.Result.Received, !r.Result.Passed(), r.Result.MinMargin,
+			r.Result.MinMarginRule, r.Result.Credit)
+		fmt.Printf("%d. seed %d: %s\n", i+1, r.Script.Seed, summary)
+		if !r.Result.Passed() {
+			violated = true
+			for rule, finding := range r.Result.Rules {
+				for _, e := range finding.Examples {
 					fmt.Printf("   %s: %s\n", rule, e)
 				}
 			}
@@ -49,23 +49,23 @@
 			return err
 		}
 		file := filepath.Join(c.Out, fmt.Sprintf("hunt-%d-%d.jsonc", c.Seed, i+1))
-		if err := os.WriteFile(file, f.Script.Format("Found by a hunt. "+words), 0o644); err != nil {
+		if err := os.WriteFile(file, r.Script.Format("Found by fordusher hunt. "+summary), 0o644); err != nil {
 			return err
 		}
 	}
-	if broken {
-		return errBroken
+	if violated {
+		return errRuleViolated
 	}
 	return nil
 }
 
 type shrinkCommand struct {
-	Script string  `arg:"" help:"A script whose day in virtual time fails."`
-	Seed   uint64  `help:"What chance is drawn from; without it what the script says, or 1."`
-	Rule   string  `help:"It fails where this rule is broken; without it, any."`
-	Least  float64 `help:"It fails where less than this part of what a rule allows is left over, broken or not." default:"-1"`
-	Most   int     `help:"Try so many days at the most." default:"500"`
-	Out    string  `short:"o" help:"Write the smaller script here; without it, print it." type:"path"`
+	Script string  `arg:"" help:"A script of a day that fails in virtual time."`
+	Seed   uint64  `help:"Seed of the random source; by default the script's seed, or 1."`
+	Rule   string  `help:"A day fails if it violates this rule; by default, if it violates any rule."`
+	Least  float64 `help:"A day fails if the margin to a rule's limit, as a share of that limit, is below this value, whether or not the rule is violated." default:"-1"`
+	Most   int     `help:"Maximum number of days to run." default:"500"`
+	Out    string  `short:"o" help:"Write the smaller script to this file; by default it is printed." type:"path"`
 }
 
 func (c *shrinkCommand) Run() error {
@@ -80,8 +80,8 @@
 	fails := func(r *emulator.Result) bool {
 		switch {
 		case c.Rule != "":
-			f := r.Rules[c.Rule]
-			return f != nil && (f.Violations > 0 || f.MinMargin < c.Least)
+			finding := r.Rules[c.Rule]
+			return finding != nil && (finding.Violations > 0 || finding.MinMargin < c.Least)
 		case c.Least >= 0:
 			return r.MinMargin < c.Least
 		}
@@ -92,9 +92,9 @@
 		return err
 	}
 	if smaller == nil {
-		return badInput{fmt.Errorf("%s: the day does not fail with seed %d", c.Script, s.Seed)}
+		return inputError{fmt.Errorf("%s: the day does not fail with seed %d", c.Script, s.Seed)}
 	}
-	text := smaller.Format(fmt.Sprintf("Cut down from %s in %d days.", filepath.Base(c.Script), tried))
+	text := smaller.Format(fmt.Sprintf("Reduced from %s in %d days.", filepath.Base(c.Script), tried))
 	if c.Out != "" {
 		return os.WriteFile(c.Out, text, 0o644)
 	}
--- a/cmd/fordusher/import.go
+++ b/cmd/fordusher/import.go
@@ -18,38 +18,40 @@
 	"fordusher/rollout"
 )
 
-// exitSkipped says that an import left something out.
+// exitSkipped is the exit code of an import that left out lines.
 const exitSkipped = 3
 
 var errSkipped = errors.New("some lines were not carried over")
 
 type importCommand struct {
-	Haproxy haproxyCommand `cmd:"" help:"From HAProxy's configuration: files, or folders of files that end in .cfg, in their order."`
+	Haproxy haproxyCommand `cmd:"" help:"Import HAProxy's configuration from files, or from directories of .cfg files, in the given order."`
 }
 
 type haproxyCommand struct {
-	Files   []string          `arg:"" optional:"" help:"Files and folders."`
-	Out     string            `short:"o" help:"Write the director's file here." type:"path"`
-	Report  string            `help:"Write the report on every line here." type:"path"`
-	JSON    bool              `help:"The report as JSON."`
-	With    string            `help:"What HAProxy can't know: sections of a director's file, and servers by name or pattern."`
-	Env     map[string]string `help:"Values of environment variables; the machine's own are not looked at." mapsep:"none"`
-	Version string            `name:"haproxy-version" help:"Of the HAProxy that the files were written for, as in 2.8: decides version_atleast."`
-	Against string            `help:"A director's file that was imported before: keep what was filled in, tell what changed."`
-	Plan    string            `help:"With --against: write the change as list updates in a safe order here." type:"path"`
-	Terms   planTerms         `embed:"" prefix:"plan-"`
-	Table   bool              `help:"Print what is carried over and what is not, as in docs/import-haproxy.md, and end."`
+	Files   []string          `arg:"" optional:"" help:"Files and directories."`
+	Out     string            `short:"o" help:"Write the director's configuration to this file." type:"path"`
+	Report  string            `help:"Write the report on every line to this file." type:"path"`
+	JSON    bool              `help:"Write the report as JSON."`
+	With    string            `help:"File with settings that HAProxy does not have: sections of a director's configuration, and servers by name or pattern."`
+	Env     map[string]string `help:"Values of environment variables; the process's own environment is not used." mapsep:"none"`
+	Version string            `name:"haproxy-version" help:"HAProxy version that the files were written for, such as 2.8; used by version_atleast."`
+	Against string            `help:"A director's configuration from a previous import: keep the values that were filled in by hand, and report what changed."`
+	Plan    string            `help:"With --against: write the change to this file, as updates to the server list in a safe order." type:"path"`
+	Terms   planConstraints   `embed:"" prefix:"plan-"`
+	Table   bool              `help:"Print the table of which keywords are carried over, as in docs/import-haproxy.md, and exit."`
 }
 
-type planTerms struct {
-	PerRack  int           `help:"Nodes of one rack on their way at one time." default:"1"`
-	PerTitle int           `help:"Holders of one title on their way at one time." default:"1"`
-	Cold     int           `help:"Nodes that may be cold at one time; 0: a twentieth of those that are up." default:"0"`
-	Drain    time.Duration `help:"A drained node is removed so long after." default:"30m"`
-	Notice   time.Duration `help:"Every director has heard of a change after this." default:"10s"`
+// planConstraints are the flags that limit how fast a plan may change the server list.
+type planConstraints struct {
+	PerRack  int           `help:"Maximum number of nodes of one rack that change at a time: added and not warm yet, or drained and not removed yet." default:"1"`
+	PerTitle int           `help:"Maximum number of nodes with the same title that change at a time." default:"1"`
+	Cold     int           `help:"Maximum number of nodes in slow start at a time; 0: a twentieth of the nodes that are up." default:"0"`
+	Drain    time.Duration `help:"Time from a node's drain to its removal." default:"30m"`
+	Notice   time.Duration `help:"Time after which every director has received a change." default:"10s"`
 }
 
-// A planLine is one line of a plan's file: when, counted from its start, and what the list is to say.
+// A planLine is one line of a plan's file: the time from the start of the plan, the kind of the change, and the node's
+// new entry in the server list.
 type planLine struct {
 	At    string          `json:"at"`
 	What  string          `json:"what"`
@@ -62,15 +64,15 @@
 		return nil
 	}
 	if len(c.Files) == 0 {
-		return badInput{errors.New("no file to import")}
+		return inputError{errors.New("no file to import")}
 	}
 	if c.Plan != "" && c.Against == "" {
-		return badInput{errors.New("--plan needs --against: a plan leads from one file to another")}
+		return inputError{errors.New("--plan needs --against: a plan is made from a previous configuration to the new one")}
 	}
 	r := haproxy.Reader{Variables: c.Env, Version: c.Version}
-	files, err := r.ReadPaths(c.Files...)
+	config, err := r.ReadPaths(c.Files...)
 	if err != nil {
-		return unreadable(err)
+		return syntaxAsInputError(err)
 	}
 	var overlay *importer.Overlay
 	if c.With != "" {
@@ -82,9 +84,9 @@
 			return err
 		}
 	}
-	result, err := importer.Import(files, overlay)
+	result, err := importer.Import(config, overlay)
 	if err != nil {
-		return unreadable(err)
+		return syntaxAsInputError(err)
 	}
 	var changes []importer.Change
 	if c.Against != "" {
@@ -92,13 +94,13 @@
 		if err != nil {
 			return err
 		}
-		earlier, err := importer.ReadPreviousConfig(c.Against, text)
+		previous, err := importer.ReadPreviousConfig(c.Against, text)
 		if err != nil {
 			return err
 		}
-		changes = result.MergePrevious(earlier)
+		changes = result.MergePrevious(previous)
 		if c.Plan != "" {
-			if err := c.plan(text, result); err != nil {
+			if err := c.writePlan(text, result); err != nil {
 				return err
 			}
 		}
@@ -109,18 +111,18 @@
 			return err
 		}
 	}
-	form := report.WriteText
+	write := report.WriteText
 	if c.JSON {
-		form = report.WriteJSON
+		write = report.WriteJSON
 	}
 	switch {
 	case c.Report != "":
-		if err := writeFile(c.Report, form); err != nil {
+		if err := writeFile(c.Report, write); err != nil {
 			return err
 		}
 		fmt.Println(report.Summary())
 	default:
-		if err := form(os.Stdout); err != nil {
+		if err := write(os.Stdout); err != nil {
 			return err
 		}
 	}
@@ -130,35 +132,38 @@
 	return nil
 }
 
-// badInput is an error for which the program ends as for any wrong input.
-type badInput struct{ error }
+// An inputError is caused by invalid input; the program exits with exitInvalidInput.
+type inputError struct{ error }
 
-func (b badInput) Unwrap() error { return b.error }
+func (e inputError) Unwrap() error { return e.error }
 
-func unreadable(err error) error {
-	var u *haproxy.SyntaxError
-	if errors.As(err, &u) {
-		return badInput{err}
+// syntaxAsInputError makes a syntax error in HAProxy's configuration an input error, and returns other errors as they
+// are.
+func syntaxAsInputError(err error) error {
+	var syntax *haproxy.SyntaxError
+	if errors.As(err, &syntax) {
+		return inputError{err}
 	}
 	return err
 }
 
-// writeFile writes a file as a whole or leaves what was there: a full disk must not cost the file that is in use.
+// writeFile replaces a file as a whole or leaves it unchanged, so that a full disk does not destroy the file that is in
+// use.
 func writeFile(file string, write func(w io.Writer) error) error {
 	var b bytes.Buffer
 	if err := write(&b); err != nil {
 		return err
 	}
-	next := file + ".new"
-	if err := os.WriteFile(next, b.Bytes(), 0o644); err != nil {
+	temporary := file + ".new"
+	if err := os.WriteFile(temporary, b.Bytes(), 0o644); err != nil {
 		return err
 	}
-	return os.Rename(next, file)
+	return os.Rename(temporary, file)
 }
 
-// plan writes the way from the earlier file to the new one.
-func (c *haproxyCommand) plan(before []byte, result *importer.Result) error {
-	old, err := conf.Decode(c.Against, before)
+// writePlan writes the plan that leads from the previous configuration to the imported one.
+func (c *haproxyCommand) writePlan(previous []byte, result *importer.Result) error {
+	before, err := conf.Decode(c.Against, previous)
 	if err != nil {
 		return err
 	}
@@ -168,13 +173,13 @@
 	}
 	name := c.Out
 	if name == "" {
-		name = "the import"
+		name = "the imported configuration"
 	}
-	now, err := conf.Decode(name, []byte(b.String()))
+	after, err := conf.Decode(name, []byte(b.String()))
 	if err != nil {
-		return fmt.Errorf("a plan needs all blanks filled in: %w", err)
+		return fmt.Errorf("a plan needs a complete configuration: %w", err)
 	}
-	lines, err := planBetween(old, now, c.Terms)
+	lines, err := planRollout(before, after, c.Terms)
 	if err != nil {
 		return err
 	}
@@ -189,40 +194,40 @@
 	})
 }
 
-// planBetween asks the planner for the way from one house's nodes to another's, and lets its checker go
-// over what it says.
-func planBetween(old, now *conf.Config, t planTerms) ([]planLine, error) {
-	terms := rollout.Constraints{Cells: now.Fleet.Cells, Racks: now.Fleet.Racks, MaxPerRack: t.PerRack, MaxPerTitle: t.PerTitle, MaxWarming: t.Cold,
-		Warmup: now.Ramp.Warmup, DrainTime: t.Drain, PropagationDelay: t.Notice}
-	if old.Fleet.Cells != now.Fleet.Cells || old.Fleet.Racks != now.Fleet.Racks {
-		return nil, errors.New("no plan: fleet.cells or fleet.racks changed, which moves every title; start directors with the new file")
+// planRollout plans the changes that lead from the nodes of one configuration to those of another, and has the planner's
+// checker verify them.
+func planRollout(before, after *conf.Config, c planConstraints) ([]planLine, error) {
+	constraints := rollout.Constraints{Cells: after.Fleet.Cells, Racks: after.Fleet.Racks, MaxPerRack: c.PerRack, MaxPerTitle: c.PerTitle, MaxWarming: c.Cold,
+		Warmup: after.Ramp.Warmup, DrainTime: c.Drain, PropagationDelay: c.Notice}
+	if before.Fleet.Cells != after.Fleet.Cells || before.Fleet.Racks != after.Fleet.Racks {
+		return nil, errors.New("no plan: fleet.cells or fleet.racks changed, which moves every title; start the directors with the new configuration")
 	}
 	var titles []rollout.Title
-	for _, t := range now.Titles {
+	for _, t := range after.Titles {
 		titles = append(titles, rollout.Title{Name: t.Title, FirstCell: t.FirstCell, Copies: t.Copies})
 	}
 	entries := map[string]wire.NodeEntry{}
-	side := func(from []wire.NodeEntry) (all []rollout.Node) {
-		for _, e := range from {
-			all = append(all, rollout.Node{Name: e.Node, Cell: e.Cell, Up: e.State == wire.Up, Weight: e.Weight,
+	rolloutNodes := func(list []wire.NodeEntry) (nodes []rollout.Node) {
+		for _, e := range list {
+			nodes = append(nodes, rollout.Node{Name: e.Node, Cell: e.Cell, Up: e.State == wire.Up, Weight: e.Weight,
 				Identity: e.Address + " " + e.MachineKind + " " + e.Zone})
 		}
-		return all
+		return nodes
 	}
-	have, want := side(old.Nodes), side(now.Nodes)
-	steps, blocked := rollout.Plan(have, want, titles, terms)
+	current, target := rolloutNodes(before.Nodes), rolloutNodes(after.Nodes)
+	steps, blocked := rollout.Plan(current, target, titles, constraints)
 	if blocked != nil {
 		return nil, fmt.Errorf("no plan: %w", blocked)
 	}
-	if err := rollout.Check(have, want, titles, terms, steps); err != nil {
-		return nil, fmt.Errorf("no plan: the planner's own check finds %w", err)
+	if err := rollout.Check(current, target, titles, constraints, steps); err != nil {
+		return nil, fmt.Errorf("no plan: the check of the plan failed: %w", err)
 	}
-	for _, e := range old.Nodes {
+	for _, e := range before.Nodes {
 		entries[e.Node] = e
 	}
-	next := map[string]wire.NodeEntry{}
-	for _, e := range now.Nodes {
-		next[e.Node] = e
+	targetEntries := map[string]wire.NodeEntry{}
+	for _, e := range after.Nodes {
+		targetEntries[e.Node] = e
 	}
 	var lines []planLine
 	for _, s := range steps {
@@ -230,7 +235,7 @@
 			e := entries[ch.Node.Name]
 			switch ch.Kind {
 			case rollout.Add:
-				e = next[ch.Node.Name]
+				e = targetEntries[ch.Node.Name]
 			case rollout.Reopen, rollout.Reweight:
 				e.State, e.Weight = wire.Draining, ch.Node.Weight
 				if ch.Node.Up {
@@ -248,8 +253,8 @@
 	return lines, nil
 }
 
-// readPlan reads a plan's file; mistakes are named by their line.
-func readPlan(file string) (lines []planLine, at []time.Duration, err error) {
+// readPlan reads the lines of a plan's file and their times, which must not decrease. Errors name the line.
+func readPlan(file string) (lines []planLine, times []time.Duration, err error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, err
@@ -262,18 +267,18 @@
 			d, err = time.ParseDuration(l.At)
 		}
 		if err == nil && l.Entry == nil {
-			err = errors.New("no entry")
+			err = errors.New("the entry is missing")
 		}
 		if err == nil {
 			_, err = wire.DecodeDiscoveryMessage(wire.Encode(wire.DiscoveryMessage{Type: wire.Update, Nodes: []wire.NodeEntry{*l.Entry}}))
 		}
-		if err == nil && len(at) > 0 && d < slices.Max(at) {
-			err = errors.New("earlier than the line above")
+		if err == nil && len(times) > 0 && d < slices.Max(times) {
+			err = errors.New("the time is before that of an earlier line")
 		}
 		if err != nil {
-			return nil, nil, badInput{fmt.Errorf("%s:%d: %w", file, i+1, err)}
+			return nil, nil, inputError{fmt.Errorf("%s:%d: %w", file, i+1, err)}
 		}
-		lines, at = append(lines, l), append(at, d)
+		lines, times = append(lines, l), append(times, d)
 	}
-	return lines, at, nil
+	return lines, times, nil
 }
--- a/cmd/fordusher/import_test.go
+++ b/cmd/fordusher/import_test.go
@@ -10,7 +10,7 @@
 
 // A configuration is imported, changed, imported again and the change planned; the plan is carried out on
 // running directors while players play. Every rule is kept, drains of servers of weight 0 included.
-func TestImportedFleetIsPlayedAndChanged(t *testing.T) {
+func TestImportedNodesRunAndPlanIsApplied(t *testing.T) {
 	dir := t.TempDir()
 	path := func(name string) string { return filepath.Join(dir, name) }
 	const first = "defaults\n timeout connect 400ms\nlisten l\n bind 127.0.0.1:18080\n default-server maxconn 200 slowstart 500ms\n" +
@@ -55,19 +55,19 @@
 	// Both holders of a title drain: there is no plan, and it is told why.
 	lonely := strings.Replace(second, "server b 10.0.0.2:1 weight 2", "server b 10.0.0.2:1 weight 0", 1)
 	os.WriteFile(path("3.cfg"), []byte(lonely), 0o600)
-	if code, _, errs := program(t, "import", "haproxy", path("3.cfg"), "--with", path("with.jsonc"), "--against", path("1.json"), "--plan", path("no.jsonl")); code != exitBroken ||
+	if code, _, errs := program(t, "import", "haproxy", path("3.cfg"), "--with", path("with.jsonc"), "--against", path("1.json"), "--plan", path("no.jsonl")); code != exitFailure ||
 		!strings.Contains(errs, "title u: no holder of it is up") {
 		t.Error(code, errs)
 	}
 	os.WriteFile(path("bad.jsonl"), []byte("{\"at\": \"1s\", \"entry\": {\"node\": \"a\", \"state\": \"sideways\"}}\n"), 0o600)
-	if code, _, errs := program(t, "day", "--conf", path("1.json"), "--plan", path("bad.jsonl")); code != exitInput || !strings.Contains(errs, "bad.jsonl:1:") {
+	if code, _, errs := program(t, "day", "--conf", path("1.json"), "--plan", path("bad.jsonl")); code != exitInvalidInput || !strings.Contains(errs, "bad.jsonl:1:") {
 		t.Error(code, errs)
 	}
-	if code, _, errs := program(t, "import", "haproxy", path("none.cfg")); code != exitInput || !strings.Contains(errs, "none.cfg") {
+	if code, _, errs := program(t, "import", "haproxy", path("none.cfg")); code != exitInvalidInput || !strings.Contains(errs, "none.cfg") {
 		t.Error(code, errs)
 	}
 	os.WriteFile(path("torn.cfg"), []byte("global\n log 'never\n"), 0o600)
-	if code, _, errs := program(t, "import", "haproxy", path("torn.cfg")); code != exitInput || !strings.Contains(errs, "torn.cfg:2:6:") {
+	if code, _, errs := program(t, "import", "haproxy", path("torn.cfg")); code != exitInvalidInput || !strings.Contains(errs, "torn.cfg:2:6:") {
 		t.Error(code, errs)
 	}
 }
--- a/cmd/fordusher/load.go
+++ b/cmd/fordusher/load.go
@@ -26,19 +26,19 @@
 )
 
 type loadCommand struct {
-	Setups  setupsCommand  `cmd:"" help:"Set-ups at a steady rate: what a director adds to a player that speaks to nodes itself."`
-	Idle    idleCommand    `cmd:"" help:"Idle connections over sockets: what each costs a director, and a door with a goroutine and a timer for each."`
-	Million millionCommand `cmd:"" help:"Idle connections in memory while set-ups and drains go on, and all timers due at once."`
-	Run     runCommand     `cmd:"" help:"Play a scenario: parts of different habits at the same time, over several processes; keep every second's figures."`
+	Setups  setupsCommand  `cmd:"" help:"Set up sessions at a steady rate, and measure the latency that a director adds compared with clients that connect to the nodes directly."`
+	Idle    idleCommand    `cmd:"" help:"Hold idle connections over sockets, and measure what each costs a director and a baseline server with a goroutine and a timer per connection."`
+	Million millionCommand `cmd:"" help:"Hold idle connections in memory, and measure set-ups, drains and the case that all timers are due at once."`
+	Run     runCommand     `cmd:"" help:"Run a scenario: parts with different client behaviors at the same time, over several processes, measured every second."`
 	Client  clientCommand  `cmd:"" hidden:"" help:"A client process of a scenario."`
-	Plain   plainCommand   `cmd:"" hidden:"" help:"The door with a goroutine and a timer for each connection."`
+	Plain   plainCommand   `cmd:"" hidden:"" help:"The baseline server with a goroutine and a timer per connection."`
 }
 
 type idleCommand struct {
-	Connections int           `help:"Idle connections; as many as descriptors allow where that is less." default:"18000"`
-	For         time.Duration `help:"How long the processor time of idleness is measured." default:"30s"`
-	Ping        time.Duration `help:"A sign of life is asked for so often." default:"10s"`
-	JSON        bool          `help:"Print one object as the last line."`
+	Connections int           `help:"Number of idle connections; fewer if the limit on file descriptors requires it." default:"18000"`
+	For         time.Duration `help:"How long the CPU time for idle connections is measured." default:"30s"`
+	Ping        time.Duration `help:"Heartbeat interval of idle connections." default:"10s"`
+	JSON        bool          `help:"Print the results as one JSON object on the last line."`
 }
 
 func (c *idleCommand) Run() error {
@@ -48,28 +48,28 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	const spare = 500
-	n := min(c.Connections, int(min(limit.Cur, 1<<30))-spare) / 32 * 32
-	fmt.Printf("%d descriptors allowed, %d connections, a sign of life each %v, one core\n", limit.Cur, n, c.Ping)
+	const reservedDescriptors = 500
+	n := min(c.Connections, int(min(limit.Cur, 1<<30))-reservedDescriptors) / 32 * 32
+	fmt.Printf("limit of %d descriptors, %d connections, heartbeat interval %v, one core\n", limit.Cur, n, c.Ping)
 	p, err := newProcesses()
 	if err != nil {
 		return err
 	}
 	defer p.close()
-	i := load.IdleLoad{Connections: n, Duration: c.For, Ping: c.Ping}
+	idleLoad := load.IdleLoad{Connections: n, Duration: c.For, Ping: c.Ping}
 	var results []*load.IdleResult
-	for _, what := range []struct {
+	for _, server := range []struct {
 		name  string
 		start func() (*measuredProcess, error)
 	}{
-		{"director", func() (*measuredProcess, error) { return p.idle(n, c.Ping) }},
-		{"goroutine and timer each", func() (*measuredProcess, error) { return p.start("load", "plain", "--ping", c.Ping.String()) }},
+		{"director", func() (*measuredProcess, error) { return p.startIdleDirector(n, c.Ping) }},
+		{"goroutine and timer each", func() (*measuredProcess, error) { return p.startOnOneCore("load", "plain", "--ping", c.Ping.String()) }},
 	} {
-		process, err := what.start()
+		process, err := server.start()
 		if err != nil {
 			return err
 		}
-		r, err := i.Run(ctx, what.name, process)
+		r, err := idleLoad.Run(ctx, server.name, process)
 		process.Kill()
 		if err != nil {
 			return err
@@ -77,13 +77,14 @@
 		results = append(results, r)
 	}
 	fmt.Print(load.IdleTable(results...))
-	a, b := results[0], results[1]
-	fmt.Printf("ratio, director over the other: Go memory %.2f, RSS %.2f, processor time %.2f\n", (a.Heap+a.Stacks)/(b.Heap+b.Stacks), a.RSS/b.RSS, a.CPU/b.CPU)
-	return printJSON(c.JSON, map[string]any{"load": i, "results": results})
+	director, baseline := results[0], results[1]
+	fmt.Printf("ratio of director to baseline: Go memory %.2f, RSS %.2f, CPU time %.2f\n", (director.Heap+director.Stacks)/(baseline.Heap+baseline.Stacks), director.RSS/baseline.RSS, director.CPU/baseline.CPU)
+	return printJSON(c.JSON, map[string]any{"load": idleLoad, "results": results})
 }
 
-func printJSON(want bool, x any) error {
-	if !want {
+// printJSON prints x as one line of JSON if the --json flag is set.
+func printJSON(enabled bool, x any) error {
+	if !enabled {
 		return nil
 	}
 	line, err := json.Marshal(x)
@@ -95,14 +96,14 @@
 }
 
 type millionCommand struct {
-	Connections int           `help:"Idle connections." default:"1000000"`
-	Rate        float64       `help:"Set-ups a second meanwhile." default:"500"`
-	Ping        time.Duration `help:"A sign of life is asked for so often." default:"60s"`
-	For         time.Duration `help:"How long each part is measured." default:"10s"`
-	Nodes       int           `help:"Stand-in nodes." default:"50"`
-	Cores       int           `help:"Cores for everything." default:"1"`
-	Climb       bool          `help:"Go on with twice as many until a drain is not kept, an answer is missing or memory ends, and tell which."`
-	JSON        bool          `help:"Print one object as the last line."`
+	Connections int           `help:"Number of idle connections." default:"1000000"`
+	Rate        float64       `help:"Set-ups per second." default:"500"`
+	Ping        time.Duration `help:"Heartbeat interval of idle connections." default:"60s"`
+	For         time.Duration `help:"Duration of each part of the measurement." default:"10s"`
+	Nodes       int           `help:"Number of emulated nodes." default:"50"`
+	Cores       int           `help:"Number of cores for the whole process." default:"1"`
+	Climb       bool          `help:"Double the number of connections until a drain is late, an answer is missing or memory runs out, and print the reason."`
+	JSON        bool          `help:"Print the results as one JSON object on the last line."`
 }
 
 func (c *millionCommand) Run() error {
@@ -116,8 +117,8 @@
 	}
 	fmt.Print(r.Table())
 	for c.Climb && ctx.Err() == nil {
-		if why := r.LimitReason(memoryFree()); why != "" {
-			fmt.Println("the climb ends:", why)
+		if reason := r.LimitReason(availableMemory()); reason != "" {
+			fmt.Println("limit reached:", reason)
 			break
 		}
 		x.Connections *= 2
@@ -129,8 +130,8 @@
 	return printJSON(c.JSON, r)
 }
 
-// memoryFree is what the machine could still give, in bytes.
-func memoryFree() float64 {
+// availableMemory returns the memory that the machine has available, in bytes, or infinity if it is unknown.
+func availableMemory() float64 {
 	raw, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return math.Inf(1)
@@ -161,51 +162,51 @@
 	defer stop()
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector())
-	go http.Serve(page, figures(reg))
-	if err := printJSON(true, ready{Listen: ln.Addr().String(), Metrics: page.Addr().String()}); err != nil {
+	go http.Serve(page, metricsHandler(reg))
+	if err := printJSON(true, readyMessage{Listen: ln.Addr().String(), Metrics: page.Addr().String()}); err != nil {
 		return err
 	}
 	return load.ServeBaseline(ctx, ln, c.Ping)
 }
 
-// idle starts a director that takes so many idle connections, on one core.
-func (p *processes) idle(n int, ping time.Duration) (*measuredProcess, error) {
-	house := fmt.Sprintf(`{"director": {"name": "idle", "me": 0, "directors": 1}, "listen": "127.0.0.1:0", "metrics": "127.0.0.1:0",
+// startIdleDirector starts a director on one core that accepts n idle connections. Its limit on connections is 2n.
+func (p *processes) startIdleDirector(n int, ping time.Duration) (*measuredProcess, error) {
+	config := fmt.Sprintf(`{"director": {"name": "idle", "me": 0, "directors": 1}, "listen": "127.0.0.1:0", "metrics": "127.0.0.1:0",
 		"list": {"address": "127.0.0.1:1"}, "tariffs": {"clip": {"goal_time": "1s", "hard_stop": "3s"}}, "ladder": {"rates": ["100kB/s"]},
 		"fleet": {"cells": 1, "racks": 1, "link_unit": "1000kB/s", "uplink": "1000kB/s", "machines": {"box": 5}},
 		"ramp": {"warmup": "1s", "cold_from": 0.5, "multiple": 4, "tip_after": "1s"}, "closing": {"within": "100ms"},
 		"manners": {"ping_players": "%v"}, "limits": {"connections": %d}}`, ping, n*2)
 	file := filepath.Join(p.dir, "idle.jsonc")
-	if err := os.WriteFile(file, []byte(house), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(config), 0o600); err != nil {
 		return nil, err
 	}
-	return p.start("serve", "--conf", file, "--boot", "1", "--seed", "1")
+	return p.startOnOneCore("serve", "--conf", file, "--boot", "1", "--seed", "1")
 }
 
-// start starts a process on one core that prints where it listens.
-func (p *processes) start(args ...string) (*measuredProcess, error) {
-	var told ready
-	cmd, _, _, err := p.spawnWith([]string{"GOMAXPROCS=1"}, &told, args...)
+// startOnOneCore starts a process on one core and reads the addresses that it prints.
+func (p *processes) startOnOneCore(args ...string) (*measuredProcess, error) {
+	var ready readyMessage
+	cmd, _, _, err := p.spawnWithEnv([]string{"GOMAXPROCS=1"}, &ready, args...)
 	if err != nil {
 		return nil, err
 	}
-	return &measuredProcess{cmd, told}, nil
+	return &measuredProcess{cmd, ready}, nil
 }
 
 type setupsCommand struct {
-	Rate        float64       `help:"Set-ups a second." default:"5000"`
-	Playing     int           `help:"Sessions that play meanwhile." default:"10000"`
-	For         time.Duration `help:"How long is measured." default:"10s"`
-	Warm        time.Duration `help:"How long the load runs before that." default:"4s"`
-	Nodes       int           `help:"Stand-in nodes." default:"250"`
-	Racks       int           `help:"Their racks." default:"36"`
-	Titles      int           `help:"Titles." default:"500"`
-	Connections int           `help:"Players' connections." default:"200"`
-	Cores       int           `help:"Cores of the director." default:"1"`
-	Seed        uint64        `help:"What chance is drawn from." default:"1"`
-	Chart       string        `help:"Draw the latencies into this file (.svg or .png)." type:"path"`
-	Profile     string        `help:"Write a profile of the director's processor time into this file." type:"path"`
-	JSON        bool          `help:"Print one object as the last line."`
+	Rate        float64       `help:"Set-ups per second." default:"5000"`
+	Playing     int           `help:"Number of sessions that play at the same time." default:"10000"`
+	For         time.Duration `help:"Duration of the measurement." default:"10s"`
+	Warm        time.Duration `help:"Duration of the load before the measurement." default:"4s"`
+	Nodes       int           `help:"Number of emulated nodes." default:"250"`
+	Racks       int           `help:"Number of racks of the nodes." default:"36"`
+	Titles      int           `help:"Number of titles." default:"500"`
+	Connections int           `help:"Number of client connections." default:"200"`
+	Cores       int           `help:"Number of cores of the director." default:"1"`
+	Seed        uint64        `help:"Seed of the random source." default:"1"`
+	Chart       string        `help:"Draw a chart of the latencies to this file (.svg or .png)." type:"path"`
+	Profile     string        `help:"Write a CPU profile of the director to this file." type:"path"`
+	JSON        bool          `help:"Print the results as one JSON object on the last line."`
 }
 
 func (c *setupsCommand) Run() error {
@@ -213,7 +214,7 @@
 	defer stop()
 	s := load.SetupLoad{Rate: c.Rate, Playing: c.Playing, Duration: c.For, Warmup: c.Warm, Nodes: c.Nodes, Racks: c.Racks, Titles: c.Titles,
 		Connections: c.Connections, Seed: c.Seed}
-	fmt.Printf("%d cores here, %d for the director; %g set-ups a second, %d sessions playing, %d nodes, %v after %v\n",
+	fmt.Printf("%d cores, %d for the director; %g set-ups per second, %d sessions playing, %d nodes, measured for %v after a warm-up of %v\n",
 		runtime.NumCPU(), c.Cores, c.Rate, c.Playing, c.Nodes, c.For, c.Warm)
 	direct, err := s.RunDirect(ctx)
 	if err != nil {
@@ -224,46 +225,47 @@
 		return err
 	}
 	defer p.close()
-	through, err := s.RunThroughDirector(ctx, func(house []byte) (load.Process, error) { return p.measured(house, c.Cores, c.Profile) })
+	through, err := s.RunThroughDirector(ctx, func(config []byte) (load.Process, error) { return p.startDirectorOnCores(config, c.Cores, c.Profile) })
 	if err != nil {
 		return err
 	}
 	fmt.Print(load.SetupTable(direct, through))
-	fmt.Printf("added: p50 %.3f ms, p99 %.3f ms\n", through.P50-direct.P50, through.P99-direct.P99)
+	fmt.Printf("added latency: p50 %.3f ms, p99 %.3f ms\n", through.P50-direct.P50, through.P99-direct.P99)
 	if c.Chart != "" {
-		if err := load.DrawLatencyChart(c.Chart, fmt.Sprintf("%g set-ups a second, %d playing, %d nodes", c.Rate, c.Playing, c.Nodes), direct, through); err != nil {
+		if err := load.DrawLatencyChart(c.Chart, fmt.Sprintf("%g set-ups per second, %d playing, %d nodes", c.Rate, c.Playing, c.Nodes), direct, through); err != nil {
 			return err
 		}
 	}
 	return printJSON(c.JSON, map[string]any{"load": s, "cores": runtime.NumCPU(), "director_cores": c.Cores, "results": []*load.SetupResult{direct, through}})
 }
 
-// measured starts a director's process on so many cores.
-func (p *processes) measured(house []byte, cores int, profile string) (*measuredProcess, error) {
+// startDirectorOnCores starts a director's process that uses the given number of cores.
+func (p *processes) startDirectorOnCores(config []byte, cores int, profile string) (*measuredProcess, error) {
 	file := filepath.Join(p.dir, "load.jsonc")
-	if err := os.WriteFile(file, house, 0o600); err != nil {
+	if err := os.WriteFile(file, config, 0o600); err != nil {
 		return nil, err
 	}
-	var told ready
+	var ready readyMessage
 	args := []string{"serve", "--conf", file, "--boot", "1", "--seed", "1"}
 	if profile != "" {
 		args = append(args, "--profile", profile)
 	}
-	cmd, _, _, err := p.spawnWith([]string{"GOMAXPROCS=" + strconv.Itoa(cores)}, &told, args...)
+	cmd, _, _, err := p.spawnWithEnv([]string{"GOMAXPROCS=" + strconv.Itoa(cores)}, &ready, args...)
 	if err != nil {
 		return nil, err
 	}
-	return &measuredProcess{cmd, told}, nil
+	return &measuredProcess{cmd, ready}, nil
 }
 
+// A measuredProcess is a director or baseline server whose memory, CPU time and metrics are read while it runs.
 type measuredProcess struct {
-	cmd  *exec.Cmd
-	told ready
+	cmd   *exec.Cmd
+	ready readyMessage
 }
 
-func (m *measuredProcess) Address() string { return m.told.Listen }
+func (m *measuredProcess) Address() string { return m.ready.Listen }
 
-// RSS reads the process's resident memory, in bytes.
+// RSS returns the process's resident memory, in bytes, or 0 if it can't be read.
 func (m *measuredProcess) RSS() int64 {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/statm", m.cmd.Process.Pid))
 	if f := strings.Fields(string(raw)); len(f) > 1 {
@@ -273,42 +275,42 @@
 	return 0
 }
 
-// CollectGarbage makes the process collect its garbage, so that what it holds is what it needs.
+// CollectGarbage makes the process run a garbage collection, so that its heap then has live objects only.
 func (m *measuredProcess) CollectGarbage() {
-	if answer, err := http.Get("http://" + m.told.Metrics + "/debug/pprof/heap?gc=1"); err == nil {
-		io.Copy(io.Discard, answer.Body)
-		answer.Body.Close()
+	if response, err := http.Get("http://" + m.ready.Metrics + "/debug/pprof/heap?gc=1"); err == nil {
+		io.Copy(io.Discard, response.Body)
+		response.Body.Close()
 	}
 }
 
-// Metrics reads the process's metrics page; what has labels is left out.
+// Metrics returns the values of the process's metrics by name. Metrics with labels are left out.
 func (m *measuredProcess) Metrics() map[string]float64 {
-	all := map[string]float64{}
-	answer, err := http.Get("http://" + m.told.Metrics + "/metrics")
+	values := map[string]float64{}
+	response, err := http.Get("http://" + m.ready.Metrics + "/metrics")
 	if err != nil {
-		return all
+		return values
 	}
-	defer answer.Body.Close()
-	lines := bufio.NewScanner(answer.Body)
+	defer response.Body.Close()
+	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
 		if name, value, ok := strings.Cut(lines.Text(), " "); ok && name != "#" {
 			if x, err := strconv.ParseFloat(value, 64); err == nil {
-				all[name] = x
+				values[name] = x
 			}
 		}
 	}
-	return all
+	return values
 }
 
-// Kill ends the director: in good order at first, so that a profile is written.
+// Kill shuts the process down with SIGTERM, so that a CPU profile is written, and kills it if it does not exit in time.
 func (m *measuredProcess) Kill() {
 	m.cmd.Process.Signal(syscall.SIGTERM)
-	overdue := time.AfterFunc(startWithin, func() { m.cmd.Process.Kill() })
+	killTimer := time.AfterFunc(processTimeout, func() { m.cmd.Process.Kill() })
 	m.cmd.Wait()
-	overdue.Stop()
+	killTimer.Stop()
 }
 
-// CPU reads what the process has used from the system, in ticks of 10 ms.
+// CPU returns the CPU time that the process has used, or 0 if it can't be read. The kernel counts it in ticks of 10 ms.
 func (m *measuredProcess) CPU() time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.cmd.Process.Pid))
 	if err != nil {
--- a/cmd/fordusher/log_test.go
+++ b/cmd/fordusher/log_test.go
@@ -15,13 +15,13 @@
 	"fordusher/internal/wire"
 )
 
-type talk chan string
+type messageChannel chan string
 
-func (talk) Opened(*transport.Conn)                  {}
-func (t talk) Message(_ *transport.Conn, m []byte)   { t <- string(m) }
-func (talk) Closed(*transport.Conn, error, []uint64) {}
+func (messageChannel) Opened(*transport.Conn)                  {}
+func (t messageChannel) Message(_ *transport.Conn, m []byte)   { t <- string(m) }
+func (messageChannel) Closed(*transport.Conn, error, []uint64) {}
 
-func soon[V any](t *testing.T, what string, c <-chan V) (v V) {
+func receiveWithin10s[V any](t *testing.T, what string, c <-chan V) (v V) {
 	t.Helper()
 	select {
 	case v = <-c:
@@ -32,7 +32,7 @@
 }
 
 // A reader of the log that stopped, with its pipe full, stopped the loop at its next line, and every answer with it.
-func TestLogThatNobodyReadsStopsNoAnswer(t *testing.T) {
+func TestUnreadLogPipeDoesNotBlockAnswers(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 			break // full
 		}
 	}
-	cmd := command(t, "serve", "--conf", file(t, "d.jsonc", house))
+	cmd := command(t, "serve", "--conf", file(t, "d.jsonc", directorConfig))
 	cmd.Stderr = w
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -54,33 +54,33 @@
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	told := make(chan ready, 1)
+	told := make(chan readyMessage, 1)
 	go func() {
-		var at ready
+		var at readyMessage
 		if json.NewDecoder(out).Decode(&at) == nil {
 			told <- at
 		}
 	}()
-	at := soon(t, "the director is ready", told)
-	heard := make(talk, 10)
+	at := receiveWithin10s(t, "the director is ready", told)
+	heard := make(messageChannel, 10)
 	c, err := transport.Dial(at.Listen, wire.SessionProtocol, 5*time.Second, transport.Limits{MaxMessageBytes: 1 << 12, MaxQueuedBytes: 1 << 16, WriteTimeout: time.Second}, heard, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"1", "2", "3"} {
 		c.Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip", Title: "none", Key: "k" + id, WaitMS: 1000}), 0)
-		soon(t, "an answer", heard)
+		receiveWithin10s(t, "an answer", heard)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
-	if err := soon(t, "an orderly end", ended); err != nil {
+	if err := receiveWithin10s(t, "an orderly end", ended); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // Who looked at the metrics and did not read held a descriptor and a buffer for ever, and as many could as liked.
-func TestLooksAtTheMetricsAreBounded(t *testing.T) {
+func TestConcurrentMetricsRequestsAreLimited(t *testing.T) {
 	reg := prometheus.NewRegistry()
 	hold := make(chan struct{})
 	entered := make(chan struct{}, 100)
@@ -89,7 +89,7 @@
 		<-hold
 		return 1
 	}))
-	page := httptest.NewServer(figures(reg))
+	page := httptest.NewServer(metricsHandler(reg))
 	defer page.Close()
 	codes := make(chan int, 100)
 	look := func() {
@@ -102,17 +102,17 @@
 		r.Body.Close()
 		codes <- r.StatusCode
 	}
-	for range looksMost {
+	for range maxMetricsRequests {
 		go look()
-		soon(t, "a look begins", entered)
+		receiveWithin10s(t, "a look begins", entered)
 	}
 	look()
 	if code := <-codes; code != http.StatusServiceUnavailable {
 		t.Fatal("one look too many got", code)
 	}
 	close(hold)
-	for range looksMost {
-		if code := soon(t, "a look ends", codes); code != http.StatusOK {
+	for range maxMetricsRequests {
+		if code := receiveWithin10s(t, "a look ends", codes); code != http.StatusOK {
 			t.Fatal(code)
 		}
 	}
--- a/cmd/fordusher/logging.go
+++ b/cmd/fordusher/logging.go
@@ -10,11 +10,11 @@
 	"fordusher/internal/asynclog"
 )
 
-// envLogLevel names the variable that says how much is logged: "info", the default, or "debug", which has a line for
-// each change of state of a request, an attempt and a connection.
+// envLogLevel names the environment variable that sets the log level: "info", the default, or "debug", which logs each
+// state change of a request, an attempt or a connection.
 const envLogLevel = "FORDUSHER_LOG_LEVEL"
 
-// logLevel reads how much is logged, and the pace that this takes.
+// logLevel reads the log level from the environment, and returns with it the rate limit for log lines at that level.
 func logLevel(getenv func(string) string) (zerolog.Level, asynclog.RateLimit, error) {
 	switch level := getenv(envLogLevel); level {
 	case "", "info":
@@ -22,12 +22,12 @@
 	case "debug":
 		return zerolog.DebugLevel, asynclog.VerboseRate, nil
 	default:
-		return 0, asynclog.RateLimit{}, fmt.Errorf("%s is %q; it has to be info or debug", envLogLevel, level)
+		return 0, asynclog.RateLimit{}, fmt.Errorf("%s is %q; it must be info or debug", envLogLevel, level)
 	}
 }
 
-// logger writes structured lines, one JSON object each.
-func logger(out io.Writer) zerolog.Logger {
+// newLogger returns a logger that writes each event as one line with a JSON object.
+func newLogger(out io.Writer) zerolog.Logger {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	return zerolog.New(out).With().Timestamp().Logger()
 }
--- a/cmd/fordusher/main.go
+++ b/cmd/fordusher/main.go
@@ -1,4 +1,5 @@
-// Command fordusher is the session front and the tools around it.
+// Command fordusher runs a director, which places and shapes video sessions on streaming servers, and the tools that
+// test and measure directors.
 package main
 
 import (
@@ -15,39 +16,39 @@
 	"fordusher/internal/load"
 )
 
-// What each exit code means, for scripts.
+// Exit codes, for scripts that run the program; see also exitSkipped.
 const (
-	exitBroken = 1 // a rule was broken, or something failed
-	exitInput  = 2 // the input is wrong: command line, configuration, script
+	exitFailure      = 1 // a rule was violated, or something failed
+	exitInvalidInput = 2 // the command line, a configuration, a script or another input is invalid
 )
 
-var errBroken = errors.New("a rule was broken")
+var errRuleViolated = errors.New("a rule was violated")
 
 type commands struct {
-	Day        dayCommand        `cmd:"" help:"Run a scripted bad day on loopback and check the six rules from what crossed the sockets."`
+	Day        dayCommand        `cmd:"" help:"Run a scripted day with incidents on loopback and check the six rules against the recorded socket traffic."`
 	Serve      serveCommand      `cmd:"" help:"Run one director."`
-	Platform   platformCommand   `cmd:"" help:"Run one director on the operators' platform, as its environment says."`
-	Check      checkCommand      `cmd:"" help:"Check a director's file."`
-	Node       nodeCommand       `cmd:"" help:"Run stand-in nodes."`
-	Roster     rosterCommand     `cmd:"" help:"Run a stand-in for the list's source."`
-	Player     playerCommand     `cmd:"" help:"Run one player: ask for a session and print what is answered."`
-	Import     importCommand     `cmd:"" help:"Make a director's file of another program's configuration, and account for every line."`
-	Hunt       huntCommand       `cmd:"" help:"Draw days in virtual time and keep the worst."`
-	Scale      scaleCommand      `cmd:"" help:"Measure what a director needs between more and more emulated servers, and hold it against bounds."`
-	Soak       soakCommand       `cmd:"" help:"Run directors as processes under random faults that overlap, and check the rules."`
-	Shrink     shrinkCommand     `cmd:"" help:"Cut a failing day in virtual time down as far as it still fails."`
-	Experiment experimentCommand `cmd:"" help:"Play a grid of days in virtual time: policies, seeds, sizes; tables, charts, paired differences."`
-	Load       loadCommand       `cmd:"" help:"Put a load on a director and measure it."`
-	Plot       plotCommand       `cmd:"" help:"Tables and charts from the kept results of a load."`
-	Verify     verifyCommand     `cmd:"" help:"Check the rules again from kept records."`
+	Platform   platformCommand   `cmd:"" help:"Run one director on the operators' platform, configured by environment variables."`
+	Check      checkCommand      `cmd:"" help:"Check a director's configuration file."`
+	Node       nodeCommand       `cmd:"" help:"Run emulated nodes."`
+	Roster     rosterCommand     `cmd:"" help:"Run an emulated discovery service, which sends the server list."`
+	Player     playerCommand     `cmd:"" help:"Run one client: request a session and print every message received."`
+	Import     importCommand     `cmd:"" help:"Convert another program's configuration into a director's configuration file, and report on every line."`
+	Hunt       huntCommand       `cmd:"" help:"Run random days in virtual time and keep the worst: those that violate rules or come closest to it."`
+	Scale      scaleCommand      `cmd:"" help:"Measure a director's resource use with a growing number of emulated servers, and check that it stays within bounds."`
+	Soak       soakCommand       `cmd:"" help:"Run directors as processes under overlapping random faults, and check the rules."`
+	Shrink     shrinkCommand     `cmd:"" help:"Reduce the script of a day that fails in virtual time to a smaller one that still fails."`
+	Experiment experimentCommand `cmd:"" help:"Run days in virtual time over a grid of policies, seeds and sizes; print tables and paired differences, draw charts."`
+	Load       loadCommand       `cmd:"" help:"Measure a director under load."`
+	Plot       plotCommand       `cmd:"" help:"Print tables and draw charts from the saved results of a load scenario."`
+	Verify     verifyCommand     `cmd:"" help:"Check the rules again on saved records."`
 }
 
 func main() {
 	var c commands
-	ctx := kong.Parse(&c, kong.Name("fordusher"), kong.Description("A session front: places and shapes video sessions on streaming servers."),
+	ctx := kong.Parse(&c, kong.Name("fordusher"), kong.Description("Places and shapes video sessions on streaming servers."),
 		kong.UsageOnError(), kong.Vars{"scenarios": strings.Join(load.ScenarioNames(), ", "), "cores": strconv.Itoa(runtime.NumCPU())}, kong.Exit(func(code int) {
 			if code != 0 {
-				code = exitInput
+				code = exitInvalidInput
 			}
 			os.Exit(code)
 		}))
@@ -56,22 +57,22 @@
 		return
 	}
 	var problems conf.Problems
-	var input badInput
+	var invalid inputError
 	switch {
 	case errors.Is(err, errSkipped):
 		os.Exit(exitSkipped)
-	case errors.As(err, &input):
+	case errors.As(err, &invalid):
 		fmt.Fprintln(os.Stderr, "fordusher:", err)
-		os.Exit(exitInput)
-	case errors.Is(err, errBroken):
-		os.Exit(exitBroken)
+		os.Exit(exitInvalidInput)
+	case errors.Is(err, errRuleViolated):
+		os.Exit(exitFailure)
 	case errors.As(err, &problems):
 		fmt.Fprintln(os.Stderr, problems)
-		os.Exit(exitInput)
+		os.Exit(exitInvalidInput)
 	case errors.Is(err, os.ErrNotExist), errors.Is(err, os.ErrPermission):
 		fmt.Fprintln(os.Stderr, "fordusher:", err)
-		os.Exit(exitInput)
+		os.Exit(exitInvalidInput)
 	}
 	fmt.Fprintln(os.Stderr, "fordusher:", err)
-	os.Exit(exitBroken)
+	os.Exit(exitFailure)
 }
--- a/cmd/fordusher/main_test.go
+++ b/cmd/fordusher/main_test.go
@@ -69,13 +69,13 @@
 	return path
 }
 
-const house = `{"director": {"name": "d", "me": 0, "directors": 1}, "listen": "127.0.0.1:0", "metrics": "127.0.0.1:0",
+const directorConfig = `{"director": {"name": "d", "me": 0, "directors": 1}, "listen": "127.0.0.1:0", "metrics": "127.0.0.1:0",
   "list": {"address": "127.0.0.1:1"}, "tariffs": {"clip": {"goal_time": "1s", "hard_stop": "2s"}}, "ladder": {"rates": ["100kB/s"]},
   "fleet": {"cells": 1, "racks": 1, "link_unit": "1000kB/s", "uplink": "1000kB/s", "machines": {"box": 5}},
   "ramp": {"warmup": "1s", "cold_from": 0.5, "multiple": 4, "tip_after": "1s"}, "closing": {"within": "500ms"}}`
 
-func TestBadInputIsNamedAndExitsWith2(t *testing.T) {
-	bad := file(t, "d.jsonc", strings.Replace(house, `"racks"`, `"raks"`, 1))
+func TestInvalidInputIsReportedAndExitsWith2(t *testing.T) {
+	bad := file(t, "d.jsonc", strings.Replace(directorConfig, `"racks"`, `"raks"`, 1))
 	for _, c := range []struct {
 		args []string
 		want string
@@ -88,23 +88,23 @@
 		{[]string{"day", "--requests", "x"}, "--requests"},
 	} {
 		code, _, errs := program(t, c.args...)
-		if code != exitInput || !strings.Contains(errs, c.want) || strings.Contains(errs, "goroutine") {
+		if code != exitInvalidInput || !strings.Contains(errs, c.want) || strings.Contains(errs, "goroutine") {
 			t.Errorf("%v: exit %d, %s", c.args, code, errs)
 		}
 	}
-	if code, out, _ := program(t, "check", file(t, "d.jsonc", house)); code != 0 || !strings.Contains(out, "director d, 0 of 1") {
+	if code, out, _ := program(t, "check", file(t, "d.jsonc", directorConfig)); code != 0 || !strings.Contains(out, "director d, 0 of 1") {
 		t.Error(code, out)
 	}
 }
 
 // SIGTERM: a session that plays is told, and the process exits 0 within its term.
-func TestServeEndsInGoodOrder(t *testing.T) {
+func TestServeAnswersPendingRequestOnSIGTERM(t *testing.T) {
 	source, err := discovery.Start(rulecheck.DiscardRecorder, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer source.Close()
-	cmd := command(t, "serve", "--conf", file(t, "d.jsonc", strings.Replace(house, "127.0.0.1:1", source.Address(), 1)))
+	cmd := command(t, "serve", "--conf", file(t, "d.jsonc", strings.Replace(directorConfig, "127.0.0.1:1", source.Address(), 1)))
 	pipe, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -114,11 +114,11 @@
 	}
 	defer cmd.Process.Kill()
 	line, err := bufio.NewReader(pipe).ReadBytes('\n')
-	var told ready
+	var told readyMessage
 	if err != nil || json.Unmarshal(line, &told) != nil || told.Metrics == "" {
 		t.Fatal(string(line), err)
 	}
-	p := &printer{in: make(chan wire.SessionMessage, 10), closed: make(chan error, 1)}
+	p := &messageReceiver{messages: make(chan wire.SessionMessage, 10), closed: make(chan error, 1)}
 	conn, err := transport.Dial(told.Listen, wire.SessionProtocol, 5*time.Second, transport.Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 4096, WriteTimeout: time.Second}, p, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -127,7 +127,7 @@
 	time.Sleep(50 * time.Millisecond) // held: there is no node
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case m := <-p.in: // owed, so it is answered before the end
+	case m := <-p.messages: // owed, so it is answered before the end
 		if m.Type != wire.Nack && m.Type != wire.Errored {
 			t.Fatal(m)
 		}
@@ -140,7 +140,7 @@
 }
 
 // Directors and nodes as processes, directors killed outright; the record is kept and judged again.
-func TestDayOfProcesses(t *testing.T) {
+func TestDayWithProcesses(t *testing.T) {
 	script := file(t, "s.jsonc", `{"length": "4s", "requests": 250, "directors": 2, "nodes": 8, "racks": 2, "titles": 8,
 		"viewers": {"mean_length": "1s"}, "list": {"notice_low": "100ms", "notice_high": "300ms"},
 		"troubles": [{"kind": "balancer_roll", "at": "1s", "for": "2s", "share": 0.5, "size": 0.3},
@@ -168,20 +168,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if code, _, errs := program(t, "verify", file(t, "cut.zst", string(raw[:len(raw)/2]))); code != exitBroken || !strings.Contains(errs, "cut.zst") {
+	if code, _, errs := program(t, "verify", file(t, "cut.zst", string(raw[:len(raw)/2]))); code != exitFailure || !strings.Contains(errs, "cut.zst") {
 		t.Fatal(code, errs)
 	}
 }
 
 // Descriptors run out while players connect: who is connected is served as before, and once some have gone
 // others get in. Accepting pauses meanwhile instead of spinning.
-func TestDescriptorsRunOut(t *testing.T) {
+func TestDescriptorExhaustion(t *testing.T) {
 	source, err := discovery.Start(rulecheck.DiscardRecorder, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer source.Close()
-	conf := file(t, "d.jsonc", strings.Replace(house, "127.0.0.1:1", source.Address(), 1))
+	conf := file(t, "d.jsonc", strings.Replace(directorConfig, "127.0.0.1:1", source.Address(), 1))
 	cmd := command(t, "serve", "--conf", conf)
 	pipe, err := cmd.StdoutPipe()
 	if err != nil {
@@ -193,7 +193,7 @@
 	defer cmd.Wait()
 	defer cmd.Process.Kill()
 	line, err := bufio.NewReader(pipe).ReadBytes('\n')
-	var told ready
+	var told readyMessage
 	if err != nil || json.Unmarshal(line, &told) != nil {
 		t.Fatal(string(line), err)
 	}
@@ -203,13 +203,13 @@
 		t.Fatal(err)
 	}
 	bounds := transport.Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 4096, WriteTimeout: time.Second}
-	join := func(within time.Duration) (*transport.Conn, *printer, error) {
-		p := &printer{in: make(chan wire.SessionMessage, 10), closed: make(chan error, 1)}
+	join := func(within time.Duration) (*transport.Conn, *messageReceiver, error) {
+		p := &messageReceiver{messages: make(chan wire.SessionMessage, 10), closed: make(chan error, 1)}
 		c, err := transport.Dial(told.Listen, wire.SessionProtocol, within, bounds, p, nil)
 		return c, p, err
 	}
 	var conns []*transport.Conn
-	var first *printer
+	var first *messageReceiver
 	for range 100 {
 		c, p, err := join(300 * time.Millisecond)
 		if err != nil {
@@ -225,7 +225,7 @@
 	}
 	conns[0].Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "clip", Title: "none", Key: "k", WaitMS: 1500}), 0)
 	select {
-	case m := <-first.in:
+	case m := <-first.messages:
 		if m.Type != wire.Nack {
 			t.Fatal(m)
 		}
@@ -250,7 +250,7 @@
 }
 
 // A scenario with each kind of part, over processes: all that was due is answered, and its results are kept.
-func TestScenarioOverProcesses(t *testing.T) {
+func TestScenarioWithProcesses(t *testing.T) {
 	s := file(t, "small.jsonc", `{"name": "small", "clients": 2, "directors": 2, "nodes": 4, "racks": 2, "warm": "1s", "for": "2s", "room": 1000,
 		"parts": [{"kind": "idle", "connections": 21}, {"kind": "set-ups", "connections": 4, "rate": 50, "length": "200ms"},
 		{"kind": "chatter", "connections": 3, "rate": 20}, {"kind": "reconnects", "connections": 2, "rate": 10, "length": "200ms"},
@@ -278,7 +278,7 @@
 	if code, out, errs := program(t, "plot", kept); code != 0 || !strings.Contains(out, "never-readers") {
 		t.Fatal(code, out, errs)
 	}
-	if code, _, errs := program(t, "load", "run", file(t, "bad.jsonc", `{"name": 3}`)); code != exitInput || !strings.Contains(errs, "bad.jsonc:1:10") {
+	if code, _, errs := program(t, "load", "run", file(t, "bad.jsonc", `{"name": 3}`)); code != exitInvalidInput || !strings.Contains(errs, "bad.jsonc:1:10") {
 		t.Fatal(code, errs)
 	}
 }
--- a/cmd/fordusher/pause_test.go
+++ b/cmd/fordusher/pause_test.go
@@ -8,28 +8,28 @@
 
 // A request that waited in the kernel while the process did not run has less time left than it says. What a server is told
 // is at most what its client has left, with 0.15 s of slack.
-func TestTheTimeToldToServersCountsAPause(t *testing.T) {
+func TestSetupTimeoutCountsProcessPause(t *testing.T) {
 	const (
 		wait  = 800 * time.Millisecond
 		slack = 150 * time.Millisecond
 	)
 	n := newMediaNode(t)
-	f := startFront(t, posting{listen: freeAddress(t), board: freeAddress(t), sockets: 512, deadline: 5, nodes: []*mediaNode{n}})
+	f := startPlatformDirector(t, startConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 5, nodes: []*mediaNode{n}})
 	for i, pause := range []time.Duration{0, 250 * time.Millisecond, 500 * time.Millisecond} {
 		session := uint64(i + 1)
-		c := f.client()
+		c := f.connect()
 		time.Sleep(30 * time.Millisecond) // so that the connection is accepted
 		f.cmd.Process.Signal(syscall.SIGSTOP)
-		c.c.Write(setUpWithin(session, 0, 1, wait))
+		c.c.Write(setupRequestWithin(session, 0, 1, wait))
 		sent := time.Now()
 		time.Sleep(pause)
 		f.cmd.Process.Signal(syscall.SIGCONT)
-		c.expect(saysPlays, session)
+		c.expect(kindPlaying, session)
 		n.mu.Lock()
-		told := n.within[len(n.within)-1]
+		told := n.timeouts[len(n.timeouts)-1]
 		n.mu.Unlock()
-		if left := wait - told.at.Sub(sent); told.said > left+slack {
-			t.Errorf("after a pause of %v a server was told %v; the client had %v left", pause, told.said, left)
+		if left := wait - told.receivedAt.Sub(sent); told.timeout > left+slack {
+			t.Errorf("after a pause of %v a server was told %v; the client had %v left", pause, told.timeout, left)
 		}
 	}
 }
--- a/cmd/fordusher/platform.go
+++ b/cmd/fordusher/platform.go
@@ -17,43 +17,47 @@
 )
 
 type platformCommand struct {
-	Trace      bool `help:"Write every message that crosses the sockets to standard error, a line each."`
-	TraceKinds bool `env:"FORDUSHER_TRACE_KINDS" help:"Write only the kind and the session of messages that begin or end something."`
+	Trace      bool `help:"Write every message sent or received on the sockets to standard error, one per line."`
+	TraceKinds bool `env:"FORDUSHER_TRACE_KINDS" help:"Write only the kind and the session of each message that begins or ends something."`
 }
 
-// The part of the memory limit that the collector keeps to: the rest is for what is not its own.
-const heapPart = 0.6
+// heapShare is the share of the process's memory limit that the garbage collector keeps to. The rest is for memory that
+// the garbage collector does not manage.
+const heapShare = 0.6
 
-// Run is one director on the operators' platform, which tells it all in its environment.
+// Run runs one director on the operators' platform, which passes the start configuration through environment variables.
+// SIGHUP makes the director read that configuration again and use its discovery address; SIGTERM shuts it down.
 func (c *platformCommand) Run() error {
-	// Before anything that takes time: an order that came sooner would end the program.
-	orders := make(chan os.Signal, 4)
-	signal.Notify(orders, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
-	posting, err := platform.ReadStartConfig(os.Getenv)
+	// The signals are caught before anything that takes time: a signal that arrived before this call would end the
+	// process.
+	signals := make(chan os.Signal, 4)
+	signal.Notify(signals, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
+	startConfig, err := platform.ReadStartConfig(os.Getenv)
 	if err != nil {
-		return badInput{err}
+		return inputError{err}
 	}
-	seed, err := posting.RandomSeed()
+	seed, err := startConfig.RandomSeed()
 	if err != nil {
-		return badInput{err}
+		return inputError{err}
 	}
-	if cores := posting.Limits.Cores; cores > 0 {
-		// One beyond the share: what waits in a system call must not keep the loop from running.
+	if cores := startConfig.Limits.Cores; cores > 0 {
+		// One thread more than the limit on cores, so that a thread in a system call does not keep the event loop from
+		// running.
 		runtime.GOMAXPROCS(min(runtime.NumCPU(), int(math.Ceil(cores))+1))
 	}
-	if mb := posting.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(float64(mb<<20) * heapPart))
+	if mb := startConfig.Limits.MemoryMB; mb > 0 {
+		debug.SetMemoryLimit(int64(float64(mb<<20) * heapShare))
 	}
-	level, pace, err := logLevel(os.Getenv)
+	level, rateLimit, err := logLevel(os.Getenv)
 	if err != nil {
-		return badInput{err}
+		return inputError{err}
 	}
-	lines := asynclog.New(os.Stderr, pace)
-	defer lines.Close(time.Second)
-	log := logger(lines).Level(level)
-	day := clock.NewMonotonicClock(time.Now)
-	house := posting.Config(day.Now())
-	var front daemon.Protocol = platform.NewProtocol(posting, house, day.Now)
+	logWriter := asynclog.New(os.Stderr, rateLimit)
+	defer logWriter.Close(time.Second)
+	log := newLogger(logWriter).Level(level)
+	monotonic := clock.NewMonotonicClock(time.Now)
+	config := startConfig.Config(monotonic.Now())
+	var protocol daemon.Protocol = platform.NewProtocol(startConfig, config, monotonic.Now)
 	if c.Trace || c.TraceKinds {
 		stop := make(chan struct{})
 		defer close(stop)
@@ -61,26 +65,26 @@
 		if c.Trace {
 			traceLevel = platform.TraceBytes
 		}
-		front = platform.NewTracer(front, traceLevel, os.Stderr, time.Now, stop)
+		protocol = platform.NewTracer(protocol, traceLevel, os.Stderr, time.Now, stop)
 	}
-	d, err := daemon.StartWithProtocol(front, house, strconv.FormatInt(time.Now().UnixMilli(), 36), seed, posting.NewDecider(seed), log)
+	d, err := daemon.StartWithProtocol(protocol, config, strconv.FormatInt(time.Now().UnixMilli(), 36), seed, startConfig.NewDecider(seed), log)
 	if err != nil {
 		return err
 	}
 	for {
 		select {
-		case order := <-orders:
-			if order != syscall.SIGHUP {
+		case received := <-signals:
+			if received != syscall.SIGHUP {
 				d.Stop()
 				<-d.Done()
 				return nil
 			}
 			next, err := platform.ReadStartConfig(os.Getenv)
 			if err != nil {
-				log.Warn().Err(err).Msg("told to read the file again, which can't be used: the old one stays")
+				log.Warn().Err(err).Msg("SIGHUP: the start configuration is invalid; keeping the previous one")
 				continue
 			}
-			log.Info().Str("board", next.DiscoveryAddress).Msg("the file was read again")
+			log.Info().Str("board", next.DiscoveryAddress).Msg("SIGHUP: start configuration reloaded")
 			d.SetDiscoveryAddress(next.DiscoveryAddress)
 		case <-d.Done():
 			return nil
--- a/cmd/fordusher/platform_test.go
+++ b/cmd/fordusher/platform_test.go
@@ -26,11 +26,11 @@
 // The program as the platform runs it, a process between media nodes, a notice board and viewers that are written from
 // the protocol's pages and hold what they do until they are told.
 
-const untilThen = 20 * time.Second // the longest that a test waits for what has to come
+const waitTimeout = 20 * time.Second // the longest that a test waits for what has to come
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(untilThen); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal(what)
 		}
@@ -39,21 +39,21 @@
 
 // A mediaNode answers set-ups with 200, or holds them while it is held.
 type mediaNode struct {
-	ln   net.Listener
-	mu   sync.Mutex
-	held bool
-	// answers is what goes out for a set-up, in one write; nil: an answer that the session stands
-	answers func(session string) string
-	waits   []func()
-	seen    []string // sessions set up, in order
-	within  []within // what each of them said of its time
-	conns   []net.Conn
+	ln      net.Listener
+	mu      sync.Mutex
+	holding bool
+	// setupReply is what goes out for a set-up, in one write; nil: an answer that the session stands
+	setupReply  func(session string) string
+	heldAnswers []func()
+	sessions    []string       // sessions set up, in order
+	timeouts    []setupTimeout // what each of them said of its time
+	conns       []net.Conn
 }
 
-// within is how long a director said that it waits for a set-up, and when that came.
-type within struct {
-	at   time.Time
-	said time.Duration
+// setupTimeout is how long a director said that it waits for a set-up, and when that came.
+type setupTimeout struct {
+	receivedAt time.Time
+	timeout    time.Duration
 }
 
 func newMediaNode(t *testing.T) *mediaNode {
@@ -78,12 +78,12 @@
 	return n
 }
 
-// standing is a server's answer that a session stands; released its word that the session has ended.
-func standing(session string) string {
+// setupResponse is a server's answer that a session stands; released its word that the session has ended.
+func setupResponse(session string) string {
 	return fmt.Sprintf("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 5\r\n\r\nhere\n", session)
 }
 
-func released(session string, cause int) string {
+func teardownRequest(session string, cause int) string {
 	return fmt.Sprintf("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: %s\r\nReason: cause=%d\r\nContent-Length: 0\r\n\r\n", session, cause)
 }
 
@@ -115,17 +115,17 @@
 		}
 		session := head.Get("Session")
 		answer := func() {
-			io.WriteString(c, standing(session))
+			io.WriteString(c, setupResponse(session))
 		}
 		n.mu.Lock()
-		if answers := n.answers; answers != nil {
+		if answers := n.setupReply; answers != nil {
 			answer = func() { io.WriteString(c, answers(session)) }
 		}
-		n.seen = append(n.seen, session)
+		n.sessions = append(n.sessions, session)
 		milliseconds, _ := strconv.Atoi(head.Get("X-Setup-Ms"))
-		n.within = append(n.within, within{time.Now(), time.Duration(milliseconds) * time.Millisecond})
-		if n.held {
-			n.waits = append(n.waits, answer)
+		n.timeouts = append(n.timeouts, setupTimeout{time.Now(), time.Duration(milliseconds) * time.Millisecond})
+		if n.holding {
+			n.heldAnswers = append(n.heldAnswers, answer)
 		} else {
 			answer()
 		}
@@ -136,28 +136,28 @@
 func (n *mediaNode) hold() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.held = true
+	n.holding = true
 }
 
 // release answers what was held, and all that comes.
 func (n *mediaNode) release() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.held = false
-	for _, answer := range n.waits {
+	n.holding = false
+	for _, answer := range n.heldAnswers {
 		answer()
 	}
-	n.waits = nil
+	n.heldAnswers = nil
 }
 
-func (n *mediaNode) setUps() int {
+func (n *mediaNode) setupCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.seen)
+	return len(n.sessions)
 }
 
-// A front is one director's process, and where it is reached.
-type front struct {
+// A platformDirector is one director's process, and where it is reached.
+type platformDirector struct {
 	t       *testing.T
 	cmd     *exec.Cmd
 	address string
@@ -167,26 +167,26 @@
 	done    chan error
 }
 
-func (f *front) Write(b []byte) (int, error) {
+func (f *platformDirector) Write(b []byte) (int, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.log.Write(b)
 }
 
-func (f *front) said() string {
+func (f *platformDirector) logText() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.log.String()
 }
 
-type posting struct {
-	listen, board string
-	sockets       int
-	nodes         []*mediaNode
-	deadline      float64
+type startConfig struct {
+	listen, discovery string
+	sockets           int
+	nodes             []*mediaNode
+	deadline          float64
 }
 
-func (p posting) text() string {
+func (p startConfig) json() string {
 	var targets []string
 	for i, n := range p.nodes {
 		targets = append(targets, fmt.Sprintf(`{"uid":"s-%08x","endpoint":%q,"az":"z","model":"box","pod_group":%d,"state":"ready","capacity_hint":1,"boot_ms":0}`,
@@ -200,7 +200,7 @@
   "rack_link_kb":10000000,"told_every_s":30,"told_late_s":1},
  "permissions":{"max_attempts":4,"connect_timeout_s":0.5,"conn_idle_s":30},"report":{"fields":["x0","x1"]},
  "rules":{"cold_from":0.5,"fall_multiple":4,"ramp_time_s":0.1,"tip_after_s":0.05}}}`,
-		p.listen, p.board, p.sockets, strings.Join(targets, ","), p.deadline, p.deadline, len(p.nodes))
+		p.listen, p.discovery, p.sockets, strings.Join(targets, ","), p.deadline, p.deadline, len(p.nodes))
 }
 
 // freeAddress is one that nothing listens at; it is kept free for the test's own listeners until the test ends.
@@ -214,9 +214,9 @@
 	return address.String()
 }
 
-func startFront(t *testing.T, p posting) *front {
+func startPlatformDirector(t *testing.T, p startConfig) *platformDirector {
 	t.Helper()
-	f := &front{t: t, address: p.listen, config: file(t, "config.json", p.text()), done: make(chan error, 1)}
+	f := &platformDirector{t: t, address: p.listen, config: file(t, "config.json", p.json()), done: make(chan error, 1)}
 	f.cmd = command(t, "platform")
 	// The race detector waits for a second at the exit, which is not the program's.
 	f.cmd.Env = append(f.cmd.Env, "PROXY_CONFIG="+f.config, fmt.Sprintf("FORDUSHER_FILES=%d", p.sockets), "GORACE=atexit_sleep_ms=0")
@@ -228,7 +228,7 @@
 	t.Cleanup(func() {
 		f.cmd.Process.Kill()
 		if t.Failed() {
-			t.Log(f.said())
+			t.Log(f.logText())
 		}
 	})
 	eventually(t, "it did not listen", func() bool {
@@ -248,14 +248,14 @@
 	c net.Conn
 }
 
-func (f *front) client() *client {
+func (f *platformDirector) connect() *client {
 	f.t.Helper()
 	c, err := net.Dial("tcp", f.address)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(func() { c.Close() })
-	c.SetReadDeadline(time.Now().Add(untilThen))
+	c.SetReadDeadline(time.Now().Add(waitTimeout))
 	return &client{f.t, c}
 }
 
@@ -270,24 +270,24 @@
 	return raw
 }
 
-func setUpAt(session uint64, home, copies int) []byte {
-	return setUpWithin(session, home, copies, 10*time.Second)
+func setupRequestAt(session uint64, home, copies int) []byte {
+	return setupRequestWithin(session, home, copies, 10*time.Second)
 }
 
-func setUpWithin(session uint64, home, copies int, wait time.Duration) []byte {
+func setupRequestWithin(session uint64, home, copies int, wait time.Duration) []byte {
 	return binaryMessage(1, session, 33, "clip", 36, strconv.FormatInt(wait.Milliseconds(), 10), 45, "7f3a9c21e0b4d655", 63, "8200.0",
 		48, fmt.Sprintf("home:%d;copies:%d;top:1;viewer:00000000b4d65521", home, copies), 78, "there\n")
 }
 
-func setUp(session uint64) []byte { return setUpAt(session, 0, 1) }
+func setupRequest(session uint64) []byte { return setupRequestAt(session, 0, 1) }
 
-func aTest() []byte { return binaryMessage(52, 1, 75, "\x00") }
+func probeRequest() []byte { return binaryMessage(52, 1, 75, "\x00") }
 
 const (
-	saysPlays  = 9
-	saysOver   = 12
-	saysHeard  = 16
-	saysPassed = 53
+	kindPlaying      = 9
+	kindEnded        = 12
+	kindEndConfirmed = 16
+	kindProbePassed  = 53
 )
 
 // next reads a message's kind and session; 0 where the connection has ended.
@@ -314,19 +314,19 @@
 	}
 }
 
-// A noticeBoard notes from which event it is asked, and hands the connection over.
-type noticeBoard struct {
-	ln    net.Listener
-	asked chan net.Conn
+// A discoveryServer notes from which event it is asked, and hands the connection over.
+type discoveryServer struct {
+	ln       net.Listener
+	requests chan net.Conn
 }
 
-func newNoticeBoard(t *testing.T, address string) *noticeBoard {
+func newDiscoveryServer(t *testing.T, address string) *discoveryServer {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	b := &noticeBoard{ln, make(chan net.Conn, 16)}
+	b := &discoveryServer{ln, make(chan net.Conn, 16)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -334,17 +334,17 @@
 				return
 			}
 			if _, err := io.ReadFull(c, make([]byte, 8)); err == nil {
-				b.asked <- c
+				b.requests <- c
 			}
 		}
 	}()
 	return b
 }
 
-func (b *noticeBoard) next(t *testing.T, within time.Duration) net.Conn {
+func (b *discoveryServer) next(t *testing.T, within time.Duration) net.Conn {
 	t.Helper()
 	select {
-	case c := <-b.asked:
+	case c := <-b.requests:
 		return c
 	case <-time.After(within):
 		t.Fatalf("the board was not asked within %v", within)
@@ -352,8 +352,8 @@
 	return nil
 }
 
-// told is the event that a node is in a state.
-func told(number uint64, node int, state byte, n *mediaNode) []byte {
+// nodeStateEvent is the event that a node is in a state.
+func nodeStateEvent(number uint64, node int, state byte, n *mediaNode) []byte {
 	raw := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, 9+27), number)
 	raw = binary.BigEndian.AppendUint32(append(raw, 2), uint32(node))
 	raw = append(raw, 127, 0, 0, 1)
@@ -364,17 +364,17 @@
 
 // Idle clients fill the smallest number of descriptors while discovery is down, and come on: media nodes, two hundred
 // of them, are still reached, a new client is served, and discovery comes back once it can.
-func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+func TestIdleClientsFillDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil || limit.Cur < 2500 {
 		t.Skipf("this machine gives %d descriptors; the test holds 1,500 itself", limit.Cur)
 	}
 	const sockets = 256
-	p := posting{listen: freeAddress(t), board: freeAddress(t), sockets: sockets, deadline: 5}
+	p := startConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: sockets, deadline: 5}
 	for range 200 {
 		p.nodes = append(p.nodes, newMediaNode(t))
 	}
-	f := startFront(t, p)
+	f := startPlatformDirector(t, p)
 	stop, ended := make(chan struct{}), make(chan struct{})
 	go func() { // asks once and stays, or says nothing: up to 600 at a time, for as long as the test goes on
 		defer close(ended)
@@ -394,7 +394,7 @@
 				continue
 			}
 			if i%3 != 0 {
-				c.Write(aTest())
+				c.Write(probeRequest())
 			}
 			if held = append(held, c); len(held) > 600 {
 				held[0].Close()
@@ -417,21 +417,21 @@
 		if id > 5000 {
 			t.Fatalf("%d of %d clients reached a node", reached, id)
 		}
-		c := f.client()
-		c.c.Write(setUpAt(id, int(id)%200, 1))
+		c := f.connect()
+		c.c.Write(setupRequestAt(id, int(id)%200, 1))
 		kind, session := c.next()
-		if kind != saysPlays && kind != saysOver || session != id {
+		if kind != kindPlaying && kind != kindEnded || session != id {
 			t.Fatalf("client %d got kind %d of session %d; a final answer is owed", id, kind, session)
 		}
-		if kind == saysPlays {
+		if kind == kindPlaying {
 			reached++
 		}
 		c.c.Close()
 		most = max(most, descriptors())
 	}
-	board := newNoticeBoard(t, p.board)
+	board := newDiscoveryServer(t, p.discovery)
 	c := board.next(t, 4*time.Second)
-	c.Write(told(4, 0, 1, p.nodes[0]))
+	c.Write(nodeStateEvent(4, 0, 1, p.nodes[0]))
 	if most = max(most, descriptors()); most > sockets {
 		t.Fatalf("%d descriptors", most)
 	}
@@ -439,44 +439,44 @@
 
 // SIGTERM with requests in flight, on open connections, in pieces, on new connections and 0.6 s after it: each has one
 // final answer, and the program ends by itself before it is killed.
-func TestSIGTERM(t *testing.T) {
+func TestSIGTERMAnswersEveryRequest(t *testing.T) {
 	for _, deadline := range []float64{0.5, 2, 8} {
 		t.Run(fmt.Sprint(deadline), func(t *testing.T) {
 			t.Parallel()
 			n := newMediaNode(t)
-			f := startFront(t, posting{listen: freeAddress(t), board: freeAddress(t), sockets: 512, deadline: deadline, nodes: []*mediaNode{n}})
+			f := startPlatformDirector(t, startConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: deadline, nodes: []*mediaNode{n}})
 			n.hold()
-			inFlight, open, pieces := f.client(), f.client(), f.client()
-			inFlight.c.Write(setUp(1))
-			eventually(t, "no attempt", func() bool { return n.setUps() == 1 })
-			open.c.Write(aTest())
-			open.expect(saysPassed, 1)
-			raw := setUp(3)
+			inFlight, open, pieces := f.connect(), f.connect(), f.connect()
+			inFlight.c.Write(setupRequest(1))
+			eventually(t, "no attempt", func() bool { return n.setupCount() == 1 })
+			open.c.Write(probeRequest())
+			open.expect(kindProbePassed, 1)
+			raw := setupRequest(3)
 			pieces.c.Write(raw[:5])
 			f.cmd.Process.Signal(syscall.SIGTERM)
 			ordered := time.Now()
-			eventually(t, "the order was not heard", func() bool { return strings.Contains(f.said(), "closing:") })
-			open.c.Write(setUp(2))
-			open.expect(saysOver, 2)
-			fresh := f.client()
-			fresh.c.Write(setUp(4))
-			fresh.expect(saysOver, 4)
+			eventually(t, "the order was not heard", func() bool { return strings.Contains(f.logText(), "closing:") })
+			open.c.Write(setupRequest(2))
+			open.expect(kindEnded, 2)
+			fresh := f.connect()
+			fresh.c.Write(setupRequest(4))
+			fresh.expect(kindEnded, 4)
 			for _, b := range raw[5:] {
 				pieces.c.Write([]byte{b})
 			}
-			pieces.expect(saysOver, 3)
+			pieces.expect(kindEnded, 3)
 			for time.Since(ordered) < 600*time.Millisecond {
 				time.Sleep(time.Millisecond)
 			}
-			open.c.Write(setUp(5))
-			open.expect(saysOver, 5)
+			open.c.Write(setupRequest(5))
+			open.expect(kindEnded, 5)
 			n.release()
 			switch kind, session := inFlight.next(); {
 			case session != 1:
 				t.Fatalf("kind %d of session %d", kind, session)
-			case kind == saysPlays: // and it is over with the director
-				inFlight.expect(saysOver, 1)
-			case kind != saysOver:
+			case kind == kindPlaying: // and it is over with the director
+				inFlight.expect(kindEnded, 1)
+			case kind != kindEnded:
 				t.Fatalf("kind %d", kind)
 			}
 			kill := time.Duration(min(deadline, 3)*float64(time.Second)) + 700*time.Millisecond
@@ -494,63 +494,63 @@
 
 // SIGKILL right after an accept, with a set-up out; at the same address, with the node's end of the old connections
 // still open, the next one serves and is told nothing of what it does not know.
-func TestKilledAndRestartedAtTheSameAddress(t *testing.T) {
+func TestRestartAtSameAddressAfterSIGKILL(t *testing.T) {
 	n := newMediaNode(t)
-	p := posting{listen: freeAddress(t), board: freeAddress(t), sockets: 512, deadline: 5, nodes: []*mediaNode{n}}
-	f := startFront(t, p)
+	p := startConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 5, nodes: []*mediaNode{n}}
+	f := startPlatformDirector(t, p)
 	n.hold()
-	c := f.client()
-	c.c.Write(setUp(1))
-	eventually(t, "no attempt", func() bool { return n.setUps() == 1 })
-	f.client() // accepted, or not yet
+	c := f.connect()
+	c.c.Write(setupRequest(1))
+	eventually(t, "no attempt", func() bool { return n.setupCount() == 1 })
+	f.connect() // accepted, or not yet
 	f.cmd.Process.Kill()
 	<-f.done
 	if kind, _ := c.next(); kind != 0 {
 		t.Fatalf("kind %d from one that is dead", kind)
 	}
-	f = startFront(t, p)
+	f = startPlatformDirector(t, p)
 	n.release() // the old answer goes out on the old connection
-	c = f.client()
-	c.c.Write(setUp(2))
-	c.expect(saysPlays, 2)
+	c = f.connect()
+	c.c.Write(setupRequest(2))
+	c.expect(kindPlaying, 2)
 	n.mu.Lock()
 	last := n.conns[len(n.conns)-1]
 	n.mu.Unlock()
 	fmt.Fprintf(last, "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: %016x\r\nReason: cause=41\r\nContent-Length: 0\r\n\r\n", 1)
 	fmt.Fprintf(last, "TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: %016x\r\nReason: cause=16\r\nContent-Length: 0\r\n\r\n", 2)
-	c.expect(saysOver, 2) // and nothing of session 1
+	c.expect(kindEnded, 2) // and nothing of session 1
 }
 
 // SIGHUP, and then a drain that only the new board tells; the old one breaks off in the middle of a frame.
-func TestSIGHUPAndADrain(t *testing.T) {
+func TestSIGHUPSwitchesDiscovery(t *testing.T) {
 	nodes := []*mediaNode{newMediaNode(t), newMediaNode(t)}
-	p := posting{listen: freeAddress(t), board: freeAddress(t), sockets: 512, deadline: 5, nodes: nodes}
-	old := newNoticeBoard(t, p.board)
-	f := startFront(t, p)
-	was := old.next(t, untilThen)
-	moved := newNoticeBoard(t, "127.0.0.1:0")
-	p.board = moved.ln.Addr().String()
-	if err := os.WriteFile(f.config, []byte(p.text()), 0o600); err != nil {
+	p := startConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 5, nodes: nodes}
+	old := newDiscoveryServer(t, p.discovery)
+	f := startPlatformDirector(t, p)
+	was := old.next(t, waitTimeout)
+	moved := newDiscoveryServer(t, "127.0.0.1:0")
+	p.discovery = moved.ln.Addr().String()
+	if err := os.WriteFile(f.config, []byte(p.json()), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	old.ln.Close()
 	f.cmd.Process.Signal(syscall.SIGHUP)
 	is := moved.next(t, 4*time.Second)
-	was.Write(told(4, 1, 1, nodes[1])[:9]) // of no meaning any more
+	was.Write(nodeStateEvent(4, 1, 1, nodes[1])[:9]) // of no meaning any more
 	was.Close()
-	is.Write(told(4, 0, 1, nodes[0]))
-	c := f.client()
+	is.Write(nodeStateEvent(4, 0, 1, nodes[0]))
+	c := f.connect()
 	drained := time.Now()
 	for id := uint64(1); ; id++ { // the grace counts from what is told; what is set up after it goes to the other node
-		before := nodes[0].setUps()
-		c.c.Write(setUpAt(id, 0, 2))
-		if kind, _ := c.next(); kind != saysPlays {
+		before := nodes[0].setupCount()
+		c.c.Write(setupRequestAt(id, 0, 2))
+		if kind, _ := c.next(); kind != kindPlaying {
 			t.Fatalf("kind %d", kind)
 		}
-		c.c.Write(binaryMessage(saysOver, id, 75, "\x10")) // so that the nodes do not fill
-		c.expect(saysHeard, id)
+		c.c.Write(binaryMessage(kindEnded, id, 75, "\x10")) // so that the nodes do not fill
+		c.expect(kindEndConfirmed, id)
 		if time.Since(drained) > 250*time.Millisecond {
-			if nodes[0].setUps() != before {
+			if nodes[0].setupCount() != before {
 				t.Fatal("a set-up went to a node that drains")
 			}
 			if id > 20 {
@@ -558,14 +558,14 @@
 			}
 		}
 	}
-	if nodes[1].setUps() == 0 {
+	if nodes[1].setupCount() == 0 {
 		t.Fatal("nothing went to the other node")
 	}
 }
 
-func TestAPostingThatCantBeUsedEndsWith2(t *testing.T) {
+func TestInvalidStartConfigExitsWith2(t *testing.T) {
 	n := newMediaNode(t)
-	text := posting{listen: freeAddress(t), board: freeAddress(t), sockets: 512, deadline: 5, nodes: []*mediaNode{n}}.text()
+	text := startConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 5, nodes: []*mediaNode{n}}.json()
 	for want, bad := range map[string]string{
 		"ladder_kb": strings.Replace(text, `"ladder_kb":[100,200]`, `"ladder_kb":[200,100]`, 1),
 		"line 4":    strings.Replace(text, `"flavors":["box"]`, `"flavors":["box"`, 1),
@@ -574,7 +574,7 @@
 		cmd := command(t, "platform")
 		cmd.Env = append(cmd.Env, "PROXY_CONFIG="+file(t, "config.json", bad))
 		out, err := cmd.CombinedOutput()
-		if cmd.ProcessState.ExitCode() != exitInput || !strings.Contains(string(out), want) || strings.Count(string(out), "\n") > 1 {
+		if cmd.ProcessState.ExitCode() != exitInvalidInput || !strings.Contains(string(out), want) || strings.Count(string(out), "\n") > 1 {
 			t.Errorf("%s: %v, %s", want, err, out)
 		}
 	}
--- a/cmd/fordusher/processes.go
+++ b/cmd/fordusher/processes.go
@@ -20,34 +20,35 @@
 	"fordusher/internal/rulecheck"
 )
 
-// processes starts a day's parts as processes of this same program, so that they can be killed outright.
+// processes starts directors, nodes and clients as processes of this same program, so that they can be killed with
+// SIGKILL. Its directory has their files and their common log.
 type processes struct {
-	self string
-	dir  string
+	program string
+	dir     string
 }
 
 func newProcesses() (*processes, error) {
-	self, err := os.Executable()
+	program, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
 	dir, err := os.MkdirTemp("", "fordusher-day-")
-	return &processes{self, dir}, err
+	return &processes{program, dir}, err
 }
 
 func (p *processes) close() { os.RemoveAll(p.dir) }
 
-// startWithin is how long a process has until it says that it is ready.
-const startWithin = 10 * time.Second
+// processTimeout is how long a process may take to report that it is ready, and how long to exit when it is shut down.
+const processTimeout = 10 * time.Second
 
 // spawn starts a process and reads its first line into ready.
 func (p *processes) spawn(ready any, args ...string) (*exec.Cmd, io.WriteCloser, *bufio.Reader, error) {
-	return p.spawnWith(nil, ready, args...)
+	return p.spawnWithEnv(nil, ready, args...)
 }
 
-// launch starts a process, with more in its environment.
+// launch starts a process, with env added to its environment.
 func (p *processes) launch(env []string, args ...string) (*exec.Cmd, io.WriteCloser, *bufio.Reader, error) {
-	cmd := exec.Command(p.self, args...)
+	cmd := exec.Command(p.program, args...)
 	cmd.Env = append(os.Environ(), env...)
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -69,14 +70,14 @@
 	return cmd, in, bufio.NewReader(out), nil
 }
 
-// spawnWith launches a process and reads its first line into ready.
-func (p *processes) spawnWith(env []string, ready any, args ...string) (*exec.Cmd, io.WriteCloser, *bufio.Reader, error) {
+// spawnWithEnv starts a process, with env added to its environment, and reads its first line into ready.
+func (p *processes) spawnWithEnv(env []string, ready any, args ...string) (*exec.Cmd, io.WriteCloser, *bufio.Reader, error) {
 	cmd, in, r, err := p.launch(env, args...)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	overdue := time.AfterFunc(startWithin, func() { cmd.Process.Kill() })
-	defer overdue.Stop()
+	killTimer := time.AfterFunc(processTimeout, func() { cmd.Process.Kill() })
+	defer killTimer.Stop()
 	line, err := r.ReadBytes('\n')
 	if err == nil {
 		err = json.Unmarshal(line, ready)
@@ -84,24 +85,24 @@
 	if err != nil {
 		cmd.Process.Kill()
 		cmd.Wait()
-		said, _ := os.ReadFile(filepath.Join(p.dir, "log"))
-		return nil, nil, nil, fmt.Errorf("%s did not start: %v: %s", args[0], err, said)
+		log, _ := os.ReadFile(filepath.Join(p.dir, "log"))
+		return nil, nil, nil, fmt.Errorf("the %s process did not start: %v: %s", args[0], err, log)
 	}
 	return cmd, in, r, nil
 }
 
 // StartDirector starts a director's process.
-func (p *processes) StartDirector(house []byte, name, boot string, seed uint64) (day.DirectorHandle, error) {
+func (p *processes) StartDirector(config []byte, name, boot string, seed uint64) (day.DirectorHandle, error) {
 	file := filepath.Join(p.dir, name+".jsonc")
-	if err := os.WriteFile(file, house, 0o600); err != nil {
+	if err := os.WriteFile(file, config, 0o600); err != nil {
 		return nil, err
 	}
-	var told ready
-	cmd, _, _, err := p.spawn(&told, "serve", "--conf", file, "--boot", boot, "--seed", strconv.FormatUint(seed, 10))
+	var ready readyMessage
+	cmd, _, _, err := p.spawn(&ready, "serve", "--conf", file, "--boot", boot, "--seed", strconv.FormatUint(seed, 10))
 	if err != nil {
 		return nil, err
 	}
-	d := &directorProcess{cmd: cmd, address: told.Listen, done: make(chan struct{})}
+	d := &directorProcess{cmd: cmd, address: ready.Listen, done: make(chan struct{})}
 	go func() {
 		cmd.Wait()
 		close(d.done)
@@ -109,6 +110,7 @@
 	return d, nil
 }
 
+// A directorProcess implements day.DirectorHandle for a director that runs as a process.
 type directorProcess struct {
 	cmd     *exec.Cmd
 	address string
@@ -123,9 +125,10 @@
 	<-d.done
 }
 
-// StartNodes starts the nodes' process.
-func (p *processes) StartNodes(seed uint64, site node.Environment, machines []node.Spec, _ *rulecheck.Recorder, fell func(string)) (day.NodeFleet, error) {
-	spec, err := json.Marshal(farmSpec{seed, site, machines})
+// StartNodes starts one process that runs all emulated nodes. It calls overloaded with the name of each node that fails
+// because of overload.
+func (p *processes) StartNodes(seed uint64, environment node.Environment, specs []node.Spec, _ *rulecheck.Recorder, overloaded func(string)) (day.NodeFleet, error) {
+	spec, err := json.Marshal(nodesSpec{seed, environment, specs})
 	if err != nil {
 		return nil, err
 	}
@@ -133,75 +136,80 @@
 	if err := os.WriteFile(file, spec, 0o600); err != nil {
 		return nil, err
 	}
-	f := &fleetProcess{record: filepath.Join(p.dir, "nodes.zst"), replies: make(chan reply, 1)}
+	n := &nodesProcess{recordFile: filepath.Join(p.dir, "nodes.zst"), replies: make(chan nodeReply, 1)}
 	var r *bufio.Reader
-	if f.cmd, f.in, r, err = p.spawn(&f.addresses, "node", "--farm", file); err != nil {
+	if n.cmd, n.in, r, err = p.spawn(&n.addresses, "node", "--farm", file); err != nil {
 		return nil, err
 	}
-	go f.read(r, fell)
-	return f, nil
+	go n.read(r, overloaded)
+	return n, nil
 }
 
-type farmSpec struct {
+// A nodesSpec is the file that the node command reads: the nodes to emulate and their environment.
+type nodesSpec struct {
 	Seed     uint64           `json:"seed"`
 	Site     node.Environment `json:"site"`
 	Machines []node.Spec      `json:"machines"`
 }
 
-// An order is a line that a node process reads on standard input; each has one reply.
-type order struct {
+// A nodeRequest is a line that the nodes' process reads from standard input. Each request has one reply.
+type nodeRequest struct {
 	Fault *node.Fault `json:"fault,omitempty"`
-	Start string      `json:"start,omitempty"` // tell which start a node is in
-	Save  string      `json:"save,omitempty"`  // write the record so far to a file
+	Start string      `json:"start,omitempty"` // a node's name; the reply has the number and the age of its current start
+	Save  string      `json:"save,omitempty"`  // a file to write the records so far to
 }
 
-// A reply answers an order; a line with Fell comes by itself.
-type reply struct {
+// A nodeReply is a line that the nodes' process prints in reply to a nodeRequest. A line with Fell is not a reply: it
+// reports that the named node has failed because of overload.
+type nodeReply struct {
 	Start uint64        `json:"start,omitempty"`
 	Age   time.Duration `json:"age,omitempty"`
 	Error string        `json:"error,omitempty"`
 	Fell  string        `json:"fell,omitempty"`
 }
 
-type fleetProcess struct {
-	cmd       *exec.Cmd
-	in        io.WriteCloser
-	addresses map[string]string
-	record    string
-	mu        sync.Mutex // one order at a time
-	replies   chan reply
+// A nodesProcess implements day.NodeFleet for nodes that run in one process.
+type nodesProcess struct {
+	cmd        *exec.Cmd
+	in         io.WriteCloser
+	addresses  map[string]string
+	recordFile string
+	mu         sync.Mutex // held during a request, so that there is one at a time
+	replies    chan nodeReply
 }
 
-func (f *fleetProcess) read(r *bufio.Reader, fell func(string)) {
-	defer close(f.replies)
+// read passes the process's replies to call, and calls overloaded for each report of a failed node.
+func (n *nodesProcess) read(r *bufio.Reader, overloaded func(string)) {
+	defer close(n.replies)
 	for {
 		line, err := r.ReadBytes('\n')
 		if err != nil {
 			return
 		}
-		var x reply
+		var x nodeReply
 		if json.Unmarshal(line, &x) != nil {
 			continue
 		}
 		if x.Fell != "" {
-			fell(x.Fell)
+			overloaded(x.Fell)
 			continue
 		}
-		f.replies <- x
+		n.replies <- x
 	}
 }
 
-func (f *fleetProcess) order(o order) (reply, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	line, err := json.Marshal(o)
+// call sends a request to the process and waits for the reply.
+func (n *nodesProcess) call(request nodeRequest) (nodeReply, error) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	line, err := json.Marshal(request)
 	if err != nil {
-		return reply{}, err
+		return nodeReply{}, err
 	}
-	if _, err := f.in.Write(append(line, '\n')); err != nil {
-		return reply{}, err
+	if _, err := n.in.Write(append(line, '\n')); err != nil {
+		return nodeReply{}, err
 	}
-	x, ok := <-f.replies
+	x, ok := <-n.replies
 	if !ok {
 		return x, errors.New("the nodes' process has ended")
 	}
@@ -211,61 +219,61 @@
 	return x, nil
 }
 
-func (f *fleetProcess) Address(name string) string { return f.addresses[name] }
+func (n *nodesProcess) Address(name string) string { return n.addresses[name] }
 
-func (f *fleetProcess) Start(name string) (uint64, time.Duration) {
-	x, _ := f.order(order{Start: name})
+func (n *nodesProcess) Start(name string) (uint64, time.Duration) {
+	x, _ := n.call(nodeRequest{Start: name})
 	return x.Start, x.Age
 }
 
-func (f *fleetProcess) Inject(x node.Fault) { f.order(order{Fault: &x}) }
+func (n *nodesProcess) Inject(fault node.Fault) { n.call(nodeRequest{Fault: &fault}) }
 
-func (f *fleetProcess) Records() ([]rulecheck.Record, error) {
-	if _, err := f.order(order{Save: f.record}); err != nil {
+func (n *nodesProcess) Records() ([]rulecheck.Record, error) {
+	if _, err := n.call(nodeRequest{Save: n.recordFile}); err != nil {
 		return nil, err
 	}
-	_, records, err := resultarchive.Load[rulecheck.Limits, rulecheck.Record](f.record)
+	_, records, err := resultarchive.Load[rulecheck.Limits, rulecheck.Record](n.recordFile)
 	return records, err
 }
 
-func (f *fleetProcess) Close() {
-	f.in.Close()
-	ended := time.AfterFunc(startWithin, func() { f.cmd.Process.Kill() })
-	f.cmd.Wait()
-	ended.Stop()
+func (n *nodesProcess) Close() {
+	n.in.Close()
+	killTimer := time.AfterFunc(processTimeout, func() { n.cmd.Process.Kill() })
+	n.cmd.Wait()
+	killTimer.Stop()
 }
 
 type nodeCommand struct {
-	Farm string `help:"What nodes there are: {\"seed\", \"site\", \"machines\"}, as node.Site and node.Machine have them." required:"" type:"path"`
+	Farm string `help:"File with the nodes to emulate: {\"seed\", \"site\", \"machines\"}, where site is a node.Environment and machines are node.Specs." required:"" type:"path"`
 }
 
-// Run starts stand-in nodes, prints their addresses as one JSON object, and takes orders on standard
-// input until that ends.
+// Run starts emulated nodes, prints their addresses as one JSON object, and answers requests from standard input until
+// its end.
 func (c *nodeCommand) Run() error {
 	raw, err := os.ReadFile(c.Farm)
 	if err != nil {
 		return err
 	}
-	var spec farmSpec
+	var spec nodesSpec
 	if err := json.Unmarshal(raw, &spec); err != nil {
 		return fmt.Errorf("%s: %w", c.Farm, err)
 	}
 	if len(spec.Site.Uplinks) == 0 || len(spec.Machines) == 0 {
-		return fmt.Errorf("%s: no racks or no machines", c.Farm)
+		return fmt.Errorf("%s: there must be at least one rack (site.uplinks_kb) and one machine", c.Farm)
 	}
 	for _, m := range spec.Machines {
 		if m.Name == "" || m.Rack < 0 || m.Rack >= len(spec.Site.Uplinks) || m.LinkRate <= 0 || m.MaxStreams <= 0 {
 			return fmt.Errorf("%s: machine %q needs a name, places, link_kb and one of the %d racks", c.Farm, m.Name, len(spec.Site.Uplinks))
 		}
 	}
-	var record rulecheck.Recorder
+	var recorder rulecheck.Recorder
 	var mu sync.Mutex
-	say := func(x any) {
+	printLine := func(x any) {
 		mu.Lock()
 		defer mu.Unlock()
 		json.NewEncoder(os.Stdout).Encode(x)
 	}
-	host, err := node.StartHost(node.NewModel(spec.Seed, spec.Site, spec.Machines), &record, func(name string) { say(reply{Fell: name}) })
+	host, err := node.StartHost(node.NewModel(spec.Seed, spec.Site, spec.Machines), &recorder, func(name string) { printLine(nodeReply{Fell: name}) })
 	if err != nil {
 		return err
 	}
@@ -274,30 +282,30 @@
 	for _, m := range spec.Machines {
 		addresses[m.Name] = host.Address(m.Name)
 	}
-	say(addresses)
+	printLine(addresses)
 	in := bufio.NewScanner(os.Stdin)
 	for in.Scan() {
-		var o order
-		var x reply
-		if err := json.Unmarshal(in.Bytes(), &o); err != nil {
+		var request nodeRequest
+		var x nodeReply
+		if err := json.Unmarshal(in.Bytes(), &request); err != nil {
 			x.Error = err.Error()
 		}
-		if o.Fault != nil {
-			host.Inject(*o.Fault)
+		if request.Fault != nil {
+			host.Inject(*request.Fault)
 		}
-		if o.Start != "" {
-			if addresses[o.Start] == "" {
-				x.Error = "no node " + o.Start
+		if request.Start != "" {
+			if addresses[request.Start] == "" {
+				x.Error = "no node " + request.Start
 			} else {
-				x.Start, x.Age = host.Start(o.Start)
+				x.Start, x.Age = host.Start(request.Start)
 			}
 		}
-		if o.Save != "" {
-			if err := resultarchive.Save(o.Save, rulecheck.Limits{}, record.Records()); err != nil {
+		if request.Save != "" {
+			if err := resultarchive.Save(request.Save, rulecheck.Limits{}, recorder.Records()); err != nil {
 				x.Error = err.Error()
 			}
 		}
-		say(x)
+		printLine(x)
 	}
 	return in.Err()
 }
--- a/cmd/fordusher/scale.go
+++ b/cmd/fordusher/scale.go
@@ -13,25 +13,25 @@
 )
 
 type scaleCommand struct {
-	Servers   string        `default:"200,800,3200" help:"Numbers of emulated servers, the usual size first."`
-	Directors string        `default:"300,300,900" help:"Numbers of directors that the settings name, one for each."`
-	Length    time.Duration `default:"20s" help:"How long clients ask, for each size."`
+	Servers   string        `default:"200,800,3200" help:"Numbers of emulated servers, the baseline size first."`
+	Directors string        `default:"300,300,900" help:"Numbers of directors in the settings, one for each number of servers."`
+	Length    time.Duration `default:"20s" help:"How long clients send requests, for each size."`
 }
 
-const scaleServersMost = 3200
+const maxScaleServers = 3200
 
-// Run measures one director's process at each size and holds what it needed against the bounds of the first.
+// Run measures one director process at each size and compares its resource use with bounds derived from the first size.
 func (c *scaleCommand) Run() error {
-	servers, err := sizes("--servers", c.Servers, scaleServersMost)
+	servers, err := parseSizes("--servers", c.Servers, maxScaleServers)
 	if err != nil {
-		return badInput{err}
+		return inputError{err}
 	}
-	directors, err := sizes("--directors", c.Directors, 1<<16)
+	directors, err := parseSizes("--directors", c.Directors, 1<<16)
 	if err != nil {
-		return badInput{err}
+		return inputError{err}
 	}
 	if len(servers) != len(directors) || c.Length <= 0 {
-		return badInput{fmt.Errorf("--servers and --directors need as many numbers, and --length has to be over 0")}
+		return inputError{fmt.Errorf("--servers and --directors must have equally many numbers, and --length must be positive")}
 	}
 	program, err := os.Executable()
 	if err != nil {
@@ -39,20 +39,20 @@
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "servers\tdirectors\tCPU s\tpeak MB\tdescriptors\tconnections\tlist KB\tserved\tover its bound")
-	var usual soak.Usage
-	broken := false
+	var baseline soak.Usage
+	violated := false
 	for i, n := range servers {
 		usage, err := soak.MeasureUsage(context.Background(), soak.ScaleOptions{Servers: n, Directors: directors[i], Length: c.Length, Program: program})
 		if err != nil {
 			return err
 		}
 		if i == 0 {
-			usual = usage
+			baseline = usage
 		}
-		over := overBounds(usual, usage)
-		broken = broken || len(over) > 0 || len(usage.Violations) > 0
+		exceeded := exceededBounds(baseline, usage)
+		violated = violated || len(exceeded) > 0 || len(usage.Violations) > 0
 		fmt.Fprintf(table, "%d\t%d\t%.2f\t%.1f\t%d\t%d\t%.1f\t%d of %d\t%s\n", n, directors[i], usage.CPU.Seconds(), float64(usage.PeakMemory)/(1<<20),
-			usage.Descriptors, usage.Connections, float64(usage.ListBytes)/(1<<10), usage.Served, usage.Requests, strings.Join(over, ", "))
+			usage.Descriptors, usage.Connections, float64(usage.ListBytes)/(1<<10), usage.Served, usage.Requests, strings.Join(exceeded, ", "))
 		for _, v := range usage.Violations {
 			fmt.Fprintln(os.Stderr, v)
 		}
@@ -60,45 +60,46 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	if broken {
-		return errBroken
+	if violated {
+		return errRuleViolated
 	}
 	return nil
 }
 
-// overBounds names what grew by more than the operators' standing test allows a larger fleet against the usual one.
-func overBounds(usual, usage soak.Usage) (over []string) {
+// exceededBounds names the measurements that exceed what the operators' standing test allows at a larger size, given
+// those at the baseline size.
+func exceededBounds(baseline, usage soak.Usage) (exceeded []string) {
 	thousands := float64(usage.Servers) / 1000
 	const megabyte, kilobyte = 1 << 20, 1 << 10
 	for _, x := range []struct {
-		name       string
-		is, atMost float64
+		name          string
+		actual, bound float64
 	}{
-		{"CPU", usage.CPU.Seconds(), 1.4*usual.CPU.Seconds() + 0.02 + 0.03*thousands},
-		{"memory", float64(usage.PeakMemory), 1.5*float64(usual.PeakMemory) + (8+4*thousands)*megabyte},
-		{"descriptors", float64(usage.Descriptors), 2*float64(usual.Descriptors) + 40},
-		{"connections", float64(usage.Connections), 2.5*float64(usual.Connections) + 40},
-		{"lists", float64(usage.ListBytes), 2*float64(usual.ListBytes) + (64+500*thousands)*kilobyte},
-		{"served", 0.85 * share(usual), share(usage)},
+		{"CPU", usage.CPU.Seconds(), 1.4*baseline.CPU.Seconds() + 0.02 + 0.03*thousands},
+		{"memory", float64(usage.PeakMemory), 1.5*float64(baseline.PeakMemory) + (8+4*thousands)*megabyte},
+		{"descriptors", float64(usage.Descriptors), 2*float64(baseline.Descriptors) + 40},
+		{"connections", float64(usage.Connections), 2.5*float64(baseline.Connections) + 40},
+		{"lists", float64(usage.ListBytes), 2*float64(baseline.ListBytes) + (64+500*thousands)*kilobyte},
+		{"served", 0.85 * servedShare(baseline), servedShare(usage)},
 	} {
-		if x.is > x.atMost {
-			over = append(over, x.name)
+		if x.actual > x.bound {
+			exceeded = append(exceeded, x.name)
 		}
 	}
-	return over
+	return exceeded
 }
 
-// share is the part of the requests that was served.
-func share(u soak.Usage) float64 { return float64(u.Served) / float64(max(1, u.Requests)) }
+// servedShare returns the share of the requests that were served.
+func servedShare(u soak.Usage) float64 { return float64(u.Served) / float64(max(1, u.Requests)) }
 
-// sizes reads numbers from 1 to most, with commas between.
-func sizes(flag, text string, most int) (all []int, err error) {
+// parseSizes parses comma-separated numbers from 1 to maxSize.
+func parseSizes(flag, text string, maxSize int) (sizes []int, err error) {
 	for _, part := range strings.Split(text, ",") {
 		n, err := strconv.Atoi(part)
-		if err != nil || n < 1 || n > most {
-			return nil, fmt.Errorf("%s: %q is not a number from 1 to %d", flag, part, most)
+		if err != nil || n < 1 || n > maxSize {
+			return nil, fmt.Errorf("%s: %q is not a number from 1 to %d", flag, part, maxSize)
 		}
-		all = append(all, n)
+		sizes = append(sizes, n)
 	}
-	return all, nil
+	return sizes, nil
 }
--- a/cmd/fordusher/scenario.go
+++ b/cmd/fordusher/scenario.go
@@ -16,8 +16,8 @@
 )
 
 type runCommand struct {
-	Scenario string `arg:"" help:"One that ships with the program (${scenarios}), or a file."`
-	Out      string `short:"o" help:"Keep every second's figures in this file (compressed lines of JSON)." type:"path"`
+	Scenario string `arg:"" help:"A scenario that ships with the program (${scenarios}), or a scenario file."`
+	Out      string `short:"o" help:"Save the measurements of every second to this file (compressed lines of JSON)." type:"path"`
 }
 
 func (c *runCommand) Run() error {
@@ -32,7 +32,7 @@
 		return err
 	}
 	defer p.close()
-	a, err := s.Run(ctx, theatre{p}, func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
+	a, err := s.Run(ctx, scenarioLauncher{p}, func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
 	if err != nil {
 		return err
 	}
@@ -45,24 +45,24 @@
 	return nil
 }
 
-// theatre starts a scenario's processes.
-type theatre struct{ *processes }
+// scenarioLauncher implements load.Launcher: it starts the director and client processes of a scenario.
+type scenarioLauncher struct{ *processes }
 
-func (t theatre) StartDirector(house []byte, cores int) (load.MonitoredProcess, error) {
-	return t.measured(house, cores, "")
+func (l scenarioLauncher) StartDirector(config []byte, cores int) (load.MonitoredProcess, error) {
+	return l.startDirectorOnCores(config, cores, "")
 }
 
-func (t theatre) StartClient() (io.WriteCloser, *bufio.Reader, func(), error) {
-	cmd, in, out, err := t.launch(nil, "load", "client")
+func (l scenarioLauncher) StartClient() (io.WriteCloser, *bufio.Reader, func(), error) {
+	cmd, in, out, err := l.launch(nil, "load", "client")
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	return in, out, func() {
 		in.Close()
 		cmd.Process.Signal(syscall.SIGTERM)
-		overdue := time.AfterFunc(startWithin, func() { cmd.Process.Kill() })
+		killTimer := time.AfterFunc(processTimeout, func() { cmd.Process.Kill() })
 		cmd.Wait()
-		overdue.Stop()
+		killTimer.Stop()
 	}, nil
 }
 
@@ -71,7 +71,7 @@
 func (clientCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	go func() { // whoever started this process may be gone: nothing else ends it then
+	go func() { // the parent process may have exited, and then only a signal ends this process
 		<-ctx.Done()
 		os.Exit(0)
 	}()
@@ -79,9 +79,9 @@
 }
 
 type plotCommand struct {
-	Results []string `arg:"" help:"Files that load run has kept." type:"path"`
-	Out     string   `short:"o" help:"Draw the charts into this folder." type:"path"`
-	Form    string   `help:"Of the charts: svg or png." enum:"svg,png" default:"svg"`
+	Results []string `arg:"" help:"Files written by load run." type:"path"`
+	Out     string   `short:"o" help:"Draw the charts into this directory." type:"path"`
+	Form    string   `help:"Format of the charts: svg or png." enum:"svg,png" default:"svg"`
 }
 
 func (c *plotCommand) Run() error {
--- a/cmd/fordusher/serve.go
+++ b/cmd/fordusher/serve.go
@@ -27,24 +27,26 @@
 )
 
 type serveCommand struct {
-	Conf    string `help:"The director's file." required:"" type:"path"`
-	Seed    uint64 `help:"What chance is drawn from; without it, the machine's own."`
-	Profile string `help:"Write a profile of the processor time used into this file, until the director ends." type:"path"`
-	Boot    string `help:"A word that no other run of this director has used; without it, the time."`
+	Conf    string `help:"The director's configuration file." required:"" type:"path"`
+	Seed    uint64 `help:"Seed of the random source; by default it is taken from the operating system."`
+	Profile string `help:"Write a CPU profile of the director's whole run to this file." type:"path"`
+	Boot    string `help:"Identifier of this run, different from that of every other run of this director; by default the start time."`
 }
 
-// ready is printed once players can connect: one JSON object on a line of standard output.
-type ready struct {
+// A readyMessage is printed once clients can connect, as one JSON object on a line of standard output. It has the
+// addresses that the process listens on.
+type readyMessage struct {
 	Listen  string `json:"listen"`
 	Metrics string `json:"metrics,omitempty"`
 }
 
 func (c *serveCommand) Run() error {
-	house, err := conf.Load(c.Conf)
+	config, err := conf.Load(c.Conf)
 	if err != nil {
 		return err
 	}
-	// Before anybody is told that it is ready: an order to stop that came sooner ended it without an answer.
+	// The signals are caught before the process reports that it is ready: a SIGTERM that arrived before this call
+	// ended the process without answers to its clients.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if c.Seed == 0 {
@@ -56,45 +58,45 @@
 		c.Boot = strconv.FormatInt(time.Now().UnixMilli(), 36)
 	}
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(400) // a director's heap is small, and its time is not
+		debug.SetGCPercent(400) // a director has a small heap but little CPU time to spare, so it trades memory for CPU time
 	}
-	level, pace, err := logLevel(os.Getenv)
+	level, rateLimit, err := logLevel(os.Getenv)
 	if err != nil {
-		return badInput{err}
+		return inputError{err}
 	}
-	lines := asynclog.New(os.Stderr, pace)
-	defer lines.Close(time.Second)
-	logger := logger(lines).Level(level)
+	logWriter := asynclog.New(os.Stderr, rateLimit)
+	defer logWriter.Close(time.Second)
+	logger := newLogger(logWriter).Level(level)
 	var descriptors syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err != nil {
-		return fmt.Errorf("the limit on descriptors: %w", err)
+		return fmt.Errorf("reading the limit on file descriptors: %w", err)
 	}
-	room, fitted := house.Capacity.FitDescriptors(int(min(descriptors.Cur, 1<<30)), house.Fleet.Cells)
-	if fitted != "" {
-		logger.Info().Msg(fitted)
+	capacity, adjustment := config.Capacity.FitDescriptors(int(min(descriptors.Cur, 1<<30)), config.Fleet.Cells)
+	if adjustment != "" {
+		logger.Info().Msg(adjustment)
 	}
-	house.Capacity, house.ConnectionLimits.Clients.MaxPendingHandshakes = room, room.MaxHandshakes
-	d, err := daemon.Start(house, c.Boot, c.Seed, house.NewDecider(c.Seed), logger)
+	config.Capacity, config.ConnectionLimits.Clients.MaxPendingHandshakes = capacity, capacity.MaxHandshakes
+	d, err := daemon.Start(config, c.Boot, c.Seed, config.NewDecider(c.Seed), logger)
 	if err != nil {
 		return err
 	}
-	told := ready{Listen: d.Address()}
-	if house.MetricsAddress != "" {
-		ln, err := net.Listen("tcp", house.MetricsAddress)
+	addresses := readyMessage{Listen: d.Address()}
+	if config.MetricsAddress != "" {
+		ln, err := net.Listen("tcp", config.MetricsAddress)
 		if err != nil {
 			d.Kill()
-			return fmt.Errorf("metrics at %s: %w", house.MetricsAddress, err)
+			return fmt.Errorf("listening for metrics requests on %s: %w", config.MetricsAddress, err)
 		}
 		reg := prometheus.NewRegistry()
 		reg.MustRegister(d, collectors.NewGoCollector(), prometheus.NewCounterFunc(prometheus.CounterOpts{
-			Name: "fordusher_log_lines_left_out_total", Help: "log lines left out: too many at once, or nobody read them",
-		}, func() float64 { return float64(lines.Dropped()) }))
-		server := &http.Server{Handler: figures(reg), ReadHeaderTimeout: 5 * time.Second, WriteTimeout: lookMost, IdleTimeout: lookMost}
+			Name: "fordusher_log_lines_left_out_total", Help: "log lines dropped because they exceeded the rate limit or standard error was not read",
+		}, func() float64 { return float64(logWriter.Dropped()) }))
+		server := &http.Server{Handler: metricsHandler(reg), ReadHeaderTimeout: 5 * time.Second, WriteTimeout: metricsTimeout, IdleTimeout: metricsTimeout}
 		go server.Serve(ln)
 		defer server.Close()
-		told.Metrics = ln.Addr().String()
+		addresses.Metrics = ln.Addr().String()
 	}
-	line, err := json.Marshal(told)
+	line, err := json.Marshal(addresses)
 	if err != nil {
 		return err
 	}
@@ -121,30 +123,30 @@
 	return nil
 }
 
-// A look at the metrics may take so long, and so many may look at one time: who does not read holds no more of the
-// director's descriptors and memory than that.
+// Limits on the duration and the number of concurrent metrics requests. They bound the descriptors and the memory that
+// peers hold which request the metrics and do not read the response.
 const (
-	lookMost  = 30 * time.Second
-	looksMost = 4
+	metricsTimeout     = 30 * time.Second
+	maxMetricsRequests = 4
 )
 
-// figures serves a process's metrics, and the profiles of the standard library beside them.
-func figures(reg *prometheus.Registry) http.Handler {
+// metricsHandler serves a process's metrics, and the standard library's profiles under /debug/pprof/.
+func metricsHandler(reg *prometheus.Registry) http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{MaxRequestsInFlight: looksMost}))
+	mux.Handle("/metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{MaxRequestsInFlight: maxMetricsRequests}))
 	mux.HandleFunc("/debug/pprof/", httppprof.Index)
 	return mux
 }
 
 type checkCommand struct {
-	File string `arg:"" help:"The director's file." type:"path"`
+	File string `arg:"" help:"The director's configuration file." type:"path"`
 }
 
 func (c *checkCommand) Run() error {
-	house, err := conf.Load(c.File)
+	config, err := conf.Load(c.File)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %s\n", c.File, house.Summary())
+	fmt.Printf("%s: %s\n", c.File, config.Summary())
 	return nil
 }
--- a/cmd/fordusher/soak_test.go
+++ b/cmd/fordusher/soak_test.go
@@ -6,7 +6,7 @@
 )
 
 // A short soak on two seeds: directors as processes, killed, stopped, restarted and frozen among faults of all others.
-func TestASoakKeepsTheRules(t *testing.T) {
+func TestSoakViolatesNoRule(t *testing.T) {
 	t.Setenv("FORDUSHER_MAIN", "1")
 	t.Setenv("GORACE", "atexit_sleep_ms=0")
 	code, out, errs := program(t, "soak", "--seeds", "1-2", "--processes", "3", "--servers", "4", "--length", "2s")
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestSeedsOfASoak(t *testing.T) {
+func TestSeedRange(t *testing.T) {
 	for text, want := range map[string][2]uint64{"7": {7, 7}, "1-30": {1, 30}} {
 		if from, to, err := seedRange(text); err != nil || [2]uint64{from, to} != want {
 			t.Errorf("%q: %d to %d, %v", text, from, to, err)
--- a/cmd/fordusher/verify.go
+++ b/cmd/fordusher/verify.go
@@ -10,24 +10,24 @@
 )
 
 type verifyCommand struct {
-	Files []string `arg:"" help:"Records that day --record kept." type:"path"`
-	JSON  bool     `help:"Print one object for each record as the last lines."`
+	Files []string `arg:"" help:"Record files written by day --record." type:"path"`
+	JSON  bool     `help:"Print the results of each file also as one JSON object, on the last line of its output."`
 }
 
 func (c *verifyCommand) Run() error {
-	broken := false
+	violated := false
 	for _, file := range c.Files {
-		terms, records, err := resultarchive.Load[rulecheck.Limits, rulecheck.Record](file)
+		limits, records, err := resultarchive.Load[rulecheck.Limits, rulecheck.Record](file)
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(os.Stdout, "%s: %d records", file, len(records))
-		if err := report(day.CheckRecords(terms, records), c.JSON); err != nil {
-			broken = true
+		if err := printResult(day.CheckRecords(limits, records), c.JSON); err != nil {
+			violated = true
 		}
 	}
-	if broken {
-		return errBroken
+	if violated {
+		return errRuleViolated
 	}
 	return nil
 }
