--- a/cmd/fordusher/pause_test.go
+++ b/cmd/fordusher/pause_test.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// A request that waited in the kernel while the process did not run has less time left than it says. What a server is told
-// is at most what its client has left, with 0.15 s of slack.
+// Stops the process while a request arrives, so that the request waits in the kernel and its client has less time left
+// than the request says. Guards against a time-out stated to a node that is longer than the client's remaining time, with
+// a tolerance of 0.15 s.
 func TestSetupTimeoutCountsProcessPause(t *testing.T) {
 	const (
-		wait  = 800 * time.Millisecond
-		slack = 150 * time.Millisecond
+		wait      = 800 * time.Millisecond
+		tolerance = 150 * time.Millisecond
 	)
 	n := newMediaNode(t)
-	f := startPlatformDirector(t, startConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 5, nodes: []*mediaNode{n}})
+	d := startPlatformDirector(t, platformConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 5, nodes: []*mediaNode{n}})
 	for i, pause := range []time.Duration{0, 250 * time.Millisecond, 500 * time.Millisecond} {
 		session := uint64(i + 1)
-		c := f.connect()
+		c := d.connect()
 		time.Sleep(30 * time.Millisecond) // so that the connection is accepted
-		f.cmd.Process.Signal(syscall.SIGSTOP)
-		c.c.Write(setupRequestWithin(session, 0, 1, wait))
+		d.cmd.Process.Signal(syscall.SIGSTOP)
+		c.conn.Write(setupRequestWithin(session, 0, 1, wait))
 		sent := time.Now()
 		time.Sleep(pause)
-		f.cmd.Process.Signal(syscall.SIGCONT)
-		c.expect(kindPlaying, session)
+		d.cmd.Process.Signal(syscall.SIGCONT)
+		c.expect(kindAnswer, session)
 		n.mu.Lock()
-		told := n.timeouts[len(n.timeouts)-1]
+		setup := n.timeouts[len(n.timeouts)-1]
 		n.mu.Unlock()
-		if left := wait - told.receivedAt.Sub(sent); told.timeout > left+slack {
-			t.Errorf("after a pause of %v a server was told %v; the client had %v left", pause, told.timeout, left)
+		if remaining := wait - setup.receivedAt.Sub(sent); setup.timeout > remaining+tolerance {
+			t.Errorf("after a pause of %v the node received a time-out of %v; the client had %v left", pause, setup.timeout, remaining)
 		}
 	}
 }
--- a/cmd/fordusher/release_test.go
+++ b/cmd/fordusher/release_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-// A server releases a session as soon as it stands, with the cause that says that it was moved or that its client has
-// ended it. The client can't have: its answer is still on the way to it. It gets the answer and then the release, so that
-// it does not wait on a session that is over.
+// A node ends a session right after its answer, with the cause that the session was moved or that its client has ended
+// it. The client can't have ended it, since the answer is still on the way to it. Guards against a director that does not
+// send the answer and then the release, which leaves the client with a session that is over.
 func TestReleaseRightAfterAnswerReachesClient(t *testing.T) {
 	const moved = 31
 	n := newMediaNode(t)
-	n.setupReply = func(session string) string { return setupResponse(session) + teardownRequest(session, moved) }
-	f := startPlatformDirector(t, startConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 2, nodes: []*mediaNode{n}})
-	c := f.connect()
-	c.c.Write(setupRequest(1))
-	c.expect(kindPlaying, 1)
-	c.expect(kindEnded, 1)
+	n.setupReply = func(session string) string { return setupResponse(session) + releaseRequest(session, moved) }
+	d := startPlatformDirector(t, platformConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 2, nodes: []*mediaNode{n}})
+	c := d.connect()
+	c.conn.Write(setupRequest(1))
+	c.expect(kindAnswer, 1)
+	c.expect(kindRelease, 1)
 }
--- a/cmd/fordusher/stop_test.go
+++ b/cmd/fordusher/stop_test.go
@@ -9,45 +9,48 @@
 	"time"
 )
 
-// lostWindow is how long before a connection's end a request may be sent that is lost with it: its client sends it again.
-const lostWindow = 50 * time.Millisecond
+// lossWindow is how long before a connection's end a request may be sent and be lost with the connection. The client of
+// such a request sends it again.
+const lossWindow = 50 * time.Millisecond
 
-// After SIGTERM clients go on sending on their open connections until these are closed. Each request but one that crosses
-// the close has its answer, and the program has ended by itself before it is killed, also where deadlines are short.
+// Sends requests on open connections after SIGTERM until the director closes them. Guards against a request without an
+// answer, other than one sent just before the close, and against a program that has not exited by itself at the time when
+// the platform kills it, also with short deadlines.
 func TestRequestsDuringShutdownAreAnswered(t *testing.T) {
 	for _, deadline := range []float64{0.3, 2} {
 		t.Run(fmt.Sprint(deadline), func(t *testing.T) {
 			t.Parallel()
-			f := startPlatformDirector(t, startConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: deadline,
+			d := startPlatformDirector(t, platformConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: deadline,
 				nodes: []*mediaNode{newMediaNode(t)}})
 			const connections = 40
-			var wait sync.WaitGroup
+			var clients sync.WaitGroup
 			for i := range connections {
-				c := f.connect()
-				wait.Go(func() { sendUntilClosed(t, c.c, uint64(1+i*100_000)) })
+				c := d.connect()
+				clients.Go(func() { sendUntilClosed(t, c.conn, uint64(1+i*100_000)) })
 			}
 			time.Sleep(100 * time.Millisecond)
-			f.cmd.Process.Signal(syscall.SIGTERM)
-			ordered := time.Now()
-			kill := time.Duration(min(deadline, 3)*float64(time.Second)) + 700*time.Millisecond
+			d.cmd.Process.Signal(syscall.SIGTERM)
+			signaled := time.Now()
+			killAfter := time.Duration(min(deadline, 3)*float64(time.Second)) + 700*time.Millisecond
 			select {
-			case err := <-f.done:
+			case err := <-d.done:
 				if err != nil {
-					t.Errorf("it ended with %v", err)
+					t.Errorf("the program exited with %v", err)
 				}
-			case <-time.After(time.Until(ordered.Add(kill))):
-				t.Errorf("it is still there after %v", kill)
-				f.cmd.Process.Kill()
+			case <-time.After(time.Until(signaled.Add(killAfter))):
+				t.Errorf("the program still runs after %v", killAfter)
+				d.cmd.Process.Kill()
 			}
-			wait.Wait()
+			clients.Wait()
 		})
 	}
 }
 
-// sendUntilClosed asks for sessions one after the other, each as soon as the last was answered.
-func sendUntilClosed(t *testing.T, c net.Conn, first uint64) {
+// sendUntilClosed requests sessions one after the other, each as soon as the previous one is answered, until the
+// connection is closed.
+func sendUntilClosed(t *testing.T, c net.Conn, firstID uint64) {
 	client := &client{t, c}
-	for id := first; ; id++ {
+	for id := firstID; ; id++ {
 		sent := time.Now()
 		if _, err := c.Write(setupRequest(id)); err != nil {
 			return
@@ -56,11 +59,11 @@
 			kind, session := client.next()
 			switch {
 			case kind == 0:
-				if since := time.Since(sent); since > lostWindow {
+				if since := time.Since(sent); since > lossWindow {
 					t.Errorf("request %d has no answer, %v before its connection ended", id, since)
 				}
 				return
-			case session == id && (kind == kindPlaying || kind == kindEnded):
+			case session == id && (kind == kindAnswer || kind == kindRelease):
 				answered = true
 			}
 		}
