--- a/cmd/fordusher/import.go
+++ b/cmd/fordusher/import.go
@@ -45,7 +45,7 @@
 type planConstraints struct {
 	PerRack  int           `help:"Maximum number of nodes of one rack that change at a time: added and not warm yet, or drained and not removed yet." default:"1"`
 	PerTitle int           `help:"Maximum number of nodes with the same title that change at a time." default:"1"`
-	Cold     int           `help:"Maximum number of nodes in slow start at a time; 0: a twentieth of the nodes that are up." default:"0"`
+	Cold     int           `help:"Maximum number of nodes in slow start at a time; 0: a twentieth of the nodes that are up, at least one." default:"0"`
 	Drain    time.Duration `help:"Time from a node's drain to its removal." default:"30m"`
 	Notice   time.Duration `help:"Time after which every director has received a change." default:"10s"`
 }
--- a/cmd/fordusher/import_test.go
+++ b/cmd/fordusher/import_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// A configuration is imported, changed, imported again and the change planned; the plan is carried out on
-// running directors while players play. Every rule is kept, drains of servers of weight 0 included.
+// Imports a configuration, imports a changed version of it with a plan of the change, and applies the plan during a day
+// with running directors and clients. Guards against a plan that makes directors violate a rule, also where servers of
+// weight 0 drain, and against wrong messages and exit codes for plans and input that can't be used.
 func TestImportedNodesRunAndPlanIsApplied(t *testing.T) {
 	dir := t.TempDir()
 	path := func(name string) string { return filepath.Join(dir, name) }
@@ -17,12 +18,12 @@
 		" server a 10.0.0.1:1\n server b 10.0.0.2:1\n server c 10.0.0.3:1 weight 0\n server d 10.0.0.4:1\n"
 	const second = "defaults\n timeout connect 400ms\nlisten l\n bind 127.0.0.1:18080\n default-server maxconn 200 slowstart 500ms\n" +
 		" server a 10.0.0.1:1 weight 0\n server b 10.0.0.2:1 weight 2\n server c 10.0.0.3:1\n server e 10.0.0.5:1\n"
-	const with = `{"director": {"name": "d", "me": 0, "directors": 1}, "tariffs": {"clip": {"goal_time": "800ms", "hard_stop": "3s"},
+	const overlay = `{"director": {"name": "d", "me": 0, "directors": 1}, "tariffs": {"clip": {"goal_time": "800ms", "hard_stop": "3s"},
 		"exam": {"goal_time": "1s", "hard_stop": "2s", "paid": true}}, "ladder": {"rates": ["172kB/s", "347kB/s", "703kB/s"]},
 		"fleet": {"cells": 4, "racks": 2, "link_unit": "60MB/s", "uplink": "200MB/s"}, "ramp": {"cold_from": 0.5, "multiple": 4, "tip_after": "500ms"},
 		"titles": {"t": {"base": 0, "copies": 4}, "u": {"base": 0, "copies": 2}},
 		"servers": {"l/*": {"cell_from": 0}, "l/e": {"cell": 3}}}`
-	for name, text := range map[string]string{"1.cfg": first, "2.cfg": second, "with.jsonc": with,
+	for name, text := range map[string]string{"1.cfg": first, "2.cfg": second, "with.jsonc": overlay,
 		"day.jsonc": `{"length": "7s", "requests": 400, "directors": 2, "viewers": {"mean_length": "500ms"}}`} {
 		if err := os.WriteFile(path(name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -49,12 +50,12 @@
 	}
 	for _, want := range []string{"the list: e up", "the list: a draining", "the list: d removed", "the list: c up"} {
 		if !strings.Contains(errs, want) {
-			t.Errorf("%q is not in\n%s", want, errs)
+			t.Errorf("%q is missing in the output\n%s", want, errs)
 		}
 	}
-	// Both holders of a title drain: there is no plan, and it is told why.
-	lonely := strings.Replace(second, "server b 10.0.0.2:1 weight 2", "server b 10.0.0.2:1 weight 0", 1)
-	os.WriteFile(path("3.cfg"), []byte(lonely), 0o600)
+	// Both nodes that hold a title drain, so there is no plan, and the error names the reason.
+	noHolder := strings.Replace(second, "server b 10.0.0.2:1 weight 2", "server b 10.0.0.2:1 weight 0", 1)
+	os.WriteFile(path("3.cfg"), []byte(noHolder), 0o600)
 	if code, _, errs := program(t, "import", "haproxy", path("3.cfg"), "--with", path("with.jsonc"), "--against", path("1.json"), "--plan", path("no.jsonl")); code != exitFailure ||
 		!strings.Contains(errs, "title u: no holder of it is up") {
 		t.Error(code, errs)
--- a/cmd/fordusher/log_test.go
+++ b/cmd/fordusher/log_test.go
@@ -15,23 +15,26 @@
 	"fordusher/internal/wire"
 )
 
+// A messageChannel is a connection handler that passes on the messages it receives.
 type messageChannel chan string
 
 func (messageChannel) Opened(*transport.Conn)                  {}
-func (t messageChannel) Message(_ *transport.Conn, m []byte)   { t <- string(m) }
+func (c messageChannel) Message(_ *transport.Conn, m []byte)   { c <- string(m) }
 func (messageChannel) Closed(*transport.Conn, error, []uint64) {}
 
-func receiveWithin10s[V any](t *testing.T, what string, c <-chan V) (v V) {
+// receiveWithin10s receives a value that stands for the named event.
+func receiveWithin10s[V any](t *testing.T, event string, c <-chan V) (v V) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(10 * time.Second):
-		t.Fatal("not within 10 s: ", what)
+		t.Fatal("not within 10 s: ", event)
 	}
 	return v
 }
 
-// A reader of the log that stopped, with its pipe full, stopped the loop at its next line, and every answer with it.
+// Runs a director whose standard error is a full pipe that nobody reads. Guards against a log write that blocks the event
+// loop, and with it every answer.
 func TestUnreadLogPipeDoesNotBlockAnswers(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -54,46 +57,47 @@
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	told := make(chan readyMessage, 1)
+	started := make(chan readyMessage, 1)
 	go func() {
-		var at readyMessage
-		if json.NewDecoder(out).Decode(&at) == nil {
-			told <- at
+		var ready readyMessage
+		if json.NewDecoder(out).Decode(&ready) == nil {
+			started <- ready
 		}
 	}()
-	at := receiveWithin10s(t, "the director is ready", told)
-	heard := make(messageChannel, 10)
-	c, err := transport.Dial(at.Listen, wire.SessionProtocol, 5*time.Second, transport.Limits{MaxMessageBytes: 1 << 12, MaxQueuedBytes: 1 << 16, WriteTimeout: time.Second}, heard, nil)
+	ready := receiveWithin10s(t, "the director is ready", started)
+	answers := make(messageChannel, 10)
+	c, err := transport.Dial(ready.Listen, wire.SessionProtocol, 5*time.Second, transport.Limits{MaxMessageBytes: 1 << 12, MaxQueuedBytes: 1 << 16, WriteTimeout: time.Second}, answers, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"1", "2", "3"} {
 		c.Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip", Title: "none", Key: "k" + id, WaitMS: 1000}), 0)
-		receiveWithin10s(t, "an answer", heard)
+		receiveWithin10s(t, "an answer", answers)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
-	if err := receiveWithin10s(t, "an orderly end", ended); err != nil {
+	exited := make(chan error, 1)
+	go func() { exited <- cmd.Wait() }()
+	if err := receiveWithin10s(t, "the director exits", exited); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Who looked at the metrics and did not read held a descriptor and a buffer for ever, and as many could as liked.
+// Sends one metrics request more than the limit on concurrent ones. Guards against peers that request the metrics and
+// do not read them: each held a descriptor and a buffer for ever, and their number was not limited.
 func TestConcurrentMetricsRequestsAreLimited(t *testing.T) {
 	reg := prometheus.NewRegistry()
-	hold := make(chan struct{})
-	entered := make(chan struct{}, 100)
+	release := make(chan struct{})
+	began := make(chan struct{}, 100)
 	reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "slow"}, func() float64 {
-		entered <- struct{}{}
-		<-hold
+		began <- struct{}{}
+		<-release
 		return 1
 	}))
-	page := httptest.NewServer(metricsHandler(reg))
-	defer page.Close()
+	server := httptest.NewServer(metricsHandler(reg))
+	defer server.Close()
 	codes := make(chan int, 100)
-	look := func() {
-		r, err := http.Get(page.URL + "/metrics")
+	request := func() {
+		r, err := http.Get(server.URL + "/metrics")
 		if err != nil {
 			t.Error(err)
 			codes <- 0
@@ -103,16 +107,16 @@
 		codes <- r.StatusCode
 	}
 	for range maxMetricsRequests {
-		go look()
-		receiveWithin10s(t, "a look begins", entered)
+		go request()
+		receiveWithin10s(t, "a request begins", began)
 	}
-	look()
+	request()
 	if code := <-codes; code != http.StatusServiceUnavailable {
-		t.Fatal("one look too many got", code)
+		t.Fatal("a request over the limit got status", code)
 	}
-	close(hold)
+	close(release)
 	for range maxMetricsRequests {
-		if code := receiveWithin10s(t, "a look ends", codes); code != http.StatusOK {
+		if code := receiveWithin10s(t, "a request ends", codes); code != http.StatusOK {
 			t.Fatal(code)
 		}
 	}
--- a/cmd/fordusher/main_test.go
+++ b/cmd/fordusher/main_test.go
@@ -22,10 +22,11 @@
 	"fordusher/internal/wire"
 )
 
-// The test binary is the program too, for processes that the tests start.
+// TestMain runs the program instead of the tests if FORDUSHER_MAIN is set, so that tests can start the test binary as
+// the program's processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("FORDUSHER_MAIN") != "" {
-		if n, err := strconv.ParseUint(os.Getenv("FORDUSHER_FILES"), 10, 64); err == nil { // as few as a platform gives
+		if n, err := strconv.ParseUint(os.Getenv("FORDUSHER_FILES"), 10, 64); err == nil { // the limit on descriptors that a platform sets
 			unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: n})
 		}
 		main()
@@ -34,6 +35,7 @@
 	os.Exit(m.Run())
 }
 
+// command returns the command that runs the program with the given arguments.
 func command(t *testing.T, args ...string) *exec.Cmd {
 	t.Helper()
 	self, err := os.Executable()
@@ -45,14 +47,14 @@
 	return cmd
 }
 
-// program runs the program to its end.
+// program runs the program until it exits, and returns its exit code, standard output and standard error.
 func program(t *testing.T, args ...string) (code int, out, errs string) {
 	t.Helper()
 	cmd := command(t, args...)
 	var o, e bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &o, &e
-	overdue := time.AfterFunc(2*time.Minute, func() { cmd.Process.Kill() })
-	defer overdue.Stop()
+	killTimer := time.AfterFunc(2*time.Minute, func() { cmd.Process.Kill() })
+	defer killTimer.Stop()
 	err := cmd.Run()
 	if _, ok := err.(*exec.ExitError); err != nil && !ok {
 		t.Fatal(err)
@@ -60,6 +62,7 @@
 	return cmd.ProcessState.ExitCode(), o.String(), e.String()
 }
 
+// file writes a file to a temporary directory and returns its path.
 func file(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -75,13 +78,13 @@
   "ramp": {"warmup": "1s", "cold_from": 0.5, "multiple": 4, "tip_after": "1s"}, "closing": {"within": "500ms"}}`
 
 func TestInvalidInputIsReportedAndExitsWith2(t *testing.T) {
-	bad := file(t, "d.jsonc", strings.Replace(directorConfig, `"racks"`, `"raks"`, 1))
+	invalid := file(t, "d.jsonc", strings.Replace(directorConfig, `"racks"`, `"raks"`, 1))
 	for _, c := range []struct {
 		args []string
 		want string
 	}{
-		{[]string{"check", bad}, bad + ":3:25: unknown key \"raks\"; did you mean \"racks\"?"},
-		{[]string{"serve", "--conf", bad}, bad + ":3:25: unknown key"},
+		{[]string{"check", invalid}, invalid + ":3:25: unknown key \"raks\"; did you mean \"racks\"?"},
+		{[]string{"serve", "--conf", invalid}, invalid + ":3:25: unknown key"},
 		{[]string{"check", filepath.Join(t.TempDir(), "none")}, "no such file"},
 		{[]string{"day", "--script", file(t, "s", `{"troubles": [{"kind": "flood", "at": "1s"}]}`)}, `unknown trouble "flood"`},
 		{[]string{"dya"}, "unexpected argument dya"},
@@ -97,7 +100,8 @@
 	}
 }
 
-// SIGTERM: a session that plays is told, and the process exits 0 within its term.
+// Sends SIGTERM to a director that has no node for a waiting request. Guards against a process that exits without an
+// answer to the request, or with an exit code other than 0.
 func TestServeAnswersPendingRequestOnSIGTERM(t *testing.T) {
 	source, err := discovery.Start(rulecheck.DiscardRecorder, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
 	if err != nil {
@@ -114,20 +118,20 @@
 	}
 	defer cmd.Process.Kill()
 	line, err := bufio.NewReader(pipe).ReadBytes('\n')
-	var told readyMessage
-	if err != nil || json.Unmarshal(line, &told) != nil || told.Metrics == "" {
+	var ready readyMessage
+	if err != nil || json.Unmarshal(line, &ready) != nil || ready.Metrics == "" {
 		t.Fatal(string(line), err)
 	}
-	p := &messageReceiver{messages: make(chan wire.SessionMessage, 10), closed: make(chan error, 1)}
-	conn, err := transport.Dial(told.Listen, wire.SessionProtocol, 5*time.Second, transport.Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 4096, WriteTimeout: time.Second}, p, nil)
+	r := &messageReceiver{messages: make(chan wire.SessionMessage, 10), closed: make(chan error, 1)}
+	conn, err := transport.Dial(ready.Listen, wire.SessionProtocol, 5*time.Second, transport.Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 4096, WriteTimeout: time.Second}, r, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	conn.Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "clip", Title: "t", Key: "k", WaitMS: 1500}), 0)
-	time.Sleep(50 * time.Millisecond) // held: there is no node
+	time.Sleep(50 * time.Millisecond) // the request waits, since there is no node
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case m := <-p.messages: // owed, so it is answered before the end
+	case m := <-r.messages: // the request must be answered before the process exits
 		if m.Type != wire.Nack && m.Type != wire.Errored {
 			t.Fatal(m)
 		}
@@ -139,7 +143,8 @@
 	}
 }
 
-// Directors and nodes as processes, directors killed outright; the record is kept and judged again.
+// Runs a day with directors and nodes as processes and directors killed with SIGKILL, saves the records and verifies
+// them again. Guards against requests without an outcome, violated rules, and a cut record file that is not reported.
 func TestDayWithProcesses(t *testing.T) {
 	script := file(t, "s.jsonc", `{"length": "4s", "requests": 250, "directors": 2, "nodes": 8, "racks": 2, "titles": 8,
 		"viewers": {"mean_length": "1s"}, "list": {"notice_low": "100ms", "notice_high": "300ms"},
@@ -173,8 +178,8 @@
 	}
 }
 
-// Descriptors run out while players connect: who is connected is served as before, and once some have gone
-// others get in. Accepting pauses meanwhile instead of spinning.
+// Lets clients connect until the process has no descriptors left. Guards against a director that then does not serve the
+// connected clients, accepts none after some have closed, or retries accept in a loop that uses up the CPU.
 func TestDescriptorExhaustion(t *testing.T) {
 	source, err := discovery.Start(rulecheck.DiscardRecorder, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
 	if err != nil {
@@ -193,35 +198,35 @@
 	defer cmd.Wait()
 	defer cmd.Process.Kill()
 	line, err := bufio.NewReader(pipe).ReadBytes('\n')
-	var told readyMessage
-	if err != nil || json.Unmarshal(line, &told) != nil {
+	var ready readyMessage
+	if err != nil || json.Unmarshal(line, &ready) != nil {
 		t.Fatal(string(line), err)
 	}
-	// The limit shrinks under the running program: what it fitted its room to at the start holds no more.
-	few := unix.Rlimit{Cur: 64, Max: 64}
-	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &few, nil); err != nil {
+	// The limit is lowered while the program runs, so that the capacity it computed at its start is too high.
+	lowLimit := unix.Rlimit{Cur: 64, Max: 64}
+	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &lowLimit, nil); err != nil {
 		t.Fatal(err)
 	}
-	bounds := transport.Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 4096, WriteTimeout: time.Second}
-	join := func(within time.Duration) (*transport.Conn, *messageReceiver, error) {
-		p := &messageReceiver{messages: make(chan wire.SessionMessage, 10), closed: make(chan error, 1)}
-		c, err := transport.Dial(told.Listen, wire.SessionProtocol, within, bounds, p, nil)
-		return c, p, err
+	connLimits := transport.Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 4096, WriteTimeout: time.Second}
+	connect := func(timeout time.Duration) (*transport.Conn, *messageReceiver, error) {
+		r := &messageReceiver{messages: make(chan wire.SessionMessage, 10), closed: make(chan error, 1)}
+		c, err := transport.Dial(ready.Listen, wire.SessionProtocol, timeout, connLimits, r, nil)
+		return c, r, err
 	}
 	var conns []*transport.Conn
 	var first *messageReceiver
 	for range 100 {
-		c, p, err := join(300 * time.Millisecond)
+		c, r, err := connect(300 * time.Millisecond)
 		if err != nil {
 			break
 		}
 		if first == nil {
-			first = p
+			first = r
 		}
 		conns = append(conns, c)
 	}
 	if len(conns) < 20 || len(conns) > 64 {
-		t.Fatal(len(conns), "connected")
+		t.Fatal(len(conns), "clients connected")
 	}
 	conns[0].Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "clip", Title: "none", Key: "k", WaitMS: 1500}), 0)
 	select {
@@ -230,36 +235,37 @@
 			t.Fatal(m)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("who is connected is not answered")
+		t.Fatal("a connected client gets no answer")
 	}
-	used := (&measuredProcess{cmd, told}).CPU()
+	before := (&measuredProcess{cmd, ready}).CPU()
 	time.Sleep(time.Second)
-	if spent := (&measuredProcess{cmd, told}).CPU() - used; spent > 700*time.Millisecond {
-		t.Fatal("spinning: ", spent, " in a second")
+	if used := (&measuredProcess{cmd, ready}).CPU() - before; used > 700*time.Millisecond {
+		t.Fatal("CPU time used without descriptors: ", used, " in a second")
 	}
 	for _, c := range conns[10:] {
 		c.Abort()
 	}
 	for end := time.Now().Add(15 * time.Second); ; {
-		if _, _, err := join(time.Second); err == nil {
+		if _, _, err := connect(time.Second); err == nil {
 			break
 		} else if time.Now().After(end) {
-			t.Fatal("nobody gets in again: ", err)
+			t.Fatal("no client can connect again: ", err)
 		}
 	}
 }
 
-// A scenario with each kind of part, over processes: all that was due is answered, and its results are kept.
+// Runs a load scenario with each kind of part over processes, loads the saved results and plots them. Guards against lost
+// idle connections, parts whose requests are not answered, and results that can't be read again.
 func TestScenarioWithProcesses(t *testing.T) {
 	s := file(t, "small.jsonc", `{"name": "small", "clients": 2, "directors": 2, "nodes": 4, "racks": 2, "warm": "1s", "for": "2s", "room": 1000,
 		"parts": [{"kind": "idle", "connections": 21}, {"kind": "set-ups", "connections": 4, "rate": 50, "length": "200ms"},
 		{"kind": "chatter", "connections": 3, "rate": 20}, {"kind": "reconnects", "connections": 2, "rate": 10, "length": "200ms"},
 		{"kind": "slow-readers", "connections": 4, "rate": 2}, {"kind": "never-readers", "connections": 4, "rate": 2}]}`)
-	kept := filepath.Join(t.TempDir(), "small.zst")
-	if code, out, errs := program(t, "load", "run", s, "-o", kept); code != 0 {
+	results := filepath.Join(t.TempDir(), "small.zst")
+	if code, out, errs := program(t, "load", "run", s, "-o", results); code != 0 {
 		t.Fatal(code, out, errs)
 	}
-	a, err := load.LoadArchive(kept)
+	a, err := load.LoadArchive(results)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -275,7 +281,7 @@
 			}
 		}
 	}
-	if code, out, errs := program(t, "plot", kept); code != 0 || !strings.Contains(out, "never-readers") {
+	if code, out, errs := program(t, "plot", results); code != 0 || !strings.Contains(out, "never-readers") {
 		t.Fatal(code, out, errs)
 	}
 	if code, _, errs := program(t, "load", "run", file(t, "bad.jsonc", `{"name": 3}`)); code != exitInvalidInput || !strings.Contains(errs, "bad.jsonc:1:10") {
--- a/cmd/fordusher/scale_test.go
+++ b/cmd/fordusher/scale_test.go
@@ -9,26 +9,26 @@
 )
 
 func TestExceededBounds(t *testing.T) {
-	usual := soak.Usage{Servers: 200, CPU: time.Second, PeakMemory: 20 << 20, Descriptors: 100, Connections: 100, ListBytes: 10 << 10, Requests: 100, Served: 100}
-	within := soak.Usage{Servers: 1000, CPU: 1450 * time.Millisecond, PeakMemory: 42 << 20, Descriptors: 240, Connections: 290, ListBytes: 584 << 10,
+	baseline := soak.Usage{Servers: 200, CPU: time.Second, PeakMemory: 20 << 20, Descriptors: 100, Connections: 100, ListBytes: 10 << 10, Requests: 100, Served: 100}
+	atBounds := soak.Usage{Servers: 1000, CPU: 1450 * time.Millisecond, PeakMemory: 42 << 20, Descriptors: 240, Connections: 290, ListBytes: 584 << 10,
 		Requests: 100, Served: 85}
-	if over := exceededBounds(usual, within); len(over) > 0 {
-		t.Errorf("over: %v", over)
+	if exceeded := exceededBounds(baseline, atBounds); len(exceeded) > 0 {
+		t.Errorf("exceeded: %v, want none", exceeded)
 	}
-	beyond := soak.Usage{Servers: 1000, CPU: 1451 * time.Millisecond, PeakMemory: 42<<20 + 1, Descriptors: 241, Connections: 291, ListBytes: 584<<10 + 1,
+	overBounds := soak.Usage{Servers: 1000, CPU: 1451 * time.Millisecond, PeakMemory: 42<<20 + 1, Descriptors: 241, Connections: 291, ListBytes: 584<<10 + 1,
 		Requests: 100, Served: 84}
-	if over := exceededBounds(usual, beyond); !slices.Equal(over, []string{"CPU", "memory", "descriptors", "connections", "lists", "served"}) {
-		t.Errorf("over: %v", over)
+	if exceeded := exceededBounds(baseline, overBounds); !slices.Equal(exceeded, []string{"CPU", "memory", "descriptors", "connections", "lists", "served"}) {
+		t.Errorf("exceeded: %v, want all", exceeded)
 	}
 }
 
 func TestParseSizes(t *testing.T) {
-	if all, err := parseSizes("--servers", "200,800", 3200); err != nil || !slices.Equal(all, []int{200, 800}) {
-		t.Errorf("%v, %v", all, err)
+	if sizes, err := parseSizes("--servers", "200,800", 3200); err != nil || !slices.Equal(sizes, []int{200, 800}) {
+		t.Errorf("%v, %v", sizes, err)
 	}
-	for _, bad := range []string{"", "0", "200,", "3201", "x"} {
-		if _, err := parseSizes("--servers", bad, 3200); err == nil {
-			t.Errorf("%q is taken", bad)
+	for _, invalid := range []string{"", "0", "200,", "3201", "x"} {
+		if _, err := parseSizes("--servers", invalid, 3200); err == nil {
+			t.Errorf("%q is accepted", invalid)
 		}
 	}
 }
--- a/cmd/fordusher/serve.go
+++ b/cmd/fordusher/serve.go
@@ -58,7 +58,7 @@
 		c.Boot = strconv.FormatInt(time.Now().UnixMilli(), 36)
 	}
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(400) // a director has a small heap but little CPU time to spare, so it trades memory for CPU time
+		debug.SetGCPercent(400) // a director's heap is small and its CPU time is not, so garbage is collected less often
 	}
 	level, rateLimit, err := logLevel(os.Getenv)
 	if err != nil {
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// Limits on the duration and the number of concurrent metrics requests. They bound the descriptors and the memory that
-// peers hold which request the metrics and do not read the response.
+// The time limit of a metrics request and the limit on concurrent ones. They bound the descriptors and the memory that
+// are held for peers that do not read the response.
 const (
 	metricsTimeout     = 30 * time.Second
 	maxMetricsRequests = 4
--- a/cmd/fordusher/soak_test.go
+++ b/cmd/fordusher/soak_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A short soak on two seeds: directors as processes, killed, stopped, restarted and frozen among faults of all others.
+// Runs a short soak with two seeds: directors run as processes that are killed, stopped, restarted and frozen, while nodes
+// and discovery fail too. Guards against rule violations under overlapping faults.
 func TestSoakViolatesNoRule(t *testing.T) {
 	t.Setenv("FORDUSHER_MAIN", "1")
 	t.Setenv("GORACE", "atexit_sleep_ms=0")
@@ -23,7 +24,7 @@
 	}
 	for _, text := range []string{"", "x", "3-", "5-4", "-1"} {
 		if _, _, err := seedRange(text); err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("%q is accepted", text)
 		}
 	}
 }
