--- a/cmd/fordusher/emulated.go
+++ b/cmd/fordusher/emulated.go
@@ -49,7 +49,7 @@
 	for i, l := range lines {
 		time.Sleep(times[i] - time.Since(start))
 		source.UpdateNode(*l.Entry, 0, 0)
-		fmt.Fprintf(os.Stderr, "%v: %s %s\n", times[i], l.What, l.Entry.Node)
+		fmt.Fprintf(os.Stderr, "%v: %s %s\n", times[i], l.Kind, l.Entry.Node)
 	}
 	fmt.Fprintln(os.Stderr, "all steps of the plan are applied")
 }
--- a/cmd/fordusher/experiment.go
+++ b/cmd/fordusher/experiment.go
@@ -30,13 +30,13 @@
 			return err
 		}
 	}
-	fmt.Print(r.Table())
+	fmt.Print(r.FormatTable())
 	if c.Against != "" {
 		other, err := emulator.LoadExperimentResult(c.Against)
 		if err != nil {
 			return err
 		}
-		fmt.Print(r.Compare(other))
+		fmt.Print(r.FormatComparison(other))
 	}
 	if c.Charts == "" {
 		return nil
--- a/cmd/fordusher/import.go
+++ b/cmd/fordusher/import.go
@@ -54,7 +54,7 @@
 // new entry in the server list.
 type planLine struct {
 	At    string          `json:"at"`
-	What  string          `json:"what"`
+	Kind  string          `json:"what"`
 	Entry *wire.NodeEntry `json:"entry"`
 }
 
@@ -197,9 +197,9 @@
 // planRollout plans the changes that lead from the nodes of one configuration to those of another, and has the planner's
 // checker verify them.
 func planRollout(before, after *conf.Config, c planConstraints) ([]planLine, error) {
-	constraints := rollout.Constraints{Cells: after.Fleet.Cells, Racks: after.Fleet.Racks, MaxPerRack: c.PerRack, MaxPerTitle: c.PerTitle, MaxWarming: c.Cold,
+	constraints := rollout.Constraints{Cells: after.Topology.Cells, Racks: after.Topology.Racks, MaxPerRack: c.PerRack, MaxPerTitle: c.PerTitle, MaxWarming: c.Cold,
 		Warmup: after.Ramp.Warmup, DrainTime: c.Drain, PropagationDelay: c.Notice}
-	if before.Fleet.Cells != after.Fleet.Cells || before.Fleet.Racks != after.Fleet.Racks {
+	if before.Topology.Cells != after.Topology.Cells || before.Topology.Racks != after.Topology.Racks {
 		return nil, errors.New("no plan: fleet.cells or fleet.racks changed, which moves every title; start the directors with the new configuration")
 	}
 	var titles []rollout.Title
@@ -247,7 +247,7 @@
 				e.State = wire.Removed
 			}
 			entries[ch.Node.Name] = e
-			lines = append(lines, planLine{At: s.At.String(), What: string(ch.Kind), Entry: &e})
+			lines = append(lines, planLine{At: s.At.String(), Kind: string(ch.Kind), Entry: &e})
 		}
 	}
 	return lines, nil
--- a/cmd/fordusher/platform.go
+++ b/cmd/fordusher/platform.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return inputError{err}
 	}
-	seed, err := startConfig.RandomSeed()
+	seed, err := startConfig.ParseSeed()
 	if err != nil {
 		return inputError{err}
 	}
--- a/cmd/fordusher/processes.go
+++ b/cmd/fordusher/processes.go
@@ -147,25 +147,25 @@
 
 // A nodesSpec is the file that the node command reads: the nodes to emulate and their environment.
 type nodesSpec struct {
-	Seed     uint64           `json:"seed"`
-	Site     node.Environment `json:"site"`
-	Machines []node.Spec      `json:"machines"`
+	Seed        uint64           `json:"seed"`
+	Environment node.Environment `json:"site"`
+	Specs       []node.Spec      `json:"machines"`
 }
 
 // A nodeRequest is a line that the nodes' process reads from standard input. Each request has one reply.
 type nodeRequest struct {
-	Fault *node.Fault `json:"fault,omitempty"`
-	Start string      `json:"start,omitempty"` // a node's name; the reply has the number and the age of its current start
-	Save  string      `json:"save,omitempty"`  // a file to write the records so far to
+	Fault   *node.Fault `json:"fault,omitempty"`
+	StartOf string      `json:"start,omitempty"` // a node's name; the reply has the number and the age of its current start
+	SaveTo  string      `json:"save,omitempty"`  // a file to write the records so far to
 }
 
-// A nodeReply is a line that the nodes' process prints in reply to a nodeRequest. A line with Fell is not a reply: it
-// reports that the named node has failed because of overload.
+// A nodeReply is a line that the nodes' process prints in reply to a nodeRequest. A line with Overloaded is not a reply:
+// it reports that the named node has failed because of overload.
 type nodeReply struct {
-	Start uint64        `json:"start,omitempty"`
-	Age   time.Duration `json:"age,omitempty"`
-	Error string        `json:"error,omitempty"`
-	Fell  string        `json:"fell,omitempty"`
+	Start      uint64        `json:"start,omitempty"`
+	Age        time.Duration `json:"age,omitempty"`
+	Error      string        `json:"error,omitempty"`
+	Overloaded string        `json:"fell,omitempty"`
 }
 
 // A nodesProcess implements day.NodeFleet for nodes that run in one process.
@@ -190,8 +190,8 @@
 		if json.Unmarshal(line, &x) != nil {
 			continue
 		}
-		if x.Fell != "" {
-			overloaded(x.Fell)
+		if x.Overloaded != "" {
+			overloaded(x.Overloaded)
 			continue
 		}
 		n.replies <- x
@@ -222,14 +222,14 @@
 func (n *nodesProcess) Address(name string) string { return n.addresses[name] }
 
 func (n *nodesProcess) Start(name string) (uint64, time.Duration) {
-	x, _ := n.call(nodeRequest{Start: name})
+	x, _ := n.call(nodeRequest{StartOf: name})
 	return x.Start, x.Age
 }
 
 func (n *nodesProcess) Inject(fault node.Fault) { n.call(nodeRequest{Fault: &fault}) }
 
 func (n *nodesProcess) Records() ([]rulecheck.Record, error) {
-	if _, err := n.call(nodeRequest{Save: n.recordFile}); err != nil {
+	if _, err := n.call(nodeRequest{SaveTo: n.recordFile}); err != nil {
 		return nil, err
 	}
 	_, records, err := resultarchive.Load[rulecheck.Limits, rulecheck.Record](n.recordFile)
@@ -258,12 +258,12 @@
 	if err := json.Unmarshal(raw, &spec); err != nil {
 		return fmt.Errorf("%s: %w", c.Farm, err)
 	}
-	if len(spec.Site.Uplinks) == 0 || len(spec.Machines) == 0 {
+	if len(spec.Environment.Uplinks) == 0 || len(spec.Specs) == 0 {
 		return fmt.Errorf("%s: there must be at least one rack (site.uplinks_kb) and one machine", c.Farm)
 	}
-	for _, m := range spec.Machines {
-		if m.Name == "" || m.Rack < 0 || m.Rack >= len(spec.Site.Uplinks) || m.LinkRate <= 0 || m.MaxStreams <= 0 {
-			return fmt.Errorf("%s: machine %q needs a name, places, link_kb and one of the %d racks", c.Farm, m.Name, len(spec.Site.Uplinks))
+	for _, m := range spec.Specs {
+		if m.Name == "" || m.Rack < 0 || m.Rack >= len(spec.Environment.Uplinks) || m.LinkRate <= 0 || m.MaxStreams <= 0 {
+			return fmt.Errorf("%s: machine %q needs a name, places, link_kb and one of the %d racks", c.Farm, m.Name, len(spec.Environment.Uplinks))
 		}
 	}
 	var recorder rulecheck.Recorder
@@ -273,13 +273,13 @@
 		defer mu.Unlock()
 		json.NewEncoder(os.Stdout).Encode(x)
 	}
-	host, err := node.StartHost(node.NewModel(spec.Seed, spec.Site, spec.Machines), &recorder, func(name string) { printLine(nodeReply{Fell: name}) })
+	host, err := node.StartHost(node.NewModel(spec.Seed, spec.Environment, spec.Specs), &recorder, func(name string) { printLine(nodeReply{Overloaded: name}) })
 	if err != nil {
 		return err
 	}
 	defer host.Close()
 	addresses := map[string]string{}
-	for _, m := range spec.Machines {
+	for _, m := range spec.Specs {
 		addresses[m.Name] = host.Address(m.Name)
 	}
 	printLine(addresses)
@@ -293,15 +293,15 @@
 		if request.Fault != nil {
 			host.Inject(*request.Fault)
 		}
-		if request.Start != "" {
-			if addresses[request.Start] == "" {
-				x.Error = "no node " + request.Start
+		if request.StartOf != "" {
+			if addresses[request.StartOf] == "" {
+				x.Error = "no node " + request.StartOf
 			} else {
-				x.Start, x.Age = host.Start(request.Start)
+				x.Start, x.Age = host.Start(request.StartOf)
 			}
 		}
-		if request.Save != "" {
-			if err := resultarchive.Save(request.Save, rulecheck.Limits{}, recorder.Records()); err != nil {
+		if request.SaveTo != "" {
+			if err := resultarchive.Save(request.SaveTo, rulecheck.Limits{}, recorder.Records()); err != nil {
 				x.Error = err.Error()
 			}
 		}
--- a/cmd/fordusher/serve.go
+++ b/cmd/fordusher/serve.go
@@ -71,7 +71,7 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors); err != nil {
 		return fmt.Errorf("reading the limit on file descriptors: %w", err)
 	}
-	capacity, adjustment := config.Capacity.FitDescriptors(int(min(descriptors.Cur, 1<<30)), config.Fleet.Cells)
+	capacity, adjustment := config.Capacity.FitDescriptors(int(min(descriptors.Cur, 1<<30)), config.Topology.Cells)
 	if adjustment != "" {
 		logger.Info().Msg(adjustment)
 	}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -51,11 +51,11 @@
 		}
 		for i := range frame.Events {
 			m := &frame.Events[i]
-			if err := h.handle(frame.Clock, m); err != nil {
+			if err := h.handle(frame.Time, m); err != nil {
 				return fmt.Errorf("frame %d: %s: %w", frame.Number, m.Kind, err)
 			}
 		}
-		if err := h.out.Ack(frame.Number); err != nil {
+		if err := h.out.Finish(frame.Number); err != nil {
 			return err
 		}
 	}
@@ -104,7 +104,7 @@
 func (h *host) step(inst *instance, clock time.Duration, name string, event policy.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.out.Panic(name, fmt.Sprint(p))
+			h.out.ReportPanic(name, fmt.Sprint(p))
 		}
 	}()
 	for _, a := range inst.director.Step(clock-inst.start, event) {
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -34,7 +34,7 @@
 	Titles               []wire.TitlePlacement
 	Tariffs              []director.Tariff
 	Ladder               policy.Ladder
-	Fleet                policy.Fleet
+	Topology             policy.Topology
 	MachineKinds         []string // the kinds of machines, in the order of Ramp.MaxStreams
 	Ramp                 policy.Ramp
 	DrainGrace           time.Duration
@@ -65,7 +65,7 @@
 	for i, t := range c.Tariffs {
 		tariffs[i] = t.Tariff
 	}
-	return policy.New(seed, c.Peers, tariffs, c.Ladder, c.Fleet, c.Ramp, c.Legs, c.ReportTiming)
+	return policy.New(seed, c.Peers, tariffs, c.Ladder, c.Topology, c.Ramp, c.Legs, c.ReportTiming)
 }
 
 // NewLoop returns a director's loop that uses the given decider. The text boot has to be different in every run.
@@ -215,7 +215,7 @@
 }
 
 func (c *Config) parseFleet(p *Parser, o *Object) {
-	c.Fleet = policy.Fleet{
+	c.Topology = policy.Topology{
 		Cells:            o.Int("cells", 0, 1, 1e6, true),
 		Racks:            o.Int("racks", 0, 1, 1e6, true),
 		LinkUnit:         o.Rate("link_unit", 0, true),
@@ -223,8 +223,8 @@
 		CrossZoneCost:    o.Number("crossing", 0, 0, 1, false),
 		RefusalThreshold: o.Number("refuses_from", 0, 0, 10, false),
 	}
-	if c.Fleet.Racks > c.Fleet.Cells && c.Fleet.Cells > 0 {
-		p.AddProblem(o.OffsetOf("racks"), "there are %d racks, but only %d cells; a cell lies in one rack, so there can be no more racks than cells", c.Fleet.Racks, c.Fleet.Cells)
+	if c.Topology.Racks > c.Topology.Cells && c.Topology.Cells > 0 {
+		p.AddProblem(o.OffsetOf("racks"), "there are %d racks, but only %d cells; a cell lies in one rack, so there can be no more racks than cells", c.Topology.Racks, c.Topology.Cells)
 	}
 	machines := o.Object("machines", true)
 	for _, kind := range machines.Names() {
@@ -271,10 +271,10 @@
 // lastCell returns the highest valid cell number. Where the number of cells is missing, it returns a bound that
 // any cell meets, because the missing number is already reported.
 func (c *Config) lastCell() int {
-	if c.Fleet.Cells == 0 {
+	if c.Topology.Cells == 0 {
 		return 1e6
 	}
-	return c.Fleet.Cells - 1
+	return c.Topology.Cells - 1
 }
 
 // parseTitles reads the placement of the titles: the cells that hold each.
@@ -385,5 +385,5 @@
 // Summary describes the configuration in one line, for logs.
 func (c *Config) Summary() string {
 	return fmt.Sprintf("director %s, %d of %d, %d tariffs, %d rungs, %d cells in %d racks", c.Name, c.Peers.Index,
-		c.Peers.Directors, len(c.Tariffs), len(c.Ladder.Rates), c.Fleet.Cells, c.Fleet.Racks)
+		c.Peers.Directors, len(c.Tariffs), len(c.Ladder.Rates), c.Topology.Cells, c.Topology.Racks)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -94,8 +94,8 @@
 // Address is the address on which clients connect.
 func (d *Daemon) Address() string { return d.server.Address() }
 
-// Attach adds a client's in-memory connection; see transport.Server.AttachInMemory.
-func (d *Daemon) Attach(n *transport.MemoryNetwork, peer netip.AddrPort, out func(p []byte)) *transport.Conn {
+// AttachInMemory adds a client's in-memory connection; see transport.Server.AttachInMemory.
+func (d *Daemon) AttachInMemory(n *transport.MemoryNetwork, peer netip.AddrPort, out func(p []byte)) *transport.Conn {
 	return d.server.AttachInMemory(n, peer, out)
 }
 
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -192,7 +192,7 @@
 		from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 1)
 		first := true
 		var c *transport.Conn
-		c = p.d.Attach(network, from, func(b []byte) {
+		c = p.d.AttachInMemory(network, from, func(b []byte) {
 			switch {
 			case first:
 				first = false
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -89,7 +89,7 @@
 			float64(d.malformedCounts[0].Load() + d.malformedCounts[1].Load() + d.malformedCounts[2].Load())},
 		{"overfull_total", "requests rejected because too many messages of their connection waited", prometheus.CounterValue, float64(d.inboxFullRejects.Load())},
 		{"flooded_total", "connections closed because too many of their messages waited", prometheus.CounterValue, float64(d.floodCloses.Load())},
-		{"accept_complaints_total", "internal errors of the transport", prometheus.CounterValue, float64(transport.InternalErrors())},
+		{"accept_complaints_total", "internal errors of the transport", prometheus.CounterValue, float64(transport.ErrorCount())},
 		{"answers_owed", "requests without an answer yet", prometheus.GaugeValue, float64(s.pendingAnswers)},
 		{"sessions_playing", "sessions that play", prometheus.GaugeValue, float64(s.playing)},
 		{"legs_out", "open legs: set-ups in progress and playing sessions", prometheus.GaugeValue, float64(s.legs)},
--- a/internal/day/baseline.go
+++ b/internal/day/baseline.go
@@ -105,7 +105,7 @@
 // place dispatches a session to a node, or ends it with a nack or a failure.
 func (b *baseline) place(now time.Duration, s *baselineSession) []policy.Action {
 	tariff := &b.config.Tariffs[s.Tariff]
-	cells := b.config.Fleet.Cells
+	cells := b.config.Topology.Cells
 	var holders []string
 	for _, name := range b.nodeNames {
 		if n := b.nodes[name]; n.State == policy.Up && (n.Cell-s.FirstCell+cells)%cells < s.Copies {
--- a/internal/day/harness.go
+++ b/internal/day/harness.go
@@ -119,9 +119,9 @@
 	layout := h.layout
 	onOverload := func(name string) { h.progressf("%s failed from overload and stays down", name) }
 	if h.opt.Launcher != nil {
-		h.nodes, err = h.opt.Launcher.StartNodes(h.opt.Seed, layout.Site, layout.Nodes, h.recorder, onOverload)
+		h.nodes, err = h.opt.Launcher.StartNodes(h.opt.Seed, layout.Environment, layout.Nodes, h.recorder, onOverload)
 	} else {
-		h.nodes, err = node.StartHost(node.NewModel(h.opt.Seed, layout.Site, layout.Nodes), h.recorder, onOverload)
+		h.nodes, err = node.StartHost(node.NewModel(h.opt.Seed, layout.Environment, layout.Nodes), h.recorder, onOverload)
 	}
 	if err != nil {
 		return err
--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -46,11 +46,11 @@
 type Layout struct {
 	Script      *Script
 	Seed        uint64
-	Site        node.Environment
+	Environment node.Environment
 	Nodes       []node.Spec
 	Entries     []wire.NodeEntry // of the nodes, without addresses and starts; Removed: not running at first
 	Titles      []wire.TitlePlacement
-	Worth       []float64
+	RungValues  []float64
 	ListUpdates []ListUpdate
 
 	config *conf.Config // of an imported fleet; nil: the script describes the fleet
@@ -60,7 +60,7 @@
 
 // NewLayout returns the layout that a script describes.
 func NewLayout(s *Script, seed uint64) *Layout {
-	layout := &Layout{Script: s, Seed: seed, Worth: rungValues, random: rand.New(rand.NewPCG(seed, 2))}
+	layout := &Layout{Script: s, Seed: seed, RungValues: rungValues, random: rand.New(rand.NewPCG(seed, 2))}
 	const middleRate = 703.0
 	concurrent := float64(s.Requests) / s.Length.Seconds() * s.MeanLength.Seconds()
 	link := max(3*middleRate, concurrent*middleRate/s.Load/float64(s.Nodes))
@@ -77,7 +77,7 @@
 	for i := range s.Nodes {
 		layout.addNode(wire.NodeEntry{Node: "node-" + strconv.Itoa(i), State: wire.Up, MachineKind: "box", Zone: "hall", Weight: 1, Cell: i}, s.Racks, layout.values.Places, link)
 	}
-	layout.Site = node.Environment{
+	layout.Environment = node.Environment{
 		Uplinks: uplinks, Warmup: 5 * time.Second, InitialShare: 0.4, OverloadMultiple: 4, OverloadWindow: time.Second,
 		ReportDelay: 600 * time.Millisecond, ReportInterval: 2 * time.Second, LoadRefresh: 300 * time.Millisecond,
 		RungValues: rungValues, StallCost: stallCost,
@@ -101,10 +101,10 @@
 	if len(config.Nodes) == 0 || len(config.Titles) == 0 {
 		return nil, fmt.Errorf("the director's config has %d nodes and %d titles: a day needs at least one of each", len(config.Nodes), len(config.Titles))
 	}
-	layout := &Layout{Script: s, Seed: seed, Titles: config.Titles, Worth: config.Ladder.Worth, ListUpdates: updates, config: config, random: rand.New(rand.NewPCG(seed, 2))}
-	if len(layout.Worth) == 0 {
+	layout := &Layout{Script: s, Seed: seed, Titles: config.Titles, RungValues: config.Ladder.Worth, ListUpdates: updates, config: config, random: rand.New(rand.NewPCG(seed, 2))}
+	if len(layout.RungValues) == 0 {
 		for _, r := range config.Ladder.Rates {
-			layout.Worth = append(layout.Worth, r/config.Ladder.Rates[len(config.Ladder.Rates)-1])
+			layout.RungValues = append(layout.RungValues, r/config.Ladder.Rates[len(config.Ladder.Rates)-1])
 		}
 	}
 	all := slices.Clone(config.Nodes)
@@ -125,12 +125,12 @@
 		if kind < 0 {
 			return nil, fmt.Errorf("node %s is of kind %q, which is missing from fleet.machines", e.Node, e.MachineKind)
 		}
-		layout.addNode(e, config.Fleet.Racks, int(config.Ramp.MaxStreams[kind]), config.Fleet.LinkUnit*e.Weight)
+		layout.addNode(e, config.Topology.Racks, int(config.Ramp.MaxStreams[kind]), config.Topology.LinkUnit*e.Weight)
 	}
-	layout.Site = node.Environment{Warmup: config.Ramp.Warmup, InitialShare: config.Ramp.InitialShare, OverloadMultiple: config.Ramp.OverloadMultiple, OverloadWindow: config.Ramp.OverloadWindow,
-		ReportDelay: config.ReportTiming.Delay, ReportInterval: config.ReportTiming.Interval, LoadRefresh: 300 * time.Millisecond, RungValues: layout.Worth, StallCost: stallCost}
-	for range config.Fleet.Racks {
-		layout.Site.Uplinks = append(layout.Site.Uplinks, config.Fleet.Uplink*(0.85+0.3*layout.random.Float64()))
+	layout.Environment = node.Environment{Warmup: config.Ramp.Warmup, InitialShare: config.Ramp.InitialShare, OverloadMultiple: config.Ramp.OverloadMultiple, OverloadWindow: config.Ramp.OverloadWindow,
+		ReportDelay: config.ReportTiming.Delay, ReportInterval: config.ReportTiming.Interval, LoadRefresh: 300 * time.Millisecond, RungValues: layout.RungValues, StallCost: stallCost}
+	for range config.Topology.Racks {
+		layout.Environment.Uplinks = append(layout.Environment.Uplinks, config.Topology.Uplink*(0.85+0.3*layout.random.Float64()))
 	}
 	return layout, nil
 }
@@ -159,9 +159,9 @@
 
 // Client returns the request of the client with a number, and the client's random source. Hot is the share of clients
 // that request one of two titles.
-func (layout *Layout) Client(config *conf.Config, number int, hot float64) (client.Request, *rand.Rand) {
+func (layout *Layout) Client(config *conf.Config, number int, hot float64) (client.ClientRequest, *rand.Rand) {
 	random := rand.New(rand.NewPCG(layout.Seed, uint64(number)+1000))
-	request := client.Request{ClientNumber: number + 1, Key: strconv.FormatUint(random.Uint64(), 36)}
+	request := client.ClientRequest{ClientNumber: number + 1, Key: strconv.FormatUint(random.Uint64(), 36)}
 	i := 0
 	if x := random.Float64(); x < 0.3 {
 		i = 1
@@ -178,12 +178,12 @@
 	}
 	request.Title = layout.Titles[title].Title
 	request.Length = time.Duration(float64(layout.Script.MeanLength) * (0.4 + 1.2*random.Float64()))
-	best := min(tariff.Top, len(layout.Worth)-1)
+	best := min(tariff.Top, len(layout.RungValues)-1)
 	if random.Float64() < 0.2 {
 		request.MaxRung = new(min(best, random.IntN(2)+1))
 		best = min(best, *request.MaxRung)
 	}
-	request.BestRungValue = layout.Worth[best]
+	request.BestRungValue = layout.RungValues[best]
 	return request, random
 }
 
--- a/internal/day/result.go
+++ b/internal/day/result.go
@@ -50,7 +50,7 @@
 	r.Records = append(r.Records, more...)
 	rulecheck.Sort(r.Records)
 	r.check()
-	r.Clients = h.clients.Clients
+	r.Clients = h.clients.ClientCount
 	r.Summarize(h.clients.Latency, h.clients.StartedInTime, h.clients.RequestedValue)
 	return r, nil
 }
--- a/internal/day/timeline.go
+++ b/internal/day/timeline.go
@@ -206,7 +206,7 @@
 		b.addFault(incident.At, node.Fault{BandwidthDivisor: &incident.Size})
 		b.addFault(end, node.Fault{BandwidthDivisor: new(1.0)})
 	case "origin_slow":
-		racks := max(1, len(b.layout.Site.Uplinks)*3/10)
+		racks := max(1, len(b.layout.Environment.Uplinks)*3/10)
 		b.announce(incident.At, "the uplinks of %d racks give %.1f times less", racks, incident.Size)
 		for i := range racks {
 			b.addFault(incident.At, node.Fault{Rack: &i, BandwidthDivisor: &incident.Size})
--- a/internal/director/client.go
+++ b/internal/director/client.go
@@ -48,7 +48,7 @@
 	if n := len(l.freeSlots); n > 0 {
 		slot = l.freeSlots[n-1]
 	}
-	plan := l.stepLimits(limits.Event{Kind: limits.ConnectRequest, Conn: int(slot), Address: e.Address, Nodes: l.linkDescriptors()})
+	plan := l.stepLimits(limits.Event{Kind: limits.ConnectRequest, Conn: int(slot), Address: e.Address, NodeDescriptors: l.linkDescriptors()})
 	if !plan.Admit {
 		l.counts.ClientsRejected++
 		if l.options.Detached { // the client connected to send a request, which is owed an answer
--- a/internal/director/connections.go
+++ b/internal/director/connections.go
@@ -53,7 +53,7 @@
 		}
 	}
 	// linkDescriptors already counts this attempt once, so 1 is subtracted.
-	plan := *l.stepLimits(limits.Event{Kind: limits.DialRequest, Nodes: l.linkDescriptors() - 1, IdleNodeConn: idlest != nil})
+	plan := *l.stepLimits(limits.Event{Kind: limits.DialRequest, NodeDescriptors: l.linkDescriptors() - 1, IdleNodeConn: idlest != nil})
 	if plan.CloseIdleNode { // plan is a copy, since disconnect may step the limits again
 		l.disconnect(idlest, closedForDescriptors)
 	}
--- a/internal/director/detached.go
+++ b/internal/director/detached.go
@@ -133,7 +133,7 @@
 		top = min(top, *m.MaxRung)
 	}
 	l.notifyDecider(policy.Request{
-		ID: s.id, Tariff: tariff, Title: titleID(m.Title), FirstCell: details.Base, Copies: details.Copies, MaxRung: top, Deadline: l.now,
+		ID: s.id, Tariff: tariff, Title: titleID(m.Title), FirstCell: details.FirstCell, Copies: details.Copies, MaxRung: top, Deadline: l.now,
 		PlayingOn: n.name,
 	})
 }
@@ -217,7 +217,7 @@
 func (l *Loop) sendEnd(g *leg) {
 	m, n := wire.NodeMessage{Type: wire.End, Leg: g.id, Session: g.session.name}, g.node
 	if g.phase == legPlaying {
-		m.Reason = wire.Canceled
+		m.Reason = wire.Cancelled
 	}
 	switch {
 	case g.phase == legSent:
--- a/internal/director/detached_test.go
+++ b/internal/director/detached_test.go
@@ -22,7 +22,7 @@
 func (h *harness) requestDetached(conn uint64, id, tariff string) {
 	h.t.Helper()
 	h.step(ClientReceived{Conn: conn, Message: wire.SessionMessage{Type: wire.Request, ID: id, Key: id, Tariff: tariff, Title: "t", WaitMS: 5000},
-		Details: &RequestDetails{Base: 0, Copies: 8, Description: []byte("as it came")}})
+		Details: &RequestDetails{FirstCell: 0, Copies: 8, Description: []byte("as it came")}})
 }
 
 // detachedReply is a node's message about a session, received on that link.
@@ -626,7 +626,7 @@
 		"node: finished": func(h *harness, setup SendNode) { h.step(detachedReply(setup.Link, "a", wire.Ended)) },
 		"node: cancelled by its client": func(h *harness, setup SendNode) {
 			m := detachedReply(setup.Link, "a", wire.Ended)
-			m.Message.Reason = wire.Canceled
+			m.Message.Reason = wire.Cancelled
 			h.step(m)
 		},
 		"node: lost": func(h *harness, setup SendNode) {
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -185,7 +185,7 @@
 			l.deliverUndelivered(c, l.now-anyClientDelay)
 		}
 	case MemoryUsage:
-		l.stepLimits(limits.Event{Kind: limits.MemorySample, Memory: e.Bytes, Nodes: l.linkDescriptors()})
+		l.stepLimits(limits.Event{Kind: limits.MemorySample, Memory: e.Bytes, NodeDescriptors: l.linkDescriptors()})
 	case ClientReceived:
 		l.clientReceived(e)
 		if c := l.conns[e.Conn]; c != nil && l.closingClients {
--- a/internal/director/discovery.go
+++ b/internal/director/discovery.go
@@ -10,8 +10,8 @@
 
 // A title is something that clients can ask to play, with the cells of nodes that hold it.
 type title struct {
-	id           uint64
-	base, copies int // its first cell, and how many cells in a row hold it
+	id                uint64
+	firstCell, copies int // its first cell, and how many cells in a row hold it
 }
 
 // nodeStates maps the states of the wire format to those of the decider.
--- a/internal/director/harness_test.go
+++ b/internal/director/harness_test.go
@@ -45,7 +45,7 @@
 // newHarnessWith is newHarness with a function that changes the loop before its first step.
 func newHarnessWith(t testingT, nodes int, change func(l *Loop)) *harness {
 	ladder := policy.Ladder{Rates: []float64{100, 200, 400}, JoinCost: 1}
-	fleet := policy.Fleet{Cells: 8, Racks: 2, LinkUnit: 10_000, Uplink: 100_000}
+	fleet := policy.Topology{Cells: 8, Racks: 2, LinkUnit: 10_000, Uplink: 100_000}
 	ramp := policy.Ramp{MaxStreams: []float64{100}, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4, OverloadWindow: 500 * ms}
 	policyTariffs := make([]policy.Tariff, len(testTariffs))
 	for i, tariff := range testTariffs {
--- a/internal/director/messages.go
+++ b/internal/director/messages.go
@@ -116,10 +116,10 @@
 
 // RequestDetails is what a request itself specifies where there is no catalogue.
 type RequestDetails struct {
-	Base, Copies  int    // first cell of its title, and number of cells in a row that hold it
-	Description   []byte // of the session, passed on to the node unchanged
-	PlayingOn     string // the node that the session already plays on; no answer is owed then
-	InvalidReason string // why the request is invalid; empty: it is valid
+	FirstCell, Copies int    // first cell of its title, and number of cells in a row that hold it
+	Description       []byte // of the session, passed on to the node unchanged
+	PlayingOn         string // the node that the session already plays on; no answer is owed then
+	InvalidReason     string // why the request is invalid; empty: it is valid
 }
 
 // An Output is an instruction for the caller of Step: one of the types below that have an output method.
--- a/internal/director/nodes.go
+++ b/internal/director/nodes.go
@@ -109,7 +109,7 @@
 			l.endLeg(g, outcomeFailed, m.Load)
 		case m.Reason == wire.Lost:
 			l.endLeg(g, outcomeBroken, m.Load)
-		case m.Reason == wire.Canceled:
+		case m.Reason == wire.Cancelled:
 			l.endLeg(g, outcomeEndedElsewhere, m.Load)
 		default:
 			l.endLeg(g, outcomeServed, m.Load)
--- a/internal/director/session.go
+++ b/internal/director/session.go
@@ -93,7 +93,7 @@
 	tariff, known := l.tariffIndex[m.Tariff]
 	t, listed := l.titles[m.Title]
 	if details != nil {
-		t, listed = title{titleID(m.Title), details.Base, details.Copies}, true
+		t, listed = title{titleID(m.Title), details.FirstCell, details.Copies}, true
 	}
 	receivedAt := l.now - waited
 	deadline := receivedAt + time.Duration(m.WaitMS)*time.Millisecond
@@ -162,7 +162,7 @@
 		top = min(top, *m.MaxRung)
 	}
 	l.notifyDecider(policy.Request{
-		ID: s.id, Tariff: tariff, Title: t.id, FirstCell: t.base, Copies: t.copies, MaxRung: top, Deadline: deadline,
+		ID: s.id, Tariff: tariff, Title: t.id, FirstCell: t.firstCell, Copies: t.copies, MaxRung: top, Deadline: deadline,
 	})
 }
 
--- a/internal/director/simulation_test.go
+++ b/internal/director/simulation_test.go
@@ -161,7 +161,7 @@
 	ladder := policy.Ladder{Rates: []float64{100, 200, 400}, JoinCost: 1}
 	seed := d.Uint64()
 	var module Decider = policy.New(seed, policy.Peers{Index: d.index, Directors: c.directors}, policyCfg.tariffs, ladder,
-		policy.Fleet{Cells: 8, Racks: 2, LinkUnit: 10_000, Uplink: 100_000}, policyCfg.ramp, policyCfg.retryPolicy,
+		policy.Topology{Cells: 8, Racks: 2, LinkUnit: 10_000, Uplink: 100_000}, policyCfg.ramp, policyCfg.retryPolicy,
 		policy.ReportTiming{Delay: 500 * ms, Interval: 2 * time.Second, MaxBackoff: time.Second})
 	if c.alterEvent != nil {
 		module = alteredDecider{module, c.alterEvent}
@@ -245,11 +245,11 @@
 	case SendDiscovery:
 		switch o.Message.Type {
 		case wire.Subscribe:
-			d.record(rulecheck.Record{Kind: rulecheck.ListRequested, Director: d.name()})
+			d.record(rulecheck.Record{Kind: rulecheck.ListSubscribed, Director: d.name()})
 			d.sendFullList(false)
 		case wire.Acknowledge:
 			for _, e := range d.unackedEntries[o.Message.Serial] {
-				d.record(rulecheck.Record{Kind: rulecheck.ListReceived, Director: d.name(), Node: e.Node, State: e.State})
+				d.record(rulecheck.Record{Kind: rulecheck.ListAcknowledged, Director: d.name(), Node: e.Node, State: e.State})
 				if d.config.rule == rulecheck.RuleDrain && e.State != wire.Up {
 					d.opportunities++
 				}
--- a/internal/emulated/client/client.go
+++ b/internal/emulated/client/client.go
@@ -27,8 +27,8 @@
 	DisconnectShare    float64       `json:"drops"`   // share whose connection is reset while they play
 }
 
-// Request is one client's request for a session.
-type Request struct {
+// ClientRequest is one client's request for a session.
+type ClientRequest struct {
 	ClientNumber  int
 	Tariff        string
 	Paid          bool
@@ -50,12 +50,12 @@
 
 	lastConn       atomic.Uint64 // number of the last connection
 	mu             sync.Mutex
-	Requests       int                // sent, without duplicates
-	Retries        int                // of these, all but each client's first
+	RequestCount   int                // sent, without duplicates
+	RetryCount     int                // of these, all but each client's first
 	Latency        []time.Duration    // from a request to its answer that the session plays
 	StartedInTime  map[string]bool    // by session: it played within the goal time since the client's first request or last interruption
 	RequestedValue map[string]float64 // by tariff, the requested seconds, multiplied by the value of the client's best rung
-	Clients        int                // started
+	ClientCount    int                // started
 }
 
 var connLimits = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 10, WriteTimeout: time.Second, HandshakeTimeout: time.Second}
@@ -107,12 +107,12 @@
 
 // RunClient runs one client, retries included. It returns when the client has played its session to the end or stops
 // retrying.
-func (p *Population) RunClient(ctx context.Context, req Request, r *rand.Rand) {
+func (p *Population) RunClient(ctx context.Context, req ClientRequest, r *rand.Rand) {
 	p.mu.Lock()
 	if p.StartedInTime == nil {
 		p.StartedInTime, p.RequestedValue = map[string]bool{}, map[string]float64{}
 	}
-	p.Clients++
+	p.ClientCount++
 	p.RequestedValue[req.Tariff] += req.Length.Seconds() * req.BestRungValue
 	p.mu.Unlock()
 	waitingSince := time.Now()
@@ -152,7 +152,7 @@
 }
 
 // request connects to a director, sends one request and plays the session that it gets.
-func (p *Population) request(ctx context.Context, req Request, r *rand.Rand, retries int, key string, remaining time.Duration, waitingSince time.Time) requestOutcome {
+func (p *Population) request(ctx context.Context, req ClientRequest, r *rand.Rand, retries int, key string, remaining time.Duration, waitingSince time.Time) requestOutcome {
 	name, address := p.PickDirector(r)
 	if address == "" {
 		return requestOutcome{retry: true} // no director is known
@@ -172,9 +172,9 @@
 	sentAt := time.Now()
 	conn.Send(wire.Encode(request), 0)
 	p.mu.Lock()
-	p.Requests++
+	p.RequestCount++
 	if retries > 0 {
-		p.Retries++
+		p.RetryCount++
 	}
 	p.mu.Unlock()
 	if r.Float64() < p.Behavior.DuplicateShare {
--- a/internal/emulated/discovery/source.go
+++ b/internal/emulated/discovery/source.go
@@ -115,13 +115,13 @@
 	switch m.Type {
 	case wire.Subscribe:
 		if s.subscribers[c] == "" {
-			s.recorder.Add(rulecheck.Record{Kind: rulecheck.ListRequested, Director: m.Director})
+			s.recorder.Add(rulecheck.Record{Kind: rulecheck.ListSubscribed, Director: m.Director})
 		}
 		s.subscribers[c] = m.Director
 		c.Send(wire.Encode(s.model.Snapshot(rulecheck.MonotonicNow(), s.titles)), 0)
 	case wire.Acknowledge:
 		for _, e := range s.model.EntriesOf(m.Serial) {
-			s.recorder.Add(rulecheck.Record{Kind: rulecheck.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
+			s.recorder.Add(rulecheck.Record{Kind: rulecheck.ListAcknowledged, Director: m.Director, Node: e.Node, State: e.State})
 		}
 	}
 }
--- a/internal/emulated/node/host.go
+++ b/internal/emulated/node/host.go
@@ -106,19 +106,19 @@
 			h.recorder.Add(rulecheck.Record{Kind: rulecheck.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
 			continue
 		}
-		c := h.conns[o.Link]
+		c := h.conns[o.Conn]
 		if c == nil {
 			continue
 		}
 		if o.Reset {
-			delete(h.conns, o.Link)
+			delete(h.conns, o.Conn)
 			go c.Reset()
 			continue
 		}
 		if h.silent[o.Node] {
 			continue
 		}
-		h.recordMessage(o.Node, c, o.Link, o.Message)
+		h.recordMessage(o.Node, c, o.Conn, o.Message)
 		c.Send(wire.Encode(o.Message), 0)
 	}
 }
--- a/internal/emulated/node/model.go
+++ b/internal/emulated/node/model.go
@@ -60,7 +60,7 @@
 // node's process that got too many set-ups in slow start; or with Earning, what a session earned until it ended.
 type Output struct {
 	Node       string
-	Link       uint64 // the number of the connection
+	Conn       uint64 // the number of the connection
 	Message    wire.NodeMessage
 	Reset      bool
 	Overloaded bool
@@ -380,7 +380,7 @@
 func (m *Model) answerSetup(n *nodeState, key [2]uint64, msg wire.NodeMessage) {
 	if n.lossShare > 0 && m.random.Float64() < n.lossShare {
 		if n.resetOnLoss {
-			m.outputs = append(m.outputs, Output{Node: n.Name, Link: key[0], Reset: true})
+			m.outputs = append(m.outputs, Output{Node: n.Name, Conn: key[0], Reset: true})
 		}
 		return
 	}
@@ -392,7 +392,7 @@
 
 // send sends a message, or defers it while the node hangs.
 func (m *Model) send(n *nodeState, conn uint64, msg wire.NodeMessage) {
-	out := Output{Node: n.Name, Link: conn, Message: msg}
+	out := Output{Node: n.Name, Conn: conn, Message: msg}
 	if n.hung {
 		n.deferred = append(n.deferred, event{kind: eventSend, node: n, output: out})
 		return
@@ -485,7 +485,7 @@
 			continue
 		}
 		reportLater := func(kind int, value float64) {
-			m.schedule(event{at: m.now + m.env.ReportDelay, kind: eventSend, node: n, output: Output{Node: n.Name, Link: d.conn,
+			m.schedule(event{at: m.now + m.env.ReportDelay, kind: eventSend, node: n, output: Output{Node: n.Name, Conn: d.conn,
 				Message: wire.NodeMessage{Type: wire.Measurement, Leg: session.leg, MeasurementKind: kind, MeasurementValue: value}}})
 		}
 		if m.now >= d.nextDeliveryReport {
@@ -563,7 +563,7 @@
 // endProcess resets a node's connections and ends its streams.
 func (m *Model) endProcess(n *nodeState) {
 	for _, d := range n.directors {
-		m.outputs = append(m.outputs, Output{Node: n.Name, Link: d.conn, Reset: true})
+		m.outputs = append(m.outputs, Output{Node: n.Name, Conn: d.conn, Reset: true})
 	}
 	if slices.ContainsFunc(n.deferred, func(e event) bool { return e.kind == eventReport }) {
 		n.reporting = false
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -32,7 +32,7 @@
 
 // An emulatedClient is one client from its arrival until it stops retrying.
 type emulatedClient struct {
-	client.Request
+	client.ClientRequest
 	random        *rand.Rand
 	retries       int
 	sessionNumber int           // suffix of the session key; a retry for another session increments it
@@ -71,7 +71,7 @@
 		c.active++
 		c.maxEarning += request.BestRungValue * sim.creditByTariff[request.Tariff]
 		c.requestedValue[request.Tariff] += request.Length.Seconds() * request.BestRungValue
-		cl := &emulatedClient{Request: request, random: random, remaining: request.Length, waitingSince: at}
+		cl := &emulatedClient{ClientRequest: request, random: random, remaining: request.Length, waitingSince: at}
 		c.connect(at, cl)
 	}
 	if c.arrived < sim.script.Requests {
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -229,9 +229,9 @@
 	return all
 }
 
-// Table formats the means over seeds with their 95% confidence intervals, and each policy's difference in credit
+// FormatTable formats the means over seeds with their 95% confidence intervals, and each policy's difference in credit
 // from the first policy, paired by seed.
-func (r *ExperimentResult) Table() string {
+func (r *ExperimentResult) FormatTable() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n%-26s %-14s %5s %16s %16s %8s %9s %9s %10s %9s %7s\n", r.Name, "", "policy", "days", "credit", "over the first", "nacked", "errored",
 		"legs/play", "recovery s", "unmended", "broken")
@@ -282,9 +282,9 @@
 	return fmt.Sprintf("%+.3f ± %.3f", stat.Mean(d, nil), confidenceInterval(d))
 }
 
-// Compare formats the differences in credit between two results, for each grid point and policy, on the seeds that
-// both have.
-func (r *ExperimentResult) Compare(other *ExperimentResult) string {
+// FormatComparison formats the differences in credit between two results, for each grid point and policy, on the seeds
+// that both have.
+func (r *ExperimentResult) FormatComparison(other *ExperimentResult) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s over %s, paired by seed\n%-26s %-14s %5s %16s\n", r.Name, other.Name, "", "policy", "days", "credit")
 	for _, point := range r.gridPoints() {
--- a/internal/emulator/experiment_test.go
+++ b/internal/emulator/experiment_test.go
@@ -33,14 +33,14 @@
 		t.Fatal(err)
 	}
 	loaded, err := LoadExperimentResult(saved)
-	if err != nil || loaded.Table() != result.Table() || !strings.Contains(result.Table(), "round-robin") {
-		t.Fatal(err, result.Table())
+	if err != nil || loaded.FormatTable() != result.FormatTable() || !strings.Contains(result.FormatTable(), "round-robin") {
+		t.Fatal(err, result.FormatTable())
 	}
 	if drawn, err := loaded.DrawCharts(filepath.Join(dir, "c"), "svg"); err != nil || len(drawn) != 2 {
 		t.Fatal(drawn, err)
 	}
 	// Compared with itself, a result shows no difference.
-	if text := result.Compare(loaded); strings.Count(text, "+0.000 ± 0.000") != 4 {
+	if text := result.FormatComparison(loaded); strings.Count(text, "+0.000 ± 0.000") != 4 {
 		t.Error(text)
 	}
 	for _, d := range result.Runs {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -70,7 +70,7 @@
 	if sim.config, _, err = layout.DirectorConfig(0, "127.0.0.1:1"); err != nil {
 		return nil, err
 	}
-	sim.nodes = node.NewModel(seed, layout.Site, layout.Nodes)
+	sim.nodes = node.NewModel(seed, layout.Environment, layout.Nodes)
 	count := len(layout.Nodes)
 	sim.exited, sim.silent, sim.hung, sim.unresponsiveSince = make([]bool, count), make([]bool, count), make([]bool, count), make([]time.Duration, count)
 	sim.discovery = &discoveryModel{sim: sim, subscribers: map[int]int{}, entries: slices.Clone(layout.Entries)}
@@ -333,7 +333,7 @@
 			sim.addRecord(at, rulecheck.Record{Kind: rulecheck.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
 			continue
 		}
-		l := sim.linksByID[o.Link]
+		l := sim.linksByID[o.Conn]
 		if l == nil {
 			continue
 		}
@@ -444,13 +444,13 @@
 	switch m.Type {
 	case wire.Subscribe:
 		if _, subscribed := disc.subscribers[d.index]; !subscribed {
-			disc.sim.addRecord(at, rulecheck.Record{Kind: rulecheck.ListRequested, Director: m.Director})
+			disc.sim.addRecord(at, rulecheck.Record{Kind: rulecheck.ListSubscribed, Director: m.Director})
 		}
 		disc.subscribers[d.index] = boot
 		disc.send(at, d, boot, wire.Encode(disc.model.Snapshot(at, disc.sim.layout.Titles)))
 	case wire.Acknowledge:
 		for _, e := range disc.model.EntriesOf(m.Serial) {
-			disc.sim.addRecord(at, rulecheck.Record{Kind: rulecheck.ListReceived, Director: m.Director, Node: e.Node, State: e.State})
+			disc.sim.addRecord(at, rulecheck.Record{Kind: rulecheck.ListAcknowledged, Director: m.Director, Node: e.Node, State: e.State})
 		}
 	}
 }
--- a/internal/importer/import.go
+++ b/internal/importer/import.go
@@ -22,7 +22,7 @@
 
 // Result is the result of an import.
 type Result struct {
-	Files       *haproxy.Config
+	Source      *haproxy.Config
 	Nodes       []*Node
 	Suggestions []string
 	Warnings    []string
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	imp := &importState{files: files, overlay: overlay, proxies: proxies, maxSessions: map[string]int{}, settings: newObject(), result: &Result{Files: files}}
+	imp := &importState{files: files, overlay: overlay, proxies: proxies, maxSessions: map[string]int{}, settings: newObject(), result: &Result{Source: files}}
 	for _, l := range files.Lines {
 		if len(l.UnsetVariables) > 0 && !l.HasOutcome() {
 			l.MarkSkipped("", "variables without a value: "+strings.Join(l.UnsetVariables, ", "), "pass --env NAME=VALUE, or write a default: ${NAME-default}")
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -39,7 +39,7 @@
 
 // outcomeOf describes the outcome and the notes of a line.
 func outcomeOf(r *Result, line int) string {
-	l := r.Files.Lines[line-1]
+	l := r.Source.Lines[line-1]
 	outcome, reason := l.Outcome()
 	s := string(outcome) + " " + reason
 	for _, n := range l.Notes {
--- a/internal/importer/report.go
+++ b/internal/importer/report.go
@@ -32,7 +32,7 @@
 func (r *Result) Report(changes []Change) *Report {
 	p := &Report{Totals: map[haproxy.Outcome]int{haproxy.Carried: 0, haproxy.PartlyCarried: 0, haproxy.Skipped: 0, haproxy.Ignored: 0}, Nodes: len(r.Nodes),
 		MissingKeys: r.tree.blankPaths(""), Warnings: r.Warnings, Suggestions: r.Suggestions, Changes: changes}
-	for _, l := range r.Files.Lines {
+	for _, l := range r.Source.Lines {
 		outcome, reason := l.Outcome()
 		p.Totals[outcome]++
 		p.Lines = append(p.Lines, ReportLine{l.Position, outcome, reason, l.Notes})
--- a/internal/load/client_process.go
+++ b/internal/load/client_process.go
@@ -23,9 +23,9 @@
 	"fordusher/internal/wire"
 )
 
-// A ClientOrder tells a client process what load to generate. The process reads it from its standard input as one line
+// A ClientConfig tells a client process what load to generate. The process reads it from its standard input as one line
 // of JSON.
-type ClientOrder struct {
+type ClientConfig struct {
 	Client    int           `json:"client"`
 	Seed      uint64        `json:"seed"`
 	Parts     []Part        `json:"parts"`
@@ -94,7 +94,7 @@
 // partClients are the clients of one part in one process.
 type partClients struct {
 	Part
-	order             ClientOrder
+	order             ClientConfig
 	random            *rand.Rand // for the schedule
 	source            netip.Addr
 	counter           partCounter
@@ -104,15 +104,15 @@
 	pendingDuplicates map[*transport.Conn][]time.Duration // of KindDuplicates: due times of repetitions without an answer, at most 64 for each connection
 }
 
-// RunClient runs a client process. It reads a ClientOrder from in, connects, writes {"ready":true}, and waits for a line
-// with the start time. Then it generates the load and writes a Sample per second for each part.
+// RunClient runs a client process. It reads a ClientConfig from in, connects, writes {"ready":true}, and waits for a
+// line with the start time. Then it generates the load and writes a Sample per second for each part.
 func RunClient(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, 1<<20)
 	if !lines.Scan() {
 		return fmt.Errorf("no client order on the input")
 	}
-	var o ClientOrder
+	var o ClientConfig
 	if err := json.Unmarshal(lines.Bytes(), &o); err != nil {
 		return err
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -94,7 +94,7 @@
 
 	clients := make([]*clientProcess, s.Clients)
 	for i := range clients {
-		order := ClientOrder{Client: i, Seed: seed, Directors: addresses, Titles: s.Titles, Warmup: s.Warmup, Duration: s.Duration}
+		order := ClientConfig{Client: i, Seed: seed, Directors: addresses, Titles: s.Titles, Warmup: s.Warmup, Duration: s.Duration}
 		for _, p := range s.Parts {
 			if p = p.share(i, s.Clients); p.Connections > 0 && (run == "with" || !slices.Contains(s.ExcludedParts, p.Name)) {
 				order.Parts = append(order.Parts, p)
@@ -174,14 +174,14 @@
 
 // A clientProcess is the parent's handle on a client process.
 type clientProcess struct {
-	order ClientOrder
+	order ClientConfig
 	in    io.WriteCloser
 	out   *bufio.Reader
 	end   func()
 }
 
 // startClient starts a client process and sends it its order.
-func startClient(launcher Launcher, order ClientOrder) (*clientProcess, error) {
+func startClient(launcher Launcher, order ClientConfig) (*clientProcess, error) {
 	line, err := json.Marshal(order)
 	if err != nil {
 		return nil, err
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -60,7 +60,7 @@
 	switch m.kind {
 	case kindSetup:
 		s, err := parseSetup(m)
-		in.Details = &director.RequestDetails{Base: s.firstCell, Copies: s.copies, Description: s.description, PlayingOn: s.playingNode}
+		in.Details = &director.RequestDetails{FirstCell: s.firstCell, Copies: s.copies, Description: s.description, PlayingOn: s.playingNode}
 		if err == nil && (s.firstCell >= p.settings.Family.Cells || s.copies > p.settings.Family.Cells) {
 			err = errors.New("home or copies exceeds the number of cells")
 		}
@@ -151,7 +151,7 @@
 		switch m.cause() {
 		case causeEnded:
 		case causeMoved:
-			in.Message.Reason = wire.Canceled
+			in.Message.Reason = wire.Cancelled
 		default:
 			in.Message.Reason = wire.Lost
 		}
--- a/internal/platform/start_config.go
+++ b/internal/platform/start_config.go
@@ -146,8 +146,8 @@
 	return c, nil
 }
 
-// RandomSeed returns the seed of the director's random numbers, which the file gives as 16 hex digits.
-func (c *StartConfig) RandomSeed() (uint64, error) {
+// ParseSeed returns the seed of the director's random numbers, which the file gives as 16 hex digits.
+func (c *StartConfig) ParseSeed() (uint64, error) {
 	n, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
 		return 0, configErrorf("seed is %q; it has to be hex digits", c.Seed)
@@ -193,7 +193,7 @@
 		goals[i] = x.GoalTime
 	}
 	config.Peers.Index, config.Peers.Directors, config.Peers.Zone = settings.Index, settings.Directors, settings.Zone
-	config.Fleet.Cells, config.Fleet.Racks = settings.Family.Cells, settings.Family.Racks
+	config.Topology.Cells, config.Topology.Racks = settings.Family.Cells, settings.Family.Racks
 	connect := simwire.SecondsToDuration(settings.Permissions.Connect)
 	if connect <= 0 {
 		connect = time.Second
--- a/internal/rulecheck/recorder.go
+++ b/internal/rulecheck/recorder.go
@@ -22,17 +22,17 @@
 
 // Kinds of records, with the recorder's side. A message is recorded under its type on the wire.
 const (
-	ConnClosed      = "closed"   // client, node: a connection has ended; ClosedBy has the side that ended it
-	ListReceived    = "told"     // discovery: a director has acknowledged a list in which the node is in State
-	ListRequested   = "listens"  // discovery: a director has connected and subscribed, and has no list yet
-	NodeStarted     = "started"  // node: its process has started and is in slow start
-	NodeExited      = "died"     // node: its process has ended
-	DirectorKilled  = "killed"   // run: a director was killed; its open requests need no answer
-	ClientTimedOut  = "gave up"  // client: it has stopped waiting for an answer
-	DirectorStarted = "returned" // run: a director has started again
-	RunStarted      = "scripted" // run: it begins; RequestID has its seed, Reason its script
-	ActionApplied   = "acted"    // run: an action of its timeline was applied; Reason has the action as JSON
-	SessionEarned   = "earned"   // node: a session has ended; Seconds has what it earned
+	ConnClosed       = "closed"   // client, node: a connection has ended; ClosedBy has the side that ended it
+	ListAcknowledged = "told"     // discovery: a director has acknowledged a list in which the node is in State
+	ListSubscribed   = "listens"  // discovery: a director has connected and subscribed, and has no list yet
+	NodeStarted      = "started"  // node: its process has started and is in slow start
+	NodeExited       = "died"     // node: its process has ended
+	DirectorKilled   = "killed"   // run: a director was killed; its open requests need no answer
+	ClientTimedOut   = "gave up"  // client: it has stopped waiting for an answer
+	DirectorStarted  = "returned" // run: a director has started again
+	RunStarted       = "scripted" // run: it begins; RequestID has its seed, Reason its script
+	ActionApplied    = "acted"    // run: an action of its timeline was applied; Reason has the action as JSON
+	SessionEarned    = "earned"   // node: a session has ended; Seconds has what it earned
 )
 
 // Sides that end a connection.
--- a/internal/rulecheck/rulecheck_test.go
+++ b/internal/rulecheck/rulecheck_test.go
@@ -170,7 +170,7 @@
 			}
 		}},
 		{"sent to a draining node", RuleDrain, func(l *recordLog, violate bool) {
-			l.add(0, Record{Kind: ListReceived, Director: "d", Node: "a", State: wire.Draining})
+			l.add(0, Record{Kind: ListAcknowledged, Director: "d", Node: "a", State: wire.Draining})
 			if violate {
 				l.setup(301, "a", 1, "d.1.1", "clip")
 			} else {
@@ -178,11 +178,11 @@
 			}
 		}},
 		{"grace time starts at the first of two draining updates", RuleDrain, func(l *recordLog, violate bool) {
-			l.add(0, Record{Kind: ListReceived, Director: "d", Node: "a", State: wire.Draining})
+			l.add(0, Record{Kind: ListAcknowledged, Director: "d", Node: "a", State: wire.Draining})
 			if !violate {
-				l.add(100, Record{Kind: ListReceived, Director: "d", Node: "a", State: wire.Up})
+				l.add(100, Record{Kind: ListAcknowledged, Director: "d", Node: "a", State: wire.Up})
 			}
-			l.add(200, Record{Kind: ListReceived, Director: "d", Node: "a", State: wire.Draining})
+			l.add(200, Record{Kind: ListAcknowledged, Director: "d", Node: "a", State: wire.Draining})
 			l.setup(400, "a", 1, "d.1.1", "clip")
 		}},
 		{"too many set-ups in slow start", RuleSlowStart, func(l *recordLog, violate bool) {
@@ -263,10 +263,10 @@
 		pass  bool
 	}{{990, true}, {900, false}} {
 		var l recordLog
-		l.add(100, Record{Kind: ListReceived, Director: "d", Node: "a", State: wire.Draining})
+		l.add(100, Record{Kind: ListAcknowledged, Director: "d", Node: "a", State: wire.Draining})
 		l.request(800, 1, "clip")
 		l.setup(x.setup, "a", 1, "s", "clip")
-		l.add(1000, Record{Kind: ListReceived, Director: "d", Node: "a", State: wire.Up})
+		l.add(1000, Record{Kind: ListAcknowledged, Director: "d", Node: "a", State: wire.Up})
 		l.node(1001, wire.Accepted, "a", 1)
 		l.answer(1002, 1, wire.Playing, "s")
 		if v := Check(testLimits, l); v.Passed() != x.pass || v[RuleDrain].Checked != 1 {
--- a/internal/rulecheck/rules.go
+++ b/internal/rulecheck/rules.go
@@ -255,14 +255,14 @@
 				req.waivedAt = r.At
 			}
 		}
-	case ListRequested:
+	case ListSubscribed:
 		for k := range c.listStates {
 			if k[0] == r.Director {
 				delete(c.listStates, k)
 				c.settleDrainChecks(k, r.At)
 			}
 		}
-	case ListReceived:
+	case ListAcknowledged:
 		k := [2]string{r.Director, r.Node}
 		if c.listStates[k].state != r.State {
 			c.listStates[k] = listState{r.At, r.State}
--- a/internal/simwire/config.go
+++ b/internal/simwire/config.go
@@ -203,7 +203,7 @@
 		backoff = SecondsToDuration(c.Permissions.MaxBackoff)
 	}
 	return policy.New(seed, policy.Peers{Index: c.Index, Directors: c.Directors, Zone: c.Zone}, c.Tariffs(), c.Ladder(),
-		policy.Fleet{
+		policy.Topology{
 			Cells: f.Cells, Racks: f.Racks, LinkUnit: f.LinkUnit, Uplink: f.Uplink,
 			CrossZoneCost: c.Prices.CrossZoneCost, RefusalThreshold: f.RefusalThreshold,
 		}, ramp,
@@ -274,9 +274,9 @@
 
 // Request converts a request, or a session that is to be adopted while it plays.
 func (c *Config) Request(m *Message, start time.Duration) (policy.Request, error) {
-	tariff, ok := c.tariffIndexes[m.Tariff]
+	tariff, ok := c.tariffIndexes[m.Class]
 	if !ok {
-		return policy.Request{}, fmt.Errorf("unknown class %q", m.Tariff)
+		return policy.Request{}, fmt.Errorf("unknown class %q", m.Class)
 	}
 	return policy.Request{
 		ID: m.ID, Tariff: tariff, Title: m.Title, FirstCell: int(m.FirstCell), Copies: int(m.Copies),
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -17,7 +17,7 @@
 
 // A Frame is a batch of events that occur at one time.
 type Frame struct {
-	Clock  time.Duration // the wire's own clock
+	Time   time.Duration // by the wire's own clock
 	Number uint64
 	Events []Message
 }
@@ -32,7 +32,7 @@
 	Entries         []NodeEntry     `json:"entries"`
 	ListKind        string          `json:"kind"`
 	ID              uint64          `json:"txn"`
-	Tariff          string          `json:"cls"`
+	Class           string          `json:"cls"`
 	Title           uint64          `json:"programme"`
 	ValidUntil      float64         `json:"valid_until_s"`
 	FirstCell       float64         `json:"base"`
@@ -158,7 +158,7 @@
 				return f, fmt.Errorf("after frame %d: a tick without clock or number", r.lastNumber)
 			}
 			begun, r.lastNumber = true, *m.Number
-			f.Clock, f.Number = SecondsToDuration(*m.Clock), *m.Number
+			f.Time, f.Number = SecondsToDuration(*m.Clock), *m.Number
 		case !begun:
 			return f, fmt.Errorf("after frame %d: %q instead of a tick", r.lastNumber, m.Kind)
 		case m.Kind == "go":
@@ -180,7 +180,7 @@
 	return strconv.AppendFloat(b, float64(d.Microseconds())/1e6, 'f', -1, 64)
 }
 
-// A Writer writes replies. It buffers a reply until Ack, so that the output never ends with a partial reply.
+// A Writer writes replies. It buffers a reply until Finish, so that the output never ends with a partial reply.
 type Writer struct {
 	out io.Writer
 	buf []byte
@@ -255,16 +255,16 @@
 	w.buf = append(w.buf, "}\n"...)
 }
 
-// Panic adds the message that an instance's code has panicked.
-func (w *Writer) Panic(instance, message string) {
+// ReportPanic adds the message that an instance's code has panicked.
+func (w *Writer) ReportPanic(instance, message string) {
 	w.begin("panic", instance)
 	w.key("words")
 	w.text(message)
 	w.buf = append(w.buf, "}\n"...)
 }
 
-// Ack ends the reply to a frame and writes it out.
-func (w *Writer) Ack(number uint64) error {
+// Finish ends the reply to a frame and writes it out.
+func (w *Writer) Finish(number uint64) error {
 	w.buf = append(w.buf, `{"t":"ack","frame":`...)
 	w.buf = strconv.AppendUint(w.buf, number, 10)
 	w.buf = append(w.buf, "}\n"...)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -11,7 +11,7 @@
 	"fordusher/policy"
 )
 
-// Ids beyond 32 bits keep every digit, unknown keys are ignored, and a reply is written only when Ack completes it.
+// Ids beyond 32 bits keep every digit, unknown keys are ignored, and a reply is written only when Finish completes it.
 func TestFramesAndReplies(t *testing.T) {
 	in := `{"t":"tick","t_s":8.5,"frame":12}
 {"t":"demand","i":"director-3","txn":4503599627370495,"cls":"x","programme":9007199254740991,"news":[1]}
@@ -20,7 +20,7 @@
 `
 	r := NewReader(strings.NewReader(in))
 	f, err := r.Next()
-	if err != nil || f.Number != 12 || f.Clock != 8500*time.Millisecond || len(f.Events) != 2 {
+	if err != nil || f.Number != 12 || f.Time != 8500*time.Millisecond || len(f.Events) != 2 {
 		t.Fatalf("%+v, %v", f, err)
 	}
 	if m := f.Events[0]; m.ID != 1<<52-1 || m.Title != 1<<53-1 {
@@ -36,7 +36,7 @@
 	if out.Len() > 0 {
 		t.Fatal("a reply was written before its end")
 	}
-	if err := w.Ack(12); err != nil {
+	if err := w.Finish(12); err != nil {
 		t.Fatal(err)
 	}
 	want := `{"t":"schedule","i":"director-3","time_s":2.5,"token":0}
--- a/internal/transport/netpoll.go
+++ b/internal/transport/netpoll.go
@@ -10,8 +10,8 @@
 // failed accepts, and panics of handlers.
 var internalErrors atomic.Int64
 
-// InternalErrors returns the number of errors that netpoll has logged, failed accepts and handler panics so far.
-func InternalErrors() int64 { return internalErrors.Load() }
+// ErrorCount returns the number of errors that netpoll has logged, failed accepts and handler panics so far.
+func ErrorCount() int64 { return internalErrors.Load() }
 
 // errorCounter counts the lines written to it in internalErrors.
 type errorCounter struct{}
--- a/internal/transport/syscalls_test.go
+++ b/internal/transport/syscalls_test.go
@@ -195,7 +195,7 @@
 			}
 			defer s.Close()
 			for range 2 { // the second failure follows successful accepts
-				before := InternalErrors()
+				before := ErrorCount()
 				failUntil.Store(int64(monotonic() + failureTime))
 				client := &recordingHandler{}
 				c, err := DialTCP(s.Address(), time.Second, splitByLength, testTCPLimits, client)
@@ -204,7 +204,7 @@
 				}
 				c.Send([]byte("\x02a"), 0)
 				client.wait(t, "no answer", func() bool { return len(client.messages) == 1 })
-				if InternalErrors() == before {
+				if ErrorCount() == before {
 					t.Fatal("failed accepts are not counted")
 				}
 				if late := monotonic() - time.Duration(failUntil.Load()); late > 200*time.Millisecond {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -360,14 +360,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := InternalErrors()
+	before := ErrorCount()
 	b.Send([]byte("trip"), 0)
 	select {
 	case <-bad.closed:
 	case <-time.After(5 * time.Second):
 		t.Fatal("the connection was not closed")
 	}
-	if InternalErrors() == before {
+	if ErrorCount() == before {
 		t.Fatal("the panic was not counted")
 	}
 	g.Send([]byte("well"), 0)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -82,8 +82,8 @@
 
 // The reasons for which a session ends other than by itself.
 const (
-	Lost     = "lost"       // the node or the connection to it was lost
-	Canceled = "called off" // the client cancelled it, or it was moved
+	Lost      = "lost"       // the node or the connection to it was lost
+	Cancelled = "called off" // the client cancelled it, or it was moved
 )
 
 // NodeMessage is a message between a director and a node.
--- a/limits/budget_test.go
+++ b/limits/budget_test.go
@@ -38,7 +38,7 @@
 			busy, open := clients[conn]
 			switch action := rapid.IntRange(0, 9).Draw(t, "action"); {
 			case action < 4 && !open:
-				if step(Event{Kind: ConnectRequest, Conn: conn, Nodes: nodes}).Admit {
+				if step(Event{Kind: ConnectRequest, Conn: conn, NodeDescriptors: nodes}).Admit {
 					clients[conn] = false
 					if rapid.Bool().Draw(t, "requests before HandshakeDone") {
 						clients[conn] = true
@@ -47,7 +47,7 @@
 					step(Event{Kind: HandshakeDone, Conn: conn})
 				}
 			case action < 6:
-				plan := step(Event{Kind: DialRequest, Nodes: nodes, IdleNodeConn: idleNodes > 0})
+				plan := step(Event{Kind: DialRequest, NodeDescriptors: nodes, IdleNodeConn: idleNodes > 0})
 				free := tightCapacity.MaxDescriptors - tightCapacity.ReservedDescriptors - tightCapacity.PreHandshakeDescriptors - nodes - len(clients)
 				allBusy := true
 				for _, b := range clients {
@@ -128,16 +128,16 @@
 		l.Step(0, Event{Kind: HandshakeDone, Conn: i})
 	}
 	nodes := tightCapacity.MaxDescriptors
-	if plan := l.Step(time.Second, Event{Kind: DialRequest, Nodes: nodes}); len(plan.Evict) != 1 || plan.Evict[0].Conn != 0 {
+	if plan := l.Step(time.Second, Event{Kind: DialRequest, NodeDescriptors: nodes}); len(plan.Evict) != 1 || plan.Evict[0].Conn != 0 {
 		t.Fatalf("%+v", plan)
 	}
 	l.Step(time.Second, Event{Kind: EvictionCancelled, Conn: 0})
 	l.Step(time.Second, Event{Kind: Busy, Conn: 0})
-	plan := l.Step(time.Second, Event{Kind: DialRequest, Nodes: nodes})
+	plan := l.Step(time.Second, Event{Kind: DialRequest, NodeDescriptors: nodes})
 	if len(plan.Evict) != 1 || plan.Evict[0].Conn != 1 {
 		t.Fatalf("%+v", plan)
 	}
-	if plan = l.Step(time.Second, Event{Kind: DialRequest, Nodes: nodes}); plan.Admit || len(plan.Evict) != 0 {
+	if plan = l.Step(time.Second, Event{Kind: DialRequest, NodeDescriptors: nodes}); plan.Admit || len(plan.Evict) != 0 {
 		t.Fatalf("a busy connection is evicted: %+v", plan)
 	}
 }
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -107,13 +107,13 @@
 // Event is something that happened. The caller identifies a connection by a small index, which may be used again after
 // Closed.
 type Event struct {
-	Kind         EventKind
-	Conn         int
-	Address      netip.Addr
-	Age          time.Duration // Received: time since the data arrived
-	Memory       int64
-	Nodes        int  // ConnectRequest, DialRequest, MemorySample: descriptors held by connections to nodes
-	IdleNodeConn bool // DialRequest: there is an idle connection to another node
+	Kind            EventKind
+	Conn            int
+	Address         netip.Addr
+	Age             time.Duration // Received: time since the data arrived
+	Memory          int64
+	NodeDescriptors int  // ConnectRequest, DialRequest, MemorySample: descriptors held by connections to nodes
+	IdleNodeConn    bool // DialRequest: there is an idle connection to another node
 }
 
 // Eviction is a connection to close.
@@ -227,13 +227,13 @@
 	}
 	switch e.Kind {
 	case ConnectRequest:
-		l.nodeDescriptors = e.Nodes
+		l.nodeDescriptors = e.NodeDescriptors
 		l.connectRequest(e)
 	case DialRequest:
-		l.nodeDescriptors = e.Nodes
+		l.nodeDescriptors = e.NodeDescriptors
 		l.dialRequest(e.IdleNodeConn)
 	case MemorySample:
-		l.memory, l.nodeDescriptors = e.Memory, e.Nodes
+		l.memory, l.nodeDescriptors = e.Memory, e.NodeDescriptors
 	case Draining:
 		l.draining = true
 	case TimerFired:
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -13,7 +13,7 @@
 		b.Run(fmt.Sprint("playing=", sessions), func(b *testing.B) {
 			tariffs := []Tariff{{GoalTime: time.Second, HardStop: 2 * time.Second, Credit: 1, Scale: 1, Top: 3, Seats: 1 << 20}}
 			d := New(1, Peers{Directors: 1}, tariffs, Ladder{Rates: []float64{100, 200, 400, 800}, JoinCost: 1},
-				Fleet{Cells: 250, Racks: 36, LinkUnit: 1e9, Uplink: 1e10}, Ramp{MaxStreams: []float64{1e6}}, RetryPolicy{MaxLegs: 4}, ReportTiming{Delay: time.Second})
+				Topology{Cells: 250, Racks: 36, LinkUnit: 1e9, Uplink: 1e10}, Ramp{MaxStreams: []float64{1e6}}, RetryPolicy{MaxLegs: 4}, ReportTiming{Delay: time.Second})
 			list := ServerList{Kind: ListReplaced}
 			for i := range 250 {
 				list.Entries = append(list.Entries, NodeEntry{Node: fmt.Sprint(i), StartedAt: UnknownStart, Weight: 1, Cell: i})
@@ -42,7 +42,7 @@
 		start := func() (*Director, ServerList) {
 			tariffs := []Tariff{{GoalTime: time.Second, HardStop: 2 * time.Second, Credit: 1, Scale: 1, Top: 3}}
 			d := New(1, Peers{Directors: 300}, tariffs, Ladder{Rates: []float64{100, 200, 400, 800}, JoinCost: 1},
-				Fleet{Cells: nodes, Racks: nodes / 7, LinkUnit: 1e9, Uplink: 1e10}, Ramp{MaxStreams: []float64{1e6}, Warmup: 10 * time.Second},
+				Topology{Cells: nodes, Racks: nodes / 7, LinkUnit: 1e9, Uplink: 1e10}, Ramp{MaxStreams: []float64{1e6}, Warmup: 10 * time.Second},
 				RetryPolicy{MaxLegs: 4}, ReportTiming{Delay: time.Second, Interval: 4 * time.Second})
 			list := ServerList{Kind: ListReplaced}
 			for i := range nodes {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -8,7 +8,8 @@
 // The placement of sessions at nodes.
 
 // crossZoneWeight sets the cost of a node in another zone against link use: for each unit of
-// Fleet.CrossZoneCost, a node in the director's own zone is preferred while its link use is higher by less than this.
+// Topology.CrossZoneCost, a node in the director's own zone is preferred while its link use is higher by less than
+// this.
 const crossZoneWeight = 10
 
 // legTimeout is the time that a leg may take to be accepted before its node becomes suspect. Two such legs and
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -71,7 +71,7 @@
 }
 
 // New returns a new director.
-func New(seed uint64, peers Peers, tariffs []Tariff, ladder Ladder, fleet Fleet, ramp Ramp,
+func New(seed uint64, peers Peers, tariffs []Tariff, ladder Ladder, fleet Topology, ramp Ramp,
 	retryPolicy RetryPolicy, reportTiming ReportTiming) *Director {
 	return &Director{
 		random: newPCG(seed),
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -54,7 +54,7 @@
 func newTestDirector(atMostOnce bool, directors int) (*Director, []NodeEntry) {
 	d := New(1, Peers{Directors: directors}, []Tariff{{GoalTime: time.Second, HardStop: 4 * time.Second,
 		Credit: 1, AtMostOnce: atMostOnce, Scale: 1, Top: 2}}, Ladder{Rates: []float64{50, 100, 200}, JoinCost: 1},
-		Fleet{Cells: 3, Racks: 1, LinkUnit: 1000, Uplink: 2000},
+		Topology{Cells: 3, Racks: 1, LinkUnit: 1000, Uplink: 2000},
 		Ramp{MaxStreams: []float64{20}, Warmup: 10 * time.Second, InitialShare: .5, OverloadMultiple: 4, OverloadWindow: time.Second},
 		RetryPolicy{MaxLegs: 4}, ReportTiming{Delay: time.Second})
 	var list []NodeEntry
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -22,7 +22,7 @@
 	*rapid.T
 	now         time.Duration
 	tariffs     []Tariff
-	fleet       Fleet
+	fleet       Topology
 	ramp        Ramp
 	retryPolicy RetryPolicy
 	list        []NodeEntry
@@ -72,7 +72,7 @@
 			Seats: drawOne(t, "seats", 0, 0, 1, 3), Live: drawOne(t, "live", false, true)})
 	}
 	cells := rapid.IntRange(3, 9).Draw(t, "cells")
-	s.fleet = Fleet{Cells: cells, Racks: rapid.IntRange(1, 3).Draw(t, "racks"), LinkUnit: 3000, Uplink: 8000,
+	s.fleet = Topology{Cells: cells, Racks: rapid.IntRange(1, 3).Draw(t, "racks"), LinkUnit: 3000, Uplink: 8000,
 		RefusalThreshold: drawOne(t, "refusal threshold", 0., 1)}
 	s.ramp = Ramp{MaxStreams: []float64{20}, Warmup: 8 * time.Second, InitialShare: .4,
 		OverloadMultiple: drawOne(t, "overload multiple", 2., 2.5, 4), OverloadWindow: drawOne(t, "overload window", time.Second, 2*time.Second)}
--- a/policy/state.go
+++ b/policy/state.go
@@ -237,7 +237,7 @@
 
 // A loadEstimate estimates the demand on links and uplinks; see load_estimate.go.
 type loadEstimate struct {
-	fleet          Fleet
+	fleet          Topology
 	now            time.Duration
 	reportDelay    time.Duration
 	freshFor       time.Duration // greatest age of the last observation of a node that reports regularly
--- a/policy/types.go
+++ b/policy/types.go
@@ -117,9 +117,9 @@
 	Node        string
 	State       NodeState
 	MachineKind int           // index among the machine kinds
-	Zone        string        // a session at a node outside the director's zone costs more, see Fleet.CrossZoneCost
+	Zone        string        // a session at a node outside the director's zone costs more, see Topology.CrossZoneCost
 	StartedAt   time.Duration // UnknownStart if the list does not give it
-	Weight      float64       // link capacity in units of Fleet.LinkUnit
+	Weight      float64       // link capacity in units of Topology.LinkUnit
 	Cell        int           // position of the node; titles are assigned to cells
 }
 
@@ -199,9 +199,9 @@
 	JoinCost float64
 }
 
-// Fleet describes the nodes' links and racks. A rack is a group of nodes that share one network link, the
+// Topology describes the nodes' links and racks. A rack is a group of nodes that share one network link, the
 // uplink.
-type Fleet struct {
+type Topology struct {
 	Cells, Racks     int
 	LinkUnit         float64 // link capacity of a node for each unit of weight, kB a second
 	Uplink           float64 // mean uplink capacity of a rack, kB a second
