--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -19,19 +19,19 @@
 	"fordusher/internal/wire"
 )
 
-//go:embed house.jsonc
+//go:embed director.jsonc
 var configText string
 
 var configTemplate = template.Must(template.New("house").Parse(configText))
 
-// rungValues is the value of a second at each rung, as a share of the highest rung's. house.jsonc has the same numbers
-// under "worth".
+// rungValues is the value of a second at each rung, as a share of the highest rung's. director.jsonc has the same
+// numbers under "worth".
 var rungValues = []float64{0.23, 0.52, 0.76, 1}
 
 // stallCost is the loss of value per share of the rung's rate that a stream lacks; see node.Environment.
 const stallCost = 7
 
-// configValues fill in the template of the directors' config, house.jsonc.
+// configValues fill in the template of the directors' config, director.jsonc.
 type configValues struct {
 	Name          string
 	Me, Directors int
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -21,7 +21,7 @@
 	"fordusher/internal/rulecheck"
 )
 
-//go:embed scenario_house.jsonc
+//go:embed scenario_director.jsonc
 var scenarioConfigText string
 
 var scenarioConfigTemplate = template.Must(template.New("house").Parse(scenarioConfigText))
--- a/internal/load/setup_rate.go
+++ b/internal/load/setup_rate.go
@@ -25,7 +25,7 @@
 	"fordusher/internal/wire"
 )
 
-//go:embed house.jsonc
+//go:embed director.jsonc
 var configText string
 
 var configTemplate = template.Must(template.New("house").Parse(configText))
