--- a/internal/emulated/discovery/model.go
+++ b/internal/emulated/discovery/model.go
@@ -30,7 +30,7 @@
 	entry listEntry
 }
 
-// maxSerials is the number of latest serials whose entries are stored until they are acknowledged.
+// maxSerials is the number of latest serials whose entries are stored, acknowledged or not.
 const maxSerials = 4096
 
 // NewModel returns a model whose list has nodes that started long ago.
