--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// BenchmarkRequest measures one request of a tariff with seats, from the request to the session's end, with 250 nodes and
-// the given number of playing sessions.
+// BenchmarkRequest measures one request of a tariff with seats, from the request to the session's end, with 250 nodes
+// and the given number of playing sessions.
 func BenchmarkRequest(b *testing.B) {
 	for _, sessions := range []int{0, 5_000, 20_000} {
 		b.Run(fmt.Sprint("playing=", sessions), func(b *testing.B) {
 			tariffs := []Tariff{{GoalTime: time.Second, HardStop: 2 * time.Second, Credit: 1, Scale: 1, Top: 3, Seats: 1 << 20}}
 			d := New(1, Peers{Directors: 1}, tariffs, Ladder{Rates: []float64{100, 200, 400, 800}, JoinCost: 1},
-				Topology{Cells: 250, Racks: 36, LinkUnit: 1e9, Uplink: 1e10}, Ramp{MaxStreams: []float64{1e6}}, RetryPolicy{MaxLegs: 4}, ReportTiming{Delay: time.Second})
+				Topology{Cells: 250, Racks: 36, LinkUnit: 1e9, Uplink: 1e10}, Ramp{MaxStreams: []float64{1e6}},
+				RetryPolicy{MaxLegs: 4}, ReportTiming{Delay: time.Second})
 			list := ServerList{Kind: ListReplaced}
 			for i := range 250 {
 				list.Entries = append(list.Entries, NodeEntry{Node: fmt.Sprint(i), StartedAt: UnknownStart, Weight: 1, Cell: i})
--- a/policy/fair.go
+++ b/policy/fair.go
@@ -6,8 +6,8 @@
 )
 
 // updateFairRates computes the fair rate of every node of a rack: the rate that each stream of the node gets by a
-// fair division of the rack's uplink, limited by the node's link. The mean stream rate is that of this director's own sessions; the middle rung's rate
-// counts as one further session.
+// fair division of the rack's uplink, limited by the node's link. The mean stream rate is that of this director's own
+// sessions, among which the middle rung's rate counts as one further session.
 func (d *Director) updateFairRates(r int) {
 	load := &d.load
 	load.meanStreamRate = (load.middleRate + load.ownLoad) / float64(1+load.legs)
@@ -16,11 +16,11 @@
 		n.streams = load.streamCount(n)
 		total += n.streams
 	}
-	assignFairRates(load.fleet.Uplink/max(1, total), members)
+	assignFairRates(load.topology.Uplink/max(1, total), members)
 }
 
-// assignFairRates is the paper's algorithm 2. parent is the uplink's rate for each stream; a node's cap is its link's rate
-// for each stream. Nodes whose cap is at most parent keep their cap and leave the rest to a pool. The other
+// assignFairRates is the paper's algorithm 2. parent is the uplink's rate for each stream; a node's cap is its link's
+// rate for each stream. Nodes whose cap is at most parent keep their cap and leave the rest to a pool. The other
 // nodes share the pool, in ascending order of their caps.
 func assignFairRates(parent float64, nodes []*node) {
 	pool, entitled := 0.0, 0.0
--- a/policy/health.go
+++ b/policy/health.go
@@ -12,15 +12,16 @@
 	pauseLegTimeouts = 8
 	// healthyLegLimit is the leg limit at which a node counts as healthy again.
 	healthyLegLimit = 8
-	// atMostOncePauses is the number of further pauses after which legs of at-most-once tariffs may go to a
-	// node set aside, too.
+	// atMostOncePauses is the number of further pauses after which legs of at-most-once tariffs, too, may go to a
+	// node that was set aside.
 	atMostOncePauses = 8
 )
 
-// allows reports whether a leg may go to a node with the given number of set-ups. After the pause, a node that was
-// set aside first gets a few legs of tariffs that allow several, and legs of at-most-once tariffs only if it
-// has not become healthy for long after. Without those, a fleet that serves at-most-once tariffs alone would
-// lose node after node for good.
+// allows reports whether a leg may go to a node with the given number of set-ups. A node that was set aside gets legs
+// again after its pause, at most legLimit at one time. At first these are legs of tariffs that allow several; legs of
+// at-most-once tariffs follow only if the node is still not healthy after atMostOncePauses more pauses. Without
+// these, where all sessions have at-most-once tariffs, a node set aside would never become healthy while another one is:
+// node after node would be lost for good.
 func (h *health) allows(setups int, atMostOnce bool, now time.Duration) bool {
 	if h.legLimit == 0 {
 		return true
@@ -63,8 +64,8 @@
 	s.hadError = true
 }
 
-// unconfirmedError handles an error that no other node can confirm. It is recorded from the second one on since
-// the node last accepted a session.
+// unconfirmedError handles an error that no other node can confirm. The first one since the node last accepted a
+// session is only counted; each further one is recorded as a failure.
 func (d *Director) unconfirmedError(n *node, s *session) {
 	if n.unconfirmedErrors++; n.unconfirmedErrors > 1 {
 		d.recordFailure(n, s, Errored)
@@ -76,7 +77,7 @@
 func (d *Director) recordFailure(n *node, s *session, outcome Outcome) {
 	s.failureRecorded = true
 	if outcome == Full { // the node runs but has no capacity left, so its last load report must be out of date
-		n.linkLoad.observe(max(d.load.linkUse(n), cmp.Or(d.load.fleet.RefusalThreshold, 1)), n.linkCapacity, 1, d.now)
+		n.linkLoad.observe(max(d.load.linkUse(n), cmp.Or(d.load.topology.RefusalThreshold, 1)), n.linkCapacity, 1, d.now)
 		return
 	}
 	if outcome != Errored {
--- a/policy/load_estimate.go
+++ b/policy/load_estimate.go
@@ -11,8 +11,8 @@
 	// defaultLoad is the assumed load of links and uplinks before any report has arrived and after all
 	// reports have expired.
 	defaultLoad = 0.65
-	// priorSessions is the number of its own sessions on a link at which a director gives them the same
-	// weight as the baseline.
+	// priorSessions is how many sessions at the middle rung's rate the baseline counts for in a guess of a link's load.
+	// With as many sessions of its own on the link, a director gives both the same weight.
 	priorSessions   = 2
 	baselineReports = 8 // number of reports in a baseline
 	// maxBaselineReport limits what a report adds to a baseline. It protects the estimates of all links
@@ -29,7 +29,7 @@
 	e.racks[n.rack].uplinkLoad.add(e.now, e.reportDelay, onUplink)
 }
 
-// recordLink records a reported load of a node's link at a time.
+// recordLink records a reported load of a node's link at the given time.
 func (e *loadEstimate) recordLink(n *node, load float64, at time.Duration) {
 	if e.now >= n.baselineAt+e.reportDelay { // each node counts at most once per report delay, however often it reports
 		n.baselineAt = e.now
@@ -39,16 +39,16 @@
 	n.linkLoad.observe(load, n.linkCapacity, smoothingFactor, at)
 }
 
-// recordUplink records a node's report of the load of its rack's uplink at a time.
+// recordUplink records a node's report of the load of its rack's uplink at the given time.
 func (e *loadEstimate) recordUplink(n *node, load float64, at time.Duration) {
 	e.uplinkReported = true
 	r := &e.racks[n.rack]
 	r.recordUplinkReport(n.name, load, e.now, e.freshFor)
 	if e.now >= r.baselineAt+e.reportDelay { // each rack counts at most once per report delay, however often it is reported
 		r.baselineAt = e.now
-		e.uplinkBaseline.add(min(load, maxBaselineReport)-r.ownLoad/e.fleet.Uplink, baselineReports, e.now)
+		e.uplinkBaseline.add(min(load, maxBaselineReport)-r.ownLoad/e.topology.Uplink, baselineReports, e.now)
 	}
-	r.uplinkLoad.observe(load, e.fleet.Uplink, smoothingFactor, at)
+	r.uplinkLoad.observe(load, e.topology.Uplink, smoothingFactor, at)
 }
 
 // amplification returns by how much a rung change of a playing session is multiplied on link and uplink. The
@@ -60,7 +60,7 @@
 		}
 		return min(max(1, demand/own), 2*e.directors)
 	}
-	return factor(e.linkUse(n)*n.linkCapacity, n.ownLoad), factor(e.uplinkUse(n.rack)*e.fleet.Uplink, e.racks[n.rack].ownLoad)
+	return factor(e.linkUse(n)*n.linkCapacity, n.ownLoad), factor(e.uplinkUse(n.rack)*e.topology.Uplink, e.racks[n.rack].ownLoad)
 }
 
 // ownShare is this director's part of the demand on a node's link, or on its uplink if that part is smaller.
@@ -82,20 +82,19 @@
 	if !e.uplinkReported {
 		return 0
 	}
-	return e.estimate(&e.racks[r].uplinkLoad, e.fleet.Uplink, e.racks[r].ownLoad, e.uplinkBaseline)
+	return e.estimate(&e.racks[r].uplinkLoad, e.topology.Uplink, e.racks[r].ownLoad, e.uplinkBaseline)
 }
 
-// freshness is the weight of a report made at a time. It is 1 until the next report is due, then halves with
+// freshness is the weight of a report made at the given time. It is 1 until the next report is due, then halves with
 // every switchEvery.
 func (e *loadEstimate) freshness(at time.Duration) float64 {
 	return math.Exp2(-max(0, float64(e.now-at-e.freshFor)/float64(switchEvery)))
 }
 
-// estimate is the last observed load plus this director's changes since. As the observation loses its
-// freshness, a guess replaces it: the baseline and this director's own load, taken as a sample of all
-// directors' load, each weighted by how much it says. The baseline itself decays to defaultLoad. This
-// protects against reports that are no longer renewed, be it those of one node or of all, and against
-// taking one session for a full link.
+// estimate is the last observed load plus this director's changes since. As the observation loses its freshness, a
+// guess replaces it: the baseline and this director's own load, taken as a sample of all directors' load, each weighted
+// by the capacity that it stands for. The baseline itself decays to defaultLoad. This protects against reports that are
+// no longer renewed, whether of one node or of all, and against taking one session for a full link.
 func (e *loadEstimate) estimate(resource *resourceLoad, capacity, ownLoad float64, base baseline) float64 {
 	prior := defaultLoad + (base.mean-defaultLoad)*e.freshness(base.updatedAt)
 	priorRate := priorSessions * e.middleRate
@@ -108,10 +107,10 @@
 }
 
 // projected returns the demand on a node's link and uplink after the given additions, in kB a second. An uplink
-// that is full by the report of one other node alone keeps room for the lowest rung, unless the uplink baseline
-// is high too. The report of a second node closes the rack to set-ups.
+// that only one other node reports as full still admits set-ups at the lowest rung, unless the uplink baseline is high
+// too. The report of a second node blocks set-ups for the whole rack.
 func (e *loadEstimate) projected(n *node, onLink, onUplink float64) (link, uplink float64) {
-	link, uplink = e.linkUse(n)+onLink/n.linkCapacity, e.uplinkUse(n.rack)+onUplink/e.fleet.Uplink
+	link, uplink = e.linkUse(n)+onLink/n.linkCapacity, e.uplinkUse(n.rack)+onUplink/e.topology.Uplink
 	if e.racks[n.rack].fullByOneReport(n.name, e.now) && e.uplinkBaseline.mean < headroomThreshold {
 		uplink = min(uplink, fullThreshold)
 	}
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -7,9 +7,8 @@
 
 // The placement of sessions at nodes.
 
-// crossZoneWeight sets the cost of a node in another zone against link use: for each unit of
-// Topology.CrossZoneCost, a node in the director's own zone is preferred while its link use is higher by less than
-// this.
+// crossZoneWeight converts Topology.CrossZoneCost to link use: a node in the director's own zone is preferred as long
+// as its link use is higher by less than CrossZoneCost times this.
 const crossZoneWeight = 10
 
 // legTimeout is the time that a leg may take to be accepted before its node becomes suspect. Two such legs and
@@ -20,17 +19,17 @@
 // available, and gives up when its time or its legs are used up.
 func (d *Director) place(i int) {
 	s := &d.sessions[i]
-	t := &d.rungs.tariffs[s.Tariff]
+	tariff := &d.rungs.tariffs[s.Tariff]
 	left := s.Deadline - d.now
 	waited := d.now - s.receivedAt
-	if left <= 2*tickInterval || waited >= t.GoalTime || len(s.triedNodes) >= d.retries.policy.MaxLegs {
+	if left <= 2*tickInterval || waited >= tariff.GoalTime || len(s.triedNodes) >= d.retries.policy.MaxLegs {
 		d.giveUp(i)
 		return
 	}
-	if t.Seats > 0 && d.seatsTaken(s) >= t.Seats || len(s.triedNodes) > 0 && !d.retries.allows(d.now) {
+	if tariff.Seats > 0 && d.seatsTaken(s) >= tariff.Seats || len(s.triedNodes) > 0 && !d.retries.allows(d.now) {
 		return
 	}
-	chosen := d.chooseNode(s, t)
+	chosen := d.chooseNode(s, tariff)
 	if chosen < 0 {
 		return
 	}
@@ -40,13 +39,13 @@
 	n := &d.nodes[chosen]
 	s.node = chosen
 	reference := d.rungs.referenceRung(s, n.fairRate)
-	rung := payoff(t.Floor, d.fittingRung(s, n, reference), reference, reference)
+	rung := payoff(tariff.Floor, d.fittingRung(s, n, reference), reference, reference)
 	if rung != s.rung {
 		d.emit(SetRung{s.ID, rung})
 	}
 	var timeout time.Duration
-	if !t.AtMostOnce {
-		timeout = min(legTimeout(t.GoalTime), left)
+	if !tariff.AtMostOnce {
+		timeout = min(legTimeout(tariff.GoalTime), left)
 	}
 	d.emit(Dispatch{s.ID, n.name, timeout})
 	s.phase, s.sentAt, s.failureRecorded = settingUp, d.now, false
@@ -63,15 +62,15 @@
 // of sessions at their lowest rung, each further session costs the others more than it earns. Nodes set aside
 // come last. A session of an at-most-once tariff uses them only if all holders are set aside, because a
 // failure that affects all nodes is not the fault of any of them.
-func (d *Director) chooseNode(s *session, t *Tariff) int {
+func (d *Director) chooseNode(s *session, tariff *Tariff) int {
 	var candidates, aside []int
-	allowedNodes, lowestRate := 0, d.rungs.rate(s, t.Floor)
+	allowedNodes, lowestRate := 0, d.rungs.rate(s, tariff.Floor)
 	for _, i := range d.index.holders(s.FirstCell, s.Copies) {
 		n := &d.nodes[i]
 		if n.listed != Up {
 			continue
 		}
-		allowed := n.health.allows(n.setups, t.AtMostOnce, d.now)
+		allowed := n.health.allows(n.setups, tariff.AtMostOnce, d.now)
 		if allowed {
 			allowedNodes++
 		}
@@ -85,7 +84,7 @@
 			aside = append(aside, i)
 		}
 	}
-	if len(candidates) == 0 && (allowedNodes == 0 || !t.AtMostOnce) {
+	if len(candidates) == 0 && (allowedNodes == 0 || !tariff.AtMostOnce) {
 		candidates = aside
 	}
 	if len(candidates) == 0 {
@@ -105,7 +104,7 @@
 func (d *Director) placementCost(n *node) float64 {
 	cost := d.load.linkUse(n)
 	if n.zone != d.zone {
-		cost += crossZoneWeight * d.load.fleet.CrossZoneCost
+		cost += crossZoneWeight * d.load.topology.CrossZoneCost
 	}
 	return cost
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,7 @@
 // Package policy makes every decision about sessions: which requests are served, at which node and at
 // which rung. A caller creates a Director with New and passes each event to Step, which returns the
-// actions to carry out, in order. The interface (events, actions, settings) is in types.go.
+// actions to carry out, in order. The interface (events, actions, settings) is in types.go. The package does no I/O
+// and has no clock.
 //
 // A request is placed at one of two randomly chosen nodes that hold its title, the one with the lower link
 // use plus zone cost. Its rung is the one with the best payoff: near the node's fair rate, near the highest
@@ -35,12 +36,12 @@
 	shortfallThreshold = 0.98             // a delivered share below this is a shortfall
 	smoothingFactor    = 0.8              // part of a load report's deviation that is adopted, because reports are noisy
 
-	// ownBias raises raiseThreshold and headroomThreshold for a director that has all demand on a link; for a
-	// part of the demand, the thresholds rise by that part of it.
+	// ownBias is how much raiseThreshold and headroomThreshold rise for a director whose own sessions are all demand on
+	// a link. For a director with a part of the demand they rise by that part of ownBias.
 	ownBias = 0.2
 
-	// creditBias is the difference between the tariffs with the most and the least credit in raiseThreshold,
-	// headroomThreshold, stepDownTarget and keepThreshold.
+	// creditBias is how much higher raiseThreshold, headroomThreshold, stepDownTarget and keepThreshold are for the
+	// tariff with the most credit than for the one with the least.
 	creditBias = 0.1
 )
 
@@ -71,20 +72,20 @@
 }
 
 // New returns a new director.
-func New(seed uint64, peers Peers, tariffs []Tariff, ladder Ladder, fleet Topology, ramp Ramp,
+func New(seed uint64, peers Peers, tariffs []Tariff, ladder Ladder, topology Topology, ramp Ramp,
 	retryPolicy RetryPolicy, reportTiming ReportTiming) *Director {
 	return &Director{
 		random: newPCG(seed),
 		rungs:  rungs{ladder, tariffs},
-		load: loadEstimate{fleet: fleet, reportDelay: reportTiming.Delay, freshFor: reportTiming.Interval + 2*reportTiming.Delay,
+		load: loadEstimate{topology: topology, reportDelay: reportTiming.Delay, freshFor: reportTiming.Interval + 2*reportTiming.Delay,
 			directors: float64(max(1, peers.Directors)), middleRate: ladder.Rates[len(ladder.Rates)/2],
-			racks: make([]rack, max(1, fleet.Racks)), linkBaseline: baseline{mean: defaultLoad}, uplinkBaseline: baseline{mean: defaultLoad}},
+			racks: make([]rack, max(1, topology.Racks)), linkBaseline: baseline{mean: defaultLoad}, uplinkBaseline: baseline{mean: defaultLoad}},
 		zone:           peers.Zone,
 		slowStart:      slowStart{ramp: ramp, peers: peers},
 		retries:        retryBudget{policy: retryPolicy},
 		maxBackoff:     reportTiming.MaxBackoff,
 		pollInterval:   ramp.PollWithin / 2,
-		index:          newIndex(fleet.Cells),
+		index:          newIndex(topology.Cells),
 		sessionIndexes: newIndexMap[uint64](),
 		nodeIndexes:    newIndexMap[string](),
 		seats:          map[seatKey]int{},
@@ -188,7 +189,7 @@
 	}
 }
 
-// startPlaying sets a session's times as it starts to play. Its first switch does not wait for switchEvery.
+// startPlaying sets a session's times when it starts to play. Its first switch does not wait for switchEvery.
 func (d *Director) startPlaying(s *session) {
 	s.phase, s.startedAt, s.scoredAt, s.switchedAt = playing, d.now, d.now, d.now-switchEvery
 	s.meanRung = float64(s.rung)
@@ -301,7 +302,7 @@
 			n.shortfallAt = -rescoreEvery
 			r, until := &d.load.racks[n.rack], d.now-d.load.reportDelay
 			n.linkLoad.observe(min(d.load.linkUse(n), raiseThreshold), n.linkCapacity, 1, until)
-			r.uplinkLoad.observe(min(d.load.uplinkUse(n.rack), raiseThreshold), d.load.fleet.Uplink, 1, until)
+			r.uplinkLoad.observe(min(d.load.uplinkUse(n.rack), raiseThreshold), d.load.topology.Uplink, 1, until)
 		}
 		floor := d.rungs.tariffs[s.Tariff].Floor
 		if e.Value < dropThreshold && s.phase == playing && s.rung > floor {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// Guards against a director with nearly all of a link's demand leaving as much headroom as one of hundreds of directors.
+// Guards against a director with nearly all of a link's demand leaving as much headroom as one of hundreds of
+// directors.
 func TestRaiseLimitGrowsWithOwnShare(t *testing.T) {
 	rung := func(own uint64) int {
 		d, _ := newTestDirector(false, 2)
@@ -115,8 +116,8 @@
 	}
 }
 
-// Guards against an adopted session keeping its rung while a set-up at the same node, with the same load reports, gets a
-// higher one.
+// Guards against an adopted session keeping its rung while a set-up at the same node, with the same load reports, gets
+// a higher one.
 func TestAdoptedSessionStepsUpLikeASetup(t *testing.T) {
 	for adopted, want := range map[bool]int{true: 2, false: 1} {
 		d, _ := newTestDirector(false, 1)
@@ -228,7 +229,8 @@
 		failOnce := func(id uint64) {
 			out, _ := firstAction[Dispatch](d.Step(0, Request{ID: id, Copies: 1, Deadline: 4 * time.Second}))
 			d.Step(0, LegResult{ID: id, Node: out.Node, Outcome: Errored, Load: NoLoad})
-			for at := time.Duration(0); at < 1200*time.Millisecond; at += tickInterval { // a session that may have several legs waits until it is given up
+			for at := time.Duration(0); at < 1200*time.Millisecond; at += tickInterval {
+				// a session that may have several legs waits until it is given up
 				d.Step(at, TimerFired{})
 			}
 		}
@@ -244,7 +246,7 @@
 	}
 }
 
-// adoptWithLinkLoad adopts a session at node a at the top rung, and reports a link load of node a at a time.
+// adoptWithLinkLoad adopts a session at node a at the top rung, and reports a link load of node a at the given time.
 func adoptWithLinkLoad(d *Director, id uint64, at time.Duration, load float64) {
 	d.Step(0, Request{ID: id, Copies: 3, MaxRung: 2, Deadline: time.Hour, PlayingOn: "a"})
 	d.Step(0, Measurement{ID: id, Node: "a", Kind: CurrentRung, Value: 2})
@@ -336,9 +338,9 @@
 	}
 }
 
-// Guards against a share of nothing where there are more directors than the overload budget has set-ups: a director that
-// has just started, or has seen a leg fail, would nack its clients for a whole warm-up, and a node once suspected would
-// get no more set-ups.
+// Guards against a share of 0 when there are more directors than the overload budget has set-ups: a director that has
+// just started, or has seen a leg fail, would nack its clients for a whole warm-up, and a node once suspected would get
+// no more set-ups.
 func TestSuspectNodeStillGetsSetups(t *testing.T) {
 	d, _ := newTestDirector(false, 300)
 	send := func(id uint64, at time.Duration) bool {
@@ -374,12 +376,14 @@
 	}
 }
 
-// Guards against harm by a rung off the ladder and by events for an unknown node or session.
+// Guards against a wrong state after a rung off the ladder or events for an unknown node or session.
 func TestInvalidMeasurementsAreHarmless(t *testing.T) {
 	d, _ := newTestDirector(false, 3)
 	adoptWithLinkLoad(d, 1, time.Second, 0.5)
-	for _, e := range []Event{Measurement{ID: 1, Node: "a", Kind: CurrentRung, Value: 99}, Measurement{ID: 1, Node: "a", Kind: CurrentRung, Value: -3},
-		Measurement{ID: 1, Node: "x", Kind: LinkLoad, Value: 1}, Measurement{ID: 7, Node: "a", Kind: DeliveredShare}, Accepted{7}, ClientGone{7}} {
+	for _, e := range []Event{Measurement{ID: 1, Node: "a", Kind: CurrentRung, Value: 99},
+		Measurement{ID: 1, Node: "a", Kind: CurrentRung, Value: -3},
+		Measurement{ID: 1, Node: "x", Kind: LinkLoad, Value: 1}, Measurement{ID: 7, Node: "a", Kind: DeliveredShare},
+		Accepted{7}, ClientGone{7}} {
 		d.Step(time.Second, e)
 	}
 	if s := d.sessions[0]; s.rung != 0 || d.nodes[s.node].ownLoad != d.rungs.rate(&s, 0) {
@@ -411,7 +415,8 @@
 	})
 }
 
-// Guards against the rate of a node's sessions staying booked at its old rack when the list moves the node to another one.
+// Guards against the rate of a node's sessions staying booked at its old rack when the list moves the node to another
+// one.
 func TestBookedLoadFollowsMovedNode(t *testing.T) {
 	d, list := newTestDirector(false, 3)
 	d.load.racks = make([]rack, 3)
@@ -429,7 +434,8 @@
 	}
 }
 
-// Guards against setting up a title on nodes that do not hold it because its first cell is numbered beyond the last cell.
+// Guards against setting up a title on nodes that do not hold it because its first cell is numbered beyond the last
+// cell.
 func TestFirstCellWrapsAround(t *testing.T) {
 	d, _ := newTestDirector(false, 1) // three cells, a node in each
 	out, ok := firstAction[Dispatch](d.Step(0, Request{ID: 1, FirstCell: 3*7 + 1, Copies: 1, Deadline: time.Hour}))
@@ -485,8 +491,8 @@
 	}
 }
 
-// Guards against a fleet that serves at-most-once tariffs alone leaving a node set aside for good as long as any other
-// node is healthy, even a full one.
+// Guards against a node that stays set aside for good where all sessions have at-most-once tariffs, as long as any
+// other node is healthy, even a full one.
 func TestAtMostOnceLegsReturnToNode(t *testing.T) {
 	d, _ := newTestDirector(true, 1)
 	d.slowStart.adopted = true
@@ -520,12 +526,13 @@
 	d.Step(2*time.Second, LegResult{ID: 1, Node: "a", Outcome: Served, Final: true, Load: Load{1e6, 1e6, 1e6}})
 	d.Step(2*time.Second, ServerList{Kind: ListUpdate})
 	if after := d.load.linkUse(&d.nodes[1]); after > fullThreshold || d.nodes[1].fairRate < fair/4 {
-		t.Fatalf("another node's link went from %.2f to %.2f, its fair rate from %.0f to %.0f", before, after, fair, d.nodes[1].fairRate)
+		t.Fatalf("another node's link went from %.2f to %.2f, its fair rate from %.0f to %.0f",
+			before, after, fair, d.nodes[1].fairRate)
 	}
 }
 
-// Guards against a node that falsely reports a full uplink blocking set-ups for its whole rack. The nodes report the load
-// of their rack's uplink, and a director often has reports of a single node only.
+// Guards against a node that falsely reports a full uplink blocking set-ups for its whole rack. The nodes report the
+// load of their rack's uplink, and a director often has reports of a single node only.
 func TestOneNodeCannotBlockItsRack(t *testing.T) {
 	d, _ := newTestDirector(false, 3)
 	adoptWithLinkLoad(d, 1, time.Second, 0.5)
@@ -533,7 +540,8 @@
 		d.Step(time.Second+i, Measurement{ID: 1, Node: "a", Kind: UplinkLoad, Value: 1.5})
 	}
 	for base := 1; base < 3; base++ { // the other nodes of the rack
-		if _, ok := firstAction[Dispatch](d.Step(2*time.Second, Request{ID: uint64(10 + base), FirstCell: base, Copies: 1, Deadline: time.Hour})); !ok {
+		if _, ok := firstAction[Dispatch](d.Step(2*time.Second,
+			Request{ID: uint64(10 + base), FirstCell: base, Copies: 1, Deadline: time.Hour})); !ok {
 			t.Errorf("node %d gets no set-up because of node 0's report", base)
 		}
 	}
@@ -551,8 +559,8 @@
 	}
 }
 
-// Guards against taking a node that has just failed for a restarted, healthy one. A list gives ages in milliseconds, so the
-// same start time is read a little later each time.
+// Guards against taking a node that has just failed for a restarted, healthy one. A list gives ages in milliseconds, so
+// the same start time is read a little later each time.
 func TestStartTimeJitterIsNoRestart(t *testing.T) {
 	d, list := newTestDirector(false, 1)
 	d.slowStart.adopted = true
--- a/policy/rungs.go
+++ b/policy/rungs.go
@@ -8,6 +8,7 @@
 
 // The choice of rungs.
 
+// rungs holds the settings that the choice of a session's rung depends on.
 type rungs struct {
 	ladder  Ladder
 	tariffs []Tariff
@@ -77,7 +78,7 @@
 			onLink, onUplink = d.load.amplification(n)
 		}
 		link, uplink := d.load.projected(n, delta*onLink, delta*onUplink)
-		if s.phase != playing && d.load.fleet.RefusalThreshold == 0 { // otherwise a full node refuses by itself
+		if s.phase != playing && d.load.topology.RefusalThreshold == 0 { // otherwise a full node refuses by itself
 			link += (1 - d.load.freshness(n.linkLoad.observedAt)) * d.load.linkDeviation
 		}
 		use := max(link, uplink)
@@ -98,9 +99,9 @@
 	return raiseThreshold + ownBias*ownShare
 }
 
-// stepProbability is the part of the sessions affected by the same load reports that must step like this one to
-// bring link and uplink up to raiseLimit, or down to stepDownTarget. It prevents all of them from stepping
-// at once.
+// stepProbability is the probability with which a session steps to a rung: of all sessions that the same load reports
+// affect, the part that must step like this one to bring link and uplink up to raiseLimit, or down to stepDownTarget.
+// It prevents all of them from stepping at once.
 func (d *Director) stepProbability(s *session, n *node, rung int, reference float64) float64 {
 	onLink, onUplink := d.load.amplification(n)
 	link, uplink := d.load.projected(n, 0, 0)
@@ -109,7 +110,7 @@
 		target += raiseLimit(rung, reference, d.load.ownShare(n)) - stepDownTarget
 	}
 	byLink := (target - link) * n.linkCapacity / (delta * onLink)
-	byUplink := (target - uplink) * d.load.fleet.Uplink / (delta * onUplink)
+	byUplink := (target - uplink) * d.load.topology.Uplink / (delta * onUplink)
 	switch {
 	case delta > 0:
 		return min(byLink, byUplink)
@@ -150,9 +151,9 @@
 	}
 }
 
-// stepRung switches a session's rung with the given probability, which is at least this director's own share of the
-// demand. The other directors are expected to do the
-// same with their part of the sessions, and that expected change is added to the load estimate.
+// stepRung switches a session's rung with the given probability, or with this director's own share of the demand if
+// that is higher. The other directors are expected to do the same with their part of the sessions, and that expected
+// change is added to the load estimate.
 func (d *Director) stepRung(s *session, rung int, probability float64) {
 	n, delta := &d.nodes[s.node], d.rungs.rate(s, rung)-s.bookedRate
 	onLink, onUplink := d.load.amplification(n)
--- a/policy/server_list.go
+++ b/policy/server_list.go
@@ -46,9 +46,9 @@
 		if n.listed == Removed {
 			d.index.markUnlisted(i, n)
 		}
-		n.linkCapacity = d.load.fleet.LinkUnit * entry.Weight
+		n.linkCapacity = d.load.topology.LinkUnit * entry.Weight
 		if n.linkCapacity <= 0 {
-			n.linkCapacity = max(1, d.load.fleet.LinkUnit)
+			n.linkCapacity = max(1, d.load.topology.LinkUnit)
 		}
 	}
 	for _, i := range d.index.unlistedNodes {
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -22,7 +22,7 @@
 	*rapid.T
 	now         time.Duration
 	tariffs     []Tariff
-	fleet       Topology
+	topology    Topology
 	ramp        Ramp
 	retryPolicy RetryPolicy
 	list        []NodeEntry
@@ -46,7 +46,7 @@
 	retryTimes   []time.Duration
 }
 
-// A pendingRequest is a request or session whose end is outstanding.
+// A pendingRequest is a request or session that has not ended yet.
 type pendingRequest struct {
 	Request
 	node       string // node of the running leg; empty: no leg is running
@@ -54,7 +54,7 @@
 	mayHaveRun bool
 	legs       int
 	answered   bool
-	deadline   time.Duration
+	deadline   time.Duration // in simulation time; Request.Deadline counts from the director's start
 }
 
 func drawOne[V any](t *rapid.T, label string, values ...V) V {
@@ -72,7 +72,7 @@
 			Seats: drawOne(t, "seats", 0, 0, 1, 3), Live: drawOne(t, "live", false, true)})
 	}
 	cells := rapid.IntRange(3, 9).Draw(t, "cells")
-	s.fleet = Topology{Cells: cells, Racks: rapid.IntRange(1, 3).Draw(t, "racks"), LinkUnit: 3000, Uplink: 8000,
+	s.topology = Topology{Cells: cells, Racks: rapid.IntRange(1, 3).Draw(t, "racks"), LinkUnit: 3000, Uplink: 8000,
 		RefusalThreshold: drawOne(t, "refusal threshold", 0., 1)}
 	s.ramp = Ramp{MaxStreams: []float64{20}, Warmup: 8 * time.Second, InitialShare: .4,
 		OverloadMultiple: drawOne(t, "overload multiple", 2., 2.5, 4), OverloadWindow: drawOne(t, "overload window", time.Second, 2*time.Second)}
@@ -106,7 +106,7 @@
 func (s *simulation) start(i int) {
 	ladder := Ladder{Rates: []float64{200, 350, 700, 1400, 2000}[:s.rungs], JoinCost: .3}
 	dir := &simDirector{startedAt: s.now, requests: map[uint64]*pendingRequest{}, Director: New(uint64(i),
-		Peers{Index: i, Directors: len(s.directors)}, s.tariffs, ladder, s.fleet, s.ramp, s.retryPolicy,
+		Peers{Index: i, Directors: len(s.directors)}, s.tariffs, ladder, s.topology, s.ramp, s.retryPolicy,
 		ReportTiming{Delay: time.Second})}
 	s.directors[i] = dir
 	s.step(dir, ServerList{Kind: ListRestored, Entries: s.entries(s.now)})
@@ -133,7 +133,7 @@
 		if at < 0 || s.unavailable[a.Node] {
 			s.Fatalf("rule 3: a leg was sent to %s", a.Node)
 		}
-		if (s.list[at].Cell-r.FirstCell+s.fleet.Cells)%s.fleet.Cells >= r.Copies {
+		if (s.list[at].Cell-r.FirstCell+s.topology.Cells)%s.topology.Cells >= r.Copies {
 			s.Fatalf("%s does not hold the title", a.Node)
 		}
 		s.setupTimes[a.Node] = append(s.setupTimes[a.Node], s.now)
@@ -261,7 +261,7 @@
 	// Timers fire up to one step late, as they may if a batch of events is long.
 	hardStop := s.tariffs[tariff].HardStop + 400*time.Millisecond
 	request := Request{ID: s.nextID, Tariff: tariff, Title: uint64(rapid.IntRange(1, 4).Draw(s.T, "title")),
-		FirstCell: rapid.IntRange(0, s.fleet.Cells-1).Draw(s.T, "first cell"), Copies: 3,
+		FirstCell: rapid.IntRange(0, s.topology.Cells-1).Draw(s.T, "first cell"), Copies: 3,
 		MaxRung: rapid.IntRange(0, s.rungs-1).Draw(s.T, "max rung"), Deadline: s.now - dir.startedAt + hardStop}
 	dir.requests[request.ID] = &pendingRequest{Request: request, deadline: s.now + hardStop}
 	dir.order = append(dir.order, request.ID)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// capacity is the most streams that a node runs. For a node of unknown kind it is 1, the smallest possible.
+// capacity is the largest number of streams that a node runs. For a node of unknown kind it is 1, the smallest
+// possible.
 func (s *slowStart) capacity(n *node) float64 {
 	if n.kind < len(s.ramp.MaxStreams) {
 		return s.ramp.MaxStreams[n.kind]
--- a/policy/state.go
+++ b/policy/state.go
@@ -81,7 +81,7 @@
 	rate float64
 }
 
-// observe records a load that includes all changes up to a time. Of its deviation from the expected load
+// observe records a load that includes all changes up to the time until. Of its deviation from the expected load
 // only the part given by weight is adopted.
 func (r *resourceLoad) observe(load, capacity, weight float64, until time.Duration) {
 	if r.known {
@@ -207,18 +207,21 @@
 }
 
 // health is the health state of a node. A legLimit of 0 means healthy. After a failure the node is set
-// aside until a time; from then on it gets at most legLimit concurrent set-ups, and the limit doubles with
+// aside for a pause; from then on it gets at most legLimit concurrent set-ups, and the limit doubles with
 // each set-up that succeeds.
 type health struct {
 	legLimit int
 	pause    time.Duration
-	until    time.Duration
+	until    time.Duration // end of the pause
 }
 
+// slowStart limits the set-ups of nodes that may have just started; see slowstart.go.
 type slowStart struct {
-	ramp    Ramp
-	peers   Peers
-	adopted bool // playing sessions were adopted at the start, so the first list arrived in order with them
+	ramp  Ramp
+	peers Peers
+	// adopted: a playing session was adopted at a listed node, so at the start the list and the sessions arrived in
+	// order.
+	adopted bool
 }
 
 // baseline is a running mean of load reports.
@@ -237,7 +240,7 @@
 
 // A loadEstimate estimates the demand on links and uplinks; see load_estimate.go.
 type loadEstimate struct {
-	fleet          Topology
+	topology       Topology
 	now            time.Duration
 	reportDelay    time.Duration
 	freshFor       time.Duration // greatest age of the last observation of a node that reports regularly
--- a/policy/types.go
+++ b/policy/types.go
@@ -11,14 +11,14 @@
 // Event is an input of Director.Step: one of the types below that have an event method.
 type Event interface{ event() }
 
-// Request is a client's request for a session. A session is a title that a client asks for and plays;
-// it gets exactly one final answer before Deadline.
+// Request is a client's request for a session. A session is one client's playback of one title, from the request on.
+// A request gets exactly one final answer, before Deadline.
 type Request struct {
 	ID        uint64
 	Tariff    int
 	Title     uint64 // the video that the client asks for
 	FirstCell int    // first cell that holds the title
-	Copies    int    // number of consecutive cells that hold it
+	Copies    int    // number of consecutive cells that hold the title
 	MaxRung   int    // highest rung that the client can play
 	Deadline  time.Duration
 	PlayingOn string // node of a session that is adopted while it plays; empty for a new request
@@ -120,7 +120,7 @@
 	Zone        string        // a session at a node outside the director's zone costs more, see Topology.CrossZoneCost
 	StartedAt   time.Duration // UnknownStart if the list does not give it
 	Weight      float64       // link capacity in units of Topology.LinkUnit
-	Cell        int           // position of the node; titles are assigned to cells
+	Cell        int           // position of the node; all nodes of a cell hold the titles assigned to the cell
 }
 
 // Load is a node's load report; a field that the node does not report is negative. Link and Uplink are
@@ -183,7 +183,7 @@
 	GoalTime   time.Duration // time within which a session should start
 	HardStop   time.Duration // time within which a request must be answered
 	Credit     float64       // what a session earns, relative to those of other tariffs
-	AtMostOnce bool          // at most one leg of a session may run: guarded and single-shot tariffs
+	AtMostOnce bool          // at most one leg of a session may run: tariffs with guarded or single_shot semantics
 	Scale      float64       // factor on the ladder's rates
 	Floor      int           // lowest rung
 	Top        int           // highest rung
@@ -192,7 +192,8 @@
 }
 
 // Ladder lists the rungs. A rung is a quality level of a stream, numbered from 0. Rates are in kB a
-// second. JoinCost is the part of a rung's rate that a further session of a live title adds.
+// second. Worth is what playing at each rung is worth. JoinCost is the part of a rung's rate that a further
+// session of a live title adds.
 type Ladder struct {
 	Rates    []float64
 	Worth    []float64
@@ -210,19 +211,19 @@
 }
 
 // Ramp describes the slow start of nodes. Within OverloadWindow, a node in slow start takes
-// OverloadMultiple*MaxStreams*InitialShare*OverloadWindow/Warmup set-ups from all directors together;
-// this is its overload budget.
+// at most OverloadMultiple*MaxStreams*InitialShare*OverloadWindow/Warmup set-ups from all directors together.
+// This number is its overload budget.
 type Ramp struct {
 	MaxStreams       []float64     // most streams of a node, by machine kind
 	Warmup           time.Duration // duration of the slow start
-	InitialShare     float64       // part of its capacity that a node has when it starts
+	InitialShare     float64       // part of its capacity that a node can use when it starts
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
 	PollWithin       time.Duration // 0: the list's changes are pushed
 }
 
-// RetryPolicy limits the legs of sessions. All retries (legs after a session's first) together may make up
-// MinRetries plus RetryRatio of the requests within Window; a Window of 0 lifts that limit.
+// RetryPolicy limits the legs of sessions. Within Window, all retries (legs after a session's first) together
+// may number at most MinRetries plus RetryRatio times the requests; a Window of 0 lifts that limit.
 type RetryPolicy struct {
 	MaxLegs    int
 	MinRetries float64
