--- a/connector/connector.go
+++ b/connector/connector.go
@@ -1,8 +1,7 @@
-// Package connector decides when a director connects to nodes. The first dial follows at once when a node is needed;
-// after a failure the next dial waits for a backoff that doubles with each further failure. The number of dials in
-// progress is bounded. A node is needed from the time the server list names it or, with connections on demand, as long
-// as the caller reports that it is. The package does no I/O and has no clock: Step takes an event and its time, and
-// returns the actions.
+// Package connector decides when a director connects to nodes. A node that is needed is dialed at once; after a failure
+// the next dial waits for a backoff that doubles with each further failure. The number of dials in progress is bounded.
+// A node is needed from the time the server list names it or, with connections on demand, as long as the caller reports
+// that it is. The package does no I/O and has no clock: Step takes an event and its time, and returns the actions.
 package connector
 
 import (
@@ -124,7 +123,7 @@
 		n = &node{needed: !c.policy.OnDemand, notBefore: now}
 		c.nodes[e.Node] = n
 		c.schedule(e.Node, n)
-	case n == nil: // unlisted meanwhile
+	case n == nil: // the node has been unlisted
 	case e.Kind == Listed: // a new start of the node: earlier failures say nothing about it
 		n.unlisted, n.failures, n.notBefore = false, 0, now
 		c.schedule(e.Node, n)
--- a/connector/connector_test.go
+++ b/connector/connector_test.go
@@ -9,9 +9,10 @@
 	_ "fordusher/internal/testseed"
 )
 
-var testPolicy = ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 3, HeartbeatInterval: time.Second}
+var testPolicy = ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 3,
+	HeartbeatInterval: time.Second}
 
-// For any sequence of events, a node is never dialed twice at a time, no more than MaxConcurrent dials are in progress,
+// For any sequence of events, a node never has two dials in progress, no more than MaxConcurrent dials are in progress,
 // an unlisted node is not dialed, and a listed node that is not connected is dialed again within MaxBackoff plus a
 // second of slack, as soon as the bound on concurrent dials allows it.
 func TestDialsStayWithinBounds(t *testing.T) {
@@ -129,7 +130,8 @@
 }
 
 // With OnDemand, for any sequence of events, a node that is not needed is not dialed, and a node that is needed and not
-// connected is dialed again within MaxBackoff plus a second of slack, as soon as the bound on concurrent dials allows it.
+// connected is dialed again within MaxBackoff plus a second of slack, as soon as the bound on concurrent dials allows
+// it.
 func TestDialsOnDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		onDemand := testPolicy
@@ -164,7 +166,8 @@
 				step(Event{Kind: TimerFired})
 			}
 			i := rapid.IntRange(0, 7).Draw(t, "node")
-			switch kind := rapid.SampledFrom([]EventKind{Listed, Needed, Unneeded, Connected, ConnectFailed, Refused, ConnectionLost, NoCapacity}).Draw(t, "kind"); kind {
+			switch kind := rapid.SampledFrom([]EventKind{Listed, Needed, Unneeded, Connected, ConnectFailed, Refused,
+				ConnectionLost, NoCapacity}).Draw(t, "kind"); kind {
 			case Listed:
 				listed[i] = true
 				step(Event{Node: i, Kind: Listed})
--- a/connector/suspect_test.go
+++ b/connector/suspect_test.go
@@ -16,7 +16,7 @@
 			t.Fatal("the suspected connection is not checked by a dial")
 		}
 		if plan := c.Step(0, Event{Kind: Suspected}); len(plan.Dial) != 0 {
-			t.Fatal("the suspected connection is checked by two dials at a time")
+			t.Fatal("the suspected connection is checked by two dials at the same time")
 		}
 		kind, want := ConnectFailed, deadAfter
 		if refused {
--- a/limits/budget_test.go
+++ b/limits/budget_test.go
@@ -8,11 +8,12 @@
 )
 
 // tightCapacity has the smallest budget of descriptors that a platform gives: 256.
-var tightCapacity = Capacity{MaxConnections: 256, MaxHandshakes: 256, HeartbeatInterval: 24 * time.Hour, IdleTimeout: time.Second, HandshakeTimeout: time.Second,
-	MaxRetryAfter: time.Second, DisplaceIdleAfter: time.Second, MaxDescriptors: 256, ReservedDescriptors: 40, PreHandshakeDescriptors: 32}
+var tightCapacity = Capacity{MaxConnections: 256, MaxHandshakes: 256, HeartbeatInterval: 24 * time.Hour,
+	IdleTimeout: time.Second, HandshakeTimeout: time.Second, MaxRetryAfter: time.Second,
+	DisplaceIdleAfter: time.Second, MaxDescriptors: 256, ReservedDescriptors: 40, PreHandshakeDescriptors: 32}
 
-// For any sequence of requests by clients and nodes, their connections together stay within the budget of descriptors, a
-// busy client is never evicted, and a dial to a node is refused only if every connected client is busy.
+// For any sequence of requests by clients and nodes, their connections together stay within the budget of descriptors,
+// a busy client is never evicted, and a dial to a node is refused only if every connected client is busy.
 func TestClientsAndNodesShareDescriptors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(1, tightCapacity)
@@ -77,7 +78,8 @@
 			default:
 				step(Event{Kind: TimerFired})
 			}
-			if held := nodes + len(clients) + tightCapacity.ReservedDescriptors + tightCapacity.PreHandshakeDescriptors; held > tightCapacity.MaxDescriptors {
+			if held := nodes + len(clients) + tightCapacity.ReservedDescriptors +
+				tightCapacity.PreHandshakeDescriptors; held > tightCapacity.MaxDescriptors {
 				t.Fatalf("%d of %d descriptors in use: %d nodes, %d clients", held, tightCapacity.MaxDescriptors, nodes, len(clients))
 			}
 			busyClients := 0
--- a/limits/descriptors.go
+++ b/limits/descriptors.go
@@ -10,9 +10,9 @@
 )
 
 // FitDescriptors lowers the capacity to what the process's descriptors allow besides the connections to so many nodes:
-// for each node one established connection and one being established. The listener survives running out of descriptors in
-// accept, but then no client can be given a retry delay. If FitDescriptors lowers the capacity, it also returns a log
-// line for the operator.
+// for each node one established connection and one being established. Running out of descriptors in accept does not
+// stop the listener, but then no client can be given a retry delay. If FitDescriptors lowers the capacity, it also
+// returns a log line for the operator.
 func (c Capacity) FitDescriptors(descriptors, nodes int) (Capacity, string) {
 	requested := c
 	c.MaxHandshakes = min(c.MaxHandshakes, max(1, descriptors/handshakeShareDivisor))
@@ -20,6 +20,7 @@
 	if c == requested {
 		return c, ""
 	}
-	return c, fmt.Sprintf("connections: %d descriptors and %d nodes leave capacity for %d clients (%d configured) and %d handshakes (%d configured)",
+	return c, fmt.Sprintf(
+		"connections: %d descriptors and %d nodes leave capacity for %d clients (%d configured) and %d handshakes (%d configured)",
 		descriptors, nodes, c.MaxConnections, requested.MaxConnections, c.MaxHandshakes, requested.MaxHandshakes)
 }
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -12,7 +12,8 @@
 //
 // A connection whose client has a session, a leg in progress or an owed answer is busy and is not evicted, unless it
 // leaves its heartbeats unanswered. If all are busy, no connection is evicted and new clients are rejected. With
-// DisplaceIdleAfter, a new client displaces the longest idle connection instead of being rejected, and no quota applies.
+// DisplaceIdleAfter, a new client displaces the longest idle connection instead of being rejected, and no quota
+// applies.
 //
 // With MaxDescriptors, clients and nodes share one budget of descriptors. ReservedDescriptors (the program's own files,
 // the listener, the connection to discovery) and PreHandshakeDescriptors (connections that have sent no handshake yet,
@@ -52,7 +53,8 @@
 // FitsNodes reports whether the descriptors suffice for one connection to each of so many nodes, besides the clients'
 // part.
 func (c Capacity) FitsNodes(nodes int) bool {
-	return c.MaxDescriptors == 0 || c.MaxDescriptors >= c.ReservedDescriptors+c.PreHandshakeDescriptors+c.MaxDescriptors/clientShareDivisor+nodes
+	return c.MaxDescriptors == 0 ||
+		c.MaxDescriptors >= c.ReservedDescriptors+c.PreHandshakeDescriptors+c.MaxDescriptors/clientShareDivisor+nodes
 }
 
 // dialCost is the number of descriptors that a connection to a node takes while it is being established.
@@ -120,7 +122,7 @@
 type Eviction struct {
 	Conn       int
 	Code       int           // close code of RFC 6455; 0: abort without a close frame
-	Reason     string        // sent to the client
+	Reason     string        // why; sent to the client in a close frame
 	RetryAfter time.Duration // delay before the client reconnects; 0: none
 }
 
@@ -207,7 +209,7 @@
 // Usage returns the number of connections, how many of them are busy, and the mode.
 func (l *Limits) Usage() (used, busy int, mode Mode) { return l.used, l.busy, l.mode }
 
-// NextTimer returns the latest time for the next TimerFired; ok is false if none is needed.
+// NextTimer returns the time by which Step needs the next TimerFired; ok is false if none is needed.
 func (l *Limits) NextTimer() (at time.Duration, ok bool) {
 	at, ok = l.timers.NextDeadline()
 	if l.nextBatch > 0 && (!ok || l.nextBatch < at) {
@@ -302,7 +304,8 @@
 	if l.capacity.MaxDescriptors == 0 {
 		return max(1, l.capacity.MaxConnections)
 	}
-	return max(1, min(l.capacity.MaxConnections, l.capacity.MaxDescriptors-l.capacity.ReservedDescriptors-l.capacity.PreHandshakeDescriptors-l.nodeDescriptors-dialCost))
+	return max(1, min(l.capacity.MaxConnections,
+		l.capacity.MaxDescriptors-l.capacity.ReservedDescriptors-l.capacity.PreHandshakeDescriptors-l.nodeDescriptors-dialCost))
 }
 
 // evictForNewClient evicts the longest idle connection in favour of a new client, if it has been idle for long enough.
@@ -408,8 +411,8 @@
 	}
 }
 
-// finishHandshake ends a handshake. The first heartbeat is due at a random time within the interval, so that clients that
-// connect together are not probed together.
+// finishHandshake ends a handshake. The first heartbeat is due at a random time within the interval, so that clients
+// that connect together are not probed together.
 func (l *Limits) finishHandshake(i int32) {
 	l.handshakes--
 	l.conns[i].lastReceived = l.now
@@ -488,7 +491,8 @@
 	case l.now-c.lastReceived < l.capacity.HeartbeatInterval/2:
 		// A client that sent data just now needs no heartbeat. The next time is random, so that connections that
 		// received data together, or were reset together after a stall, are not probed together.
-		c.timer = l.timers.Add(nextPingBatch(l.now+l.capacity.HeartbeatInterval/2+time.Duration(l.random.Int64N(int64(l.capacity.HeartbeatInterval/2)+1))), i)
+		c.timer = l.timers.Add(nextPingBatch(l.now+l.capacity.HeartbeatInterval/2+
+			time.Duration(l.random.Int64N(int64(l.capacity.HeartbeatInterval/2)+1))), i)
 	default:
 		l.plan.Ping = append(l.plan.Ping, int(i))
 		c.unansweredPings++
@@ -496,8 +500,8 @@
 	}
 }
 
-// pingBatchInterval is the time between batches of heartbeats. Sent one by one, each heartbeat and each answer would wake
-// the process, which costs far more than the heartbeat itself.
+// pingBatchInterval is the time between batches of heartbeats. Sent one by one, each heartbeat and each answer would
+// wake the process, which costs far more than the heartbeat itself.
 const pingBatchInterval = 100 * time.Millisecond
 
 // nextPingBatch rounds a time up to the next batch of heartbeats.
@@ -505,8 +509,8 @@
 	return (at + pingBatchInterval - 1) / pingBatchInterval * pingBatchInterval
 }
 
-// resetHeartbeats counts every connection as heard from just now. After a stall of the process, answers may be unread, so
-// no connection may be evicted for missing ones.
+// resetHeartbeats treats every connection as if data had just been received on it. After a stall of the process,
+// answers may be unread, so no connection may be evicted for missing ones.
 func (l *Limits) resetHeartbeats() {
 	for i := range l.conns {
 		if c := &l.conns[i]; c.state != closed {
@@ -541,8 +545,8 @@
 	if mode == l.mode {
 		return
 	}
-	l.plan.Log = fmt.Sprintf("connections: mode %v, was %v: %d of %d used, %d busy, %d handshakes, %d MiB, %d rejected", mode, l.mode, l.used,
-		l.maxClients(), l.busy, l.handshakes, l.memory>>20, l.rejected)
+	l.plan.Log = fmt.Sprintf("connections: mode %v, was %v: %d of %d used, %d busy, %d handshakes, %d MiB, %d rejected",
+		mode, l.mode, l.used, l.maxClients(), l.busy, l.handshakes, l.memory>>20, l.rejected)
 	switch {
 	case mode == Full:
 		l.admitQuota = -1
@@ -564,11 +568,11 @@
 }
 
 // runBatch evicts a batch of idle connections, the longest idle first: in saving mode those idle for longer than
-// IdleTimeout, in full mode as many as it takes to leave that mode. After a full batch the next one is twice as large. It
-// also doubles the quota of new clients.
+// IdleTimeout, in full mode as many as it takes to leave that mode. After a full batch the next one is twice as large.
+// runBatch also doubles the quota of new clients.
 func (l *Limits) runBatch() {
 	l.nextBatch = 0
-	if l.admitQuota >= 0 { // full mode has not returned since, so the quota doubles
+	if l.admitQuota >= 0 { // full mode has not begun again since it ended, so the quota doubles
 		l.admitQuota, l.admitted = l.admitQuota*2, 0
 		if l.admitQuota > l.capacity.MaxConnections {
 			l.admitQuota = -1
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -12,8 +12,8 @@
 
 const ms = time.Millisecond
 
-var testCapacity = Capacity{MaxConnections: 100, MaxPerAddress: 30, MaxHandshakes: 10, HeartbeatInterval: 10 * time.Second, IdleTimeout: 5 * time.Second,
-	HandshakeTimeout: time.Second, MaxRetryAfter: 30 * time.Second}
+var testCapacity = Capacity{MaxConnections: 100, MaxPerAddress: 30, MaxHandshakes: 10,
+	HeartbeatInterval: 10 * time.Second, IdleTimeout: 5 * time.Second, HandshakeTimeout: time.Second, MaxRetryAfter: 30 * time.Second}
 
 func addr(i int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)}) }
 
@@ -117,8 +117,8 @@
 	}
 }
 
-// For any sequence of events, no bound is exceeded, no busy connection is evicted unless it is dead, the longest idle are
-// evicted first, and once all connections are closed, a new client is admitted again.
+// For any sequence of events, no bound is exceeded, no busy connection is evicted unless it is dead, the longest idle
+// are evicted first, and once all connections are closed, a new client is admitted again.
 func TestLimitsStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &limitsHarness{T: t, l: New(rapid.Uint64().Draw(t, "seed"), testCapacity), expected: map[int]*connRecord{}}
@@ -345,7 +345,8 @@
 		admit    bool
 	}{{"2001:db8:1:2::1", "2001:db8:1:2:ffff::9", false}, {"2001:db8:1:2::1", "2001:db8:1:3::1", true}, {"192.0.2.1", "192.0.2.2", true},
 		{"::ffff:192.0.2.1", "192.0.2.1", false}} {
-		l := New(1, Capacity{MaxConnections: 100, MaxPerAddress: 1, MaxHandshakes: 100, HeartbeatInterval: time.Second, HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
+		l := New(1, Capacity{MaxConnections: 100, MaxPerAddress: 1, MaxHandshakes: 100,
+			HeartbeatInterval: time.Second, HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
 		l.Step(0, Event{Kind: ConnectRequest, Conn: 0, Address: netip.MustParseAddr(x.one)})
 		if p := l.Step(0, Event{Kind: ConnectRequest, Conn: 1, Address: netip.MustParseAddr(x.two)}); p.Admit != x.admit {
 			t.Errorf("%s after %s: %+v", x.two, x.one, p)
--- a/limits/queue.go
+++ b/limits/queue.go
@@ -12,7 +12,7 @@
 	MaxRetryAfter time.Duration // longest retry delay of rejected requests
 }
 
-// MaxQueueWait returns a wait for the loop that leaves three quarters of the shortest goal time for the setup of a
+// MaxQueueWait returns a wait for the loop that leaves three quarters of the shortest goal time for the set-up of a
 // session: a quarter of that goal time, and 250 ms at most.
 func MaxQueueWait(goals []time.Duration) time.Duration {
 	wait := 250 * time.Millisecond
@@ -99,8 +99,9 @@
 		q.overloaded = true
 		if !q.overloadLogged {
 			q.overloadLogged, q.rejected, q.loggedAt = true, 0, now
-			log = fmt.Sprintf("requests: overloaded: each of %d waited %v or longer for the loop in %v; requests that waited over %v are rejected", q.requests,
-				q.shortestWait.Round(time.Millisecond), queueInterval, q.policy.MaxWait/2)
+			log = fmt.Sprintf(
+				"requests: overloaded: each of %d waited %v or longer for the loop in %v; requests that waited over %v are rejected",
+				q.requests, q.shortestWait.Round(time.Millisecond), queueInterval, q.policy.MaxWait/2)
 		}
 	case q.overloaded && (empty || q.shortestWait <= q.policy.MaxWait/2):
 		q.overloaded = false
--- a/limits/queue_test.go
+++ b/limits/queue_test.go
@@ -10,7 +10,8 @@
 // serveRequests simulates an event loop that takes requests from the queue one by one. They arrive at rate per second
 // from start on, for span. An admitted request keeps the loop busy for work, a rejected one for a twentieth of that.
 // serveRequests returns the numbers of admitted and rejected requests and the longest wait of an admitted one.
-func serveRequests(q *RequestQueue, rate float64, work, span time.Duration, start time.Duration) (admitted, rejected int, longest time.Duration) {
+func serveRequests(q *RequestQueue, rate float64, work, span time.Duration, start time.Duration) (
+	admitted, rejected int, longest time.Duration) {
 	gap := time.Duration(float64(time.Second) / rate)
 	free := start
 	for at := start; at < start+span; at += gap {
@@ -45,9 +46,9 @@
 	}
 }
 
-// Guards against an overload that never ends. At a load that the loop can just process, a queue that had been overloaded
-// once stayed so as long as a single request of an interval had waited for half of MaxWait, and rejected a fifth of all
-// requests for good.
+// Guards against an overload that never ends. At a load that the loop can just process, a queue that had been
+// overloaded once stayed so as long as a single request of an interval had waited for half of MaxWait, and rejected a
+// fifth of all requests for good.
 func TestQueueRecoversAtFullLoad(t *testing.T) {
 	q := NewRequestQueue(1, QueuePolicy{MaxWait: 100 * ms, MaxRetryAfter: 10 * time.Second})
 	serveRequests(q, 2000, ms, time.Second, 0)
@@ -67,8 +68,8 @@
 	}
 }
 
-// Guards against rejections after a burst or a stall of the process: the queue is processed quickly, so every request is
-// admitted.
+// Guards against rejections after a burst or a stall of the process: the queue is processed quickly, so every request
+// is admitted.
 func TestBurstIsAdmitted(t *testing.T) {
 	q := NewRequestQueue(1, QueuePolicy{MaxWait: 100 * ms, MaxRetryAfter: 10 * time.Second})
 	for i := range 1000 { // the requests of two seconds after a stall, oldest first; each takes 50 us
@@ -113,7 +114,8 @@
 		{1000, 1024, 1024, 0, 796, 128},
 	} {
 		got, line := Capacity{MaxConnections: x.configured, MaxHandshakes: x.handshakes}.FitDescriptors(x.descriptors, x.nodes)
-		if got.MaxConnections != x.wantConnections || got.MaxHandshakes != x.wantHandshakes || (line == "") != (x.configured == x.wantConnections && x.handshakes == x.wantHandshakes) {
+		if got.MaxConnections != x.wantConnections || got.MaxHandshakes != x.wantHandshakes ||
+			(line == "") != (x.configured == x.wantConnections && x.handshakes == x.wantHandshakes) {
 			t.Errorf("%+v: %d connections, %d handshakes, %q", x, got.MaxConnections, got.MaxHandshakes, line)
 		}
 	}
--- a/shutdown/shutdown.go
+++ b/shutdown/shutdown.go
@@ -9,8 +9,8 @@
 type Policy struct {
 	Timeout       time.Duration // from the start until the last session has ended and no answer is owed
 	BatchInterval time.Duration // time between two batches of ended sessions
-	MinDuration   time.Duration // for this long, clients that still connect get an answer
-	CloseTimeout  time.Duration // longest time that closing the client connections may take after that
+	MinDuration   time.Duration // shortest duration of a shutdown: until then, clients that still connect get an answer
+	CloseTimeout  time.Duration // longest time to close the client connections, once nothing else remains
 }
 
 // Remaining is what a director still has: owed answers, playing sessions and client connections.
