--- a/rollout/check.go
+++ b/rollout/check.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Check simulates a plan with its own record of the nodes, independently of Plan. It returns the first violation, or nil if
-// the plan keeps the constraints and ends with the target fleet.
+// Check simulates a plan with its own record of the nodes, independently of Plan. It returns the first violation, or
+// nil if the plan keeps the constraints and ends with the target nodes.
 func Check(current, target []Node, titles []Title, constraints Constraints, steps []Step) error {
 	type state struct {
 		Node
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,11 +1,12 @@
-// Package rollout plans how a fleet of nodes changes to another one, in steps that are safe to publish to directors while
-// clients are playing. It does no I/O and has no clock: Plan takes both fleets and returns the steps, or what prevents
-// them; Check simulates a plan independently and reports the constraint that it violates.
+// Package rollout plans how the nodes of the server list change to a target set of nodes, in steps that are safe to
+// publish to directors while clients are playing. It does no I/O and has no clock: Plan takes the current and the
+// target nodes and returns the steps, or what prevents them; Check simulates a plan independently and reports the
+// constraint that it violates.
 //
 // The steps are in this order: nodes that are added, in waves as large as the number of nodes that may be warming up at
 // one time; changes of weight and nodes that are reopened; nodes that move to another cell or get another identity
-// (drained, removed, and added again), while the nodes that are to be drained for good can still take sessions; nodes that
-// are drained, each removed after its sessions have had their time to end.
+// (drained, removed, and added again), while the nodes that are to be drained for good can still take sessions; nodes
+// that are drained, each removed after its sessions have had their time to end.
 package rollout
 
 import (
@@ -23,7 +24,8 @@
 	Identity string  // all other properties (address, kind, zone): a change of these needs a drain and a new start
 }
 
-// Title is one title of the settings and its placement: the nodes of Copies consecutive cells, from FirstCell on, hold it.
+// Title is one title of the settings and its placement: the nodes of Copies consecutive cells, from FirstCell on, hold
+// it.
 type Title struct {
 	Name              string
 	FirstCell, Copies int
@@ -87,8 +89,8 @@
 	return s
 }
 
-// fleet is the state of the nodes at some point of a plan.
-type fleet struct {
+// nodeSet is the state of the nodes at some point of a plan.
+type nodeSet struct {
 	constraints Constraints
 	nodes       map[string]Node
 	cells       map[int][]string // always empty: nothing reads or fills it
@@ -97,49 +99,50 @@
 	up          []int         // number of holders that are up, by title
 }
 
-func newFleet(nodes []Node, titles []Title, constraints Constraints) *fleet {
-	f := &fleet{constraints: constraints, nodes: map[string]Node{}, cells: map[int][]string{}, titles: titles, byCell: map[int][]int{}, up: make([]int, len(titles))}
+func newNodeSet(nodes []Node, titles []Title, constraints Constraints) *nodeSet {
+	s := &nodeSet{constraints: constraints, nodes: map[string]Node{}, cells: map[int][]string{}, titles: titles,
+		byCell: map[int][]int{}, up: make([]int, len(titles))}
 	for i, t := range titles {
 		for k := range min(t.Copies, constraints.Cells) {
 			c := (t.FirstCell + k) % constraints.Cells
-			f.byCell[c] = append(f.byCell[c], i)
+			s.byCell[c] = append(s.byCell[c], i)
 		}
 	}
 	for _, n := range nodes {
-		f.put(n)
+		s.put(n)
 	}
-	return f
+	return s
 }
 
 // put adds a node or replaces its previous state.
-func (f *fleet) put(n Node) {
-	f.drop(n.Name)
-	f.nodes[n.Name] = n
+func (s *nodeSet) put(n Node) {
+	s.drop(n.Name)
+	s.nodes[n.Name] = n
 	if n.Up {
-		for _, t := range f.byCell[n.Cell] {
-			f.up[t]++
+		for _, t := range s.byCell[n.Cell] {
+			s.up[t]++
 		}
 	}
 }
 
 // drop removes a node.
-func (f *fleet) drop(name string) {
-	if n, ok := f.nodes[name]; ok && n.Up {
-		for _, t := range f.byCell[n.Cell] {
-			f.up[t]--
+func (s *nodeSet) drop(name string) {
+	if n, ok := s.nodes[name]; ok && n.Up {
+		for _, t := range s.byCell[n.Cell] {
+			s.up[t]--
 		}
 	}
-	delete(f.nodes, name)
+	delete(s.nodes, name)
 }
 
-// titleLosingLastHolder returns a title whose only holder that is up is the node, "" if there is none.
-func (f *fleet) titleLosingLastHolder(n Node) string {
+// titleLosingLastHolder returns a title of which the node is the only holder that is up, "" if there is none.
+func (s *nodeSet) titleLosingLastHolder(n Node) string {
 	if !n.Up {
 		return ""
 	}
-	for _, t := range f.byCell[n.Cell] {
-		if f.up[t] == 1 {
-			return f.titles[t].Name
+	for _, t := range s.byCell[n.Cell] {
+		if s.up[t] == 1 {
+			return s.titles[t].Name
 		}
 	}
 	return ""
@@ -147,7 +150,7 @@
 
 // wave is a set of nodes that change at the same time. It counts how many of them each rack and each title has.
 type wave struct {
-	f        *fleet
+	nodeSet  *nodeSet
 	racks    map[int]int // by rack
 	titles   map[int]int // by index of the title
 	maxNodes int
@@ -155,8 +158,8 @@
 }
 
 // newWave returns an empty wave of at most maxNodes nodes.
-func (f *fleet) newWave(maxNodes int) *wave {
-	return &wave{f: f, racks: map[int]int{}, titles: map[int]int{}, maxNodes: maxNodes}
+func (s *nodeSet) newWave(maxNodes int) *wave {
+	return &wave{nodeSet: s, racks: map[int]int{}, titles: map[int]int{}, maxNodes: maxNodes}
 }
 
 // conflict returns the constraint that a further node in these cells would violate, "" if there is none.
@@ -165,12 +168,12 @@
 		return "no more nodes may be warming up at this time"
 	}
 	for _, c := range cells {
-		if w.racks[c%w.f.constraints.Racks] >= w.f.constraints.MaxPerRack {
-			return fmt.Sprintf("rack %d has as many nodes in transition as it may", c%w.f.constraints.Racks)
+		if w.racks[c%w.nodeSet.constraints.Racks] >= w.nodeSet.constraints.MaxPerRack {
+			return fmt.Sprintf("rack %d already has the allowed number of nodes in transition", c%w.nodeSet.constraints.Racks)
 		}
-		for _, t := range w.f.byCell[c] {
-			if w.titles[t] >= w.f.constraints.MaxPerTitle {
-				return "title " + w.f.titles[t].Name + " has as many holders in transition as it may"
+		for _, t := range w.nodeSet.byCell[c] {
+			if w.titles[t] >= w.nodeSet.constraints.MaxPerTitle {
+				return "title " + w.nodeSet.titles[t].Name + " already has the allowed number of holders in transition"
 			}
 		}
 	}
@@ -183,8 +186,8 @@
 	slices.Sort(cells)
 	racks, titles := map[int]bool{}, map[int]bool{}
 	for _, c := range slices.Compact(cells) {
-		racks[c%w.f.constraints.Racks] = true
-		for _, t := range w.f.byCell[c] {
+		racks[c%w.nodeSet.constraints.Racks] = true
+		for _, t := range w.nodeSet.byCell[c] {
 			titles[t] = true
 		}
 	}
@@ -198,18 +201,18 @@
 
 // plan is a plan under construction.
 type plan struct {
-	f           *fleet
+	nodeSet     *nodeSet
 	constraints Constraints
 	now         time.Duration // time of the next step
 	steps       []Step
 }
 
-// Plan finds the steps from the current fleet to the target fleet.
+// Plan finds the steps from the current nodes to the target nodes.
 func Plan(current, target []Node, titles []Title, constraints Constraints) ([]Step, *BlockedError) {
 	if b := checkFeasible(current, target, titles, constraints); b != nil {
 		return nil, b
 	}
-	p := &plan{f: newFleet(current, titles, constraints), constraints: constraints}
+	p := &plan{nodeSet: newNodeSet(current, titles, constraints), constraints: constraints}
 	before, after := map[string]Node{}, map[string]Node{}
 	for _, n := range current {
 		before[n.Name] = n
@@ -270,10 +273,11 @@
 	}
 	for _, n := range target {
 		if other, inUse := currentByIdentity[n.Identity]; inUse && n.Identity != "" && !currentNames[n.Name] {
-			return &BlockedError{Node: n.Name, Constraint: "node " + other + " has the same address, kind and zone under another name: keep its name, or drain it first"}
+			return &BlockedError{Node: n.Name,
+				Constraint: "node " + other + " has the same address, kind and zone under another name: keep its name, or drain it first"}
 		}
 	}
-	before, after := newFleet(current, titles, constraints), newFleet(target, titles, constraints)
+	before, after := newNodeSet(current, titles, constraints), newNodeSet(target, titles, constraints)
 	for i, t := range titles {
 		if after.up[i] == 0 && before.up[i] > 0 {
 			return &BlockedError{Title: t.Name, Constraint: "no holder of it is up in the target"}
@@ -288,7 +292,7 @@
 		return p.constraints.MaxWarming
 	}
 	up := 0
-	for _, n := range p.f.nodes {
+	for _, n := range p.nodeSet.nodes {
 		if n.Up {
 			up++
 		}
@@ -300,9 +304,9 @@
 func (p *plan) addStep(changes []Change, duration time.Duration) {
 	for _, c := range changes {
 		if c.Kind == Remove {
-			p.f.drop(c.Node.Name)
+			p.nodeSet.drop(c.Node.Name)
 		} else {
-			p.f.put(c.Node)
+			p.nodeSet.put(c.Node)
 		}
 	}
 	p.steps = append(p.steps, Step{p.now, changes})
@@ -312,7 +316,7 @@
 // addNodes adds nodes in waves; each wave starts once the previous one is warm.
 func (p *plan) addNodes(nodes []Node) {
 	for len(nodes) > 0 {
-		w := p.f.newWave(p.maxWarming())
+		w := p.nodeSet.newWave(p.maxWarming())
 		var changes []Change
 		var later []Node
 		for _, n := range nodes {
@@ -331,7 +335,7 @@
 // reweightNodes changes weights and reopens nodes in place, in waves that are PropagationDelay apart.
 func (p *plan) reweightNodes(nodes []Node) {
 	for len(nodes) > 0 {
-		w := p.f.newWave(len(nodes))
+		w := p.nodeSet.newWave(len(nodes))
 		var changes []Change
 		var later []Node
 		for _, n := range nodes {
@@ -341,7 +345,7 @@
 			}
 			w.add(n.Cell)
 			kind := Reweight
-			if n.Up && !p.f.nodes[n.Name].Up {
+			if n.Up && !p.nodeSet.nodes[n.Name].Up {
 				kind = Reopen
 			}
 			changes = append(changes, Change{kind, n})
@@ -352,8 +356,8 @@
 }
 
 // moveNodes drains and removes nodes, and adds them again in their new place. Each wave consists of nodes without which
-// every title still has a holder that is up. The order can matter, so if moving the first nodes that fit leads to a dead
-// end, every order is tried.
+// every title still has a holder that is up. The order can matter, so if moving the first nodes that fit leads to a
+// dead end, every order is tried.
 func (p *plan) moveNodes(nodes []Node) *BlockedError {
 	order := nodes
 	blocked := p.moveInWaves(order, true)
@@ -377,9 +381,9 @@
 func (p *plan) moveInWaves(nodes []Node, dryRun bool) *BlockedError {
 	if dryRun {
 		copied := *p
-		copied.f = newFleet(nil, p.f.titles, p.constraints)
-		for _, n := range p.f.nodes {
-			copied.f.put(n)
+		copied.nodeSet = newNodeSet(nil, p.nodeSet.titles, p.constraints)
+		for _, n := range p.nodeSet.nodes {
+			copied.nodeSet.put(n)
 		}
 		copied.steps = nil
 		return copied.moveInWaves(nodes, false)
@@ -387,11 +391,11 @@
 	for len(nodes) > 0 {
 		var moving, later []Node
 		var blocked *BlockedError
-		w := p.f.newWave(p.maxWarming())
+		w := p.nodeSet.newWave(p.maxWarming())
 		dropped := []Node{}
 		for _, n := range nodes {
-			old := p.f.nodes[n.Name]
-			title := p.f.titleLosingLastHolder(old)
+			old := p.nodeSet.nodes[n.Name]
+			title := p.nodeSet.titleLosingLastHolder(old)
 			conflict := w.conflict(old.Cell, n.Cell)
 			if title != "" || conflict != "" || p.identityInUse(n) {
 				if blocked == nil {
@@ -401,12 +405,12 @@
 				continue
 			}
 			w.add(old.Cell, n.Cell)
-			p.f.drop(n.Name) // so that the next node is checked against the nodes that remain
+			p.nodeSet.drop(n.Name) // so that the next node is checked against the nodes that remain
 			dropped = append(dropped, old)
 			moving = append(moving, n)
 		}
 		for _, old := range dropped {
-			p.f.put(old)
+			p.nodeSet.put(old)
 		}
 		if len(moving) == 0 {
 			return blocked
@@ -419,7 +423,7 @@
 
 // identityInUse reports whether another node still has the identity that a node is to have.
 func (p *plan) identityInUse(n Node) bool {
-	for _, other := range p.f.nodes {
+	for _, other := range p.nodeSet.nodes {
 		if other.Name != n.Name && other.Identity == n.Identity && n.Identity != "" {
 			return true
 		}
@@ -442,7 +446,7 @@
 func (p *plan) moveWave(nodes []Node) {
 	var drains, removals, adds []Change
 	for _, n := range nodes {
-		old := p.f.nodes[n.Name]
+		old := p.nodeSet.nodes[n.Name]
 		old.Up = false
 		drains, removals, adds = append(drains, Change{Drain, old}), append(removals, Change{Remove, old}), append(adds, Change{Add, n})
 	}
@@ -451,12 +455,13 @@
 	p.addStep(adds, p.constraints.Warmup+p.constraints.PropagationDelay)
 }
 
-// maxOrderSearch is the largest number of nodes for which an order is searched: the search visits up to 2 to the power of
-// this number of sets of moved nodes.
+// maxOrderSearch is the largest number of nodes for which an order is searched: the search visits up to 2 to the power
+// of this number of sets of moved nodes.
 const maxOrderSearch = 18
 
-// findOrder tries every order of moving the nodes one at a time. Which moves are possible depends on the set of nodes that
-// have moved and not on their order, so each set is visited once. complete is false if there are too many nodes to search.
+// findOrder tries every order of moving the nodes one at a time. Which moves are possible depends on the set of nodes
+// that have moved and not on their order, so each set is visited once. complete is false if there are too many nodes to
+// search.
 func (p *plan) findOrder(nodes []Node) (found []Node, ok, complete bool) {
 	if len(nodes) > maxOrderSearch {
 		return nil, false, false
@@ -475,18 +480,18 @@
 			if moved&(1<<i) != 0 {
 				continue
 			}
-			old := p.f.nodes[n.Name]
-			if p.f.titleLosingLastHolder(old) != "" || p.identityInUse(n) {
+			old := p.nodeSet.nodes[n.Name]
+			if p.nodeSet.titleLosingLastHolder(old) != "" || p.identityInUse(n) {
 				continue
 			}
-			p.f.put(n)
+			p.nodeSet.put(n)
 			found = append(found, n)
 			if search(moved | 1<<i) {
-				p.f.put(old) // only the search is undone: the steps of the plan apply the moves later
+				p.nodeSet.put(old) // only the search is undone: the steps of the plan apply the moves later
 				return true
 			}
 			found = found[:len(found)-1]
-			p.f.put(old)
+			p.nodeSet.put(old)
 		}
 		return false
 	}
@@ -494,8 +499,8 @@
 	return found, ok, true
 }
 
-// drainNodes drains nodes. Those in stay remain in the list as draining; those in removed are removed once their sessions
-// have had their time to end.
+// drainNodes drains nodes. Those in stay remain in the list as draining; those in removed are removed once their
+// sessions have had their time to end.
 func (p *plan) drainNodes(stay, removed []Node) *BlockedError {
 	isRemoved := map[string]bool{}
 	for _, n := range removed {
@@ -503,13 +508,13 @@
 	}
 	nodes := slices.Concat(stay, removed)
 	for len(nodes) > 0 {
-		w := p.f.newWave(len(nodes))
+		w := p.nodeSet.newWave(len(nodes))
 		var drains, removals []Change
 		var later []Node
 		var blocked *BlockedError
 		for _, n := range nodes {
-			old := p.f.nodes[n.Name]
-			title, conflict := p.f.titleLosingLastHolder(old), w.conflict(old.Cell)
+			old := p.nodeSet.nodes[n.Name]
+			title, conflict := p.nodeSet.titleLosingLastHolder(old), w.conflict(old.Cell)
 			if title != "" || conflict != "" {
 				if blocked == nil {
 					blocked = p.blockedError(n, title, conflict)
@@ -521,7 +526,7 @@
 			n.Up, n.Weight = false, old.Weight
 			if old.Up {
 				drains = append(drains, Change{Drain, n})
-				p.f.put(n)
+				p.nodeSet.put(n)
 			}
 			if isRemoved[n.Name] {
 				removals = append(removals, Change{Remove, n})
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -10,14 +10,15 @@
 	_ "fordusher/internal/testseed"
 )
 
-var testConstraints = Constraints{Cells: 8, Racks: 2, MaxPerRack: 2, MaxPerTitle: 1, MaxWarming: 2, Warmup: 5 * time.Second, DrainTime: 10 * time.Second, PropagationDelay: time.Second}
+var testConstraints = Constraints{Cells: 8, Racks: 2, MaxPerRack: 2, MaxPerTitle: 1, MaxWarming: 2,
+	Warmup: 5 * time.Second, DrainTime: 10 * time.Second, PropagationDelay: time.Second}
 
 func node(name string, cell int, up bool) Node {
 	return Node{Name: name, Cell: cell, Up: up, Weight: 1, Identity: "at " + name}
 }
 
-// drawFleet draws up to eight nodes, some of which share an identity.
-func drawFleet(t *rapid.T, cells int, label string) (all []Node) {
+// drawNodes draws up to eight nodes, some of which share an identity.
+func drawNodes(t *rapid.T, cells int, label string) (all []Node) {
 	for i := range 8 {
 		if rapid.IntRange(0, 3).Draw(t, label) == 0 {
 			continue
@@ -32,7 +33,7 @@
 	return all
 }
 
-// For any fleets and titles, a plan keeps the constraints and ends with the target fleet, as Check finds independently.
+// For any nodes and titles, a plan keeps the constraints and ends with the target nodes, as Check finds independently.
 // If there is no plan because of a title, that title really is the reason: with another holder of it, it is no longer
 // reported.
 func TestPlansKeepConstraints(t *testing.T) {
@@ -41,10 +42,11 @@
 			MaxPerTitle: rapid.IntRange(1, 2).Draw(t, "per title"), MaxWarming: rapid.IntRange(0, 3).Draw(t, "warming"),
 			Warmup: 5 * time.Second, DrainTime: 10 * time.Second, PropagationDelay: time.Second}
 		constraints.Racks = rapid.IntRange(1, constraints.Cells).Draw(t, "racks")
-		current, target := drawFleet(t, constraints.Cells, "current"), drawFleet(t, constraints.Cells, "target")
+		current, target := drawNodes(t, constraints.Cells, "current"), drawNodes(t, constraints.Cells, "target")
 		var titles []Title
 		for i := range rapid.IntRange(0, 4).Draw(t, "titles") {
-			titles = append(titles, Title{fmt.Sprint("t", i), rapid.IntRange(0, constraints.Cells-1).Draw(t, "base"), rapid.IntRange(1, 2).Draw(t, "copies")})
+			titles = append(titles, Title{fmt.Sprint("t", i), rapid.IntRange(0, constraints.Cells-1).Draw(t, "base"),
+				rapid.IntRange(1, 2).Draw(t, "copies")})
 		}
 		steps, blocked := Plan(current, target, titles, constraints)
 		if blocked == nil {
@@ -86,14 +88,19 @@
 		steps           []Step
 	}{
 		{"removed while up", []Node{a, b}, []Node{b}, []Step{{0, []Change{{Remove, a}}}}},
-		{"removed too soon", []Node{a, b}, []Node{b}, []Step{{0, []Change{{Drain, down}}}, {5 * time.Second, []Change{{Remove, down}}}}},
+		{"removed too soon", []Node{a, b}, []Node{b},
+			[]Step{{0, []Change{{Drain, down}}}, {5 * time.Second, []Change{{Remove, down}}}}},
 		{"title without a holder", []Node{a}, []Node{down}, []Step{{0, []Change{{Drain, down}}}}},
-		{"too many warming up", nil, []Node{a, b, node("c", 1, true)}, []Step{{0, []Change{{Add, a}, {Add, b}, {Add, node("c", 1, true)}}}}},
+		{"too many warming up", nil, []Node{a, b, node("c", 1, true)},
+			[]Step{{0, []Change{{Add, a}, {Add, b}, {Add, node("c", 1, true)}}}}},
 		{"too many holders of a title in transition", nil, []Node{a, b}, []Step{{0, []Change{{Add, a}, {Add, b}}}}},
-		{"the only other holder is warming up", []Node{a}, []Node{b, down}, []Step{{0, []Change{{Add, b}}}, {time.Second, []Change{{Drain, down}}}}},
-		{"added after drains", []Node{a, b}, []Node{b, down, node("c", 1, true)}, []Step{{0, []Change{{Drain, down}}}, {20 * time.Second, []Change{{Add, node("c", 1, true)}}}}},
+		{"the only other holder is warming up", []Node{a}, []Node{b, down},
+			[]Step{{0, []Change{{Add, b}}}, {time.Second, []Change{{Drain, down}}}}},
+		{"added after drains", []Node{a, b}, []Node{b, down, node("c", 1, true)},
+			[]Step{{0, []Change{{Drain, down}}}, {20 * time.Second, []Change{{Add, node("c", 1, true)}}}}},
 		{"a node is missing at the end", []Node{a}, []Node{a, b}, nil},
-		{"steps too close together", nil, []Node{a, node("c", 1, true)}, []Step{{0, []Change{{Add, a}}}, {0, []Change{{Add, node("c", 1, true)}}}}},
+		{"steps too close together", nil, []Node{a, node("c", 1, true)},
+			[]Step{{0, []Change{{Add, a}}}, {0, []Change{{Add, node("c", 1, true)}}}}},
 	} {
 		if Check(x.current, x.target, titles, testConstraints, x.steps) == nil {
 			t.Errorf("%s: Check reports no violation", x.name)
@@ -102,16 +109,18 @@
 }
 
 func TestMoveOrder(t *testing.T) {
-	// Two nodes swap their cells and each is the only holder of its title: no order exists, and the error reports that every
-	// order was tried.
+	// Two nodes swap their cells and each is the only holder of its title: no order exists, and the error reports that
+	// every order was tried.
 	a, b := node("a", 0, true), node("b", 1, true)
 	a2, b2 := a, b
 	a2.Cell, b2.Cell = 1, 0
 	titles := []Title{{"t0", 0, 1}, {"t1", 1, 1}}
-	if _, blocked := Plan([]Node{a, b}, []Node{a2, b2}, titles, testConstraints); blocked == nil || !blocked.Exhaustive || blocked.Title == "" {
+	if _, blocked := Plan([]Node{a, b}, []Node{a2, b2}, titles, testConstraints); blocked == nil ||
+		!blocked.Exhaustive || blocked.Title == "" {
 		t.Fatal(blocked)
 	}
-	// Nodes m1 and m2 leave cell 0, m3 moves into it, and m2 moves into the cell of m3: a plan exists only if m2 moves first.
+	// Nodes m1 and m2 leave cell 0, m3 moves into it, and m2 moves into the cell of m3: a plan exists only if m2 moves
+	// first.
 	m1, m2, m3 := node("m1", 0, true), node("m2", 0, true), node("m3", 1, true)
 	w1, w2, w3 := m1, m2, m3
 	w1.Cell, w2.Cell, w3.Cell = 2, 1, 0
@@ -124,9 +133,10 @@
 	}
 }
 
-// A fleet of 250 nodes is replaced by 250 others. Planning takes less than a second; the test allows five.
-func TestReplacesWholeFleet(t *testing.T) {
-	constraints := Constraints{Cells: 250, Racks: 36, MaxPerRack: 2, MaxPerTitle: 2, Warmup: time.Minute, DrainTime: time.Hour, PropagationDelay: 10 * time.Second}
+// All 250 nodes are replaced by 250 others. Planning takes less than a second; the test allows five.
+func TestReplacesAllNodes(t *testing.T) {
+	constraints := Constraints{Cells: 250, Racks: 36, MaxPerRack: 2, MaxPerTitle: 2,
+		Warmup: time.Minute, DrainTime: time.Hour, PropagationDelay: 10 * time.Second}
 	var current, target []Node
 	var titles []Title
 	for i := range 250 {
