--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
 // Command simhost runs directors for the simulator. It reads frames of events from standard input and writes the
-// directors' replies to standard output. The directors share only the connection and the registered lists.
+// directors' replies to standard output. The directors share nothing but the two streams and the registered server
+// lists.
 package main
 
 import (
@@ -21,9 +22,9 @@
 	}
 }
 
-// An instance is one director, from its boot event to its kill event.
+// An instance is one director, from its boot event to its killed event.
 type instance struct {
-	start    time.Duration // on the wire's clock
+	start    time.Duration // on the simulator's clock
 	config   *simwire.Config
 	director *policy.Director
 }
@@ -62,13 +63,13 @@
 }
 
 // handle applies one event.
-func (h *host) handle(clock time.Duration, m *simwire.Message) error {
+func (h *host) handle(now time.Duration, m *simwire.Message) error {
 	switch m.Kind {
 	case simwire.Register:
 		h.lists[m.ListID] = m.Entries
 		return nil
 	case simwire.Boot:
-		return h.boot(clock, m)
+		return h.boot(now, m)
 	}
 	inst, ok := h.instances[m.Instance]
 	if !ok {
@@ -82,11 +83,11 @@
 	if err != nil || event == nil {
 		return err
 	}
-	h.step(inst, clock, m.Instance, event)
+	h.step(inst, now, m.Instance, event)
 	return nil
 }
 
-func (h *host) boot(clock time.Duration, m *simwire.Message) error {
+func (h *host) boot(now time.Duration, m *simwire.Message) error {
 	config, err := simwire.ParseConfig(m.Config)
 	if err != nil {
 		return err
@@ -95,19 +96,19 @@
 	if err != nil && m.Seed != "" {
 		return fmt.Errorf("seed %q: %w", m.Seed, err)
 	}
-	h.instances[m.Instance] = &instance{start: clock, config: config, director: config.NewDirector(seed)}
+	h.instances[m.Instance] = &instance{start: now, config: config, director: config.NewDirector(seed)}
 	return nil
 }
 
 // step passes an event to a director and writes its actions. A panic of the director is reported on the wire and does
 // not end the program.
-func (h *host) step(inst *instance, clock time.Duration, name string, event policy.Event) {
+func (h *host) step(inst *instance, now time.Duration, name string, event policy.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			h.out.ReportPanic(name, fmt.Sprint(p))
 		}
 	}()
-	for _, a := range inst.director.Step(clock-inst.start, event) {
+	for _, a := range inst.director.Step(now-inst.start, event) {
 		h.out.Action(name, inst.start, a)
 	}
 }
--- a/internal/simwire/config.go
+++ b/internal/simwire/config.go
@@ -106,7 +106,7 @@
 	return ladder
 }
 
-// Check returns an error that names the key of the first setting that can't be used. Settings that are left out have
+// Check returns an error that names the key of the first setting that can't be used. A setting that may be left out has
 // a default.
 func (c *Config) Check() error {
 	f := &c.Family
@@ -223,7 +223,8 @@
 	return load
 }
 
-// SetLoadField sets one field of a load report by the field's name in the settings; other names are ignored.
+// SetLoadField sets one field of a load report by the field's name in the settings; other names are ignored. The CPU
+// load stands for the link's load where no link load has been set.
 func SetLoadField(load *policy.Load, name string, v float64) {
 	switch name {
 	case "active":
@@ -248,7 +249,7 @@
 	"up": policy.Up, "draining": policy.Draining, "removed": policy.Removed,
 }
 
-// ServerList converts a change of the list for an instance that started at the given time on the wire's clock.
+// ServerList converts a change of the list for an instance that started at the given time on the simulator's clock.
 func (c *Config) ServerList(kind string, entries []NodeEntry, start time.Duration) (policy.ServerList, error) {
 	k, ok := serverListKinds[kind]
 	if !ok {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,4 +1,7 @@
-// Package simwire reads and writes the simulator's protocol: JSON, one value per line, in batches called frames.
+// Package simwire reads and writes the simulator's protocol: JSON, one value per line, in batches called frames. A
+// Reader turns the simulator's input into frames of events, and a Writer turns the actions of directors into replies.
+// Config holds a director's settings and converts messages to the events of package policy. I/O is done on the given
+// reader and writer only.
 package simwire
 
 import (
@@ -17,12 +20,12 @@
 
 // A Frame is a batch of events that occur at one time.
 type Frame struct {
-	Time   time.Duration // by the wire's own clock
+	Time   time.Duration // by the simulator's clock
 	Number uint64
 	Events []Message
 }
 
-// A Message is one line of a frame; which fields are used depends on Kind.
+// A Message is one line of a frame; which fields are used depends on Kind. An instance is one run of a director.
 type Message struct {
 	Kind            string          `json:"t"`
 	Instance        string          `json:"i"`
@@ -46,7 +49,7 @@
 	MeasurementKind int             `json:"sort"`
 
 	// These fields belong to the line that begins a frame.
-	Clock  *float64 `json:"t_s"`
+	Time   *float64 `json:"t_s"`
 	Number *uint64  `json:"frame"`
 }
 
@@ -61,7 +64,7 @@
 	Cell      int     `json:"position"`
 }
 
-// The event kinds of the wire.
+// The event kinds of the wire. ProbeResult and Whisper have no counterpart in package policy.
 const (
 	Boot             = "boot"
 	Register         = "register"
@@ -154,11 +157,11 @@
 		}
 		switch {
 		case m.Kind == "tick" && !begun:
-			if m.Clock == nil || m.Number == nil {
-				return f, fmt.Errorf("after frame %d: a tick without clock or number", r.lastNumber)
+			if m.Time == nil || m.Number == nil {
+				return f, fmt.Errorf("after frame %d: a tick without time or number", r.lastNumber)
 			}
 			begun, r.lastNumber = true, *m.Number
-			f.Time, f.Number = SecondsToDuration(*m.Clock), *m.Number
+			f.Time, f.Number = SecondsToDuration(*m.Time), *m.Number
 		case !begun:
 			return f, fmt.Errorf("after frame %d: %q instead of a tick", r.lastNumber, m.Kind)
 		case m.Kind == "go":
@@ -212,7 +215,7 @@
 	w.buf = strconv.AppendUint(w.buf, id, 10)
 }
 
-// Action adds an action of an instance that started at the given time on the wire's clock.
+// Action adds an action of an instance that started at the given time on the simulator's clock.
 func (w *Writer) Action(instance string, start time.Duration, action policy.Action) {
 	switch a := action.(type) {
 	case policy.Dispatch:
@@ -255,7 +258,7 @@
 	w.buf = append(w.buf, "}\n"...)
 }
 
-// ReportPanic adds the message that an instance's code has panicked.
+// ReportPanic adds the message that an instance has panicked.
 func (w *Writer) ReportPanic(instance, message string) {
 	w.begin("panic", instance)
 	w.key("words")
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -57,7 +57,7 @@
 		tick + `{"t":"ring"`:               "no line end",
 		tick:                               "ends inside the frame",
 		`{"t":"go"}` + "\n":                "instead of a tick",
-		`{"t":"tick"}` + "\n":              "without clock",
+		`{"t":"tick"}` + "\n":              "without time",
 	} {
 		if _, err := NewReader(strings.NewReader(in)).Next(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", in, err)
