--- a/connector/connector.go
+++ b/connector/connector.go
@@ -74,6 +74,7 @@
 	NextTimer time.Duration // time of the next TimerFired; 0: none is needed
 }
 
+// state is the state of the connection to a node.
 type state int
 
 const (
@@ -82,6 +83,7 @@
 	connected
 )
 
+// node is what a Connector knows of one node.
 type node struct {
 	state     state
 	failures  int               // consecutive failed dials
--- a/internal/simwire/config.go
+++ b/internal/simwire/config.go
@@ -98,10 +98,10 @@
 
 // Ladder returns the rungs.
 func (c *Config) Ladder() policy.Ladder {
-	f := &c.Family
-	ladder := policy.Ladder{Rates: f.Ladder, Worth: f.Worth, JoinCost: 1}
-	if f.JoinCost != nil {
-		ladder.JoinCost = *f.JoinCost
+	family := &c.Family
+	ladder := policy.Ladder{Rates: family.Ladder, Worth: family.Worth, JoinCost: 1}
+	if family.JoinCost != nil {
+		ladder.JoinCost = *family.JoinCost
 	}
 	return ladder
 }
@@ -109,7 +109,7 @@
 // Check returns an error that names the key of the first setting that can't be used. A setting that may be left out has
 // a default.
 func (c *Config) Check() error {
-	f := &c.Family
+	family := &c.Family
 	if len(c.Classes) == 0 {
 		return errors.New("settings: classes: the list is empty or missing")
 	}
@@ -121,24 +121,26 @@
 			return fmt.Errorf("settings: classes: %q is there twice", class.Name)
 		}
 	}
-	if len(f.Ladder) == 0 {
+	if len(family.Ladder) == 0 {
 		return errors.New("settings: family_info: ladder_kb: at least one rung is required")
 	}
-	for q, rate := range f.Ladder {
-		if rate <= 0 || q > 0 && rate <= f.Ladder[q-1] {
+	for q, rate := range family.Ladder {
+		if rate <= 0 || q > 0 && rate <= family.Ladder[q-1] {
 			return fmt.Errorf("settings: family_info: ladder_kb: rung %d is %v; rates must be over 0 and ascending", q, rate)
 		}
 	}
 	for _, x := range []struct {
 		key   string
 		value float64
-	}{{"positions", float64(f.Cells)}, {"shelves", float64(f.Racks)}, {"link_unit_kb", f.LinkUnit}, {"rack_link_kb", f.Uplink}} {
+	}{{"positions", float64(family.Cells)}, {"shelves", float64(family.Racks)},
+		{"link_unit_kb", family.LinkUnit}, {"rack_link_kb", family.Uplink}} {
 		if x.value <= 0 {
 			return fmt.Errorf("settings: family_info: %s is %v; it must be over 0", x.key, x.value)
 		}
 	}
 	values := map[string]float64{
-		"family_info: told_late_s": f.ReportDelay, "family_info: told_every_s": f.ReportInterval, "family_info: refuses_from": f.RefusalThreshold,
+		"family_info: told_late_s": family.ReportDelay, "family_info: told_every_s": family.ReportInterval,
+		"family_info: refuses_from":      family.RefusalThreshold,
 		"permissions: max_attempts":      float64(c.Permissions.MaxAttempts),
 		"permissions: max_retry_after_s": c.Permissions.MaxBackoff, "permissions: connect_timeout_s": c.Permissions.Connect,
 		"permissions: conn_idle_s": c.Permissions.Idle, "prices: cross_zone": c.Prices.CrossZoneCost,
@@ -150,9 +152,9 @@
 		values[fmt.Sprintf("classes: %s: target_s", class.Name)] = class.Target
 		values[fmt.Sprintf("classes: %s: give_up_s", class.Name)] = class.GiveUp
 		values[fmt.Sprintf("classes: %s: credit", class.Name)] = class.Credit
-		values[fmt.Sprintf("family_info: scale_by_class: number %d", i)] = elementOr(f.Scale, i, 1)
-		values[fmt.Sprintf("family_info: floor_by_class: number %d", i)] = float64(elementOr(f.Floor, i, 0))
-		values[fmt.Sprintf("family_info: licence_cap: number %d", i)] = float64(elementOr(f.Seats, i, 0))
+		values[fmt.Sprintf("family_info: scale_by_class: number %d", i)] = elementOr(family.Scale, i, 1)
+		values[fmt.Sprintf("family_info: floor_by_class: number %d", i)] = float64(elementOr(family.Floor, i, 0))
+		values[fmt.Sprintf("family_info: licence_cap: number %d", i)] = float64(elementOr(family.Seats, i, 0))
 	}
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		if values[key] < 0 || values[key] > maxValue {
@@ -172,17 +174,17 @@
 // without target_s has all the time until its hard stop. A floor beyond the ladder is the last rung; the default
 // scale is 1.
 func (c *Config) Tariffs() []policy.Tariff {
-	f := &c.Family
+	family := &c.Family
 	tariffs := make([]policy.Tariff, len(c.Classes))
 	for i, class := range c.Classes {
 		t := policy.Tariff{
 			GoalTime: SecondsToDuration(class.Target), HardStop: SecondsToDuration(class.GiveUp), Credit: class.Credit,
-			AtMostOnce: class.Semantics != "free", Scale: elementOr(f.Scale, i, 1), Floor: elementOr(f.Floor, i, 0),
-			Top: elementOr(f.Top, i, len(f.Ladder)-1), Seats: elementOr(f.Seats, i, 0), Live: elementOr(f.Live, i, false),
+			AtMostOnce: class.Semantics != "free", Scale: elementOr(family.Scale, i, 1), Floor: elementOr(family.Floor, i, 0),
+			Top: elementOr(family.Top, i, len(family.Ladder)-1), Seats: elementOr(family.Seats, i, 0), Live: elementOr(family.Live, i, false),
 		}
 		t.HardStop = cmp.Or(t.HardStop, DefaultSetupTimeout)
 		t.GoalTime = min(cmp.Or(t.GoalTime, t.HardStop), t.HardStop)
-		t.Scale, t.Floor = cmp.Or(t.Scale, 1), min(t.Floor, len(f.Ladder)-1)
+		t.Scale, t.Floor = cmp.Or(t.Scale, 1), min(t.Floor, len(family.Ladder)-1)
 		tariffs[i] = t
 	}
 	return tariffs
@@ -190,9 +192,9 @@
 
 // NewDirector returns a director with these settings.
 func (c *Config) NewDirector(seed uint64) *policy.Director {
-	f := &c.Family
+	family := &c.Family
 	ramp := policy.Ramp{
-		MaxStreams: f.MaxStreams, Warmup: SecondsToDuration(c.Rules.Ramp), InitialShare: c.Rules.InitialShare,
+		MaxStreams: family.MaxStreams, Warmup: SecondsToDuration(c.Rules.Ramp), InitialShare: c.Rules.InitialShare,
 		OverloadMultiple: c.Rules.OverloadMultiple, OverloadWindow: SecondsToDuration(c.Rules.OverloadWindow),
 	}
 	if c.Mode == "ask" {
@@ -204,14 +206,15 @@
 	}
 	return policy.New(seed, policy.Peers{Index: c.Index, Directors: c.Directors, Zone: c.Zone}, c.Tariffs(), c.Ladder(),
 		policy.Topology{
-			Cells: f.Cells, Racks: f.Racks, LinkUnit: f.LinkUnit, Uplink: f.Uplink,
-			CrossZoneCost: c.Prices.CrossZoneCost, RefusalThreshold: f.RefusalThreshold,
+			Cells: family.Cells, Racks: family.Racks, LinkUnit: family.LinkUnit, Uplink: family.Uplink,
+			CrossZoneCost: c.Prices.CrossZoneCost, RefusalThreshold: family.RefusalThreshold,
 		}, ramp,
 		policy.RetryPolicy{
 			MaxLegs: max(1, c.Permissions.MaxAttempts), MinRetries: c.Rules.MinRetries, RetryRatio: c.Rules.RetryRatio,
 			Window: SecondsToDuration(c.Rules.RetryWindow),
 		},
-		policy.ReportTiming{Delay: SecondsToDuration(f.ReportDelay), Interval: SecondsToDuration(f.ReportInterval), MaxBackoff: backoff})
+		policy.ReportTiming{Delay: SecondsToDuration(family.ReportDelay), Interval: SecondsToDuration(family.ReportInterval),
+			MaxBackoff: backoff})
 }
 
 // Load converts a report, whose fields are in the order that the settings give.
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -150,6 +150,7 @@
 	evicting // the eviction is planned; the connection counts as used until Closed
 )
 
+// conn is the state of one client connection.
 type conn struct {
 	timer           timerqueue.Handle
 	next, prev      int32 // in the list of idle connections, the longest idle first
@@ -160,6 +161,7 @@
 	idleSince       time.Duration
 }
 
+// address counts the connections from one address, or from one network of IPv6 addresses; see addressKey.
 type address struct {
 	addr  netip.Addr
 	conns int32
--- a/policy/health.go
+++ b/policy/health.go
@@ -19,9 +19,9 @@
 
 // allows reports whether a leg may go to a node with the given number of set-ups. A node that was set aside gets legs
 // again after its pause, at most legLimit at one time. At first these are legs of tariffs that allow several; legs of
-// at-most-once tariffs follow only if the node is still not healthy after atMostOncePauses more pauses. Without
-// these, where all sessions have at-most-once tariffs, a node set aside would never become healthy while another one is:
-// node after node would be lost for good.
+// at-most-once tariffs follow only if the node is still not healthy after atMostOncePauses more pauses. Without these,
+// where all sessions have at-most-once tariffs, a node set aside would never become healthy while another node is: node
+// after node would be lost for good.
 func (h *health) allows(setups int, atMostOnce bool, now time.Duration) bool {
 	if h.legLimit == 0 {
 		return true
@@ -33,7 +33,7 @@
 	return now >= notBefore && setups < h.legLimit
 }
 
-// legSucceeded raises the leg limit and reports whether the node has become healthy by that.
+// legSucceeded raises the leg limit and reports whether that makes the node healthy again.
 func (h *health) legSucceeded() (healthy bool) {
 	if h.legLimit == 0 {
 		return false
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -192,7 +192,7 @@
 	}
 }
 
-// A node whose set-ups fail quickly has a low load, and must not attract more set-ups by that.
+// A node whose set-ups fail quickly has a low load, and must not attract more set-ups because of it.
 func TestErrorSetsNodeAside(t *testing.T) {
 	d, _ := newTestDirector(false, 1)
 	out, _ := firstAction[Dispatch](d.Step(0, Request{ID: 1, Copies: 3, Deadline: 4 * time.Second}))
--- a/shutdown/shutdown.go
+++ b/shutdown/shutdown.go
@@ -13,7 +13,8 @@
 	CloseTimeout  time.Duration // longest time to close the client connections, once nothing else remains
 }
 
-// Remaining is what a director still has: owed answers, playing sessions and client connections.
+// Remaining is what a director still has: owed answers, playing sessions and client connections. An answer is owed for
+// each request until its final answer is sent.
 type Remaining struct{ Owed, Playing, Clients int }
 
 // Plan is what the director has to do now.
