--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -8,12 +8,13 @@
 	"fordusher/internal/wire"
 )
 
-// rejectRequest answers a request that exceeds its peer's inbox bound with a nack. The loop never receives the request, so it
-// has never run.
+// rejectRequest answers a request that exceeds its peer's inbox bound with a nack. The loop never receives the request,
+// so it has never run.
 func (d *Daemon) rejectRequest(c *transport.Conn, in director.ClientReceived) {
 	d.inboxFullRejects.Add(1)
 	c.Send(d.protocol.EncodeClient(director.SendClient{Message: wire.SessionMessage{
-		Type: wire.Nack, ID: in.Message.ID, BackoffMS: d.config.Queue.MaxRetryAfter.Milliseconds(), Reason: "too many requests at once"}}), 0)
+		Type: wire.Nack, ID: in.Message.ID, BackoffMS: d.config.Queue.MaxRetryAfter.Milliseconds(),
+		Reason: "too many requests at once"}}), 0)
 }
 
 // A clientHandler receives the events of client connections and puts them into the inbox.
@@ -80,6 +81,7 @@
 func (h clientHandler) Closed(c *transport.Conn, reason error, _ []uint64) {
 	if p, ok := c.UserData().(*peer); ok {
 		p.disconnected.Store(true)
-		h.d.inbox.disconnect(item{input: director.ClientLost{Conn: p.id, Reason: truncate(reason.Error())}, peer: p}, h.d.config.ProtocolOptions.Linger > 0)
+		h.d.inbox.disconnect(item{input: director.ClientLost{Conn: p.id, Reason: truncate(reason.Error())}, peer: p},
+			h.d.config.ProtocolOptions.Linger > 0)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -48,9 +48,9 @@
 	lastSnapshot       atomic.Pointer[snapshot]
 	malformedCounts    [3]atomic.Int64 // malformed messages from clients, nodes and discovery
 	malformedLogLimits [3]rate.Sometimes
-	floodCloses        atomic.Int64
-	inboxFullRejects   atomic.Int64 // requests rejected because their peer's share of the inbox was full
-	inputEndedCount    atomic.Int64
+	floodCloses        atomic.Int64  // connections closed because too many of their messages waited
+	inboxFullRejects   atomic.Int64  // requests rejected because their peer's share of the inbox was full
+	inputEndedCount    atomic.Int64  // client connections from which nothing more could be read
 	clockOffset        atomic.Int64  // added by AdvanceClock
 	loopLateness       lateness      // used by the loop's goroutine only
 	pauses             pauseDetector // pauses of the whole process; used by the loop's goroutine only
@@ -62,9 +62,11 @@
 }
 
 // StartWithProtocol is Start with a protocol other than the project's own WebSocket protocols.
-func StartWithProtocol(protocol Protocol, config *conf.Config, boot string, seed uint64, decider director.Decider, log zerolog.Logger) (*Daemon, error) {
+func StartWithProtocol(protocol Protocol, config *conf.Config, boot string, seed uint64, decider director.Decider,
+	log zerolog.Logger) (*Daemon, error) {
 	d := &Daemon{
-		config: config, protocol: protocol, discoveryMoved: make(chan struct{}, 1), loop: config.NewLoop(boot, seed, decider), log: log, startedAt: time.Now(), seed: seed,
+		config: config, protocol: protocol, discoveryMoved: make(chan struct{}, 1), loop: config.NewLoop(boot, seed, decider),
+		log: log, startedAt: time.Now(), seed: seed,
 		inbox: inbox{wake: make(chan struct{}, 1)},
 		quit:  make(chan struct{}), done: make(chan struct{}),
 		clients: map[uint64]*transport.Conn{}, links: map[uint64]*transport.Conn{},
@@ -80,7 +82,8 @@
 		return nil, err
 	}
 	if len(config.Nodes) > 0 || len(config.Titles) > 0 { // The configured list applies until discovery sends one, if there is discovery.
-		d.inbox.put(item{input: director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Snapshot, Nodes: config.Nodes, Titles: config.Titles}}})
+		d.inbox.put(item{input: director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Snapshot,
+			Nodes: config.Nodes, Titles: config.Titles}}})
 	}
 	d.loop.Observe(d.logEvent)
 	go d.run()
@@ -106,16 +109,16 @@
 	return s.usedConnections, s.busyConnections
 }
 
-// AdvanceClock moves the director's clock forward, as if the process had been paused for that long. It serves
-// measurements.
+// AdvanceClock moves the director's clock forward, as if the process had been paused for that long.
+// Tests and measurements use it.
 func (d *Daemon) AdvanceClock(by time.Duration) { d.clockOffset.Add(int64(by)) }
 
 func (d *Daemon) now() time.Duration {
 	return time.Since(d.startedAt) + time.Duration(d.clockOffset.Load())
 }
 
-// run is the loop's goroutine. It handles batches of inbox items and due timers until the loop has ended or the daemon is
-// killed.
+// run is the loop's goroutine. It handles batches of inbox items and due timers until the loop has ended or the daemon
+// is killed.
 func (d *Daemon) run() {
 	defer close(d.done)
 	timer := time.NewTimer(0)
@@ -169,14 +172,15 @@
 }
 
 // handle passes one inbox item to the loop and reports whether the loop has ended. It records the connections that
-// items bring along or end.
+// items introduce or end.
 func (d *Daemon) handle(i item) (ended bool) {
 	if i.peer != nil {
 		i.peer.pending.Add(-1)
 	}
 	switch e := i.input.(type) {
 	case director.ClientReceived:
-		if d.config.ProtocolOptions.Linger == 0 && isNewRequest(e) && (i.peer.disconnected.Load() || d.inbox.wasCancelled(i.peer, e.Message.ID)) {
+		if d.config.ProtocolOptions.Linger == 0 && isNewRequest(e) &&
+			(i.peer.disconnected.Load() || d.inbox.wasCancelled(i.peer, e.Message.ID)) {
 			return false // The client cancelled or disconnected while the request waited: it needs no answer and starts no leg.
 		}
 		e.Waited = time.Since(d.pauses.earliestSent(i.receivedAt))
@@ -269,7 +273,7 @@
 			ended = true
 		}
 	}
-	for _, conn := range stillActive { // reported before its waiting messages are handled
+	for _, conn := range stillActive { // reported before the connection's waiting messages are handled
 		ended = d.execute(d.loop.Step(d.now(), director.ClientStillActive{Conn: conn})) || ended
 	}
 	return ended
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// A client is a client's connection that passes on the messages it receives.
+// A client is a client's end of a connection. It passes the messages and the reason of the close on to the test.
 type client struct {
 	received chan string
 	closed   chan error
@@ -173,8 +173,8 @@
 	}
 }
 
-// The connection of a client that sends malformed, unexpected or oversized messages is closed with a reason that names the
-// fault, and another client is still served.
+// The connection of a client that sends malformed, unexpected or oversized messages is closed with a reason that names
+// the fault, and another client is still served.
 func TestMisbehavingClientsAreClosedAndCounted(t *testing.T) {
 	p := newFixture(t, 2)
 	other, otherIn := dial(t, p.d.Address())
@@ -199,8 +199,8 @@
 	}
 }
 
-// If only the first malformed message were logged, the log would not show which peers are disconnected later. Log lines on
-// malformed messages go on, bounded in number and in length.
+// If only the first malformed message were logged, the log would not show which peers are disconnected later. Log lines
+// on malformed messages go on, bounded in number and in length.
 func TestMalformedMessageLogIsRateLimited(t *testing.T) {
 	lines := make(chan string, 1000)
 	p := newFixture(t, 1)
@@ -348,8 +348,8 @@
 	}
 }
 
-// Priority items, such as results and messages of nodes, come before queued requests. Queued items keep their order, and
-// the queue reuses its memory.
+// Priority items, such as results and messages of nodes, come before queued requests. Queued items keep their order,
+// and the queue reuses its memory.
 func TestInboxOrder(t *testing.T) {
 	b := inbox{wake: make(chan struct{}, 1)}
 	for i := range 5000 {
@@ -375,8 +375,8 @@
 	}
 }
 
-// If the queue served clients in order of arrival, all requests of a client that sends many would delay the clients that
-// come later.
+// If the queue served clients in order of arrival, all requests of a client that sends many would delay the clients
+// that come later.
 func TestInboxServesClientsRoundRobin(t *testing.T) {
 	b := inbox{wake: make(chan struct{}, 1)}
 	busy, other := []*peer{{id: 1}, {id: 2}}, &peer{id: 3}
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -27,11 +27,14 @@
 	disconnected atomic.Bool  // the connection, a client's, has ended
 	queued       []item       // a client's items in the client queue; guarded by inbox.mu
 	inQueue      bool         // the peer is in inbox.queue; guarded by inbox.mu
-	cancelled    []string     // ids of cancelled requests that may be in the batch that the loop handles; at most batchSize; guarded by inbox.mu
+
+	// cancelled holds the ids of cancelled requests that may be in the batch that the loop handles, at most batchSize
+	// of them. It is guarded by inbox.mu.
+	cancelled []string
 }
 
-// inbox holds the inputs that other goroutines pass to the loop. Messages from connections are bounded peer by peer;
-// every other item results from one thing that the loop itself asked for.
+// inbox holds the inputs that other goroutines pass to the loop. Messages from connections are bounded peer by peer.
+// The other items need no bound: each is the one result of something that the loop itself asked for.
 //
 // Messages from clients wait in a queue of their own. The loop takes a batch of it after all priority items, so
 // messages from nodes and discovery, endings and results that the loop asked for never wait behind requests.
@@ -57,8 +60,8 @@
 	b.signal()
 }
 
-// enqueueClient appends an item of a client's connection to the client queue. The caller has counted it in peer.pending,
-// where it counts until the loop handles it.
+// enqueueClient appends an item of a client's connection to the client queue. The caller has counted it in
+// peer.pending, where it stays counted until the loop handles it.
 func (b *inbox) enqueueClient(i item) {
 	i.receivedAt = time.Now()
 	b.mu.Lock()
@@ -113,9 +116,9 @@
 }
 
 // cancel handles a client's cancellation of a request. If the request is still queued, both are dropped and neither
-// reaches the loop. Otherwise the cancellation goes ahead of the queue, so that no leg starts for a client that has
-// left. It is queued in order if the loop does not know the connection yet, or if another item with the same id, such as
-// the request of a playing session, is still queued.
+// reaches the loop. Otherwise the cancellation goes ahead of the queue, so that no leg starts for a request that is
+// known to be cancelled. It is queued in order if the loop does not know the connection yet, or if another item with
+// the same id, such as the request of a playing session, is still queued.
 func (b *inbox) cancel(i item, id string) {
 	i.receivedAt = time.Now()
 	b.mu.Lock()
@@ -156,9 +159,9 @@
 	return slices.Contains(p.cancelled, id)
 }
 
-// disconnect handles the end of a client's connection. It drops the client's queued requests unless keepRequests is set,
-// which means that the client may return for their answers. The item goes ahead of the queue unless other items of the
-// client are still queued.
+// disconnect handles the end of a client's connection. It drops the client's queued requests unless keepRequests is
+// set, which means that the client may return for their answers. The item goes ahead of the queue unless other items of
+// the client are still queued.
 func (b *inbox) disconnect(i item, keepRequests bool) {
 	p := i.peer
 	b.mu.Lock()
--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -13,7 +13,8 @@
 
 func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1)} }
 
-// messageItem is a client's message about a request. A request with a node in playingOn is for a session that plays there.
+// messageItem is a client's message about a request. A request with a node in playingOn is for a session that plays
+// there.
 func messageItem(p *peer, kind, id, playingOn string) item {
 	p.pending.Add(1)
 	return item{peer: p, input: director.ClientReceived{Conn: p.id, Message: wire.SessionMessage{Type: kind, ID: id},
@@ -105,8 +106,8 @@
 	}
 }
 
-// A request that is cancelled while it waits in the batch that the loop handles is skipped. A later request with the same
-// id is not.
+// A request that is cancelled while it waits in the batch that the loop handles is skipped. A later request with the
+// same id is not.
 func TestCancelReachesTheTakenBatch(t *testing.T) {
 	b, p := newInbox(), &peer{id: 1}
 	b.enqueueClient(messageItem(p, wire.Request, "a", ""))
@@ -140,8 +141,8 @@
 	}
 }
 
-// For random sequences of requests, cancellations and disconnections, no request is taken twice, after its cancellation or
-// after its client has left, and every counter returns to zero.
+// For random sequences of requests, cancellations and disconnections, no request is taken twice, after its cancellation
+// or after its client has left, and every counter returns to zero.
 func TestInboxQueueWithCancellations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newInbox()
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -81,8 +81,8 @@
 	})
 }
 
-// Idle clients are evicted, the longest idle first, with close code 1013 and a time after which to retry. A client with a
-// session stays connected.
+// Idle clients are evicted, the longest idle first, with close code 1013 and a time after which to retry. A client with
+// a session stays connected.
 func TestIdleClientsAreEvictedFirstWithRetryAfter(t *testing.T) {
 	p := newFixture(t, 1, `"limits": {`, `"limits": {"connections": 20, "handshakes": 20, `)
 	busy, playing := dial(t, p.d.Address())
@@ -107,8 +107,8 @@
 	}
 }
 
-// Connections that never complete their handshake are bounded in number and time. Other clients connect meanwhile, or are
-// reset at once and connect after the handshake time-out of the slow ones.
+// Connections that never complete their handshake are bounded in number and time. Other clients connect meanwhile, or
+// are reset at once and connect after the handshake time-out of the slow ones.
 func TestSlowHandshakesAreBounded(t *testing.T) {
 	p := newFixture(t, 1, `"limits": {`, `"limits": {"connections": 1000, "handshakes": 16, "players": {"handshake": "300ms"}, `)
 	for range 40 {
@@ -152,12 +152,13 @@
 	}
 }
 
-// A client that causes answers and reads none of them is disconnected by a reset. With an orderly close, the close and the
-// unsent data would wait in the kernel behind the data that the client does not read.
+// The connection of a client that causes answers and reads none of them is reset. With an orderly close, the close and
+// the unsent data would wait in the kernel behind the data that the client does not read.
 func TestNonReadingClientIsReset(t *testing.T) {
 	p := newFixture(t, 1, `"inbox": 64`, `"inbox": 1000000`)
-	// The receive buffer is set before the connection is made. If the window shrank afterwards, the kernel would drop what the
-	// director has sent into it, with the acknowledgements, and sometimes both sides would then wait for each other.
+	// The receive buffer is set before the connection is made. If the window shrank afterwards, the kernel would drop
+	// what the director has sent into it, with the acknowledgements, and sometimes both sides would then wait for each
+	// other.
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4<<10) })
 	}}
@@ -251,8 +252,8 @@
 	}
 }
 
-// A director that is full when it is stopped rejects new connections and still ends. The sessions that play have until the
-// shutdown time-out.
+// A director that is full when it is stopped rejects new connections and still ends. The sessions that play have until
+// the shutdown time-out.
 func TestShutdownWhileFull(t *testing.T) {
 	p := newFixture(t, 1, `"limits": {`, `"limits": {"connections": 20, "handshakes": 20, `)
 	for i := range 19 {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -41,7 +41,7 @@
 // snapshotInterval is how often the figures for metrics are refreshed.
 const snapshotInterval = 200 * time.Millisecond
 
-// memoryInUse returns the machine's memory that the process holds, in bytes: all memory of the Go runtime but what it has
+// memoryInUse returns how much memory the process holds, in bytes: all memory of the Go runtime except what it has
 // returned to the operating system.
 func memoryInUse() int64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
@@ -74,43 +74,55 @@
 		{"sessions_adopted_total", "sessions resumed or adopted by their client's key", prometheus.CounterValue, float64(c.Adopted)},
 		{"answers_played_total", "final answers: the session plays", prometheus.CounterValue, float64(c.Played)},
 		{"answers_nacked_total", "final answers: rejected, and a retry is harmless", prometheus.CounterValue, float64(c.Nacked)},
-		{"answers_errored_total", "final answers: failed, without a claim whether the session ran", prometheus.CounterValue, float64(c.Errored)},
-		{"requests_gone_total", "requests that ended without an answer, such as when their client left", prometheus.CounterValue, float64(c.Abandoned)},
-		{"answers_overdue_total", "final answers that the loop gave because the decision module gave none in time", prometheus.CounterValue, float64(c.Overdue)},
+		{"answers_errored_total", "final answers: failed, without a claim whether the session ran", prometheus.CounterValue,
+			float64(c.Errored)},
+		{"requests_gone_total", "requests that ended without an answer, such as when their client left", prometheus.CounterValue,
+			float64(c.Abandoned)},
+		{"answers_overdue_total", "final answers that the loop gave because the decision module gave none in time", prometheus.CounterValue,
+			float64(c.Overdue)},
 		{"legs_total", "set-ups sent", prometheus.CounterValue, float64(c.Legs)},
 		{"legs_further_total", "set-ups sent beyond a session's first", prometheus.CounterValue, float64(c.Retries)},
 		{"sessions_broken_total", "playing sessions that lost their node", prometheus.CounterValue, float64(c.SessionsLost)},
 		{"odd_moves_total", "illegal state transitions; should be 0", prometheus.CounterValue, float64(c.IllegalTransitions)},
-		{"stray_total", "unexpected messages, such as for a session or leg that is unknown or over", prometheus.CounterValue, float64(c.Unexpected)},
-		{"late_total", "answers of nodes that came twice or after the session's final answer", prometheus.CounterValue, float64(c.LateAnswers)},
+		{"stray_total", "unexpected messages, such as for a session or leg that is unknown or over", prometheus.CounterValue,
+			float64(c.Unexpected)},
+		{"late_total", "answers of nodes that came twice or after the session's final answer", prometheus.CounterValue,
+			float64(c.LateAnswers)},
 		{"stalls_total", "times that the loop was late by more than 100 ms", prometheus.CounterValue, float64(c.Stalls)},
 		{"unfit_total", "messages of a type that this kind of peer may not send", prometheus.CounterValue, float64(c.UnknownMessages)},
 		{"malformed_total", "malformed messages", prometheus.CounterValue,
 			float64(d.malformedCounts[0].Load() + d.malformedCounts[1].Load() + d.malformedCounts[2].Load())},
-		{"overfull_total", "requests rejected because too many messages of their connection waited", prometheus.CounterValue, float64(d.inboxFullRejects.Load())},
-		{"flooded_total", "connections closed because too many of their messages waited", prometheus.CounterValue, float64(d.floodCloses.Load())},
+		{"overfull_total", "requests rejected because too many messages of their connection waited", prometheus.CounterValue,
+			float64(d.inboxFullRejects.Load())},
+		{"flooded_total", "connections closed because too many of their messages waited", prometheus.CounterValue,
+			float64(d.floodCloses.Load())},
 		{"accept_complaints_total", "internal errors of the transport", prometheus.CounterValue, float64(transport.ErrorCount())},
 		{"answers_owed", "requests without an answer yet", prometheus.GaugeValue, float64(s.pendingAnswers)},
 		{"sessions_playing", "sessions that play", prometheus.GaugeValue, float64(s.playing)},
 		{"legs_out", "open legs: set-ups in progress and playing sessions", prometheus.GaugeValue, float64(s.legs)},
 		{"node_connections", "connections to nodes", prometheus.GaugeValue, float64(s.links)},
 		{"players_turned_away_total", "client connections rejected", prometheus.CounterValue, float64(c.ClientsRejected)},
-		{"requests_pressed_total", "requests nacked because they had waited too long for the loop", prometheus.CounterValue, float64(c.RequestsShed)},
+		{"requests_pressed_total", "requests nacked because they had waited too long for the loop", prometheus.CounterValue,
+			float64(c.RequestsShed)},
 		{"requests_waiting", "client messages and events queued for the loop", prometheus.GaugeValue, float64(d.inbox.queueLength())},
 		{"players_let_go_total", "idle client connections evicted", prometheus.CounterValue, float64(c.ClientsEvicted)},
 		{"room_mode", "capacity mode: 0 normal, 1 shedding idle connections, 2 full", prometheus.GaugeValue, float64(s.mode)},
-		{"player_connections_busy", "client connections with a session or an unanswered request", prometheus.GaugeValue, float64(s.busyConnections)},
+		{"player_connections_busy", "client connections with a session or an unanswered request", prometheus.GaugeValue,
+			float64(s.busyConnections)},
 		{"player_connections", "client connections", prometheus.GaugeValue, float64(s.clients)},
-		{"client_input_ended_total", "client connections from which nothing more could be read", prometheus.CounterValue, float64(d.inputEndedCount.Load())},
+		{"client_input_ended_total", "client connections from which nothing more could be read", prometheus.CounterValue,
+			float64(d.inputEndedCount.Load())},
 		{"loop_late_seconds", "greatest lateness of the loop in the last 15 to 30 s", prometheus.GaugeValue, s.lateness.Seconds()},
 	} {
 		ch <- prometheus.MustNewConstMetric(prometheus.NewDesc("fordusher_"+x.name, x.help, nil, nil), x.kind, x.value)
 	}
-	violations := prometheus.NewDesc("fordusher_invariant_violations_total", "decisions that the guard rejected, by rule; should be 0", []string{"rule"}, nil)
+	violations := prometheus.NewDesc("fordusher_invariant_violations_total",
+		"decisions that the guard rejected, by rule; should be 0", []string{"rule"}, nil)
 	for rule, n := range c.Violations() {
 		ch <- prometheus.MustNewConstMetric(violations, prometheus.CounterValue, float64(n), rule)
 	}
-	neverRan := prometheus.NewDesc("fordusher_legs_never_ran_total", "legs that provably never ran, by proof", []string{"proof"}, nil)
+	neverRan := prometheus.NewDesc("fordusher_legs_never_ran_total",
+		"legs that provably never ran, by proof", []string{"proof"}, nil)
 	for reason, n := range c.NeverRanByReason() {
 		ch <- prometheus.MustNewConstMetric(neverRan, prometheus.CounterValue, float64(n), reason)
 	}
--- a/internal/daemon/misuse.go
+++ b/internal/daemon/misuse.go
@@ -35,8 +35,8 @@
 	closeGoingAway   = 1001
 )
 
-// malformedLogInterval is the shortest interval between two log lines on malformed messages from one kind of peer, after
-// the first three. The messages in between are only counted.
+// malformedLogInterval is the shortest interval between two log lines on malformed messages from one kind of peer,
+// after the first three. The messages in between are only counted.
 const malformedLogInterval = 10 * time.Second
 
 // malformed counts a malformed message, logs it subject to the rate limit, and ends the connection's input. The kind of
--- a/internal/daemon/nodes.go
+++ b/internal/daemon/nodes.go
@@ -11,8 +11,8 @@
 )
 
 // maxSetupWriteDelay is how long a set-up may wait to be written. A set-up states how long its client still waits,
-// measured when the set-up was made. The figure may be up to 0.15 s out of date on arrival at the node; the part of this
-// beyond the write delay is for the network.
+// measured when the set-up was made. The figure may be up to 0.15 s out of date on arrival at the node; the part of
+// this beyond the write delay is for the network.
 const maxSetupWriteDelay = 100 * time.Millisecond
 
 // connect dials a node and reports a failure to the loop; nodeHandler.Opened reports the success.
--- a/internal/daemon/pause_test.go
+++ b/internal/daemon/pause_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A message read during a pause or just after it may have waited since the pause began. For any other message the detector
-// returns the time at which it was read.
+// A message read during a pause or just after it may have waited since the pause began. For any other message the
+// detector returns the time at which it was read.
 func TestPauseDetectorEarliestSent(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
--- a/internal/daemon/protocol.go
+++ b/internal/daemon/protocol.go
@@ -17,8 +17,8 @@
 	DialNode(address string, timeout time.Duration, h transport.Handler) (*transport.Conn, error)
 	DialDiscovery(address string, timeout time.Duration, h transport.Handler) (*transport.Conn, error)
 
-	// DecodeClient, DecodeNode and DecodeDiscovery decode a message. A message that does not concern the loop is returned
-	// without a type. A reply, if there is one, is sent at once. An error ends the connection's input.
+	// DecodeClient, DecodeNode and DecodeDiscovery decode a message. A message that does not concern the loop is
+	// returned without a type. A reply, if there is one, is sent at once. An error ends the connection's input.
 	DecodeClient(raw []byte) (in director.ClientReceived, reply []byte, err error)
 	DecodeNode(raw []byte) (in director.LinkReceived, reply []byte, err error)
 	DecodeDiscovery(raw []byte) (wire.DiscoveryMessage, error)
