--- a/internal/platform/backlog_test.go
+++ b/internal/platform/backlog_test.go
@@ -1,15 +1,16 @@
 package platform
 
 import (
-	"fordusher/internal/director"
-	"fordusher/policy"
 	"sync"
 	"testing"
 	"time"
+
+	"fordusher/internal/director"
+	"fordusher/policy"
 )
 
-// Unreadable input ends a client's connection, but a request that the client sent before is still answered first: on the
-// same connection, and once.
+// Unreadable input ends a client's connection, but a request that the client sent before is still answered first: on
+// the same connection, and once.
 func TestUnreadableInputKeepsPendingRequests(t *testing.T) {
 	for name, bad := range map[string][]byte{
 		"an invalid length":       {0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11},
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -1,7 +1,10 @@
-// Package platform implements the protocols of the operators' platform: the binary messages of clients, the RTSP of nodes
-// and the frames of the discovery service, as codecs without side effects. It also reads a director's start
-// configuration, and translates between all three protocols and the messages of the director's loop (Protocol). It makes
-// no placement decisions. docs/platform.md describes the design.
+// Package platform implements the protocols of the operators' platform: the binary messages of clients, the RTSP
+// messages of nodes and the frames of the discovery service. Protocol translates between these bytes and the messages
+// of the director's loop. StartConfig holds a director's start configuration and yields the configuration of the loop
+// and the daemon. NewTracer wraps a protocol so that it also writes a trace of its messages.
+//
+// The codecs do no I/O. Protocol opens sockets for package daemon, and ReadStartConfig reads the environment and a
+// file. The package makes no placement decisions. docs/platform.md describes the design.
 package platform
 
 import (
@@ -51,7 +54,9 @@
 	codeDescription = 78
 )
 
-// The causes of releases. A cause that calls a retry harmless claims that nothing ran.
+// The causes of releases. The director sends a release to reject a request or to report the end of a session, and a
+// client sends one to cancel its request or end its session. A cause that calls a retry harmless claims that nothing
+// ran.
 const (
 	causeEnded   = 16 // the session has ended normally; before the answer: the client gave up
 	causeMoved   = 31 // the session was moved, or ended by its client
@@ -70,7 +75,8 @@
 
 var errMessageLength = errors.New("invalid message length")
 
-// splitClientMessage returns the size of the client message at the start of the input, or 0 if the message is incomplete.
+// splitClientMessage returns the size of the client message at the start of the input, or 0 if the message is
+// incomplete.
 func splitClientMessage(in []byte) (int, error) {
 	if len(in) < lengthSize {
 		return 0, nil
@@ -94,7 +100,8 @@
 	return clientMessage{raw[lengthSize], binary.BigEndian.Uint64(raw[lengthSize+1:]), raw[headerSize:]}, nil
 }
 
-// eachParam calls f for every parameter. It fails if the parameters do not fill the message exactly or one occurs twice.
+// eachParam calls f for every parameter. It fails if the parameters do not fill the message exactly or one occurs
+// twice.
 func (m clientMessage) eachParam(f func(code byte, value []byte) error) error {
 	var seen [256]bool
 	for in := m.params; len(in) > 0; {
@@ -143,8 +150,8 @@
 
 // A setup is the content of a client's set-up message: its request for a session.
 type setup struct {
-	class, title               string
-	wait                       int64 // ms
+	class, title               string // class is the platform's name for a tariff
+	wait                       int64  // ms
 	lengthHint                 float64
 	firstCell, copies, maxRung int
 	playingNode                string // the node, if the session is already playing
@@ -194,14 +201,15 @@
 		err = errors.New("class, title or placement is missing")
 	case s.playingNode == "" && (s.description == nil || !s.hasWait):
 		err = errors.New("description or wait is missing")
-	case s.playingNode == "" && s.wait > maxWaitMillis: // not checked for a playing session: it waits for no answer, and its client may send any number
+	// The wait of a playing session is not checked: it waits for no answer, and its client may send any number.
+	case s.playingNode == "" && s.wait > maxWaitMillis:
 		err = errors.New("wait is too long")
 	}
 	return s, err
 }
 
 // parsePlacement parses the placement parameter: values of the request and its client as key:value pairs, separated by
-// semicolons.
+// semicolons. The value of the viewer key, the client's id, is checked and not used.
 func (s *setup) parsePlacement(text string) (err error) {
 	seen := map[string]bool{}
 	for part := range strings.SplitSeq(text, ";") {
--- a/internal/platform/daemon_test.go
+++ b/internal/platform/daemon_test.go
@@ -20,8 +20,8 @@
 	"fordusher/internal/transport"
 )
 
-// These tests run the daemon on loopback with emulated nodes, discovery services and clients, which speak the platform's
-// protocols and send what each test prescribes.
+// These tests run the daemon on loopback with emulated nodes, discovery services and clients, which speak the
+// platform's protocols and send what each test prescribes.
 
 // testTimeout is how long a test waits for an expected event before it fails. No test waits for it to pass.
 const testTimeout = 10 * time.Second
@@ -338,8 +338,8 @@
 	other.expect(kindRelease, 7, codeCause)
 }
 
-// An answer of a node that is invalid, truncated or names another session must never reach a client. A session of a free
-// tariff is set up on another node instead.
+// An answer of a node that is invalid, truncated or names another session must never reach a client. A session of a
+// free tariff is set up on another node instead.
 func TestInvalidNodeAnswersAreRetriedElsewhere(t *testing.T) {
 	for name, reply := range map[string]func(string) string{
 		"noise":          func(string) string { return "\x16\x03\x01\x02\x00\x01" },
@@ -379,8 +379,8 @@
 	}
 }
 
-// A paid session whose answer is invalid may have run. Its set-up is not sent again, and its release does not call a retry
-// harmless.
+// A paid session whose answer is invalid may have run. Its set-up is not sent again, and its release does not call a
+// retry harmless.
 func TestPaidSetupIsNotRetried(t *testing.T) {
 	p := startFixture(t, 2, "")
 	for _, n := range p.nodes {
@@ -450,8 +450,8 @@
 	}
 }
 
-// An emulatedDiscovery is a discovery service: it passes on the connections that it accepts, and the event number after
-// which each asks for events.
+// An emulatedDiscovery is a discovery service: it hands the test the connections that it accepts, and the event
+// number after which each requests events.
 type emulatedDiscovery struct {
 	ln            net.Listener
 	requestedFrom chan uint64
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -12,7 +12,7 @@
 const (
 	frameLengthSize = 4
 	frameHeaderSize = frameLengthSize + 8 + 1
-	recordSize      = 4 + 4 + 2 + 1 + 1 + 1 + 2 + 4 + 8
+	recordSize      = 4 + 4 + 2 + 1 + 1 + 1 + 2 + 4 + 8 // the fields of a nodeRecord in order; weight in thousandths
 	maxFrameSize    = 4 << 20
 )
 
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -29,7 +29,8 @@
 	awaitingFirstEvent bool   // later events were requested and none has arrived yet
 }
 
-// NewProtocol returns the protocol for a start configuration. The times in discovery events are compared with now.
+// NewProtocol returns the protocol for a start configuration. Now is the clock by
+// which the start times in discovery events become uptimes.
 func NewProtocol(start *StartConfig, config *conf.Config, now func() time.Time) *Protocol {
 	return &Protocol{config: config, settings: start.parsedSettings, now: now, lastEvent: start.InitialDiscovery.Revision}
 }
@@ -60,7 +61,8 @@
 	switch m.kind {
 	case kindSetup:
 		s, err := parseSetup(m)
-		in.Details = &director.RequestDetails{FirstCell: s.firstCell, Copies: s.copies, Description: s.description, PlayingOn: s.playingNode}
+		in.Details = &director.RequestDetails{FirstCell: s.firstCell, Copies: s.copies, Description: s.description,
+			PlayingOn: s.playingNode}
 		if err == nil && (s.firstCell >= p.settings.Family.Cells || s.copies > p.settings.Family.Cells) {
 			err = errors.New("home or copies exceeds the number of cells")
 		}
@@ -218,24 +220,24 @@
 	return nil
 }
 
-// DecodeDiscovery decodes a discovery event. An event that was received before yields a message without a type. An event
-// that skips others is an error, which ends the connection, so that the missing events are requested again.
+// DecodeDiscovery decodes a discovery event. An event that was received before yields a message without a type. An
+// event that skips others is an error, which ends the connection, so that the missing events are requested again.
 func (p *Protocol) DecodeDiscovery(raw []byte) (m wire.DiscoveryMessage, err error) {
-	x, err := parseFrame(raw)
+	event, err := parseFrame(raw)
 	if err != nil {
 		return m, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if x.kind == frameKeepAlive || x.eventNumber <= p.lastEvent {
+	if event.kind == frameKeepAlive || event.eventNumber <= p.lastEvent {
 		return m, nil
 	}
-	if x.kind == frameUpdate && x.eventNumber != p.lastEvent+1 && !p.awaitingFirstEvent {
-		return m, fmt.Errorf("event %d follows event %d", x.eventNumber, p.lastEvent)
+	if event.kind == frameUpdate && event.eventNumber != p.lastEvent+1 && !p.awaitingFirstEvent {
+		return m, fmt.Errorf("event %d follows event %d", event.eventNumber, p.lastEvent)
 	}
-	p.lastEvent, p.awaitingFirstEvent = x.eventNumber, false
-	m.Type, m.Serial = wire.Update, x.eventNumber
-	if x.kind == frameSnapshot {
+	p.lastEvent, p.awaitingFirstEvent = event.eventNumber, false
+	m.Type, m.Serial = wire.Update, event.eventNumber
+	if event.kind == frameSnapshot {
 		m.Type = wire.Snapshot
 	}
 	now := p.now()
@@ -245,10 +247,11 @@
 		}
 		return ""
 	}
-	for _, r := range x.records {
+	for _, r := range event.records {
 		m.Nodes = append(m.Nodes, wire.NodeEntry{
 			Node: nodeName(r.id), Address: r.address.String(), State: nodeStates[r.state], MachineKind: name(p.settings.Kinds, r.kind),
-			Zone: name(p.settings.Zones, r.zone), Incarnation: r.startedMillis, UptimeMS: ageMillis(r.startedMillis, now), Weight: r.weight, Cell: r.cell,
+			Zone: name(p.settings.Zones, r.zone), Incarnation: r.startedMillis, UptimeMS: ageMillis(r.startedMillis, now),
+			Weight: r.weight, Cell: r.cell,
 		})
 	}
 	return m, nil
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -13,8 +13,8 @@
 	"fordusher/policy"
 )
 
-// These tests cover races of two events in either order. The emulated peers and the decider block until a test lets them go
-// on, so the order does not depend on sleeping.
+// These tests cover races of two events in either order. The emulated peers and the decider block until a test lets
+// them go on, so the order does not depend on sleeping.
 
 // A blockingDecider blocks the loop in the decider's Step for the first request, until unblock is closed.
 type blockingDecider struct {
@@ -89,8 +89,8 @@
 	"cancels":     func(v *emulatedClient) { v.send(releaseMessage(2, causeEnded)); v.roundTrip() },
 }
 
-// A request is never sent to a node if its client leaves while the request waits in the inbox, because the loop is busy with
-// another one.
+// A request is never sent to a node if its client leaves while the request waits in the inbox, because the loop is busy
+// with another one.
 func TestClientDepartsWhileItsRequestWaitsInTheInbox(t *testing.T) {
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
@@ -104,7 +104,7 @@
 				p.wait("the director did not handle the disconnection", func() bool { return p.closedClients.Load() > 0 })
 			}
 			close(g.unblock)
-			last := p.newClient() // its request comes later; once it is answered, the loop has passed session 2's
+			last := p.newClient() // its request comes later; once it is answered, the loop is past session 2's request
 			last.send(setupMessage(3, defaultPlacement))
 			last.expect(kindAnswer, 3, codeDescription)
 			if n := p.nodes[0].countReceived("Session: " + sessionID(2)); n != 0 {
@@ -272,7 +272,8 @@
 	}
 }
 
-// A node closes the connection right after its answer. An answer that was received completely counts, a partial one does not.
+// A node closes the connection right after its answer. An answer that was received whole counts, a partial one does
+// not.
 func TestNodeAnswerRacesConnectionLoss(t *testing.T) {
 	for name, whole := range map[string]bool{"whole": true, "half": false} {
 		t.Run(name, func(t *testing.T) {
@@ -309,8 +310,8 @@
 	}
 }
 
-// A message that arrives in two parts, split at any byte, has the same effect as the whole message: a client's set-up, a
-// node's answer and a discovery event.
+// A message that arrives in two parts, split at any byte, has the same effect as the whole message: a client's set-up,
+// a node's answer and a discovery event.
 func TestMessagesSplitAtEveryByte(t *testing.T) {
 	b := newEmulatedDiscovery(t)
 	p := startFixture(t, 2, b.ln.Addr().String())
@@ -366,7 +367,8 @@
 	}
 }
 
-// roundTripOnOtherConn waits for a probe on another connection, by which time the director has read what this client sent.
+// roundTripOnOtherConn makes a round trip on another connection. After it the director has also read what this client
+// sent.
 func (v *emulatedClient) roundTripOnOtherConn(p *fixture) {
 	v.t.Helper()
 	if p.probeClient == nil {
@@ -375,8 +377,8 @@
 	p.probeClient.roundTrip()
 }
 
-// A node closes its connection while a set-up is written to it. In either order the request gets one final answer. A paid
-// set-up that may have run is not sent again, and its answer must not call a retry harmless.
+// A node closes its connection while a set-up is written to it. In either order the request gets one final answer. A
+// paid set-up that may have run is not sent again, and its answer must not call a retry harmless.
 func TestNodeClosesConnectionDuringSetupWrite(t *testing.T) {
 	p := startFixture(t, 1, "")
 	n, v := p.nodes[0], p.newClient()
@@ -413,8 +415,8 @@
 	}
 }
 
-// An idle connection is chosen for eviction to admit a new one, while a request of its own is queued right behind the new
-// connection. That request still gets a final answer.
+// An idle connection is chosen for eviction to admit a new one, while a request of its own is queued right behind the
+// new connection. That request still gets a final answer.
 func TestRequestRacesEvictionOfItsConnection(t *testing.T) {
 	p, g := startBlockingFixture(t, reservedDescriptors+minPendingConnections+4, 1) // capacity for two clients
 	idle, busy := p.newClient(), p.newClient()
@@ -438,7 +440,8 @@
 	}
 }
 
-// Answers to a client that does not read wait to be written. The director still detects at once that the client has left.
+// Answers to a client that does not read wait to be written. The director still detects at once that the client has
+// left.
 func TestClientDepartsWhileItsAnswersAreUnread(t *testing.T) {
 	for name, leave := range map[string]func(v *emulatedClient){
 		"closes": func(v *emulatedClient) { v.c.Close() },
--- a/internal/platform/rtsp.go
+++ b/internal/platform/rtsp.go
@@ -63,9 +63,10 @@
 	errContentLength = errors.New("invalid RTSP content length")
 )
 
-// splitRTSP returns the size of the message at the start of the input, or 0 if the message is incomplete. It validates the
-// whole header, so invalid input ends the connection before any part of it is used. It also rejects a message that is
-// followed by bytes that cannot begin another one: a content length that is too small leaves the rest of the body there.
+// splitRTSP returns the size of the message at the start of the input, or 0 if the message is incomplete. It validates
+// the whole header, so invalid input ends the connection before any part of it is used. It also rejects a message that
+// is followed by bytes that cannot begin another one: a content length that is too small leaves the rest of the body
+// there.
 func splitRTSP(in []byte) (int, error) {
 	if !hasMessagePrefix(in) {
 		return 0, errMessageStart
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -15,8 +15,8 @@
 	"fordusher/policy"
 )
 
-// drawSettings draws random platform settings: the names and number of classes, deadlines and limits. Most values may be
-// left out or be 0.
+// drawSettings draws random platform settings: the names and number of classes, deadlines and limits. Most values may
+// be left out or be 0.
 func drawSettings(t *rapid.T) map[string]any {
 	maybe := func(m map[string]any, key string, value any) {
 		switch rapid.IntRange(0, 5).Draw(t, key) {
--- a/internal/platform/start_config.go
+++ b/internal/platform/start_config.go
@@ -19,8 +19,8 @@
 	"fordusher/shutdown"
 )
 
-// The environment variables that configure a director. The first two override the fields of the same meaning in the file
-// that the third one names.
+// The environment variables that configure a director. The first two override the fields of the same meaning in the
+// file that the third one names.
 const (
 	envName       = "PROXY_NAME"
 	envListen     = "PROXY_LISTEN"
@@ -74,7 +74,8 @@
 	statesByName = map[string]string{"ready": wire.Up, "draining": wire.Draining, "gone": wire.Removed}
 )
 
-// A ConfigError reports an invalid start configuration. It names the environment variable, or the file and the key or line.
+// A ConfigError reports an invalid start configuration. It names the environment variable, or the file and the key or
+// line.
 type ConfigError string
 
 func (e ConfigError) Error() string { return string(e) }
@@ -155,13 +156,14 @@
 	return n, nil
 }
 
-// NewDecider returns a decider, the decision module, with the settings. They have the format of the simulator's protocol.
+// NewDecider returns a decider, the decision module, with the settings, which have the
+// format of the simulator's protocol.
 func (c *StartConfig) NewDecider(seed uint64) director.Decider {
 	return c.parsedSettings.NewDirector(seed)
 }
 
-// The limits of connections, beside those that the platform's settings state. A client connection that has sent no complete
-// message within firstMessageTimeout is closed; the platform itself closes such connections after 4 s.
+// The limits of connections, beside those that the platform's settings state. A client connection that has sent no
+// complete message within firstMessageTimeout is closed; the platform itself closes such connections after 4 s.
 const (
 	firstMessageTimeout      = 2 * time.Second
 	writeTimeout             = time.Second
@@ -172,8 +174,8 @@
 	answerMargin             = 20 * time.Millisecond
 	maxRequestsPerConnection = 256
 	maxInboxPerPeer          = 2048 // the sessions that clients hand over when a director starts arrive all at once
-	reservedDescriptors      = 40   // for the program's files, pollers and listener, the discovery connection and connections being rejected
-	pendingDescriptorShare   = 8    // one in so many descriptors is for clients that have not sent a message yet
+	reservedDescriptors      = 40   // for files, pollers, the listener, the discovery connection and connections being rejected
+	pendingDescriptorShare   = 8    // one in this many descriptors is for clients that have not sent a message yet
 	minPendingConnections    = 16
 	memoryFraction           = 0.8 // of the memory limit: beyond it the program accepts no more clients
 	pingDisabledInterval     = 24 * time.Hour
@@ -185,7 +187,8 @@
 	settings := c.parsedSettings
 	tariffs := settings.Tariffs()
 	config := &conf.Config{
-		Name: c.Name, ListenAddress: c.Listen, DiscoveryAddress: c.DiscoveryAddress, DiscoveryReadTimeout: discoverySilenceTimeout, Ladder: settings.Ladder(), MachineKinds: settings.Kinds,
+		Name: c.Name, ListenAddress: c.Listen, DiscoveryAddress: c.DiscoveryAddress, DiscoveryReadTimeout: discoverySilenceTimeout,
+		Ladder: settings.Ladder(), MachineKinds: settings.Kinds,
 	}
 	goals := make([]time.Duration, len(tariffs))
 	for i, x := range tariffs {
@@ -199,22 +202,26 @@
 		connect = time.Second
 	}
 	config.ProtocolOptions = director.Options{
-		AnswerMargin: answerMargin, ConnectTimeout: connect, SessionsPerConnection: maxRequestsPerConnection, NoHello: true, Detached: true,
+		AnswerMargin: answerMargin, ConnectTimeout: connect, SessionsPerConnection: maxRequestsPerConnection, NoHello: true,
+		Detached: true,
 	}
 	config.ReconnectPolicy = connector.ReconnectPolicy{InitialBackoff: 100 * time.Millisecond, MaxBackoff: time.Second, MaxConcurrent: 64}
 	config.ReconnectPolicy.IdleTimeout = time.Duration(idleTimeoutFraction * float64(simwire.SecondsToDuration(settings.Permissions.Idle)))
 	if interval := simwire.SecondsToDuration(settings.Family.ReportInterval); interval > 0 { // a node with sessions reports this often
 		config.ReconnectPolicy.HeartbeatInterval = (interval + time.Second) / 3
 	}
-	config.ShutdownPolicy = shutdown.Policy{Timeout: c.shutdownTimeout(), BatchInterval: 200 * time.Millisecond, MinDuration: c.minShutdownTime(), CloseTimeout: c.clientCloseTimeout()}
+	config.ShutdownPolicy = shutdown.Policy{Timeout: c.shutdownTimeout(), BatchInterval: 200 * time.Millisecond,
+		MinDuration: c.minShutdownTime(), CloseTimeout: c.clientCloseTimeout()}
 	sockets := c.Limits.Sockets
 	if sockets == 0 {
 		sockets = 1024
 	}
 	pendingConnections := max(minPendingConnections, sockets/pendingDescriptorShare)
 	config.Capacity = limits.Capacity{
-		MaxConnections: sockets, MaxHandshakes: sockets, HeartbeatInterval: pingDisabledInterval, IdleTimeout: time.Second, HandshakeTimeout: firstMessageTimeout,
-		MaxRetryAfter: time.Second, DisplaceIdleAfter: 250 * time.Millisecond, MaxDescriptors: sockets, ReservedDescriptors: reservedDescriptors, PreHandshakeDescriptors: pendingConnections,
+		MaxConnections: sockets, MaxHandshakes: sockets, HeartbeatInterval: pingDisabledInterval, IdleTimeout: time.Second,
+		HandshakeTimeout: firstMessageTimeout,
+		MaxRetryAfter:    time.Second, DisplaceIdleAfter: 250 * time.Millisecond, MaxDescriptors: sockets,
+		ReservedDescriptors: reservedDescriptors, PreHandshakeDescriptors: pendingConnections,
 	}
 	config.ReconnectPolicy.OnDemand = !config.Capacity.FitsNodes(settings.Family.Cells)
 	if c.Limits.MemoryMB > 0 {
@@ -222,8 +229,8 @@
 	}
 	config.Queue = limits.QueuePolicy{MaxWait: limits.MaxQueueWait(goals), MaxRetryAfter: time.Second}
 	config.ConnectionLimits = conf.ConnectionLimits{
-		Clients: transport.Limits{MaxMessageBytes: maxMessageSize, MaxQueuedBytes: clientQueueBytes, WriteTimeout: writeTimeout, HandshakeTimeout: firstMessageTimeout,
-			KernelBufferBytes: kernelBufferBytes, MaxPendingHandshakes: pendingConnections},
+		Clients: transport.Limits{MaxMessageBytes: maxMessageSize, MaxQueuedBytes: clientQueueBytes, WriteTimeout: writeTimeout,
+			HandshakeTimeout: firstMessageTimeout, KernelBufferBytes: kernelBufferBytes, MaxPendingHandshakes: pendingConnections},
 		Nodes:     transport.Limits{MaxMessageBytes: maxMessageSize, MaxQueuedBytes: nodeQueueBytes, WriteTimeout: writeTimeout},
 		Discovery: transport.Limits{MaxMessageBytes: maxFrameSize, MaxQueuedBytes: nodeQueueBytes, WriteTimeout: writeTimeout},
 		InboxSize: maxInboxPerPeer,
@@ -246,9 +253,9 @@
 	return config
 }
 
-// The platform's rules for a director that is ordered to stop. It is killed no sooner than killAfter after the longest hard
-// stop has passed, where a hard stop longer than maxCountedHardStop counts as maxCountedHardStop. A request that arrives
-// within lateRequestWindow after the order must still be answered.
+// The platform's rules for a director that is ordered to stop. It is killed no sooner than killAfter after the longest
+// hard stop has passed, where a hard stop longer than maxCountedHardStop counts as maxCountedHardStop. A request that
+// arrives within lateRequestWindow after the order must still be answered.
 const (
 	maxCountedHardStop = 3 * time.Second
 	killAfter          = 700 * time.Millisecond
@@ -268,14 +275,14 @@
 // shutdownTimeout returns how long a director may take from the order to stop until the last answer is sent.
 func (c *StartConfig) shutdownTimeout() time.Duration { return c.maxHardStop() + shutdownMargin }
 
-// minShutdownTime returns how long a director runs at least after the order to stop, in order to answer late requests. It
-// is short enough for the director to exit before it is killed.
+// minShutdownTime returns how long a director runs at least after the order to stop, in order to answer late requests.
+// It is short enough for the director to exit before it is killed.
 func (c *StartConfig) minShutdownTime() time.Duration {
 	return min(time.Second, lateRequestWindow+c.maxHardStop()/2)
 }
 
-// clientCloseTimeout returns how long client connections may take to close at the end: half of the time that is left until
-// the director is killed, at most maxClientCloseTime.
+// clientCloseTimeout returns how long client connections may take to close at the end: half of the time that is left
+// until the director is killed, at most maxClientCloseTime.
 func (c *StartConfig) clientCloseTimeout() time.Duration {
 	return min(maxClientCloseTime, (c.maxHardStop()+killAfter-max(c.shutdownTimeout(), c.minShutdownTime()))/2)
 }
@@ -292,7 +299,8 @@
 	}
 }
 
-// ageMillis returns the time since a Unix time in milliseconds, in ms, at least 1; 0 if the start is unknown (0).
+// ageMillis returns how many milliseconds have passed since a Unix time in milliseconds: at least 1, or 0 if that time
+// is unknown (0).
 func ageMillis(started uint64, now time.Time) int64 {
 	if started == 0 {
 		return 0
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -21,8 +21,9 @@
 	TraceBytes
 )
 
-// A tracer is a protocol that logs the messages that it decodes and encodes, one a line: the Unix time in seconds, the
-// sender or receiver, and the content. The trace allows the director's state to be compared with the socket traffic.
+// A tracer is a protocol that logs the messages that it decodes and encodes, one per line: the Unix time in seconds,
+// the sender or receiver, and the content. The trace allows the director's state to be compared with the socket
+// traffic.
 type tracer struct {
 	daemon.Protocol
 	level TraceLevel
