--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -17,24 +17,25 @@
 	requests atomic.Int64
 }
 
-func (g *floodClient) Opened(*transport.Conn)                  {}
-func (g *floodClient) Closed(*transport.Conn, error, []uint64) {}
+func (f *floodClient) Opened(*transport.Conn)                  {}
+func (f *floodClient) Closed(*transport.Conn, error, []uint64) {}
 
-func (g *floodClient) Message(c *transport.Conn, raw []byte) {
+func (f *floodClient) Message(c *transport.Conn, raw []byte) {
 	if m, err := wire.DecodeSessionMessage(raw); err == nil && m.Type != wire.Rung && m.Type != wire.SessionEnded {
-		if g.cancels {
+		if f.cancels {
 			c.Send(wire.Encode(wire.SessionMessage{Type: wire.Cancel, ID: m.ID}), 0)
 		}
-		c.Send(g.nextRequest(), 0)
+		c.Send(f.nextRequest(), 0)
 	}
 }
 
-func (g *floodClient) nextRequest() []byte {
-	n, title := g.requests.Add(1), "none"
-	if g.cancels {
+func (f *floodClient) nextRequest() []byte {
+	n, title := f.requests.Add(1), "none"
+	if f.cancels {
 		title = "t"
 	}
-	return wire.Encode(wire.SessionMessage{Type: wire.Request, ID: fmt.Sprint(n), Tariff: "clip", Title: title, Key: fmt.Sprintf("%p-%d", g, n), WaitMS: 2000})
+	return wire.Encode(wire.SessionMessage{Type: wire.Request, ID: fmt.Sprint(n), Tariff: "clip", Title: title,
+		Key: fmt.Sprintf("%p-%d", f, n), WaitMS: 2000})
 }
 
 // The benchmark measures how long one client waits for its answers beside connections that each keep 400 requests open,
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -40,8 +40,8 @@
 	for i := range nodes {
 		specs = append(specs, node.Spec{Name: fmt.Sprint("n", i), Kind: "box", MaxStreams: 50, LinkRate: 1e5, Cores: 2, SetupTime: 2 * ms})
 	}
-	environment := node.Environment{Uplinks: []float64{1e6}, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4, OverloadWindow: time.Second,
-		ReportDelay: 100 * ms, ReportInterval: time.Second, LoadRefresh: 100 * ms}
+	environment := node.Environment{Uplinks: []float64{1e6}, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4,
+		OverloadWindow: time.Second, ReportDelay: 100 * ms, ReportInterval: time.Second, LoadRefresh: 100 * ms}
 	var err error
 	if p.host, err = node.StartHost(node.NewModel(1, environment, specs), p.recorder, nil); err != nil {
 		t.Fatal(err)
@@ -49,7 +49,8 @@
 	t.Cleanup(p.host.Close)
 	var entries []wire.NodeEntry
 	for i, m := range specs {
-		entries = append(entries, wire.NodeEntry{Node: m.Name, Address: p.host.Address(m.Name), State: wire.Up, MachineKind: "box", Weight: 1, Cell: i, Incarnation: 1})
+		entries = append(entries, wire.NodeEntry{Node: m.Name, Address: p.host.Address(m.Name), State: wire.Up, MachineKind: "box",
+			Weight: 1, Cell: i, Incarnation: 1})
 	}
 	if p.discovery, err = discovery.Start(p.recorder, entries, []wire.TitlePlacement{{Title: "t", Copies: 8}}); err != nil {
 		t.Fatal(err)
@@ -122,7 +123,8 @@
 }
 
 func requestMessage(id, tariff string) []byte {
-	return wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: tariff, Title: "t", Key: "k" + id, WaitMS: 2000, LengthMS: 60_000})
+	return wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: tariff, Title: "t", Key: "k" + id,
+		WaitMS: 2000, LengthMS: 60_000})
 }
 
 func (p *client) answer(t testing.TB) wire.SessionMessage {
@@ -322,7 +324,8 @@
 	if took := time.Since(stoppedAt); took > 5*time.Second { // the shutdown time-out is 1 s
 		t.Fatal(took)
 	}
-	if _, err := transport.Dial(p.d.Address(), wire.SessionProtocol, 200*ms, transport.Limits{MaxMessageBytes: 100, MaxQueuedBytes: 100}, in, nil); err == nil {
+	if _, err := transport.Dial(p.d.Address(), wire.SessionProtocol, 200*ms,
+		transport.Limits{MaxMessageBytes: 100, MaxQueuedBytes: 100}, in, nil); err == nil {
 		t.Fatal("the director still accepts connections")
 	}
 }
--- a/internal/daemon/inbox_test.go
+++ b/internal/daemon/inbox_test.go
@@ -101,7 +101,8 @@
 			}
 		}
 		if n := int(p.pending.Load()); n != withPeer || b.queueLength() != 0 || len(b.queue) != 0 {
-			t.Errorf("%s: %d items pending, want %d; %d items and %d clients still queued", name, n, withPeer, b.queueLength(), len(b.queue))
+			t.Errorf("%s: %d items pending, want %d; %d items and %d clients still queued",
+				name, n, withPeer, b.queueLength(), len(b.queue))
 		}
 	}
 }
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -169,7 +169,8 @@
 	defer c.Close()
 	io.WriteString(c, upgradeRequest)
 	time.Sleep(100 * ms) // the handshake has to be answered before the first message is sent
-	request := ws.MustCompileFrame(ws.MaskFrame(ws.NewTextFrame(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "clip", Title: "none", Key: "k", WaitMS: 1000}))))
+	request := ws.MustCompileFrame(ws.MaskFrame(ws.NewTextFrame(wire.Encode(wire.SessionMessage{
+		Type: wire.Request, ID: "1", Tariff: "clip", Title: "none", Key: "k", WaitMS: 1000}))))
 	c.SetWriteDeadline(time.Now().Add(20 * time.Second))
 	for range 200_000 { // each repeated request is answered again, until the reset ends the loop
 		if _, err = c.Write(request); err != nil {
