--- a/internal/platform/backlog_test.go
+++ b/internal/platform/backlog_test.go
@@ -22,24 +22,24 @@
 			t.Parallel()
 			p := startFixture(t, 1, "")
 			p.nodes[0].setReply(func(string) string { return "" })
-			v := p.newClient()
+			client := p.newClient()
 			// A leg of the paid class has no time-out before the request's deadline.
-			v.send(setupMessage(2, map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam"}))
+			client.send(setupMessage(2, map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam"}))
 			p.wait("the set-up did not reach its node", func() bool { return p.nodes[0].countReceived("Session: "+sessionID(2)) == 1 })
-			v.send(bad)
+			client.send(bad)
 			if name == "half a message" {
 				time.Sleep(firstMessageTimeout + 100*time.Millisecond) // a partial message counts as unreadable only after this time-out
 				p.wait("the request was not answered at its deadline", func() bool { return p.d.Counts().Errored+p.d.Counts().Nacked == 1 })
-				if m, ok := v.next(); !ok || m.kind != kindRelease || m.session != 2 {
+				if m, ok := client.next(); !ok || m.kind != kindRelease || m.session != 2 {
 					t.Fatalf("read ok: %v, kind %d, session %d; want a release of session 2", ok, m.kind, m.session)
 				}
 			} else {
 				p.probeClient = p.newClient()
 				p.probeClient.roundTrip() // the director has read the input sent before
 				p.nodes[0].send(acceptResponse(sessionID(2)))
-				v.expect(kindAnswer, 2, codeDescription)
+				client.expect(kindAnswer, 2, codeDescription)
 			}
-			if m, ok := v.next(); ok {
+			if m, ok := client.next(); ok {
 				t.Fatalf("kind %d of session %d on a connection that should be closed", m.kind, m.session)
 			}
 			p.wait("the request counters are wrong", func() bool {
@@ -61,10 +61,10 @@
 	hold sync.Mutex
 }
 
-func (s *pausableDecider) Step(now time.Duration, event policy.Event) []policy.Action {
-	s.hold.Lock()
-	defer s.hold.Unlock()
-	return s.Decider.Step(now, event)
+func (d *pausableDecider) Step(now time.Duration, event policy.Event) []policy.Action {
+	d.hold.Lock()
+	defer d.hold.Unlock()
+	return d.Decider.Step(now, event)
 }
 
 // While the loop is blocked, one connection sends more requests than may wait in the inbox. Each request gets one final
@@ -75,20 +75,20 @@
 		decider = &pausableDecider{Decider: d}
 		return decider
 	})
-	v := p.newClient()
-	v.roundTrip()
+	client := p.newClient()
+	client.roundTrip()
 	decider.hold.Lock()
 	const requests = maxInboxPerPeer + 500
 	go func() {
 		for id := range uint64(requests) {
-			v.send(setupMessage(id+1, defaultPlacement))
+			client.send(setupMessage(id+1, defaultPlacement))
 		}
 		time.Sleep(50 * time.Millisecond)
 		decider.hold.Unlock()
 	}()
 	answers := map[uint64]int{}
 	for len(answers) < requests {
-		m, ok := v.next()
+		m, ok := client.next()
 		if !ok {
 			t.Fatalf("the connection was closed after %d of %d answers", len(answers), requests)
 		}
@@ -101,5 +101,5 @@
 			t.Fatalf("%d answers to request %d", n, id)
 		}
 	}
-	v.roundTrip() // the connection still works
+	client.roundTrip() // the connection still works
 }
--- a/internal/platform/daemon_test.go
+++ b/internal/platform/daemon_test.go
@@ -135,7 +135,8 @@
 func acceptResponse(session string) string { return rtspResponse(session, 200, nodeDescription) }
 
 func teardownMessage(session string, cause int) string {
-	return fmt.Sprintf("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: %s\r\nReason: cause=%d\r\nContent-Length: 0\r\n\r\n", session, cause)
+	return fmt.Sprintf("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: %s\r\nReason: cause=%d\r\nContent-Length: 0\r\n\r\n",
+		session, cause)
 }
 
 // A fixture is a director with the emulated nodes on its server list.
@@ -153,8 +154,8 @@
 	closedClients *atomic.Int32
 }
 
-func (f countingProtocol) Listen(h transport.Handler) (*transport.Server, error) {
-	return f.Protocol.Listen(countingHandler{h, h.(transport.AdmissionHandler), f.closedClients})
+func (p countingProtocol) Listen(h transport.Handler) (*transport.Server, error) {
+	return p.Protocol.Listen(countingHandler{h, h.(transport.AdmissionHandler), p.closedClients})
 }
 
 // A countingHandler passes events on to the daemon's handler and counts closed connections.
@@ -194,7 +195,8 @@
 }
 
 // startFixtureLimited is startFixtureWith with a limit on file descriptors.
-func startFixtureLimited(t *testing.T, sockets, nodes int, discoveryAddress, settings string, wrap func(director.Decider) director.Decider) *fixture {
+func startFixtureLimited(t *testing.T, sockets, nodes int, discoveryAddress, settings string,
+	wrap func(director.Decider) director.Decider) *fixture {
 	t.Helper()
 	p := &fixture{t: t}
 	var targets []target
@@ -260,35 +262,35 @@
 	return &emulatedClient{p.t, c, bufio.NewReader(c)}
 }
 
-func (v *emulatedClient) send(raw []byte) { v.c.Write(raw) }
+func (e *emulatedClient) send(raw []byte) { e.c.Write(raw) }
 
 // next reads a message; ok is false if the connection has ended.
-func (v *emulatedClient) next() (m clientMessage, ok bool) {
-	v.t.Helper()
+func (e *emulatedClient) next() (m clientMessage, ok bool) {
+	e.t.Helper()
 	head := make([]byte, lengthSize)
-	if _, err := io.ReadFull(v.r, head); err != nil {
+	if _, err := io.ReadFull(e.r, head); err != nil {
 		if n, is := err.(net.Error); is && n.Timeout() {
-			v.t.Fatal("no message was received")
+			e.t.Fatal("no message was received")
 		}
 		return m, false
 	}
 	raw := append(head, make([]byte, binary.BigEndian.Uint16(head))...)
-	if _, err := io.ReadFull(v.r, raw[lengthSize:]); err != nil {
+	if _, err := io.ReadFull(e.r, raw[lengthSize:]); err != nil {
 		return m, false
 	}
 	m, err := parseClientMessage(raw)
 	if err != nil {
-		v.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 	return m, true
 }
 
 // expect reads a message, which must have the given kind and session, and returns the value of one of its parameters.
-func (v *emulatedClient) expect(kind byte, session uint64, code byte) (value string) {
-	v.t.Helper()
-	m, ok := v.next()
+func (e *emulatedClient) expect(kind byte, session uint64, code byte) (value string) {
+	e.t.Helper()
+	m, ok := e.next()
 	if !ok || m.kind != kind || m.session != session {
-		v.t.Fatalf("read ok: %v, kind %d, session %d; want kind %d, session %d", ok, m.kind, m.session, kind, session)
+		e.t.Fatalf("read ok: %v, kind %d, session %d; want kind %d, session %d", ok, m.kind, m.session, kind, session)
 	}
 	m.eachParam(func(c byte, x []byte) error {
 		if c == code {
@@ -301,20 +303,21 @@
 
 func TestSessionFromSetupToRelease(t *testing.T) {
 	p := startFixture(t, 1, "")
-	v := p.newClient()
-	v.send(newClientMessage(kindProbe, 5).param(codeCause, []byte{0}).finish())
-	if v.expect(kindProbeReply, 5, codeCause) != "\x01" {
+	client := p.newClient()
+	client.send(newClientMessage(kindProbe, 5).param(codeCause, []byte{0}).finish())
+	if client.expect(kindProbeReply, 5, codeCause) != "\x01" {
 		t.Fatal("the probe reply does not report success")
 	}
-	v.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
-	if got := v.expect(kindAnswer, 7, codeDescription); got != nodeDescription {
+	client.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
+	if got := client.expect(kindAnswer, 7, codeDescription); got != nodeDescription {
 		t.Fatalf("description %q", got)
 	}
-	if n := p.nodes[0]; n.countReceived(testDescription) != 1 || n.countReceived("X-Service: clip") != 1 || n.countReceived("rtsp://media/7f3a9c21e0b4d655 ") != 1 {
+	if n := p.nodes[0]; n.countReceived(testDescription) != 1 || n.countReceived("X-Service: clip") != 1 ||
+		n.countReceived("rtsp://media/7f3a9c21e0b4d655 ") != 1 {
 		t.Fatalf("%q", n.received)
 	}
 	p.nodes[0].send(teardownMessage(sessionID(7), causeEnded))
-	if v.expect(kindRelease, 7, codeCause) != string([]byte{causeEnded}) {
+	if client.expect(kindRelease, 7, codeCause) != string([]byte{causeEnded}) {
 		t.Fatal("the release has another cause than the node's")
 	}
 	p.wait("the node received no response to its TEARDOWN", func() bool { return p.nodes[0].countReceived("RTSP/1.0 200 OK") == 1 })
@@ -322,10 +325,10 @@
 
 func TestSessionOutlivesItsConnections(t *testing.T) {
 	p := startFixture(t, 1, "")
-	v := p.newClient()
-	v.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
-	v.expect(kindAnswer, 7, codeDescription)
-	v.c.Close()
+	client := p.newClient()
+	client.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
+	client.expect(kindAnswer, 7, codeDescription)
+	client.c.Close()
 	other := p.newClient()
 	other.send(newClientMessage(kindProbe, 1).finish())
 	other.expect(kindProbeReply, 1, codeCause)
@@ -355,10 +358,10 @@
 			t.Parallel()
 			p := startFixture(t, 2, "")
 			p.nodes[0].setReply(reply)
-			v := p.newClient()
+			client := p.newClient()
 			for id := uint64(1); id <= 4; id++ { // two nodes hold the title; each is the first choice of some sessions
-				v.send(setupMessage(id, map[byte]string{codePlacement: "home:0;copies:2;top:1"}))
-				if got := v.expect(kindAnswer, id, codeDescription); got != nodeDescription {
+				client.send(setupMessage(id, map[byte]string{codePlacement: "home:0;copies:2;top:1"}))
+				if got := client.expect(kindAnswer, id, codeDescription); got != nodeDescription {
 					t.Fatalf("description %q", got)
 				}
 			}
@@ -372,10 +375,10 @@
 	p.nodes[0].setReply(func(s string) string {
 		return acceptResponse("ffffffffffffffff") + acceptResponse(s) + acceptResponse(s)
 	})
-	v := p.newClient()
+	client := p.newClient()
 	for id := uint64(1); id <= 3; id++ {
-		v.send(setupMessage(id, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
-		v.expect(kindAnswer, id, codeDescription)
+		client.send(setupMessage(id, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
+		client.expect(kindAnswer, id, codeDescription)
 	}
 }
 
@@ -386,9 +389,9 @@
 	for _, n := range p.nodes {
 		n.setReply(func(string) string { return "noise" })
 	}
-	v := p.newClient()
-	v.send(setupMessage(7, map[byte]string{codeClass: "exam", codePlacement: "home:0;copies:2;top:1"}))
-	if cause := v.expect(kindRelease, 7, codeCause); cause == string([]byte{causeNacked}) {
+	client := p.newClient()
+	client.send(setupMessage(7, map[byte]string{codeClass: "exam", codePlacement: "home:0;copies:2;top:1"}))
+	if cause := client.expect(kindRelease, 7, codeCause); cause == string([]byte{causeNacked}) {
 		t.Fatal("the release calls a retry harmless")
 	}
 	if sent := p.nodes[0].countReceived(methodSetup+" ") + p.nodes[1].countReceived(methodSetup+" "); sent != 1 {
@@ -416,16 +419,16 @@
 		"half a set-up":      setupMessage(9, placement)[:40],
 		"silence":            nil,
 	} {
-		v := p.newClient()
+		client := p.newClient()
 		sentAt := time.Now()
-		go v.send(raw)
-		if m, ok := v.next(); ok && (m.kind != kindRelease || m.session != 9 && m.session != 0) {
+		go client.send(raw)
+		if m, ok := client.next(); ok && (m.kind != kindRelease || m.session != 9 && m.session != 0) {
 			t.Errorf("%s: answered with kind %d", name, m.kind)
 		}
 		if took := time.Since(sentAt); took > 3*time.Second {
 			t.Errorf("%s: answered or closed after %v only", name, took)
 		}
-		v.c.Close()
+		client.c.Close()
 	}
 	correct.send(setupMessage(1, placement))
 	correct.expect(kindAnswer, 1, codeDescription)
@@ -440,12 +443,12 @@
 
 func TestNodeCrashReleasesItsSessions(t *testing.T) {
 	p := startFixture(t, 1, "")
-	v := p.newClient()
-	v.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
-	v.expect(kindAnswer, 7, codeDescription)
+	client := p.newClient()
+	client.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
+	client.expect(kindAnswer, 7, codeDescription)
 	stoppedAt := time.Now()
 	p.nodes[0].stop()
-	if cause := v.expect(kindRelease, 7, codeCause); cause != string([]byte{causeLost}) || time.Since(stoppedAt) > time.Second {
+	if cause := client.expect(kindRelease, 7, codeCause); cause != string([]byte{causeLost}) || time.Since(stoppedAt) > time.Second {
 		t.Fatalf("cause %q after %v", cause, time.Since(stoppedAt))
 	}
 }
@@ -464,7 +467,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	b := &emulatedDiscovery{ln, make(chan uint64, 16), make(chan net.Conn, 16)}
+	d := &emulatedDiscovery{ln, make(chan uint64, 16), make(chan net.Conn, 16)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -475,18 +478,18 @@
 			if _, err := io.ReadFull(c, from); err != nil {
 				continue
 			}
-			b.requestedFrom <- binary.BigEndian.Uint64(from)
-			b.conns <- c
+			d.requestedFrom <- binary.BigEndian.Uint64(from)
+			d.conns <- c
 		}
 	}()
-	return b
+	return d
 }
 
-func (b *emulatedDiscovery) next(t *testing.T) (from uint64, c net.Conn) {
+func (d *emulatedDiscovery) next(t *testing.T) (from uint64, c net.Conn) {
 	t.Helper()
 	select {
-	case from = <-b.requestedFrom:
-		return from, <-b.conns
+	case from = <-d.requestedFrom:
+		return from, <-d.conns
 	case <-time.After(testTimeout):
 		t.Fatal("the director did not connect to discovery")
 	}
@@ -510,9 +513,9 @@
 }
 
 func TestDiscoveryReconnectsAndResumes(t *testing.T) {
-	b, moved := newEmulatedDiscovery(t), newEmulatedDiscovery(t)
-	p := startFixture(t, 2, b.ln.Addr().String())
-	from, c := b.next(t)
+	discovery, moved := newEmulatedDiscovery(t), newEmulatedDiscovery(t)
+	p := startFixture(t, 2, discovery.ln.Addr().String())
+	from, c := discovery.next(t)
 	if from != 3 {
 		t.Fatalf("events after %d were requested", from)
 	}
@@ -520,22 +523,22 @@
 	c.Write(drained)
 	c.Write(drained) // a duplicate
 	c.Write(nodeEvent(6, 1, 1, p.nodes[1].ln.Addr().String()))
-	if from, c = b.next(t); from != 4 { // event 5 was skipped
+	if from, c = discovery.next(t); from != 4 { // event 5 was skipped
 		t.Fatalf("events after %d were requested", from)
 	}
 	c.Write(drained[:20]) // a truncated frame
 	c.Close()
-	if from, _ = b.next(t); from != 4 {
+	if from, _ = discovery.next(t); from != 4 {
 		t.Fatalf("events after %d were requested", from)
 	}
 	p.d.SetDiscoveryAddress(moved.ln.Addr().String())
 	if from, c = moved.next(t); from != 4 {
 		t.Fatalf("events after %d were requested", from)
 	}
-	v := p.newClient()
+	client := p.newClient()
 	for id := uint64(1); id <= 4; id++ {
-		v.send(setupMessage(id, map[byte]string{codePlacement: "home:0;copies:2;top:1"}))
-		v.expect(kindAnswer, id, codeDescription)
+		client.send(setupMessage(id, map[byte]string{codePlacement: "home:0;copies:2;top:1"}))
+		client.expect(kindAnswer, id, codeDescription)
 	}
 	if sent := p.nodes[0].countReceived(methodSetup + " "); sent != 0 {
 		t.Fatalf("%d set-ups were sent to a draining node", sent)
@@ -543,7 +546,7 @@
 	c.Write(nodeEvent(5, 1, 2, p.nodes[1].ln.Addr().String())) // the node is removed; its sessions are lost when its connection ends
 	p.nodes[1].stop()
 	for range 4 {
-		if m, ok := v.next(); !ok || m.kind != kindRelease {
+		if m, ok := client.next(); !ok || m.kind != kindRelease {
 			t.Fatalf("%v, kind %d", ok, m.kind)
 		}
 	}
@@ -558,12 +561,12 @@
 	var setupReceived sync.WaitGroup
 	setupReceived.Add(1)
 	release := make(chan bool)
-	v := p.newClient()
+	client := p.newClient()
 	placement := map[byte]string{codePlacement: "home:0;copies:1;top:1"}
-	v.send(setupMessage(1, placement))
-	v.expect(kindAnswer, 1, codeDescription)
+	client.send(setupMessage(1, placement))
+	client.expect(kindAnswer, 1, codeDescription)
 	p.nodes[0].setReply(func(s string) string { setupReceived.Done(); <-release; return acceptResponse(s) })
-	v.send(setupMessage(2, placement))
+	client.send(setupMessage(2, placement))
 	setupReceived.Wait()
 	p.d.Stop()
 	late := p.newClient()
@@ -574,7 +577,7 @@
 	close(release)
 	seen := map[uint64][]byte{}
 	for len(seen[1])+len(seen[2]) < 3 { // session 1 is released; session 2 is answered and then released
-		m, ok := v.next()
+		m, ok := client.next()
 		if !ok {
 			t.Fatalf("the connection was closed after the messages %v", seen)
 		}
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -24,57 +24,58 @@
 	once    sync.Once
 }
 
-func (g *blockingDecider) Step(now time.Duration, event policy.Event) []policy.Action {
+func (d *blockingDecider) Step(now time.Duration, event policy.Event) []policy.Action {
 	if r, ok := event.(policy.Request); ok && r.PlayingOn == "" {
-		g.once.Do(func() {
-			close(g.entered)
-			<-g.unblock
+		d.once.Do(func() {
+			close(d.entered)
+			<-d.unblock
 		})
 	}
-	return g.Decider.Step(now, event)
+	return d.Decider.Step(now, event)
 }
 
 // startBlockedInFirstRequest starts a director, sends session 1's request and returns once the loop is blocked in it.
 // The loop goes on when the test closes unblock.
 func startBlockedInFirstRequest(t *testing.T, nodes int) (*fixture, *blockingDecider) {
 	t.Helper()
-	p, g := startBlockingFixture(t, 512, nodes)
-	v := p.newClient()
-	v.send(setupMessage(1, defaultPlacement))
-	<-g.entered
-	return p, g
+	p, decider := startBlockingFixture(t, 512, nodes)
+	client := p.newClient()
+	client.send(setupMessage(1, defaultPlacement))
+	<-decider.entered
+	return p, decider
 }
 
 // startBlockingFixture starts a director with a limit on file descriptors, whose loop will block in its first request.
 func startBlockingFixture(t *testing.T, sockets, nodes int) (*fixture, *blockingDecider) {
 	t.Helper()
-	g := &blockingDecider{entered: make(chan struct{}), unblock: make(chan struct{})}
-	p := startFixtureLimited(t, sockets, nodes, "", testSettings, func(d director.Decider) director.Decider { g.Decider = d; return g })
+	decider := &blockingDecider{entered: make(chan struct{}), unblock: make(chan struct{})}
+	p := startFixtureLimited(t, sockets, nodes, "", testSettings,
+		func(d director.Decider) director.Decider { decider.Decider = d; return decider })
 	t.Cleanup(func() {
 		select {
-		case <-g.unblock:
+		case <-decider.unblock:
 		default:
-			close(g.unblock)
+			close(decider.unblock)
 		}
 	})
-	return p, g
+	return p, decider
 }
 
 var defaultPlacement = map[byte]string{codePlacement: "home:0;copies:1;top:1"}
 
 // reset resets the client's connection, as a crash of the client's process does.
-func (v *emulatedClient) reset() {
-	v.c.(*net.TCPConn).SetLinger(0)
-	v.c.Close()
+func (e *emulatedClient) reset() {
+	e.c.(*net.TCPConn).SetLinger(0)
+	e.c.Close()
 }
 
 // roundTrip waits until the director has read everything sent before on the connection: probes are answered in order.
-func (v *emulatedClient) roundTrip() {
-	v.t.Helper()
-	v.send(newClientMessage(kindProbe, 99).param(codeCause, []byte{0}).finish())
+func (e *emulatedClient) roundTrip() {
+	e.t.Helper()
+	e.send(newClientMessage(kindProbe, 99).param(codeCause, []byte{0}).finish())
 	for {
-		if m, ok := v.next(); !ok {
-			v.t.Fatal("the connection ended before the probe was answered")
+		if m, ok := e.next(); !ok {
+			e.t.Fatal("the connection ended before the probe was answered")
 		} else if m.kind == kindProbeReply {
 			return
 		}
@@ -82,11 +83,11 @@
 }
 
 // departures are the ways in which a client that has requested session 2 may leave.
-var departures = map[string]func(v *emulatedClient){
-	"closes":      func(v *emulatedClient) { v.c.Close() },
-	"half-closes": func(v *emulatedClient) { v.c.(*net.TCPConn).CloseWrite() },
-	"resets":      func(v *emulatedClient) { v.reset() },
-	"cancels":     func(v *emulatedClient) { v.send(releaseMessage(2, causeEnded)); v.roundTrip() },
+var departures = map[string]func(client *emulatedClient){
+	"closes":      func(client *emulatedClient) { client.c.Close() },
+	"half-closes": func(client *emulatedClient) { client.c.(*net.TCPConn).CloseWrite() },
+	"resets":      func(client *emulatedClient) { client.reset() },
+	"cancels":     func(client *emulatedClient) { client.send(releaseMessage(2, causeEnded)); client.roundTrip() },
 }
 
 // A request is never sent to a node if its client leaves while the request waits in the inbox, because the loop is busy
@@ -95,15 +96,15 @@
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p, g := startBlockedInFirstRequest(t, 1)
-			v := p.newClient()
-			v.send(setupMessage(2, defaultPlacement))
-			v.roundTrip()
-			leave(v)
+			p, decider := startBlockedInFirstRequest(t, 1)
+			client := p.newClient()
+			client.send(setupMessage(2, defaultPlacement))
+			client.roundTrip()
+			leave(client)
 			if name != "cancels" {
 				p.wait("the director did not handle the disconnection", func() bool { return p.closedClients.Load() > 0 })
 			}
-			close(g.unblock)
+			close(decider.unblock)
 			last := p.newClient() // its request comes later; once it is answered, the loop is past session 2's request
 			last.send(setupMessage(3, defaultPlacement))
 			last.expect(kindAnswer, 3, codeDescription)
@@ -128,13 +129,13 @@
 			t.Parallel()
 			p := startFixtureWith(t, 1, "", oneSeatSettings, nil)
 			paid := map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam"}
-			first, v, last := p.newClient(), p.newClient(), p.newClient()
+			first, client, last := p.newClient(), p.newClient(), p.newClient()
 			first.send(setupMessage(1, paid))
 			first.expect(kindAnswer, 1, codeDescription)
-			v.send(setupMessage(2, paid)) // waits, because the only seat is taken
-			v.roundTrip()
+			client.send(setupMessage(2, paid)) // waits, because the only seat is taken
+			client.roundTrip()
 			p.wait("the request was not taken", func() bool { return p.d.Counts().Taken == 2 })
-			leave(v)
+			leave(client)
 			p.wait("the request was not abandoned", func() bool { return p.d.Counts().Abandoned == 1 })
 			last.send(setupMessage(3, paid))
 			last.roundTrip()
@@ -155,7 +156,8 @@
 
 func (o drainObserver) Step(now time.Duration, event policy.Event) []policy.Action {
 	out := o.Decider.Step(now, event)
-	if list, ok := event.(policy.ServerList); ok && slices.ContainsFunc(list.Entries, func(e policy.NodeEntry) bool { return e.State == policy.Draining }) {
+	if list, ok := event.(policy.ServerList); ok && slices.ContainsFunc(list.Entries,
+		func(e policy.NodeEntry) bool { return e.State == policy.Draining }) {
 		select {
 		case o.drains <- struct{}{}:
 		default:
@@ -169,19 +171,20 @@
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newEmulatedDiscovery(t)
+			discovery := newEmulatedDiscovery(t)
 			drains := make(chan struct{}, 1)
-			p := startFixtureWith(t, 2, b.ln.Addr().String(), testSettings, func(d director.Decider) director.Decider { return drainObserver{d, drains} })
-			_, conn := b.next(t)
+			p := startFixtureWith(t, 2, discovery.ln.Addr().String(), testSettings,
+				func(d director.Decider) director.Decider { return drainObserver{d, drains} })
+			_, conn := discovery.next(t)
 			conn.Write(nodeEvent(4, 1, 1, p.nodes[1].ln.Addr().String())) // the other node that holds the title drains
 			<-drains                                                      // otherwise the second leg could go there at once
 			p.nodes[0].setReply(func(s string) string { return rtspResponse(s, 500, "") })
-			v, last := p.newClient(), p.newClient()
+			client, last := p.newClient(), p.newClient()
 			placement := map[byte]string{codePlacement: "home:0;copies:2;top:1"}
-			v.send(setupMessage(2, placement))
+			client.send(setupMessage(2, placement))
 			p.wait("no leg was sent", func() bool { return p.d.Counts().Legs == 1 })
-			v.roundTrip()
-			leave(v)
+			client.roundTrip()
+			leave(client)
 			p.wait("the request was not abandoned", func() bool { return p.d.Counts().Abandoned == 1 })
 			conn.Write(nodeEvent(5, 1, 0, p.nodes[1].ln.Addr().String())) // the node is up again, so a leg could start there
 			last.send(setupMessage(3, placement))
@@ -202,10 +205,10 @@
 			p := startFixtureWith(t, 1, "", oneSeatSettings, nil)
 			p.nodes[0].setReply(func(string) string { return "" })
 			paid := map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam"}
-			v := p.newClient()
-			v.send(setupMessage(2, paid))
+			client := p.newClient()
+			client.send(setupMessage(2, paid))
 			p.wait("no set-up was sent", func() bool { return p.nodes[0].countReceived(methodSetup+" ") == 1 })
-			leave(v)
+			leave(client)
 			p.wait("the leg was not cancelled", func() bool { return p.nodes[0].countReceived(methodTeardown+" ") == 1 })
 			p.nodes[0].send(acceptResponse(sessionID(2))) // the answer crosses the cancellation
 			p.nodes[0].setReply(acceptResponse)
@@ -244,28 +247,28 @@
 func TestNodeAnswerAfterTheDeadline(t *testing.T) {
 	p := startFixture(t, 1, "")
 	received, release := holdReplies(t, p.nodes[0])
-	v := p.newClient()
-	v.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam", codeWait: "300"}))
+	client := p.newClient()
+	client.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam", codeWait: "300"}))
 	<-received
-	if cause := v.expect(kindRelease, 7, codeCause); cause == string([]byte{causeNacked}) {
+	if cause := client.expect(kindRelease, 7, codeCause); cause == string([]byte{causeNacked}) {
 		t.Fatal("the release calls a retry harmless")
 	}
 	close(release) // the answer arrives after the deadline
 	p.wait("the leg was not cancelled", func() bool { return p.nodes[0].countReceived(methodTeardown+" ") == 1 })
-	v.roundTripOnly(7)
+	client.roundTripOnly(7)
 }
 
 // roundTripOnly makes a round trip during which no message about the session may arrive.
-func (v *emulatedClient) roundTripOnly(session uint64) {
-	v.t.Helper()
-	v.send(newClientMessage(kindProbe, 98).param(codeCause, []byte{0}).finish())
+func (e *emulatedClient) roundTripOnly(session uint64) {
+	e.t.Helper()
+	e.send(newClientMessage(kindProbe, 98).param(codeCause, []byte{0}).finish())
 	for {
-		m, ok := v.next()
+		m, ok := e.next()
 		switch {
 		case !ok:
-			v.t.Fatal("the connection ended before the probe was answered")
+			e.t.Fatal("the connection ended before the probe was answered")
 		case m.session == session:
-			v.t.Fatalf("a second message about session %d: kind %d", session, m.kind)
+			e.t.Fatalf("a second message about session %d: kind %d", session, m.kind)
 		case m.kind == kindProbeReply:
 			return
 		}
@@ -293,16 +296,16 @@
 				}
 				return ""
 			})
-			v := p.newClient()
-			v.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam"}))
+			client := p.newClient()
+			client.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam"}))
 			if whole {
-				v.expect(kindAnswer, 7, codeDescription)
+				client.expect(kindAnswer, 7, codeDescription)
 				return
 			}
-			if cause := v.expect(kindRelease, 7, codeCause); cause == string([]byte{causeNacked}) {
+			if cause := client.expect(kindRelease, 7, codeCause); cause == string([]byte{causeNacked}) {
 				t.Fatal("the release calls a retry harmless")
 			}
-			v.roundTripOnly(7)
+			client.roundTripOnly(7)
 			if sent := n.countReceived(methodSetup + " "); sent != 1 {
 				t.Fatalf("a paid set-up was sent %d times, want once", sent)
 			}
@@ -313,20 +316,20 @@
 // A message that arrives in two parts, split at any byte, has the same effect as the whole message: a client's set-up,
 // a node's answer and a discovery event.
 func TestMessagesSplitAtEveryByte(t *testing.T) {
-	b := newEmulatedDiscovery(t)
-	p := startFixture(t, 2, b.ln.Addr().String())
-	_, conn := b.next(t)
-	v := p.newClient()
+	discovery := newEmulatedDiscovery(t)
+	p := startFixture(t, 2, discovery.ln.Addr().String())
+	_, conn := discovery.next(t)
+	client := p.newClient()
 	raw := setupMessage(0, defaultPlacement)
 	for cut := 1; cut < len(raw); cut++ {
 		id := uint64(cut)
 		raw := setupMessage(id, defaultPlacement)
-		v.send(raw[:cut])
-		v.roundTripOnOtherConn(p) // the director has read the first part
-		v.send(raw[cut:])
-		v.expect(kindAnswer, id, codeDescription)
-		v.send(releaseMessage(id, causeEnded))
-		v.expect(kindAck, id, 0)
+		client.send(raw[:cut])
+		client.roundTripOnOtherConn(p) // the director has read the first part
+		client.send(raw[cut:])
+		client.expect(kindAnswer, id, codeDescription)
+		client.send(releaseMessage(id, causeEnded))
+		client.expect(kindAck, id, 0)
 	}
 	n := p.nodes[0]
 	whole := acceptResponse(sessionID(5000))
@@ -335,12 +338,12 @@
 		text := acceptResponse(sessionID(id))
 		n.setReply(func(string) string { return text[:cut] })
 		before := n.countReceived(methodSetup + " ")
-		v.send(setupMessage(id, defaultPlacement))
+		client.send(setupMessage(id, defaultPlacement))
 		p.wait("no set-up was sent", func() bool { return n.countReceived(methodSetup+" ") > before })
 		n.send(text[cut:])
-		v.expect(kindAnswer, id, codeDescription)
-		v.send(releaseMessage(id, causeEnded))
-		v.expect(kindAck, id, 0)
+		client.expect(kindAnswer, id, codeDescription)
+		client.send(releaseMessage(id, causeEnded))
+		client.expect(kindAck, id, 0)
 	}
 	n.setReply(acceptResponse)
 	number := uint64(4)
@@ -354,10 +357,10 @@
 	sent := func() int { return n.countReceived(methodSetup + " ") }
 	for id := uint64(9000); ; id++ {
 		before := sent()
-		v.send(setupMessage(id, map[byte]string{codePlacement: "home:0;copies:2;top:1"}))
-		v.expect(kindAnswer, id, codeDescription)
-		v.send(releaseMessage(id, causeEnded))
-		v.expect(kindAck, id, 0)
+		client.send(setupMessage(id, map[byte]string{codePlacement: "home:0;copies:2;top:1"}))
+		client.expect(kindAnswer, id, codeDescription)
+		client.send(releaseMessage(id, causeEnded))
+		client.expect(kindAck, id, 0)
 		if sent() == before && p.nodes[1].countReceived(methodSetup+" ") > 6 { // node 0 drains, as the last event states
 			break
 		}
@@ -369,8 +372,8 @@
 
 // roundTripOnOtherConn makes a round trip on another connection. After it the director has also read what this client
 // sent.
-func (v *emulatedClient) roundTripOnOtherConn(p *fixture) {
-	v.t.Helper()
+func (e *emulatedClient) roundTripOnOtherConn(p *fixture) {
+	e.t.Helper()
 	if p.probeClient == nil {
 		p.probeClient = p.newClient()
 	}
@@ -381,16 +384,16 @@
 // paid set-up that may have run is not sent again, and its answer must not call a retry harmless.
 func TestNodeClosesConnectionDuringSetupWrite(t *testing.T) {
 	p := startFixture(t, 1, "")
-	n, v := p.nodes[0], p.newClient()
+	n, client := p.nodes[0], p.newClient()
 	for id := uint64(1); id <= 40; id++ {
-		v.send(setupMessage(1000+id, defaultPlacement)) // makes the director connect to the node
-		m, ok := v.next()
+		client.send(setupMessage(1000+id, defaultPlacement)) // makes the director connect to the node
+		m, ok := client.next()
 		if !ok || m.kind != kindAnswer && m.kind != kindRelease {
 			t.Fatalf("read ok: %v, kind %d; want a final answer", ok, m.kind)
 		}
 		if m.kind == kindAnswer {
-			v.send(releaseMessage(1000+id, causeEnded))
-			v.expect(kindAck, 1000+id, 0)
+			client.send(releaseMessage(1000+id, causeEnded))
+			client.expect(kindAck, 1000+id, 0)
 		}
 		before := n.countReceived("Session: " + sessionID(id))
 		n.mu.Lock()
@@ -402,15 +405,16 @@
 		}
 		n.conns = nil
 		n.mu.Unlock()
-		v.send(setupMessage(id, map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam", codeWait: "1000"}))
-		m, ok = v.next()
+		client.send(setupMessage(id, map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam", codeWait: "1000"}))
+		m, ok = client.next()
 		sent := n.countReceived("Session: "+sessionID(id)) - before
 		if !ok || m.session != id || m.kind != kindAnswer && m.kind != kindRelease || sent > 1 {
-			t.Fatalf("read ok: %v, kind %d, session %d, set-up sent %d times; want one final answer and at most one set-up", ok, m.kind, m.session, sent)
+			t.Fatalf("read ok: %v, kind %d, session %d, set-up sent %d times; want one final answer and at most one set-up",
+				ok, m.kind, m.session, sent)
 		}
 		if m.kind == kindAnswer {
-			v.send(releaseMessage(id, causeEnded))
-			v.expect(kindAck, id, 0)
+			client.send(releaseMessage(id, causeEnded))
+			client.expect(kindAck, id, 0)
 		}
 	}
 }
@@ -418,23 +422,23 @@
 // An idle connection is chosen for eviction to admit a new one, while a request of its own is queued right behind the
 // new connection. That request still gets a final answer.
 func TestRequestRacesEvictionOfItsConnection(t *testing.T) {
-	p, g := startBlockingFixture(t, reservedDescriptors+minPendingConnections+4, 1) // capacity for two clients
+	p, decider := startBlockingFixture(t, reservedDescriptors+minPendingConnections+4, 1) // capacity for two clients
 	idle, busy := p.newClient(), p.newClient()
 	idle.send(releaseMessage(77, causeEnded)) // connects and requests nothing
 	idle.expect(kindAck, 77, 0)
 	p.wait("the connection was not accepted", func() bool { used, _ := p.d.ConnectionUsage(); return used == 1 })
 	time.Sleep(300 * time.Millisecond) // idle for longer than 250 ms, so it may be evicted
 	busy.send(setupMessage(1, defaultPlacement))
-	<-g.entered
+	<-decider.entered
 	newcomer := p.newClient()
 	newcomer.send(setupMessage(2, defaultPlacement))
 	newcomer.roundTrip()
 	idle.send(setupMessage(3, defaultPlacement))
 	idle.roundTrip()
-	close(g.unblock)
+	close(decider.unblock)
 	busy.expect(kindAnswer, 1, codeDescription)
-	for session, v := range map[uint64]*emulatedClient{2: newcomer, 3: idle} {
-		if m, ok := v.next(); !ok || m.session != session || m.kind != kindAnswer && m.kind != kindRelease {
+	for session, client := range map[uint64]*emulatedClient{2: newcomer, 3: idle} {
+		if m, ok := client.next(); !ok || m.session != session || m.kind != kindAnswer && m.kind != kindRelease {
 			t.Fatalf("read ok: %v, kind %d, session %d; want a final answer for session %d", ok, m.kind, m.session, session)
 		}
 	}
@@ -443,26 +447,26 @@
 // Answers to a client that does not read wait to be written. The director still detects at once that the client has
 // left.
 func TestClientDepartsWhileItsAnswersAreUnread(t *testing.T) {
-	for name, leave := range map[string]func(v *emulatedClient){
-		"closes": func(v *emulatedClient) { v.c.Close() },
-		"resets": func(v *emulatedClient) { v.reset() },
+	for name, leave := range map[string]func(client *emulatedClient){
+		"closes": func(client *emulatedClient) { client.c.Close() },
+		"resets": func(client *emulatedClient) { client.reset() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := startFixtureWith(t, 1, "", oneSeatSettings, nil)
 			paid := map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam"}
-			first, v, last := p.newClient(), p.newClient(), p.newClient()
+			first, client, last := p.newClient(), p.newClient(), p.newClient()
 			first.send(setupMessage(1, paid))
 			first.expect(kindAnswer, 1, codeDescription)
-			v.c.(*net.TCPConn).SetReadBuffer(4096)
+			client.c.(*net.TCPConn).SetReadBuffer(4096)
 			many := []byte{}
 			for range 12_000 { // the replies exceed both kernels' socket buffers but not the director's write queue
 				many = append(many, newClientMessage(kindProbe, 99).param(codeCause, []byte{0}).finish()...)
 			}
-			v.send(many)
-			v.send(setupMessage(2, paid)) // waits, because the only seat is taken
+			client.send(many)
+			client.send(setupMessage(2, paid)) // waits, because the only seat is taken
 			p.wait("the request was not taken", func() bool { return p.d.Counts().Taken == 2 })
-			leave(v)
+			leave(client)
 			p.wait("the request was not abandoned", func() bool { return p.d.Counts().Abandoned == 1 })
 			last.send(setupMessage(3, paid))
 			last.roundTrip()
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -128,58 +128,59 @@
 		case director.CloseLink:
 			delete(c.open, o.Link)
 		case director.CloseClient:
-			for _, w := range c.requests {
-				if !w.answered && !w.cancelled {
-					c.Fatalf("the connection is closed while %s waits for its answer: %+v", w.name, o)
+			for _, request := range c.requests {
+				if !request.answered && !request.cancelled {
+					c.Fatalf("the connection is closed while %s waits for its answer: %+v", request.name, o)
 				}
 			}
 			closed = closed || o.Idle
 		case director.ShutdownComplete:
 			c.ended = true
 		case director.SendNode:
-			w := c.requests[o.Message.Session]
-			if w == nil {
+			request := c.requests[o.Message.Session]
+			if request == nil {
 				continue
 			}
 			switch o.Message.Type {
 			case wire.Setup:
-				w.legs++
-				if w.cancelled || w.answered || w.setupPending || w.mayHaveRun && w.class.AtMostOnce {
-					c.Fatalf("%s must not be set up: %+v", w.name, *w)
+				request.legs++
+				if request.cancelled || request.answered || request.setupPending || request.mayHaveRun && request.class.AtMostOnce {
+					c.Fatalf("%s must not be set up: %+v", request.name, *request)
 				}
 				if !c.open[o.Link] || c.drains[c.links[o.Link]] {
-					c.Fatalf("%s is set up on link %d to %s: open %v, draining %v", w.name, o.Link, c.links[o.Link], c.open[o.Link], c.drains[c.links[o.Link]])
+					c.Fatalf("%s is set up on link %d to %s: open %v, draining %v",
+						request.name, o.Link, c.links[o.Link], c.open[o.Link], c.drains[c.links[o.Link]])
 				}
-				if o.Message.Rung < w.class.Floor {
-					c.Fatalf("%s is set up at rung %d, below its floor %d", w.name, o.Message.Rung, w.class.Floor)
+				if o.Message.Rung < request.class.Floor {
+					c.Fatalf("%s is set up at rung %d, below its floor %d", request.name, o.Message.Rung, request.class.Floor)
 				}
-				if maxLegs := max(1, c.startConfig.parsedSettings.Permissions.MaxAttempts); w.legs > maxLegs {
-					c.Fatalf("%s has leg %d, at most %d are allowed", w.name, w.legs, maxLegs)
+				if maxLegs := max(1, c.startConfig.parsedSettings.Permissions.MaxAttempts); request.legs > maxLegs {
+					c.Fatalf("%s has leg %d, at most %d are allowed", request.name, request.legs, maxLegs)
 				}
-				w.setupPending, w.link = true, o.Link
+				request.setupPending, request.link = true, o.Link
 			case wire.End:
-				w.setupPending = false
+				request.setupPending = false
 			}
 		case director.SendClient:
-			w := c.requests[o.Message.ID]
-			if w == nil {
+			request := c.requests[o.Message.ID]
+			if request == nil {
 				continue
 			}
 			switch o.Message.Type {
 			case wire.Playing, wire.Nack, wire.Errored:
-				if w.answered || w.cancelled || c.now > w.deadline {
-					c.Fatalf("%s must not be answered %s at %v: %+v", w.name, o.Message.Type, c.now, *w)
+				if request.answered || request.cancelled || c.now > request.deadline {
+					c.Fatalf("%s must not be answered %s at %v: %+v", request.name, o.Message.Type, c.now, *request)
 				}
-				if o.Message.Type == wire.Nack && w.class.AtMostOnce && w.mayHaveRun {
-					c.Fatalf("%s may have run, but the answer calls a retry harmless", w.name)
+				if o.Message.Type == wire.Nack && request.class.AtMostOnce && request.mayHaveRun {
+					c.Fatalf("%s may have run, but the answer calls a retry harmless", request.name)
 				}
-				w.answered = true
+				request.answered = true
 			}
 		}
 	}
-	for id, w := range c.requests {
-		if !w.answered && !w.cancelled && c.now > w.deadline {
-			c.Fatalf("%s has no answer at %v, after its deadline: %+v, %s", w.name, c.now, *w, id)
+	for id, request := range c.requests {
+		if !request.answered && !request.cancelled && c.now > request.deadline {
+			c.Fatalf("%s has no answer at %v, after its deadline: %+v, %s", request.name, c.now, *request, id)
 		}
 	}
 	if closed {
@@ -228,8 +229,8 @@
 			t.Fatalf("%s: %v", raw, err)
 		}
 		config := startConfig.Config(time.Now())
-		c := &loopModel{T: t, startConfig: startConfig, requests: map[string]*modelRequest{}, links: map[uint64]string{}, open: map[uint64]bool{},
-			drains: map[string]bool{}, loop: config.NewLoop("b", 1, startConfig.NewDecider(1))}
+		c := &loopModel{T: t, startConfig: startConfig, requests: map[string]*modelRequest{}, links: map[uint64]string{},
+			open: map[uint64]bool{}, drains: map[string]bool{}, loop: config.NewLoop("b", 1, startConfig.NewDecider(1))}
 		c.step(director.DiscoveryReceived{Message: wire.DiscoveryMessage{Type: wire.Snapshot, Nodes: config.Nodes}})
 		c.connectClient()
 		classes := startConfig.parsedSettings.Tariffs()
@@ -237,8 +238,8 @@
 		for step := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			c.advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			var ids []string
-			for id, w := range c.requests {
-				if w.setupPending {
+			for id, request := range c.requests {
+				if request.setupPending {
 					ids = append(ids, id)
 				}
 			}
@@ -247,14 +248,16 @@
 				k := rapid.IntRange(0, len(classes)-1).Draw(t, "class")
 				wait := rapid.SampledFrom([]int{30, 200, 900, 3000, 60000}).Draw(t, "wait")
 				raw := setupMessage(uint64(step+1), map[byte]string{codeClass: fmt.Sprintf("class-%d", k), codeWait: fmt.Sprint(wait),
-					codePlacement: fmt.Sprintf("home:%d;copies:1;top:2", rapid.IntRange(0, startConfig.parsedSettings.Family.Cells-1).Draw(t, "home"))})
+					codePlacement: fmt.Sprintf("home:%d;copies:1;top:2",
+						rapid.IntRange(0, startConfig.parsedSettings.Family.Cells-1).Draw(t, "home"))})
 				in, _, err := protocol.DecodeClient(raw)
 				if err != nil {
 					t.Fatal(err)
 				}
 				in.Conn = c.conn
 				timeout := min(time.Duration(wait)*time.Millisecond, classes[k].HardStop)
-				c.requests[in.Message.ID] = &modelRequest{class: classes[k], name: fmt.Sprintf("session %d of class %d", step+1, k), deadline: c.now + timeout}
+				c.requests[in.Message.ID] = &modelRequest{class: classes[k], name: fmt.Sprintf("session %d of class %d", step+1, k),
+					deadline: c.now + timeout}
 				c.step(in)
 			case action < 6: // a connection is made or fails
 				for link, node := range c.links {
@@ -272,14 +275,15 @@
 				}
 			case action < 8 && len(ids) > 0:
 				id := rapid.SampledFrom(ids).Draw(t, "answered")
-				w := c.requests[id]
+				request := c.requests[id]
 				kind := rapid.SampledFrom([]string{wire.Accepted, wire.Full, wire.Failed}).Draw(t, "kind")
-				w.setupPending, w.mayHaveRun = false, w.mayHaveRun || kind != wire.Full
-				c.step(director.LinkReceived{Link: w.link, Message: wire.NodeMessage{Type: kind, Session: id}})
+				request.setupPending, request.mayHaveRun = false, request.mayHaveRun || kind != wire.Full
+				c.step(director.LinkReceived{Link: request.link, Message: wire.NodeMessage{Type: kind, Session: id}})
 			case action == 8 && len(ids) > 0:
 				id := rapid.SampledFrom(ids).Draw(t, "cancelled")
 				c.requests[id].cancelled = true
-				c.step(director.ClientReceived{Conn: c.conn, Message: wire.SessionMessage{Type: wire.Cancel, ID: id}, Details: &director.RequestDetails{}})
+				c.step(director.ClientReceived{Conn: c.conn, Message: wire.SessionMessage{Type: wire.Cancel, ID: id},
+					Details: &director.RequestDetails{}})
 			case action == 9:
 				i := rapid.IntRange(0, 3).Draw(t, "node")
 				c.drains[nodeName(uint32(i))] = true
@@ -293,11 +297,12 @@
 		c.step(director.Stop{})
 		c.advance(startConfig.maxHardStop() + killAfter)
 		if !c.ended || c.now > stoppedAt+startConfig.maxHardStop()+killAfter {
-			t.Fatalf("the director has not ended %v after Stop; it is killed after %v", c.now-stoppedAt, startConfig.maxHardStop()+killAfter)
+			t.Fatalf("the director has not ended %v after Stop; it is killed after %v",
+				c.now-stoppedAt, startConfig.maxHardStop()+killAfter)
 		}
-		for _, w := range c.requests {
-			if !w.answered && !w.cancelled {
-				t.Fatalf("%s was never answered", w.name)
+		for _, request := range c.requests {
+			if !request.answered && !request.cancelled {
+				t.Fatalf("%s was never answered", request.name)
 			}
 		}
 	})
@@ -327,7 +332,8 @@
 			t.Errorf("want an error with %q on one line, got %v", want, err)
 		}
 	}
-	if _, err := parseStartConfig([]byte(`{"limits":{"sockets":-1},"settings":` + testSettings + `}`)); err == nil || !strings.Contains(err.Error(), "sockets is -1") {
+	if _, err := parseStartConfig([]byte(`{"limits":{"sockets":-1},"settings":` + testSettings + `}`)); err == nil ||
+		!strings.Contains(err.Error(), "sockets is -1") {
 		t.Error(err)
 	}
 }
