--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -109,8 +109,8 @@
 	return s.usedConnections, s.busyConnections
 }
 
-// AdvanceClock moves the director's clock forward, as if the process had been paused for that long.
-// Tests and measurements use it.
+// AdvanceClock moves the director's clock forward, as if the process had been paused for that long. Tests and
+// measurements use it.
 func (d *Daemon) AdvanceClock(by time.Duration) { d.clockOffset.Add(int64(by)) }
 
 func (d *Daemon) now() time.Duration {
--- a/internal/platform/codec_test.go
+++ b/internal/platform/codec_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Clients of playing sessions, which hand them over when a director starts, send any waiting time. Their set-ups must
-// not be rejected for it.
+// Clients that report their playing sessions to a director that has just started send any waiting time. Their set-ups
+// must not be rejected for it.
 func TestPlayingSessionAcceptsAnyWait(t *testing.T) {
 	m, err := parseClientMessage(setupMessage(7, map[byte]string{
 		codeWait: "4294967", codeDescription: omitted, codePlacement: "home:4;copies:3;top:4;at:s-00c41f7a"}))
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -29,8 +29,8 @@
 	awaitingFirstEvent bool   // later events were requested and none has arrived yet
 }
 
-// NewProtocol returns the protocol for a start configuration. Now is the clock by
-// which the start times in discovery events become uptimes.
+// NewProtocol returns the protocol for a start configuration. Now is the clock by which the start times in
+// discovery events become uptimes.
 func NewProtocol(start *StartConfig, config *conf.Config, now func() time.Time) *Protocol {
 	return &Protocol{config: config, settings: start.parsedSettings, now: now, lastEvent: start.InitialDiscovery.Revision}
 }
@@ -137,11 +137,11 @@
 		case m.status == 200:
 			in.Message.Type, in.Description = wire.Accepted, m.body
 			return in, nil, nil
-		case m.status == 453:
+		case m.status == 453: // Not Enough Bandwidth
 			in.Message.Type = wire.Full
-		case m.status == 454:
+		case m.status == 454: // Session Not Found
 			in.Message.Type = wire.Unsent
-		case m.status == 504:
+		case m.status == 504: // Gateway Time-out
 			in.Message.Type, in.Message.Reason = wire.Failed, wire.Lost
 		default:
 			in.Message.Type = wire.Failed
--- a/internal/platform/start_config.go
+++ b/internal/platform/start_config.go
@@ -156,8 +156,8 @@
 	return n, nil
 }
 
-// NewDecider returns a decider, the decision module, with the settings, which have the
-// format of the simulator's protocol.
+// NewDecider returns a decider, the decision module, with the settings. The settings have the format of the simulator's
+// protocol.
 func (c *StartConfig) NewDecider(seed uint64) director.Decider {
 	return c.parsedSettings.NewDirector(seed)
 }
@@ -173,7 +173,7 @@
 	discoverySilenceTimeout  = 2200 * time.Millisecond
 	answerMargin             = 20 * time.Millisecond
 	maxRequestsPerConnection = 256
-	maxInboxPerPeer          = 2048 // the sessions that clients hand over when a director starts arrive all at once
+	maxInboxPerPeer          = 2048 // when a director starts, clients report all their playing sessions to it at once
 	reservedDescriptors      = 40   // for files, pollers, the listener, the discovery connection and connections being rejected
 	pendingDescriptorShare   = 8    // one in this many descriptors is for clients that have not sent a message yet
 	minPendingConnections    = 16
@@ -288,14 +288,14 @@
 }
 
 // entry converts a target into an entry of the server list.
-func (e target) entry(now time.Time) wire.NodeEntry {
-	state, known := statesByName[e.State]
+func (t target) entry(now time.Time) wire.NodeEntry {
+	state, known := statesByName[t.State]
 	if !known {
 		state = wire.Draining // an unknown state: new sessions may not be allowed there
 	}
 	return wire.NodeEntry{
-		Node: e.ID, Address: e.Endpoint, State: state, MachineKind: e.Kind, Zone: e.Zone, Incarnation: uint64(max(0, e.StartedMillis)),
-		UptimeMS: ageMillis(uint64(max(0, e.StartedMillis)), now), Weight: e.Weight, Cell: max(0, e.Cell),
+		Node: t.ID, Address: t.Endpoint, State: state, MachineKind: t.Kind, Zone: t.Zone, Incarnation: uint64(max(0, t.StartedMillis)),
+		UptimeMS: ageMillis(uint64(max(0, t.StartedMillis)), now), Weight: t.Weight, Cell: max(0, t.Cell),
 	}
 }
 
