--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -40,8 +40,8 @@
 	for i := range nodes {
 		specs = append(specs, node.Spec{Name: fmt.Sprint("n", i), Kind: "box", MaxStreams: 50, LinkRate: 1e5, Cores: 2, SetupTime: 2 * ms})
 	}
-	environment := node.Environment{Uplinks: []float64{1e6}, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4, OverloadWindow: time.Second,
-		ReportDelay: 100 * ms, ReportInterval: time.Second, LoadRefresh: 100 * ms}
+	environment := node.Environment{Uplinks: []float64{1e6}, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4,
+		OverloadWindow: time.Second, ReportDelay: 100 * ms, ReportInterval: time.Second, LoadRefresh: 100 * ms}
 	var err error
 	if p.host, err = node.StartHost(node.NewModel(1, environment, specs), p.recorder, nil); err != nil {
 		t.Fatal(err)
@@ -49,7 +49,8 @@
 	t.Cleanup(p.host.Close)
 	var entries []wire.NodeEntry
 	for i, m := range specs {
-		entries = append(entries, wire.NodeEntry{Node: m.Name, Address: p.host.Address(m.Name), State: wire.Up, MachineKind: "box", Weight: 1, Cell: i, Incarnation: 1})
+		entries = append(entries, wire.NodeEntry{Node: m.Name, Address: p.host.Address(m.Name), State: wire.Up, MachineKind: "box",
+			Weight: 1, Cell: i, Incarnation: 1})
 	}
 	if p.discovery, err = discovery.Start(p.recorder, entries, []wire.TitlePlacement{{Title: "t", Copies: 8}}); err != nil {
 		t.Fatal(err)
@@ -100,7 +101,7 @@
 	}
 }
 
-// A client is a client's connection that passes on the messages it receives.
+// A client is a client's end of a connection. It passes the messages and the reason of the close on to the test.
 type client struct {
 	received chan string
 	closed   chan error
@@ -122,7 +123,8 @@
 }
 
 func requestMessage(id, tariff string) []byte {
-	return wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: tariff, Title: "t", Key: "k" + id, WaitMS: 2000, LengthMS: 60_000})
+	return wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: tariff, Title: "t", Key: "k" + id,
+		WaitMS: 2000, LengthMS: 60_000})
 }
 
 func (p *client) answer(t testing.TB) wire.SessionMessage {
@@ -173,8 +175,8 @@
 	}
 }
 
-// The connection of a client that sends malformed, unexpected or oversized messages is closed with a reason that names the
-// fault, and another client is still served.
+// The connection of a client that sends malformed, unexpected or oversized messages is closed with a reason that names
+// the fault, and another client is still served.
 func TestMisbehavingClientsAreClosedAndCounted(t *testing.T) {
 	p := newFixture(t, 2)
 	other, otherIn := dial(t, p.d.Address())
@@ -199,8 +201,8 @@
 	}
 }
 
-// If only the first malformed message were logged, the log would not show which peers are disconnected later. Log lines on
-// malformed messages go on, bounded in number and in length.
+// If only the first malformed message were logged, the log would not show which peers are disconnected later. Log lines
+// on malformed messages go on, bounded in number and in length.
 func TestMalformedMessageLogIsRateLimited(t *testing.T) {
 	lines := make(chan string, 1000)
 	p := newFixture(t, 1)
@@ -322,7 +324,8 @@
 	if took := time.Since(stoppedAt); took > 5*time.Second { // the shutdown time-out is 1 s
 		t.Fatal(took)
 	}
-	if _, err := transport.Dial(p.d.Address(), wire.SessionProtocol, 200*ms, transport.Limits{MaxMessageBytes: 100, MaxQueuedBytes: 100}, in, nil); err == nil {
+	if _, err := transport.Dial(p.d.Address(), wire.SessionProtocol, 200*ms,
+		transport.Limits{MaxMessageBytes: 100, MaxQueuedBytes: 100}, in, nil); err == nil {
 		t.Fatal("the director still accepts connections")
 	}
 }
@@ -348,8 +351,8 @@
 	}
 }
 
-// Priority items, such as results and messages of nodes, come before queued requests. Queued items keep their order, and
-// the queue reuses its memory.
+// Priority items, such as results and messages of nodes, come before queued requests. Queued items keep their order,
+// and the queue reuses its memory.
 func TestInboxOrder(t *testing.T) {
 	b := inbox{wake: make(chan struct{}, 1)}
 	for i := range 5000 {
@@ -375,8 +378,8 @@
 	}
 }
 
-// If the queue served clients in order of arrival, all requests of a client that sends many would delay the clients that
-// come later.
+// If the queue served clients in order of arrival, all requests of a client that sends many would delay the clients
+// that come later.
 func TestInboxServesClientsRoundRobin(t *testing.T) {
 	b := inbox{wake: make(chan struct{}, 1)}
 	busy, other := []*peer{{id: 1}, {id: 2}}, &peer{id: 3}
