--- a/internal/director/answer.go
+++ b/internal/director/answer.go
@@ -6,8 +6,8 @@
 	"fordusher/internal/wire"
 )
 
-// settleAnswer gives a session its final answer, unless the guard refuses that. Without an answer, it marks the answer
-// as no longer owed.
+// settleAnswer gives a session its final answer, unless the guard refuses that. If answer is nil, the session gets
+// none, and it is no longer owed one.
 func (l *Loop) settleAnswer(s *session, answer *wire.SessionMessage, description ...byte) {
 	if answer != nil && !l.mayAnswer(s, answer.Type) {
 		return
@@ -37,17 +37,17 @@
 	l.settleAnswer(s, &wire.SessionMessage{Type: wire.Errored, Reason: reason})
 }
 
-// playsMessage returns the final answer for a session that plays.
-func (l *Loop) playsMessage(s *session) wire.SessionMessage {
+// playingAnswer returns the final answer of a session that plays.
+func (l *Loop) playingAnswer(s *session) wire.SessionMessage {
 	return wire.SessionMessage{
 		Type: wire.Playing, ID: s.request, Session: s.name, Node: s.leg.node.name, Address: s.leg.node.address,
 		Ticket: s.name, Rung: s.rung,
 	}
 }
 
-// sendPlays answers a request for a session that is already playing.
-func (l *Loop) sendPlays(s *session) {
-	answer := l.playsMessage(s)
+// sendPlaying answers a request that resumes a session that is already playing.
+func (l *Loop) sendPlaying(s *session) {
+	answer := l.playingAnswer(s)
 	s.conn.requests[s.request].answer = &answer
 	l.emit(SendClient{Conn: s.conn.id, Message: answer})
 }
--- a/internal/director/attempt.go
+++ b/internal/director/attempt.go
@@ -52,7 +52,8 @@
 	if s == nil || s.answered || s.leg != nil || n == nil {
 		// The decision can't be carried out, so the decider is notified that the leg never started.
 		l.counts.Unexpected++
-		l.notifyDecider(policy.LegResult{ID: a.ID, Node: a.Node, Outcome: policy.NeverStarted, Final: s == nil || s.answered, Load: policy.NoLoad})
+		l.notifyDecider(policy.LegResult{ID: a.ID, Node: a.Node, Outcome: policy.NeverStarted,
+			Final: s == nil || s.answered, Load: policy.NoLoad})
 		return
 	}
 	l.lastLeg++
@@ -75,8 +76,9 @@
 	case n.connected && n.helloReceived && !n.connecting:
 		l.sendSetup(g)
 	case n.connected, n.connecting:
-		// The leg waits for hello, or, if the connection is suspect, for the probe connection, which serves as well.
-	case connecting:
+		// The leg waits for the connection or the node's hello. If the connection is suspect, the leg waits for the
+		// probe connection and is sent on that.
+	case connecting: // the leg waits until the connector makes the attempt
 	default:
 		l.endLeg(g, l.connectFailureOutcome(n), nil)
 	}
@@ -94,7 +96,8 @@
 	l.attemptEvent(AttemptSent, g, "")
 	l.emit(SendNode{Link: g.link, Setup: g.id, Message: wire.NodeMessage{
 		Type: wire.Setup, Leg: g.id, Session: s.name, Tariff: l.tariffs[s.tariff].Name, Title: s.title,
-		Rung: s.rung, RateKB: l.sessionRate(s), StartWithinMS: max(1, (g.deadline - l.now).Milliseconds()), LengthMS: s.length.Milliseconds(),
+		Rung: s.rung, RateKB: l.sessionRate(s), StartWithinMS: max(1, (g.deadline - l.now).Milliseconds()),
+		LengthMS: s.length.Milliseconds(),
 	}, Description: s.description})
 }
 
@@ -103,8 +106,8 @@
 	return l.ladder.Rates[min(s.rung, len(l.ladder.Rates)-1)] * l.tariffs[s.tariff].Scale
 }
 
-// applyRate sets a session's rung and notifies its node and its client.
-func (l *Loop) applyRate(a policy.SetRung) {
+// applyRung sets a session's rung and notifies its node and its client.
+func (l *Loop) applyRung(a policy.SetRung) {
 	s := l.sessions[a.ID]
 	if s == nil || s.phase == sessionOver {
 		return
@@ -123,7 +126,8 @@
 func (l *Loop) sendRung(g *leg) {
 	if g.rungPending = !g.node.connected; !g.rungPending {
 		s := g.session
-		l.emit(SendNode{Link: g.node.link, Message: wire.NodeMessage{Type: wire.Rung, Leg: g.id, Session: s.name, Rung: s.rung, RateKB: l.sessionRate(s)}})
+		l.emit(SendNode{Link: g.node.link, Message: wire.NodeMessage{Type: wire.Rung, Leg: g.id, Session: s.name,
+			Rung: s.rung, RateKB: l.sessionRate(s)}})
 	}
 }
 
@@ -161,7 +165,7 @@
 	l.timers.Cancel(g.deadlineTimer)
 	l.setSessionPhase(s, sessionPlaying)
 	l.counts.Played++
-	answer := l.playsMessage(s)
+	answer := l.playingAnswer(s)
 	l.settleAnswer(s, &answer, description...)
 	if l.options.Detached {
 		if s.conn != nil {
@@ -171,7 +175,7 @@
 	}
 	l.closeReplacedLink(g.node)
 	l.notifyDecider(policy.Accepted{ID: s.id})
-	// A node that reports its load includes the current load of its link and uplink in the answer.
+	// A node that reports its load includes the current load of its network link and its rack's uplink in the answer.
 	if load != nil && load.Link != nil {
 		l.notifyDecider(policy.Measurement{ID: s.id, Node: g.node.name, Kind: policy.LinkLoad, Value: *load.Link})
 	}
--- a/internal/director/client.go
+++ b/internal/director/client.go
@@ -9,15 +9,15 @@
 	"fordusher/limits"
 )
 
-// A conn is a client connection. It keeps the requests whose sessions have not ended, at most SessionsPerConnection, and
-// the last few that have, at most maxEndedRequests.
+// A conn is a client connection. It keeps the requests whose sessions have not ended, at most SessionsPerConnection,
+// and the last few that have, at most maxEndedRequests.
 type conn struct {
 	id               uint64
 	requests         map[string]*request // by the client's id; nil before the first
 	ended            []string            // ids of ended requests, oldest first; unused in detached mode
 	activeRequests   int32               // sessions on it; in detached mode, those without their answer
-	detachedSessions int32               // detached mode: playing sessions that came on it
-	proven           bool                // detached mode: a session that came on it has played
+	detachedSessions int32               // detached mode: playing sessions that were requested on it
+	proven           bool                // detached mode: a session that was requested on it has played
 	slot             int32               // its index for the limits
 	rejected         bool                // detached mode: over capacity; its requests are refused until it closes
 	closing          bool                // it is being closed: new requests on it are not taken
@@ -48,7 +48,8 @@
 	if n := len(l.freeSlots); n > 0 {
 		slot = l.freeSlots[n-1]
 	}
-	plan := l.stepLimits(limits.Event{Kind: limits.ConnectRequest, Conn: int(slot), Address: e.Address, NodeDescriptors: l.linkDescriptors()})
+	plan := l.stepLimits(limits.Event{Kind: limits.ConnectRequest, Conn: int(slot), Address: e.Address,
+		NodeDescriptors: l.linkDescriptors()})
 	if !plan.Admit {
 		l.counts.ClientsRejected++
 		if l.options.Detached { // the client connected to send a request, which is owed an answer
@@ -102,7 +103,7 @@
 	return plan
 }
 
-// countSessions changes the numbers of active and detached sessions of a connection. With at least one session it is
+// countSessions adds to the numbers of active and detached sessions of a connection. With at least one session it is
 // busy for the limits and never evicted.
 func (l *Loop) countSessions(c *conn, active, detached int32) {
 	before := c.activeRequests + c.detachedSessions
@@ -130,7 +131,7 @@
 		l.refuseOnRejected(c, e)
 		return
 	}
-	if c.closing { // this crosses the close message, which says when to reconnect
+	if c.closing { // the message crosses the close message, which says when to reconnect
 		l.event(Event{Kind: RequestRefused, Request: e.Message.ID, Conn: c.id, Reason: "its connection is being closed"})
 		l.counts.Unexpected++
 		return
--- a/internal/director/connections.go
+++ b/internal/director/connections.go
@@ -42,8 +42,8 @@
 // linkDescriptors returns the number of descriptors that connections to nodes use.
 func (l *Loop) linkDescriptors() int { return len(l.links) + l.connector.Dialing() }
 
-// admitLink asks the limits whether one more connection to a node may be made. If they ask for it, it closes the unneeded
-// connection that was used least recently.
+// admitLink asks the limits whether one more connection to a node may be made. If the limits ask for it,
+// admitLink first closes the unneeded connection that was used least recently.
 func (l *Loop) admitLink() bool {
 	var idlest *node // the node whose unneeded connection was used least recently
 	for _, n := range l.links {
@@ -70,8 +70,8 @@
 	}
 }
 
-// updateLinkNeed notifies the connector whether legs or end messages need a connection to a node, if connections are made
-// on demand. It reports whether one can be expected without waiting for a back-off to end.
+// updateLinkNeed notifies the connector whether legs or end messages need a connection to a node, if connections are
+// made on demand. It reports whether a connection can be expected without waiting for a back-off to end.
 func (l *Loop) updateLinkNeed(n *node) (connecting bool) {
 	needed := len(n.legs) > 0 || len(n.pendingEnds) > 0
 	if !l.reconnectPolicy.OnDemand || !needed && !n.linkNeeded {
@@ -93,8 +93,8 @@
 	return outcomeUnconnected
 }
 
-// checkIdleLink closes a connection that has been idle for too long, before the node closes it. If sessions on the node
-// still need it, a probe connection is made first, which replaces it.
+// checkIdleLink closes a connection that has been idle for too long, before the node does: a close by the node could
+// cross a set-up. If sessions on the node still need the connection, a probe connection is made, which replaces it.
 func (l *Loop) checkIdleLink(n *node) {
 	next := n.lastUsed + l.reconnectPolicy.IdleTimeout
 	if next <= l.now && !n.linkNeeded {
@@ -278,11 +278,12 @@
 	}
 }
 
-// linkAlive closes the connection to a node that has sent nothing for too long. In detached mode it probes the connection
-// instead, if a session has been playing there for all that time.
+// linkAlive closes the connection to a node that has sent nothing for too long. In detached mode it probes the
+// connection instead, if a session has been playing there for all that time.
 func (l *Loop) linkAlive(e LinkAlive) {
 	if n := l.links[e.Link]; n != nil && n.connected && l.options.Detached {
-		if l.stepConnector(connector.Event{Node: n.index, Kind: connector.Received, Age: e.IdleFor}).Close && l.playsSince(n, l.now-e.IdleFor) {
+		if l.stepConnector(connector.Event{Node: n.index, Kind: connector.Received, Age: e.IdleFor}).Close &&
+			l.playsSince(n, l.now-e.IdleFor) {
 			l.probeSuspectLink(n, e.Link)
 		}
 	} else if n != nil && n.connected && l.stepConnector(connector.Event{Node: n.index, Kind: connector.Received, Age: e.IdleFor}).Close {
--- a/internal/director/detached.go
+++ b/internal/director/detached.go
@@ -9,8 +9,8 @@
 	"fordusher/policy"
 )
 
-// In detached mode (Options.Detached) a playing session is independent of connections. What differs for that is in this
-// file; the state of sessions and legs and the events for the decider are the same.
+// In detached mode (Options.Detached) a playing session is independent of connections. Most of what this changes is in
+// this file; the state of sessions and legs and the events for the decider are the same.
 //
 //	a client connection closes     its unanswered requests are abandoned; playing sessions go on
 //	a node connection closes       set-ups sent on it may have run; playing sessions go on, and the node's messages
@@ -29,15 +29,15 @@
 	expiresAt time.Duration
 }
 
-// undeliveredRetention is how long an ending is kept without a connection to send it on. It bounds their number. If there
-// is no proven connection for anyClientDelay, the ending goes to any client: every client may be notified, but one that
-// only holds a connection might not pass it on.
+// undeliveredRetention is how long an ending is kept without a connection to send it on; this bounds their number. If
+// there is no proven connection for anyClientDelay, the ending goes to any client. Any client may receive it, but one
+// that only holds a connection might not pass it on.
 const (
 	undeliveredRetention = 8 * time.Second
 	anyClientDelay       = 500 * time.Millisecond
 )
 
-// maxPendingEnds is how many end messages are kept for a node that is not connected.
+// maxPendingEnds is how many end messages are kept for a node that is not connected; further ones are dropped.
 const maxPendingEnds = 1024
 
 // detachedReceived handles a client message in detached mode, where a request's id is the session's name.
@@ -47,7 +47,7 @@
 	switch m.Type {
 	case wire.Request:
 		switch {
-		case s != nil && e.Details.PlayingOn != "": // a session that is held already is reported again
+		case s != nil && e.Details.PlayingOn != "": // a session that the loop already has is reported again
 		case s != nil && s.conn == c: // a repetition: the first request gets the only answer
 			l.counts.Repeated++
 		case s != nil: // the session with that id is not affected
@@ -74,8 +74,8 @@
 	}
 }
 
-// endDetached ends a session, which has its answer, at the request of a connection. If the session came on another
-// connection, its client is notified: it is not known whether the request came from that client.
+// endDetached ends a session, which has its answer, at the request of a connection. If the session was requested on
+// another connection, its client is notified, since it may not be the client that ends the session.
 func (l *Loop) endDetached(s *session, conn uint64) {
 	if s.phase == sessionPlaying && conn != s.originConn {
 		l.notifySessionEnded(s, ReasonEndedElsewhere)
@@ -115,7 +115,8 @@
 	}
 	if !known || details.InvalidReason != "" || n == nil {
 		if l.counts.SessionsLost++; l.counts.SessionsLost == 1 {
-			l.log("can't adopt a playing session: node %q, tariff %q, %s; further ones are only counted", details.PlayingOn, m.Tariff, details.InvalidReason)
+			l.log("can't adopt a playing session: node %q, tariff %q, %s; further ones are only counted",
+				details.PlayingOn, m.Tariff, details.InvalidReason)
 		}
 		l.notifyDetachedEnd(s, "its node is not known")
 		return
@@ -133,13 +134,14 @@
 		top = min(top, *m.MaxRung)
 	}
 	l.notifyDecider(policy.Request{
-		ID: s.id, Tariff: tariff, Title: titleID(m.Title), FirstCell: details.FirstCell, Copies: details.Copies, MaxRung: top, Deadline: l.now,
+		ID: s.id, Tariff: tariff, Title: titleID(m.Title), FirstCell: details.FirstCell, Copies: details.Copies,
+		MaxRung: top, Deadline: l.now,
 		PlayingOn: n.name,
 	})
 }
 
-// countPlaying counts a playing session on the connection that it came on. The connection is proven now and not evicted
-// before the session ends, and undelivered endings are sent on it.
+// countPlaying counts a playing session on the connection that it was requested on. The connection is proven now and
+// not evicted before the session ends, and undelivered endings are sent on it.
 func (l *Loop) countPlaying(s *session, c *conn) {
 	if c.rejected {
 		return
@@ -149,8 +151,8 @@
 	l.deliverUndelivered(c, l.now)
 }
 
-// notifyDetachedEnd notifies a client that its session has ended: on the connection that the session came on, else on the
-// one last proven, else on any proven one. If there is none, the notification waits for a connection.
+// notifyDetachedEnd notifies a client that its session has ended: on the connection that the session was requested
+// on, else on the one last proven, else on any proven one. If there is none, the notification waits for a connection.
 func (l *Loop) notifyDetachedEnd(s *session, reason string) {
 	m := wire.SessionMessage{Type: wire.SessionEnded, ID: s.request, Session: s.name, Reason: reason}
 	for _, id := range [...]uint64{s.originConn, l.lastProvenConn} {
@@ -185,7 +187,7 @@
 	}
 }
 
-// deliverUndelivered sends on a connection the endings that have been waiting since a time or longer.
+// deliverUndelivered sends on a connection the endings that have waited since the given time or longer.
 func (l *Loop) deliverUndelivered(c *conn, since time.Duration) {
 	l.dropExpiredUndelivered()
 	sent := 0
@@ -202,8 +204,8 @@
 	}
 }
 
-// findDetachedLeg finds the leg that a node's message refers to, by its session. Until the leg plays, only messages on the
-// connection of its set-up count. This excludes an answer to an earlier leg or on an earlier connection.
+// findDetachedLeg finds the leg that a node's message refers to, by its session. Until the leg plays, only messages on
+// the connection of its set-up count. This excludes an answer to an earlier leg or on an earlier connection.
 func (l *Loop) findDetachedLeg(n *node, e LinkReceived) *leg {
 	s := l.sessionsByKey[e.Message.Session]
 	if s == nil || s.leg == nil || s.leg.node != n || s.leg.phase == legWaiting || s.leg.phase == legSent && s.leg.link != e.Link {
@@ -213,7 +215,8 @@
 }
 
 // sendEnd sends a node the message to cancel a set-up or to end a playing session. For a playing session without a
-// connection, the message waits for the next connection. A set-up ends with its connection, so no message has to wait for it.
+// connection, the message waits for the next connection. A set-up ends with its connection, so no message has to wait
+// for it.
 func (l *Loop) sendEnd(g *leg) {
 	m, n := wire.NodeMessage{Type: wire.End, Leg: g.id, Session: g.session.name}, g.node
 	if g.phase == legPlaying {
@@ -230,7 +233,7 @@
 	}
 }
 
-// playsSince reports whether a session has been playing on a node since a time or longer.
+// playsSince reports whether a session has been playing on a node since the given time or longer.
 func (l *Loop) playsSince(n *node, since time.Duration) bool {
 	for _, g := range n.legs {
 		if g.phase == legPlaying && g.startedAt <= since {
@@ -247,8 +250,8 @@
 	}
 }
 
-// replaceLink replaces the suspect connection to a node by the probe connection. The old one stays open until the set-ups
-// sent on it have ended.
+// replaceLink replaces the suspect connection to a node by the probe connection. The old one stays open until the
+// set-ups sent on it have ended.
 func (l *Loop) replaceLink(n *node) {
 	l.timers.Cancel(n.pingTimer)
 	l.timers.Cancel(n.idleTimer)
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -1,9 +1,10 @@
-// Package director is the event loop of one director. It takes events from its connections together with the
-// current time, keeps the state of every session and leg, asks its decider (package policy) what to do, and
-// returns what is to be sent. It opens no socket, reads no clock and starts no goroutine, so the same loop runs in
-// the daemon, in virtual time and one step at a time in tests.
+// Package director is the event loop of one director. Loop.Step takes an Input, such as a message from a client,
+// together with the current time. It keeps the state of every session and of every leg (an attempt of a session at a
+// node), asks its decider (package policy) what to do, and returns Outputs: what the caller is to send, open or close.
+// It opens no socket, reads no clock and starts no goroutine, so the same loop runs in the daemon, in virtual time and
+// one step at a time in tests.
 //
-// Sessions and legs are state machines; their transitions are counted:
+// Sessions and legs are state machines:
 //
 //	session   waiting     taken, no leg in progress           -> setting up, over
 //	          setting up  a leg is in progress                -> waiting, playing, over
@@ -65,7 +66,7 @@
 	options          Options
 	shutdownPolicy   shutdown.Policy
 	connector        *connector.Connector
-	connectorTimer   timerqueue.Handle // timer of connector
+	connectorTimer   timerqueue.Handle // the pending timer of connector; 0: none
 	connectorTimerAt time.Duration
 	reconnectPolicy  connector.ReconnectPolicy
 	limits           *limits.Limits
@@ -131,16 +132,23 @@
 
 // Counts are a director's counters since it started.
 type Counts struct {
-	Taken, Played, Nacked, Errored, Abandoned                             uint64 // requests by their outcome
-	Repeated, Adopted, RejectedByShutdown                                 uint64 // repetitions; sessions resumed or adopted; requests refused by shutdown
-	Legs, Retries                                                         uint64 // legs, and those beyond a session's first
-	NeverRan                                                              [len(neverRanReasons)]uint64
+	// Requests taken, and requests by their outcome.
+	Taken, Played, Nacked, Errored, Abandoned uint64
+	// Repetitions of requests, sessions resumed or adopted, and requests refused by shutdown.
+	Repeated, Adopted, RejectedByShutdown uint64
+	// Legs, and those beyond a session's first.
+	Legs, Retries uint64
+	// Legs that provably never ran, by proof.
+	NeverRan [len(neverRanReasons)]uint64
+	// Overdue counts requests that the decider had not answered by their deadline, Unexpected messages and decisions
+	// that can't be acted on, and LateAnswers answers of nodes for legs or sessions that already have one.
 	Overdue, IllegalTransitions, Unexpected, LateAnswers, UnknownMessages uint64
-	SessionsLost                                                          uint64            // playing sessions that lost their node
-	ClientsRejected, ClientsEvicted                                       uint64            // client connections rejected, and idle ones evicted
-	RequestsShed                                                          uint64            // requests refused because they waited too long for an overloaded loop
-	Stalls                                                                uint64            // times that a timer ran more than 100 ms late
-	RefusedByRule                                                         [ruleCount]uint64 // violations that the guard prevented, by rule
+
+	SessionsLost                    uint64            // playing sessions that lost their node
+	ClientsRejected, ClientsEvicted uint64            // client connections rejected, and idle ones evicted
+	RequestsShed                    uint64            // requests that had waited too long for an overloaded loop
+	Stalls                          uint64            // times that a timer ran more than 100 ms late
+	RefusedByRule                   [ruleCount]uint64 // violations that the guard prevented, by rule
 }
 
 // ConnectionUsage returns the number of client connections, how many of them are busy, and the mode of the limits.
@@ -151,7 +159,7 @@
 	return l.counts, l.owed, l.playing, len(l.legs), len(l.links)
 }
 
-// Next returns the latest time at which Step needs a Tick.
+// Next returns the time by which Step needs the next Tick.
 func (l *Loop) Next() time.Duration {
 	if l.ended {
 		return math.MaxInt64
@@ -169,7 +177,7 @@
 	return next
 }
 
-// Step processes an input at a time, runs the timers that are due, and returns the outputs in order.
+// Step processes one input at the given time, runs the timers that are due, and returns the outputs in order.
 // The input comes before the timers, so a node's answer that arrives at its deadline still counts.
 func (l *Loop) Step(now time.Duration, in Input) []Output {
 	l.now, l.outputs = max(now, l.now), l.outputs[:0]
@@ -274,7 +282,7 @@
 	case policy.Dispatch:
 		l.dispatch(a)
 	case policy.SetRung:
-		l.applyRate(a)
+		l.applyRung(a)
 	case policy.Nack:
 		if s := l.sessions[a.ID]; s != nil && !s.answered {
 			l.answerNack(s, a.Backoff, "no room")
--- a/internal/director/discovery.go
+++ b/internal/director/discovery.go
@@ -8,7 +8,8 @@
 	"fordusher/policy"
 )
 
-// A title is something that clients can ask to play, with the cells of nodes that hold it.
+// A title is something that clients can ask to play, with the cells that hold it. A cell is a position
+// at which nodes are placed.
 type title struct {
 	id                uint64
 	firstCell, copies int // its first cell, and how many cells in a row hold it
@@ -108,13 +109,15 @@
 		kind = len(l.kindIndex) // an unknown kind: the decider assumes the lowest capacity
 	}
 	entry := policy.NodeEntry{
-		Node: e.Node, State: nodeStates[e.State], MachineKind: kind, Zone: e.Zone, StartedAt: policy.UnknownStart, Weight: e.Weight, Cell: e.Cell,
+		Node: e.Node, State: nodeStates[e.State], MachineKind: kind, Zone: e.Zone, StartedAt: policy.UnknownStart,
+		Weight: e.Weight, Cell: e.Cell,
 	}
 	if n == nil {
 		return entry
 	}
 	moved := e.Address != n.address && e.Address != ""
-	if n.connected && n.linkIncarnation != 0 && e.Incarnation != n.linkIncarnation && e.State != wire.Removed && l.listIsStale(n, e, startedAt, moved) {
+	if n.connected && n.linkIncarnation != 0 && e.Incarnation != n.linkIncarnation && e.State != wire.Removed &&
+		l.listIsStale(n, e, startedAt, moved) {
 		// The list is stale: it describes an incarnation before the one in the node's hello. Closing the connection
 		// because of it would break the sessions that play there.
 		entry.StartedAt = n.startedAt
@@ -158,15 +161,15 @@
 	n.acceptsSessions = false
 	if n.listed {
 		n.listed = false
-		if !n.connected { // otherwise when the connection ends
+		if !n.connected { // otherwise this is done when the connection ends
 			l.stepConnector(connector.Event{Node: n.index, Kind: connector.Unlisted})
 			l.nodeDead(n)
 		}
 	}
 }
 
-// withdrawSetups withdraws the set-ups for a node that no longer accepts sessions. Those of which nothing has been passed
-// to the kernel are not sent, and count as never run.
+// withdrawSetups withdraws the set-ups for a node that no longer accepts sessions. Those of which nothing has been
+// passed to the kernel are not sent, and count as never run.
 func (l *Loop) withdrawSetups(n *node) {
 	for _, g := range sorted(n.legs) {
 		switch g.phase {
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -20,7 +20,8 @@
 )
 
 var eventNames = [...]string{"request taken", "request answered", "request refused", "request abandoned", "attempt started",
-	"attempt sent", "attempt ended", "client connected", "client connection closed by the director", "client disconnected", "server connected", "server disconnected"}
+	"attempt sent", "attempt ended", "client connected", "client connection closed by the director",
+	"client disconnected", "server connected", "server disconnected"}
 
 func (k EventKind) String() string { return eventNames[k] }
 
@@ -36,8 +37,8 @@
 	Reason  string
 }
 
-// Observe sets the function that receives every event. The function must not call the loop. Observe is called before the
-// first Step.
+// Observe sets the function that receives every event. The function must not call the loop. Observe is called before
+// the first Step.
 func (l *Loop) Observe(observer func(Event)) { l.observer = observer }
 
 func (l *Loop) event(e Event) {
--- a/internal/director/guard.go
+++ b/internal/director/guard.go
@@ -93,8 +93,8 @@
 	return false
 }
 
-// DisableGuard makes the loop send legs without asking the guard. It is for tests that violate a rule on purpose, and is
-// called before the first Step.
+// DisableGuard makes the loop send legs without asking the guard. It is for tests that violate a rule on purpose, and
+// is called before the first Step.
 func (l *Loop) DisableGuard() { l.guardDisabled = true }
 
 // mayShutDown reports whether the director may stop.
--- a/internal/director/messages.go
+++ b/internal/director/messages.go
@@ -10,8 +10,8 @@
 // An Input is an event for Step: one of the types below that have an input method.
 type Input interface{ input() }
 
-// The inputs. Conn is the id of a client connection and Link that of a connection to a node. The caller chooses the ids
-// of client connections, the loop those of links, and neither uses one twice.
+// The inputs. Conn is the id of a client connection, and Link that of a connection to a node, which is called a link.
+// The caller chooses the ids of client connections, the loop those of links, and neither uses one twice.
 type (
 	// ClientConnecting reports that a client wants to connect; AcceptClient or RejectClient answers it.
 	ClientConnecting struct {
@@ -49,8 +49,8 @@
 		Link uint64
 	}
 	// LinkFailed reports that a Connect failed; nothing was sent on it. Refused: the machine answers, but no node runs
-	// there. ResourceExhausted: the attempt failed on this machine, for lack of descriptors, memory or ports, or because
-	// of its own network.
+	// there. ResourceExhausted: the attempt failed on this machine, for lack of descriptors, memory or ports, or
+	// because of its own network.
 	LinkFailed struct {
 		Node              string
 		Link              uint64
@@ -114,7 +114,7 @@
 func (Tick) input()               {}
 func (Stop) input()               {}
 
-// RequestDetails is what a request itself specifies where there is no catalogue.
+// RequestDetails is what a request itself specifies where there is no catalogue of titles.
 type RequestDetails struct {
 	FirstCell, Copies int    // first cell of its title, and number of cells in a row that hold it
 	Description       []byte // of the session, passed on to the node unchanged
@@ -180,7 +180,7 @@
 	Log struct{ Text string }
 	// StopAccepting closes the listener: the operating system refuses new connections from then on.
 	StopAccepting struct{}
-	// ShutdownComplete reports that a director that was told to stop has finished.
+	// ShutdownComplete reports that a director that received Stop has finished.
 	ShutdownComplete struct{}
 )
 
--- a/internal/director/nodes.go
+++ b/internal/director/nodes.go
@@ -115,7 +115,8 @@
 			l.endLeg(g, outcomeServed, m.Load)
 		}
 	case wire.Measurement:
-		l.notifyDecider(policy.Measurement{ID: g.session.id, Node: n.name, Kind: policy.MeasurementKind(m.MeasurementKind), Value: m.MeasurementValue})
+		l.notifyDecider(policy.Measurement{ID: g.session.id, Node: n.name,
+			Kind: policy.MeasurementKind(m.MeasurementKind), Value: m.MeasurementValue})
 	default:
 		l.counts.UnknownMessages++
 	}
@@ -137,7 +138,8 @@
 		if n.reportedStartedAt == policy.UnknownStart && n.incarnation != 0 && m.Incarnation != n.incarnation {
 			n.reportedStartedAt = l.now // an earlier incarnation was known, so this one is recent
 		}
-		restarted = n.reportedStartedAt != policy.UnknownStart && (m.Incarnation != n.incarnation || n.reportedStartedAt > n.startedAt+startTimeTolerance)
+		restarted = n.reportedStartedAt != policy.UnknownStart &&
+			(m.Incarnation != n.incarnation || n.reportedStartedAt > n.startedAt+startTimeTolerance)
 		n.setIncarnation(m.Incarnation)
 		if restarted {
 			n.startedAt = n.reportedStartedAt
@@ -176,8 +178,8 @@
 }
 
 // listIsStale reports whether a list entry describes an earlier incarnation than the hello of a connected node. If the
-// entry has no age, it is stale if it names the previous incarnation. An unknown incarnation is stale as well unless the
-// address has changed: the connection still leads to the node and is the better source.
+// entry has no age, it is stale if it names the previous incarnation. An unknown incarnation is stale as well unless
+// the address has changed: the connection still leads to the node and is the better source.
 func (l *Loop) listIsStale(n *node, e wire.NodeEntry, startedAt time.Duration, moved bool) bool {
 	if startedAt != policy.UnknownStart {
 		return startedAt < n.reportedStartedAt
--- a/internal/director/outcome.go
+++ b/internal/director/outcome.go
@@ -21,8 +21,9 @@
 	outcomeBroken                                 // it played, and its node or the connection to it was lost
 )
 
-var legOutcomeNames = [...]string{"rejected by the server", "not connected", "one connect attempt failed", "withdrawn unsent", "connection ended unsent",
-	"server restarted, unsent", "server failed", "no answer in time", "server connection ended", "cancelled", "ended elsewhere", "served", "server lost"}
+var legOutcomeNames = [...]string{"rejected by the server", "not connected", "one connect attempt failed",
+	"withdrawn unsent", "connection ended unsent", "server restarted, unsent", "server failed", "no answer in time", "server connection ended", "cancelled",
+	"ended elsewhere", "served", "server lost"}
 
 func (o legOutcome) String() string { return legOutcomeNames[o] }
 
@@ -38,11 +39,11 @@
 	return by
 }
 
-// neverRan alone decides what the end of a leg proves. It returns the outcome for the decider and the proof that the leg
-// never ran, as an index of neverRanReasons; 0 means that it may have run. There are four proofs: the node answered
+// neverRan alone decides what the end of a leg proves. It returns the outcome for the decider and the proof that the
+// leg never ran, as an index of neverRanReasons; 0 means that it may have run. There are four proofs: the node answered
 // "full"; no connection was established; the set-up was withdrawn before one byte of it was passed to the kernel; the
-// connection ended before that. In all other cases the leg may have run, above all when the connection broke after
-// the first byte.
+// connection ended before that. In all other cases the leg may have run, above all when the connection broke after the
+// first byte.
 func neverRan(result legOutcome) (outcome policy.Outcome, proof int) {
 	switch result {
 	case outcomeFull:
--- a/internal/director/session.go
+++ b/internal/director/session.go
@@ -46,7 +46,7 @@
 
 	mayHaveRun      bool   // one of its legs may have run
 	description     []byte // for the node; nil once the session has its answer
-	originConn      uint64 // connection that the request came on
+	originConn      uint64 // connection that the request was received on
 	countedOnOrigin bool   // detached mode: that connection counts it as a playing session
 }
 
@@ -91,9 +91,9 @@
 		l.retainEndedRequest(c, m.ID)
 	}
 	tariff, known := l.tariffIndex[m.Tariff]
-	t, listed := l.titles[m.Title]
+	titleEntry, listed := l.titles[m.Title]
 	if details != nil {
-		t, listed = title{titleID(m.Title), details.FirstCell, details.Copies}, true
+		titleEntry, listed = title{titleID(m.Title), details.FirstCell, details.Copies}, true
 	}
 	receivedAt := l.now - waited
 	deadline := receivedAt + time.Duration(m.WaitMS)*time.Millisecond
@@ -162,17 +162,19 @@
 		top = min(top, *m.MaxRung)
 	}
 	l.notifyDecider(policy.Request{
-		ID: s.id, Tariff: tariff, Title: t.id, FirstCell: t.firstCell, Copies: t.copies, MaxRung: top, Deadline: deadline,
+		ID: s.id, Tariff: tariff, Title: titleEntry.id, FirstCell: titleEntry.firstCell, Copies: titleEntry.copies,
+		MaxRung: top, Deadline: deadline,
 	})
 }
 
-// resumeSession moves a session to the connection on which its client asks for it again. It keeps a client whose
+// resumeSession moves a session to the connection on which its client requests it again. It keeps a client whose
 // connection broke from getting a second set-up, above all of a paid session: the session stays the same, and its
 // answer is due no later than before.
 func (l *Loop) resumeSession(s *session, c *conn, id string, deadline time.Duration) {
 	l.counts.Adopted++
 	if s.conn != nil && s.conn != c {
-		l.emit(SendClient{Conn: s.conn.id, Message: wire.SessionMessage{Type: wire.SessionEnded, ID: s.request, Session: s.name, Reason: "taken over"}})
+		l.emit(SendClient{Conn: s.conn.id, Message: wire.SessionMessage{Type: wire.SessionEnded, ID: s.request,
+			Session: s.name, Reason: "taken over"}})
 	}
 	l.detachFromConn(s)
 	s.conn, s.request = c, id
@@ -184,7 +186,7 @@
 	}
 	if s.phase == sessionPlaying {
 		l.counts.Played++
-		l.sendPlays(s)
+		l.sendPlaying(s)
 		return
 	}
 	l.counts.Abandoned++ // the earlier request, which the new one replaces
@@ -233,7 +235,8 @@
 		return
 	}
 	if s.conn != nil {
-		l.emit(SendClient{Conn: s.conn.id, Message: wire.SessionMessage{Type: wire.SessionEnded, ID: s.request, Session: s.name, Reason: reason}})
+		l.emit(SendClient{Conn: s.conn.id, Message: wire.SessionMessage{Type: wire.SessionEnded, ID: s.request,
+			Session: s.name, Reason: reason}})
 	}
 }
 
