--- a/internal/director/bench_test.go
+++ b/internal/director/bench_test.go
@@ -8,8 +8,8 @@
 	"fordusher/internal/wire"
 )
 
-// BenchmarkSessionMemory measures the memory that a client connection with one playing session takes in the loop and the
-// policy module.
+// BenchmarkSessionMemory measures the memory that a client connection with one playing session takes in the loop and
+// its decider.
 func BenchmarkSessionMemory(b *testing.B) {
 	heap := func() uint64 {
 		runtime.GC()
@@ -25,7 +25,8 @@
 		}
 		conn := uint64(1 + sessions)
 		h.connectClient(conn)
-		h.step(ClientReceived{Conn: conn, Message: wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "clip", Title: "t", Key: fmt.Sprint("key-", conn), WaitMS: 5000, LengthMS: 60_000}})
+		h.step(ClientReceived{Conn: conn, Message: wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "clip",
+			Title: "t", Key: fmt.Sprint("key-", conn), WaitMS: 5000, LengthMS: 60_000}})
 		for _, setup := range h.setups() {
 			h.step(legReply(setup, wire.Accepted))
 		}
--- a/internal/director/detached_test.go
+++ b/internal/director/detached_test.go
@@ -21,7 +21,8 @@
 // requestDetached sends a request whose id is the name of its session.
 func (h *harness) requestDetached(conn uint64, id, tariff string) {
 	h.t.Helper()
-	h.step(ClientReceived{Conn: conn, Message: wire.SessionMessage{Type: wire.Request, ID: id, Key: id, Tariff: tariff, Title: "t", WaitMS: 5000},
+	h.step(ClientReceived{Conn: conn, Message: wire.SessionMessage{Type: wire.Request, ID: id, Key: id, Tariff: tariff,
+		Title: "t", WaitMS: 5000},
 		Details: &RequestDetails{FirstCell: 0, Copies: 8, Description: []byte("as it came")}})
 }
 
@@ -76,8 +77,8 @@
 	h.requireNoState()
 }
 
-// A session ends while no client is connected. The ending is sent on the next client connection, after anyClientDelay if no
-// session of that connection has played, and is dropped after undeliveredRetention.
+// A session ends while no client is connected. The ending is sent on the next client connection, after anyClientDelay
+// if no session of that connection has played, and is dropped after undeliveredRetention.
 func TestUndeliveredEndingWaitsForConnection(t *testing.T) {
 	h := newDetachedHarness(t, 1)
 	setup := h.playDetached("a", "clip")
@@ -108,8 +109,8 @@
 	}
 }
 
-// Many clients only hold a connection and may not pass an ending on. It is sent on a connection of which a session has
-// played.
+// Many clients only hold a connection and might not pass an ending on. It is sent on a connection of which a session
+// has played.
 func TestEndingPrefersProvenConnection(t *testing.T) {
 	h := newDetachedHarness(t, 1)
 	for conn := uint64(2); conn < 20; conn++ {
@@ -146,12 +147,12 @@
 	return conns
 }
 
-// When capacity runs short, the connection that a playing session was requested on is not evicted: its client awaits the
-// ending there.
+// When capacity runs short, the connection that a playing session was requested on is not evicted: its client awaits
+// the ending there.
 func TestConnectionWithPlayingSessionIsNotEvicted(t *testing.T) {
 	h := newDetachedHarness(t, 1)
-	h.loop.limits = limits.New(1, limits.Capacity{MaxConnections: 10, MaxHandshakes: 10, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
-		HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
+	h.loop.limits = limits.New(1, limits.Capacity{MaxConnections: 10, MaxHandshakes: 10, HeartbeatInterval: time.Hour,
+		IdleTimeout: time.Second, HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
 	h.step(ClientLost{Conn: 1})
 	h.connectClient(1)
 	setup := h.playDetached("a", "clip")
@@ -222,8 +223,8 @@
 	h.requireNoState()
 }
 
-// A machine disappears while its connections stay open and silent. A setup without an answer in time makes the link suspect:
-// it is probed by a second connection, and closed when that fails.
+// A machine disappears while its connections stay open and silent. A set-up without an answer in time makes the link
+// suspect: it is probed by a second connection, and closed when that fails.
 func TestUnansweredSetupProbesLink(t *testing.T) {
 	h := newDetachedHarness(t, 1)
 	setup := h.playDetached("a", "clip")
@@ -235,7 +236,7 @@
 	h.clearOutputs()
 	h.requestDetached(1, "c", "clip")
 	if len(h.setups()) != 0 {
-		t.Fatal("a setup was sent on a suspect link")
+		t.Fatal("a set-up was sent on a suspect link")
 	}
 	h.step(LinkFailed{Node: nodeName(0), Link: h.links[nodeName(0)]})
 	closed := false
@@ -249,8 +250,8 @@
 	}
 }
 
-// A probe that connects replaces the suspect link. The old link stays until the setups sent on it have their answers, which
-// count on that link only.
+// A probe that connects replaces the suspect link. The old link stays until the set-ups sent on it have their answers,
+// which count on that link only.
 func TestProbeLinkReplacesSuspectLink(t *testing.T) {
 	h := newDetachedHarness(t, 1)
 	setup := h.playDetached("a", "clip")
@@ -260,9 +261,9 @@
 	probe := h.links[nodeName(0)]
 	h.step(LinkConnected{nodeName(0), probe})
 	h.clearOutputs()
-	h.step(detachedReply(probe, "b", wire.Accepted)) // not on the link that its setup was sent on
+	h.step(detachedReply(probe, "b", wire.Accepted)) // not on the link that its set-up was sent on
 	if len(h.answers()) != 0 {
-		t.Fatal("an answer on another link was taken")
+		t.Fatal("an answer on another link counted")
 	}
 	h.step(detachedReply(setup.Link, "b", wire.Accepted))
 	h.onlyAnswer(wire.Playing)
@@ -273,11 +274,11 @@
 		}
 	}
 	if !closed {
-		t.Fatal("the old link is kept though no setup waits on it")
+		t.Fatal("the old link is kept though no set-up waits on it")
 	}
 	h.step(detachedReply(probe, "a", wire.Ended))
 	if len(h.clientMessages(wire.SessionEnded)) != 1 {
-		t.Fatal("an ending on the new link was not taken")
+		t.Fatal("an ending on the new link had no effect")
 	}
 }
 
@@ -304,7 +305,8 @@
 	h.onlyAnswer(wire.Playing)
 }
 
-// A client reports a session that already plays on a node. It is adopted without an answer; one on an unknown node is ended.
+// A client reports a session that already plays on a node. It is adopted without an answer; one on an unknown node is
+// ended.
 func TestPlayingSessionsAreAdopted(t *testing.T) {
 	h := newDetachedHarness(t, 1)
 	adopt := func(id, node string) {
@@ -322,7 +324,7 @@
 	}
 	h.step(ClientReceived{Conn: 1, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}})
 	if len(h.endedLegs()) != 1 {
-		t.Fatal("the node was not told to end the session")
+		t.Fatal("no end message for the session was sent to the node")
 	}
 	h.requireNoState()
 }
@@ -376,22 +378,22 @@
 	h.requireNoState()
 }
 
-// For random inputs in random order: each request gets at most one answer; a session has at most one leg out; a paid session
-// is set up again only if all its legs so far provably never ran; an ending is sent at most once, and only for a session
-// that played; at the end the loop holds only sessions that play.
+// For random inputs in random order: each request gets at most one answer; a session has at most one leg in progress; a
+// paid session is set up again only if all its legs so far provably never ran; an ending is sent at most once, and only
+// for a session that played; at the end the loop holds only sessions that play.
 func TestDetachedRulesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newDetachedHarness(t, 3)
 		h.connectClient(2)
 		h.clearOutputs()
 		type requestState struct {
-			tariff     string
-			conn       uint64
-			answers    int
-			endings    int
-			legsOut    int
-			mayHaveRun bool
-			played     bool
+			tariff         string
+			conn           uint64
+			answers        int
+			endings        int
+			legsInProgress int
+			mayHaveRun     bool
+			played         bool
 		}
 		states := map[string]*requestState{}
 		var ids []string
@@ -403,7 +405,7 @@
 					state := states[o.Message.Session]
 					switch o.Message.Type {
 					case wire.Setup:
-						if state.legsOut++; state.legsOut > 1 {
+						if state.legsInProgress++; state.legsInProgress > 1 {
 							t.Fatalf("two legs of %s: %+v, then %+v; %+v", o.Message.Session, sent[o.Message.Session], o, state)
 						}
 						if state.mayHaveRun && state.tariff == "exam" {
@@ -411,8 +413,8 @@
 						}
 						sent[o.Message.Session] = o
 					case wire.End:
-						if state.legsOut > 0 {
-							state.legsOut, state.mayHaveRun = 0, true
+						if state.legsInProgress > 0 {
+							state.legsInProgress, state.mayHaveRun = 0, true
 						}
 					}
 				case SendClient:
@@ -465,22 +467,22 @@
 				checkOutputs()
 			case action <= 4 && state != nil && setup.Link != 0:
 				step(detachedReply(setup.Link, id, wire.Accepted))
-				if state.legsOut > 0 {
+				if state.legsInProgress > 0 {
 					state.mayHaveRun = true
 				}
-			case action == 5 && state != nil && state.legsOut == 1 && !state.played:
-				state.legsOut = 0
+			case action == 5 && state != nil && state.legsInProgress == 1 && !state.played:
+				state.legsInProgress = 0
 				step(detachedReply(setup.Link, id, wire.Full))
-			case action == 6 && state != nil && state.legsOut == 1 && !state.played:
-				state.legsOut, state.mayHaveRun = 0, true
+			case action == 6 && state != nil && state.legsInProgress == 1 && !state.played:
+				state.legsInProgress, state.mayHaveRun = 0, true
 				step(detachedReply(setup.Link, id, wire.Failed))
 			case action == 7 && state != nil && state.played:
 				step(detachedReply(h.links[node], id, wire.Ended))
 			case action == 8:
 				link := h.links[node]
 				for id, setup := range sent {
-					if state := states[id]; setup.Link == link && state.legsOut == 1 && !state.played {
-						state.legsOut, state.mayHaveRun = 0, true
+					if state := states[id]; setup.Link == link && state.legsInProgress == 1 && !state.played {
+						state.legsInProgress, state.mayHaveRun = 0, true
 					}
 				}
 				if h.loop.links[link] != nil && h.loop.links[link].connected && h.loop.links[link].link == link {
@@ -493,8 +495,8 @@
 					} else {
 						link := n.link
 						for id, setup := range sent {
-							if state := states[id]; setup.Link == link && state.legsOut == 1 && !state.played {
-								state.legsOut, state.mayHaveRun = 0, true
+							if state := states[id]; setup.Link == link && state.legsInProgress == 1 && !state.played {
+								state.legsInProgress, state.mayHaveRun = 0, true
 							}
 						}
 						step(LinkFailed{Node: node, Link: h.links[node], Refused: rapid.Bool().Draw(t, "refused")})
@@ -534,8 +536,10 @@
 			step(Tick{})
 		}
 		l := h.loop
-		if l.owed != 0 || l.counts.IllegalTransitions != 0 || len(l.sessions) != l.playing || len(l.sessionsByKey) != l.playing || len(l.legs) != l.playing {
-			t.Fatalf("state left: %d answers owed, %d illegal transitions, %d sessions, %d keys, %d legs, %d playing", l.owed, l.counts.IllegalTransitions, len(l.sessions),
+		if l.owed != 0 || l.counts.IllegalTransitions != 0 || len(l.sessions) != l.playing ||
+			len(l.sessionsByKey) != l.playing || len(l.legs) != l.playing {
+			t.Fatalf("state left: %d answers owed, %d illegal transitions, %d sessions, %d keys, %d legs, %d playing",
+				l.owed, l.counts.IllegalTransitions, len(l.sessions),
 				len(l.sessionsByKey), len(l.legs), l.playing)
 		}
 		for conn, c := range l.conns {
@@ -546,8 +550,8 @@
 	})
 }
 
-// A cancellation may come on a connection that was rejected or has closed. It ends a playing session all the same, but not a
-// request that another connection awaits.
+// A cancellation may come on a connection that was rejected or has closed. It ends a playing session all the same, but
+// not a request that another connection awaits.
 func TestCancelOnUnknownConnectionEndsSession(t *testing.T) {
 	h := newDetachedHarness(t, 1)
 	h.playDetached("a", "clip")
@@ -564,12 +568,12 @@
 	}
 }
 
-// The requests on a rejected connection are nacked before it is closed. Requests closed without an answer are lost beyond a few
-// in a thousand.
+// The requests on a rejected connection are nacked before it is closed. Of requests whose connection is closed without
+// an answer, those beyond a few in a thousand are lost.
 func TestRejectedConnectionGetsRefusal(t *testing.T) {
 	h := newDetachedHarness(t, 1)
-	h.loop.limits = limits.New(1, limits.Capacity{MaxConnections: 1, MaxHandshakes: 1, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
-		HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
+	h.loop.limits = limits.New(1, limits.Capacity{MaxConnections: 1, MaxHandshakes: 1, HeartbeatInterval: time.Hour,
+		IdleTimeout: time.Second, HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
 	h.step(ClientLost{Conn: 1})
 	h.connectClient(1)
 	h.playDetached("a", "clip") // the capacity is one connection
@@ -577,9 +581,9 @@
 	h.requestDetached(2, "b", "clip")
 	h.requestDetached(2, "c", "exam")
 	if nacks := h.clientMessages(wire.Nack); len(nacks) != 2 || nacks[0].ID != "b" || nacks[1].ID != "c" || len(h.setups()) != 0 {
-		t.Fatalf("%+v, %d setups", nacks, len(h.setups()))
+		t.Fatalf("%+v, %d set-ups", nacks, len(h.setups()))
 	}
-	h.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}}) // a cancellation is taken on a rejected connection too
+	h.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Cancel, ID: "a"}}) // a cancellation is processed all the same
 	if h.loop.playing != 0 {
 		t.Fatal("the session was not ended")
 	}
@@ -619,8 +623,8 @@
 	h.onlySetup()
 }
 
-// A client is notified once of the end of its session, on the connection that the session was requested on, whether the node
-// or another client ended it. A client that cancels on that connection itself is not notified.
+// A client is notified once of the end of its session, on the connection that the session was requested on, whether the
+// node or another client ended it. A client that cancels on that connection itself is not notified.
 func TestClientIsNotifiedOfEveryEnd(t *testing.T) {
 	for name, end := range map[string]func(h *harness, setup SendNode){
 		"node: finished": func(h *harness, setup SendNode) { h.step(detachedReply(setup.Link, "a", wire.Ended)) },
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -28,8 +28,8 @@
 	h.requireNoState()
 }
 
-// A node does not answer a setup. A free session is set up on another node before its time is up, and the first leg is
-// cancelled. A paid session fails at its hard stop and is not sent to another node.
+// A node does not answer a set-up. A free session is set up on another node before its deadline, and the first leg is
+// cancelled. A paid session fails at its deadline and is not sent to another node.
 func TestNodeDoesNotAnswerSetup(t *testing.T) {
 	h := newHarness(t, 3)
 	h.request("1", "clip")
@@ -82,7 +82,7 @@
 			}
 		}
 		if len(h.endedLegs()) == 0 {
-			t.Fatal("the node was not told to end the leg")
+			t.Fatal("no end message for the leg was sent to the node")
 		}
 		h.advance(5 * time.Second)
 		h.onlySetup()
@@ -91,7 +91,7 @@
 }
 
 // A node's answer that the loop receives at the deadline, before the Tick, still counts. One after that Tick does not.
-func TestAnswerAndHardStopInOneTick(t *testing.T) {
+func TestAnswerAndDeadlineInOneTick(t *testing.T) {
 	h := newHarness(t, 3)
 	h.request("1", "exam")
 	setup := h.onlySetup()
@@ -108,8 +108,8 @@
 	h.onlyAnswer(wire.Errored)
 }
 
-// A node's connection is lost before it accepts a setup. A setup that was sent may have run, and a paid one is not sent
-// again; one of which not one byte left the director never ran, and is sent to another node.
+// A node's connection is lost before it accepts a set-up. A set-up that was sent may have run, and a paid one is not
+// sent again; one of which not one byte left the director never ran, and is sent to another node.
 func TestLinkLostBeforeSetupIsAccepted(t *testing.T) {
 	h := newHarness(t, 3)
 	h.request("1", "exam")
@@ -199,8 +199,8 @@
 	h.requireNoState()
 }
 
-// A node starts to drain while a setup for it waits in the outbound queue. The setup is withdrawn, counts as never sent,
-// and goes to another node, also for a paid session.
+// A node starts to drain while a set-up for it waits in the outbound queue. The set-up is withdrawn, counts as never
+// sent, and goes to another node, also for a paid session.
 func TestDrainWithdrawsUnsentSetups(t *testing.T) {
 	h := newHarness(t, 3)
 	h.request("1", "exam")
@@ -229,7 +229,8 @@
 	}
 }
 
-// A leg waits for its node's connection, and the server list marks the node as draining meanwhile: the leg is never sent.
+// A leg waits for its node's connection, and the server list marks the node as draining meanwhile: the leg is never
+// sent.
 func TestDrainWhileConnecting(t *testing.T) {
 	h := newHarness(t, 1)
 	h.step(LinkLost{Link: h.links[nodeName(0)]}) // the loop connects again at once
@@ -249,8 +250,8 @@
 	h.requireNoState()
 }
 
-// A leg waits while its node is being connected to. Once connected, its setup is sent; if the attempt fails, the leg never ran
-// and the paid request is nacked.
+// A leg waits while its node is being connected to. Once connected, its set-up is sent; if the attempt fails, the leg
+// never ran and the paid request is nacked.
 func TestWaitingLegIsSentOnceConnected(t *testing.T) {
 	h := newHarness(t, 1)
 	h.step(LinkLost{Link: h.links[nodeName(0)]})
@@ -287,8 +288,8 @@
 	}
 }
 
-// A client whose connection broke resumes its session by its key, both during setup and while the session plays, without a
-// second leg. Without a client the session ends after the linger time.
+// A client whose connection broke resumes its session by its key, both during set-up and while the session plays,
+// without a second leg. Without a client the session ends after the linger time.
 func TestBrokenConnectionIsResumed(t *testing.T) {
 	key := func(k string) func(*wire.SessionMessage) { return func(m *wire.SessionMessage) { m.Key = k } }
 	h := newHarness(t, 3)
@@ -296,14 +297,16 @@
 	setup := h.onlySetup()
 	h.step(ClientLost{Conn: 1})
 	h.connectClient(2)
-	h.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Request, ID: "9", Tariff: "exam", Title: "t", Key: "k", WaitMS: 5000}})
+	h.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Request, ID: "9", Tariff: "exam", Title: "t",
+		Key: "k", WaitMS: 5000}})
 	h.step(legReply(setup, wire.Accepted))
 	if a := h.onlyAnswer(wire.Playing); a.ID != "9" {
 		t.Fatal(a)
 	}
 	// While the second connection is still open, a request on a third one takes the session over.
 	h.connectClient(3)
-	h.step(ClientReceived{Conn: 3, Message: wire.SessionMessage{Type: wire.Request, ID: "7", Tariff: "exam", Title: "t", Key: "k", WaitMS: 5000}})
+	h.step(ClientReceived{Conn: 3, Message: wire.SessionMessage{Type: wire.Request, ID: "7", Tariff: "exam", Title: "t",
+		Key: "k", WaitMS: 5000}})
 	if a := h.answers(); len(a) != 2 || a[1].ID != "7" || a[1].Session != a[0].Session {
 		t.Fatal(a)
 	}
@@ -311,8 +314,9 @@
 		t.Fatal(ended)
 	}
 	h.onlySetup()
-	// The key with another tariff is refused: it belongs to a different request.
-	h.step(ClientReceived{Conn: 3, Message: wire.SessionMessage{Type: wire.Request, ID: "8", Tariff: "clip", Title: "t", Key: "k", WaitMS: 5000}})
+	// A request that has the key but another tariff is refused: the key belongs to a different request.
+	h.step(ClientReceived{Conn: 3, Message: wire.SessionMessage{Type: wire.Request, ID: "8", Tariff: "clip", Title: "t",
+		Key: "k", WaitMS: 5000}})
 	if a := h.answers(); len(a) != 3 || a[2].Type != wire.Errored {
 		t.Fatal(a)
 	}
@@ -334,7 +338,8 @@
 	h.request("1", "exam", func(m *wire.SessionMessage) { m.Key = "k" })
 	h.step(ClientLost{Conn: 1})
 	h.connectClient(2)
-	h.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "exam", Title: "t", Key: "k", WaitMS: 500}})
+	h.step(ClientReceived{Conn: 2, Message: wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "exam", Title: "t",
+		Key: "k", WaitMS: 500}})
 	h.advance(451 * ms)
 	h.onlyAnswer(wire.Errored)
 	h.advance(3 * time.Second)
@@ -436,7 +441,7 @@
 	}
 }
 
-// A node's hello reports a new incarnation before the server list does. The policy module is notified of it. Once the list
+// A node's hello reports a new incarnation before the server list does. The decider is notified of it. Once the list
 // names a later incarnation than the link leads to, the link is closed.
 func TestNodeRestartIsReportedToPolicy(t *testing.T) {
 	h := newHarness(t, 1)
@@ -458,8 +463,8 @@
 	}
 }
 
-// A node is removed from the server list and listed again while its session plays. It keeps its connection, and the loop
-// connects again if that is lost.
+// A node is removed from the server list and listed again while its session plays. It keeps its connection, and the
+// loop connects again if that is lost.
 func TestNodeListedAgain(t *testing.T) {
 	h := newHarness(t, 1)
 	h.request("1", "clip")
@@ -484,8 +489,8 @@
 	}
 }
 
-// The policy module dispatches to an unknown node. The loop reports that the leg never started, and answers the request at
-// its deadline because the module does not.
+// The decider dispatches to an unknown node. The loop reports that the leg never started, and answers the request at
+// its deadline because the decider does not.
 func TestInvalidDispatchIsReportedAsNeverStarted(t *testing.T) {
 	h := newHarness(t, 1)
 	decider := &invalidDispatchDecider{}
@@ -494,7 +499,7 @@
 	if len(decider.results) != 1 || decider.results[0].Outcome != policy.NeverStarted || decider.results[0].Final {
 		t.Fatal(decider.results)
 	}
-	h.advance(3 * time.Second) // the module never answers, so the loop does
+	h.advance(3 * time.Second) // the decider never answers, so the loop does
 	h.onlyAnswer(wire.Errored)
 	if h.loop.counts.Overdue != 1 {
 		t.Fatal(h.loop.counts.Overdue)
@@ -515,9 +520,10 @@
 	return nil
 }
 
-// The loop and the policy module agree on which outcomes prove that a leg never ran.
+// The loop and package policy agree on which outcomes prove that a leg never ran.
 func TestNeverRanOutcomes(t *testing.T) {
-	for outcome, proven := range map[legOutcome]bool{outcomeFull: true, outcomeUnconnected: true, outcomeWithdrawn: true, outcomeUnsent: true, outcomeFailed: false,
+	for outcome, proven := range map[legOutcome]bool{outcomeFull: true, outcomeUnconnected: true, outcomeWithdrawn: true,
+		outcomeUnsent: true, outcomeFailed: false,
 		outcomeTimedOut: false, outcomeReset: false, outcomeCancelled: false, outcomeServed: false, outcomeBroken: false} {
 		reported, reason := neverRan(outcome)
 		policyNeverRan := reported == policy.Full || reported == policy.ConnectFailed || reported == policy.NeverStarted
@@ -527,8 +533,8 @@
 	}
 }
 
-// A request crosses the close of its idle connection. It is not taken, because no answer could reach the client; the close
-// itself is the answer.
+// A request crosses the close of its idle connection. It is not taken, because no answer could reach the client; the
+// close itself is the answer.
 func TestRequestCrossesEviction(t *testing.T) {
 	h := newHarness(t, 3)
 	for i := range 960 { // near the capacity, so idle connections are evicted
@@ -553,15 +559,16 @@
 	h.requireNoState()
 }
 
-// The loop is overloaded. Requests that have waited long in the queue are nacked at once with a retry delay, before any work
-// is done for them. A request that resumes an existing session is still served.
+// The loop is overloaded. Requests that have waited long in the queue are nacked at once with a retry delay, before any
+// work is done for them. A request that resumes an existing session is still served.
 func TestQueueDelaySheddingUnderOverload(t *testing.T) {
 	h := newHarness(t, 2)
 	h.request("first", "clip")
 	h.step(legReply(h.onlySetup(), wire.Accepted))
 	h.clearOutputs()
 	requestDelayed := func(id string) {
-		h.step(ClientReceived{Conn: 1, Waited: 300 * ms, Message: wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip", Title: "t", Key: "key-" + id, WaitMS: 5000}})
+		h.step(ClientReceived{Conn: 1, Waited: 300 * ms, Message: wire.SessionMessage{Type: wire.Request, ID: id,
+			Tariff: "clip", Title: "t", Key: "key-" + id, WaitMS: 5000}})
 	}
 	for i := range 300 {
 		h.now += ms
@@ -581,7 +588,8 @@
 	}
 	h.clearOutputs()
 	h.connectClient(2)
-	h.step(ClientReceived{Conn: 2, Waited: 300 * ms, Message: wire.SessionMessage{Type: wire.Request, ID: "again", Tariff: "clip", Title: "t", Key: "key-first", WaitMS: 5000}})
+	h.step(ClientReceived{Conn: 2, Waited: 300 * ms, Message: wire.SessionMessage{Type: wire.Request, ID: "again",
+		Tariff: "clip", Title: "t", Key: "key-first", WaitMS: 5000}})
 	if len(h.clientMessages(wire.Playing)) != 1 || h.loop.counts.Adopted != 1 {
 		t.Fatal(h.outputs)
 	}
@@ -590,15 +598,16 @@
 // A request whose deadline passes in the queue is answered in the step that receives it, without a leg.
 func TestDeadlinePassesInQueue(t *testing.T) {
 	h := newHarness(t, 2)
-	h.step(ClientReceived{Conn: 1, Waited: 2 * time.Second, Message: wire.SessionMessage{Type: wire.Request, ID: "1", Tariff: "exam", Title: "t", Key: "k", WaitMS: 2000}})
+	h.step(ClientReceived{Conn: 1, Waited: 2 * time.Second, Message: wire.SessionMessage{Type: wire.Request, ID: "1",
+		Tariff: "exam", Title: "t", Key: "k", WaitMS: 2000}})
 	if n := h.clientMessages(wire.Nack); len(n) != 1 || len(h.setups()) != 0 {
 		t.Fatal(h.outputs)
 	}
 	h.requireNoState()
 }
 
-// A node restarts while directors are reconnecting to it. The setups that wait at each director must not reach the node
-// before its hello has reported the restart: sent by all directors at once, they overload a node in slow start.
+// A node restarts while directors are reconnecting to it. The set-ups that wait at each director must not reach the
+// node before its hello has reported the restart: sent by all directors at once, they overload a node in slow start.
 func TestSetupsWaitForHello(t *testing.T) {
 	h := newHarness(t, 1)
 	h.step(LinkLost{Link: h.links[nodeName(0)]})
@@ -612,9 +621,9 @@
 	if n := h.loop.counts.NeverRan[3]; n != 1 {
 		t.Fatal(n, "legs withdrawn")
 	}
-	h.advance(3 * time.Second) // the module decides again, within the slow-start limit of the node
+	h.advance(3 * time.Second) // the decider chooses again, within the slow-start limit of the node
 	if n := len(h.setups()); n > 1 {
-		t.Fatal(n, "setups of one session")
+		t.Fatal(n, "set-ups of one session")
 	}
 
 	// The connection is lost before the hello: the leg provably never ran, whether paid or not.
@@ -629,8 +638,8 @@
 	}
 }
 
-// A node starts twice within a warm-up. The stale server list reports the first start after the node's hello has reported
-// the second: the connection and its session stay. A list with a later start ends them.
+// A node starts twice within a warm-up. The stale server list reports the first start after the node's hello has
+// reported the second: the connection and its session stay. A list with a later start ends them.
 func TestStaleListDoesNotReplaceHello(t *testing.T) {
 	h := newHarness(t, 1)
 	h.step(LinkLost{Link: h.links[nodeName(0)]})
@@ -656,8 +665,8 @@
 	}
 }
 
-// The server list names a node's new incarnation without its age, and the hello or a later list reports that age. The node
-// has to count as just started: taken for long started, it was overloaded by a single director.
+// The server list names a node's new incarnation without its age, and the hello or a later list reports that age. The
+// node has to count as just started: taken for long started, it was overloaded by a single director.
 func TestSlowStartFromHelloAge(t *testing.T) {
 	for _, byList := range []bool{false, true} {
 		h := newHarness(t, 1)
--- a/internal/director/node_restart_test.go
+++ b/internal/director/node_restart_test.go
@@ -8,8 +8,9 @@
 	"fordusher/policy"
 )
 
-// A node's hello reports its age, and then a server list without ages gives the node a new address. This list was taken for
-// stale: the new address was dropped, and after the loss of the old connection the loop tried the old address for ever.
+// A node's hello reports its age, and then a server list without ages gives the node a new address. This list was taken
+// for stale: the new address was dropped, and after the loss of the old connection the loop tried the old address for
+// ever.
 func TestListWithoutAgesChangesAddress(t *testing.T) {
 	h := newHarness(t, 1)
 	h.step(LinkReceived{Link: h.links["n0"], Message: wire.NodeMessage{Type: wire.Hello, Incarnation: 1, UptimeMS: 5000}})
@@ -44,8 +45,8 @@
 	}
 }
 
-// An age too large for a time.Duration overflowed into a start time in the future, and the node was in slow start for 290
-// years.
+// An age too large for a time.Duration overflowed into a start time in the future, and the node was in slow start for
+// 290 years.
 func TestOversizedAgesAreIgnored(t *testing.T) {
 	const oversizedMS = 9_000_000_000_000_000_000
 	h := newHarness(t, 1)
@@ -58,8 +59,8 @@
 	}
 }
 
-// A node is replaced under its name while a paid setup is out on it. No reply of the new process about that leg proves that
-// the leg never ran.
+// A node is replaced under its name while a paid set-up sent to it has no answer yet. No reply of the new process about
+// that leg proves that the leg never ran.
 func TestRestartedNodeReplyIsNoProof(t *testing.T) {
 	h := newHarness(t, 1)
 	h.request("1", "exam")
--- a/internal/director/ondemand_test.go
+++ b/internal/director/ondemand_test.go
@@ -9,15 +9,16 @@
 	"fordusher/limits"
 )
 
-// newOnDemandHarness is a harness for detached sessions whose node connections are opened on demand. It has a limited number
-// of descriptors; 0 means no limit.
+// newOnDemandHarness is a harness for detached sessions whose node connections are opened on demand. It has a limited
+// number of descriptors; 0 means no limit.
 func newOnDemandHarness(t testingT, nodes, descriptors int) *harness {
 	h := newHarnessWith(t, nodes, func(l *Loop) {
 		l.options.Detached, l.options.NoHello, l.options.Linger = true, true, 0
-		l.reconnectPolicy = connector.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second, OnDemand: true, IdleTimeout: 20 * time.Second}
+		l.reconnectPolicy = connector.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8,
+			HeartbeatInterval: time.Second, OnDemand: true, IdleTimeout: 20 * time.Second}
 		l.connector = connector.New(1, l.reconnectPolicy)
-		l.limits = limits.New(1, limits.Capacity{MaxConnections: 100, MaxHandshakes: 100, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
-			HandshakeTimeout: time.Second, MaxRetryAfter: time.Second, DisplaceIdleAfter: time.Second, MaxDescriptors: descriptors})
+		l.limits = limits.New(1, limits.Capacity{MaxConnections: 100, MaxHandshakes: 100, HeartbeatInterval: time.Hour,
+			IdleTimeout: time.Second, HandshakeTimeout: time.Second, MaxRetryAfter: time.Second, DisplaceIdleAfter: time.Second, MaxDescriptors: descriptors})
 	})
 	if len(h.links) != 0 {
 		t.Fatal("connected to a node without a session for it")
@@ -45,17 +46,17 @@
 	return links
 }
 
-// A setup waits until the connection made for it is open. The next setup uses the same connection.
+// A set-up waits until the connection made for it is open. The next set-up uses the same connection.
 func TestSetupWaitsForOnDemandConnection(t *testing.T) {
 	h := newOnDemandHarness(t, 1, 0)
 	h.requestDetached(1, "a", "exam")
 	if connects := h.connects(); len(connects) != 1 || len(h.setups()) != 0 {
-		t.Fatalf("%d connects, %d setups", len(connects), len(h.setups()))
+		t.Fatalf("%d connects, %d set-ups", len(connects), len(h.setups()))
 	}
 	link := h.links[nodeName(0)]
 	h.step(LinkConnected{nodeName(0), link})
 	if setup := h.onlySetup(); setup.Link != link {
-		t.Fatalf("setup sent on link %d", setup.Link)
+		t.Fatalf("set-up sent on link %d", setup.Link)
 	}
 	h.step(detachedReply(link, "a", wire.Accepted))
 	h.onlyAnswer(wire.Playing)
@@ -67,7 +68,8 @@
 	}
 }
 
-// The client disconnects or cancels while its request waits for a node connection: no setup is sent on that connection.
+// The client disconnects or cancels while its request waits for a node connection: no set-up is sent on that
+// connection.
 func TestCancelWhileSetupWaitsForConnection(t *testing.T) {
 	for name, input := range map[string]Input{
 		"closes":  ClientLost{Conn: 1},
@@ -78,14 +80,14 @@
 		h.step(input)
 		h.step(LinkConnected{nodeName(0), h.links[nodeName(0)]})
 		if n := len(h.setups()); n != 0 {
-			t.Fatalf("%s: %d setups", name, n)
+			t.Fatalf("%s: %d set-ups", name, n)
 		}
 		h.requireNoState()
 	}
 }
 
-// One connect attempt that times out may be due to packet loss: the setup goes to another node, and the node is not suspect.
-// A second time-out in a row, or a refused connection, makes it suspect.
+// One connect attempt that times out may be due to packet loss: the set-up goes to another node, and the node is not
+// suspect. A second time-out in a row, or a refused connection, makes it suspect.
 func TestSingleConnectTimeoutDoesNotBlameNode(t *testing.T) {
 	h := newOnDemandHarness(t, 2, 0)
 	h.requestDetached(1, "a", "exam")
@@ -110,8 +112,8 @@
 	}
 }
 
-// The loop closes a node connection that has been idle for IdleTimeout before the node does: a close by the node could cross a
-// setup on its way there.
+// The loop closes a node connection that has been idle for IdleTimeout before the node does: a close by the node could
+// cross a set-up on its way there.
 func TestIdleNodeConnectionIsClosed(t *testing.T) {
 	h := newOnDemandHarness(t, 1, 0)
 	h.requestDetached(1, "a", "clip")
@@ -170,9 +172,9 @@
 	h.requireNoState()
 }
 
-// When no descriptor is left for a new node connection, the loop first closes an unused connection to another node, which is
-// the case tested here. Next it would evict an idle client; with neither, the leg counts as never started and the node is not
-// suspect.
+// When no descriptor is left for a new node connection, the loop first closes an unused connection to another node,
+// which is the case tested here. Next it would evict an idle client; with neither, the leg counts as never started and
+// the node is not suspect.
 func TestDescriptorPressureClosesUnusedNodeLink(t *testing.T) {
 	h := newOnDemandHarness(t, 3, 6)
 	var opened []Connect
@@ -198,8 +200,8 @@
 	}
 }
 
-// Discovery restarts and sends the full server list again. Sessions that play, wait or were just sent go on undisturbed. A
-// node that the list no longer names takes no new sessions, and is dropped once its connection is lost.
+// Discovery restarts and sends the full server list again. Sessions that play, wait or were just sent go on
+// undisturbed. A node that the list no longer names takes no new sessions, and is dropped once its connection is lost.
 func TestRepeatedFullListChangesNothing(t *testing.T) {
 	h := newOnDemandHarness(t, 3, 0)
 	fullList := func(nodes ...int) DiscoveryReceived {
@@ -216,7 +218,8 @@
 	h.requestDetached(1, "b", "exam")                     // b waits for a connection, or for its node's answer
 	h.clearOutputs()
 	h.step(fullList(0, 1, 2))
-	if len(h.closedLinks()) != 0 || len(h.connects()) != 0 || len(h.clientMessages(wire.SessionEnded, wire.Errored, wire.Nack)) != 0 || h.loop.playing != 1 || h.loop.owed != 1 {
+	if len(h.closedLinks()) != 0 || len(h.connects()) != 0 ||
+		len(h.clientMessages(wire.SessionEnded, wire.Errored, wire.Nack)) != 0 || h.loop.playing != 1 || h.loop.owed != 1 {
 		t.Fatalf("%+v", h.outputs)
 	}
 	var rest []int
--- a/internal/director/properties_test.go
+++ b/internal/director/properties_test.go
@@ -14,17 +14,20 @@
 
 // defaultSimConfig is a simulation in which the nodes have capacity to spare.
 func defaultSimConfig(rule string) simConfig {
-	return simConfig{rule: rule, directors: 2, nodes: 3, steps: 60, maxBurst: 3, reportAges: true, nodeReplies: []string{wire.Accepted, wire.Accepted, wire.Full, wire.Failed, wire.Ended, wire.Measurement, wire.Measurement}, tariffs: testTariffs,
-		ramp:        policy.Ramp{MaxStreams: []float64{100}, Warmup: 2 * time.Second, InitialShare: 0.5, OverloadMultiple: 4, OverloadWindow: 500 * ms},
+	return simConfig{rule: rule, directors: 2, nodes: 3, steps: 60, maxBurst: 3, reportAges: true,
+		nodeReplies: []string{wire.Accepted, wire.Accepted, wire.Full, wire.Failed, wire.Ended, wire.Measurement, wire.Measurement},
+		tariffs:     testTariffs,
+		ramp: policy.Ramp{MaxStreams: []float64{100}, Warmup: 2 * time.Second, InitialShare: 0.5,
+			OverloadMultiple: 4, OverloadWindow: 500 * ms},
 		retryPolicy: policy.RetryPolicy{MaxLegs: 4}}
 }
 
 // seedsPerProperty is how many seeds each property is checked with.
 const seedsPerProperty = 250
 
-// requireProperty runs a simulation with many fixed seeds. No rule may be violated, and the rule under test must have had
-// enough opportunities to be violated. Then it runs with directors that breakRule has broken, and the same check must find a
-// violation of that rule: this shows that the check can fail.
+// requireProperty runs a simulation with many fixed seeds. No rule may be violated, and the rule under test must have
+// had enough opportunities to be violated. Then it runs with directors that breakRule has broken, and the same check
+// must find a violation of that rule: this shows that the check can fail.
 func requireProperty(t *testing.T, c simConfig, breakRule func(*simConfig)) {
 	t.Helper()
 	if c.alterEvent != nil || c.dropOutput != nil || c.alterPolicy != nil {
@@ -83,16 +86,16 @@
 	return strings.Join(all, "; ")
 }
 
-// Rule 1: each request that is taken gets exactly one final answer, before its hard stop. The broken directors drop error
-// answers.
+// Rule 1: each request that is taken gets exactly one final answer, within its client's wait and its tariff's hard stop. The
+// broken directors drop error answers.
 func TestRule1OneAnswerInTime(t *testing.T) {
 	requireProperty(t, defaultSimConfig(rulecheck.RuleAnswer), func(c *simConfig) {
 		c.dropOutput = func(o Output) bool { m, ok := o.(SendClient); return ok && m.Message.Type == wire.Errored }
 	})
 }
 
-// Rule 2: a paid setup that may have run is neither sent again nor nacked, and a session never has two legs out. In the
-// broken directors the policy module sees a failed setup as a failed connect.
+// Rule 2: a paid set-up that may have run is neither sent again nor nacked, and a session never has two legs in
+// progress. In the broken directors the decider sees a failed set-up as a failed connect.
 func TestRule2PaidSetupOnce(t *testing.T) {
 	requireProperty(t, defaultSimConfig(rulecheck.RuleSetupOnce), func(c *simConfig) {
 		c.alterEvent = func(e policy.Event) policy.Event {
@@ -105,8 +108,8 @@
 	})
 }
 
-// Rule 3: once a director has received the list entry of a draining or removed node, it sends that node no new setup. In the
-// broken directors the policy module sees every node as up and the guard is disabled.
+// Rule 3: once a director has received the list entry of a draining or removed node, it sends that node no new set-up.
+// In the broken directors the decider sees every node as up and the guard is disabled.
 func TestRule3NoSetupToDrainingNode(t *testing.T) {
 	requireProperty(t, defaultSimConfig(rulecheck.RuleDrain), func(c *simConfig) {
 		c.alterEvent = alterEntries(func(e *policy.NodeEntry) { e.State = policy.Up })
@@ -114,7 +117,7 @@
 	})
 }
 
-// With the guard, a policy module that sees draining nodes as up violates no rule, and the refusals are counted.
+// With the guard, a decider that sees draining nodes as up violates no rule, and the refusals are counted.
 func TestGuardStopsInvalidDecisions(t *testing.T) {
 	refused := uint64(0)
 	for seed := range uint64(20) {
@@ -148,17 +151,18 @@
 	}
 }
 
-// scarceSimConfig is a simulation in which a node that has just started may get only a few setups a second from all directors
-// together.
+// scarceSimConfig is a simulation in which a node that has just started may get only a few set-ups a second from all
+// directors together.
 func scarceSimConfig() simConfig {
 	c := defaultSimConfig(rulecheck.RuleSlowStart)
 	c.directors, c.nodes, c.steps, c.maxBurst = 4, 2, 120, 8
 	c.tariffs = testTariffs[:1]
-	c.ramp = policy.Ramp{MaxStreams: []float64{20}, Warmup: 4 * time.Second, InitialShare: 0.4, OverloadMultiple: 2, OverloadWindow: time.Second}
+	c.ramp = policy.Ramp{MaxStreams: []float64{20}, Warmup: 4 * time.Second, InitialShare: 0.4, OverloadMultiple: 2,
+		OverloadWindow: time.Second}
 	return c
 }
 
-// Rule 4: the setups of all directors together on a node that has just started stay within its slow-start limit.
+// Rule 4: the set-ups of all directors together on a node that has just started stay within its slow-start limit.
 func TestRule4SlowStartNodesAreLimited(t *testing.T) {
 	for name, ages := range map[string]bool{"ages": true, "no ages": false} {
 		t.Run(name, func(t *testing.T) {
@@ -171,8 +175,8 @@
 	}
 }
 
-// Rule 5: no session gets a rung under its tariff's floor, and a director has no more sessions of a title, including those in
-// setup, than the tariff has seats.
+// Rule 5: no session gets a rung under its tariff's floor, and a director has no more sessions of a title, including
+// those in set-up, than the tariff has seats.
 func TestRule5FloorsAndSeats(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -195,7 +199,8 @@
 // Rule 6: the legs after the first of each session stay within the retry budget of their window.
 func TestRule6RetryBudget(t *testing.T) {
 	c := defaultSimConfig(rulecheck.RuleRetryBudget)
-	c.nodes, c.steps, c.maxBurst, c.tariffs, c.nodeReplies = 4, 120, 6, testTariffs[:1], []string{wire.Accepted, wire.Full, wire.Full, wire.Ended}
+	c.nodes, c.steps, c.maxBurst, c.tariffs, c.nodeReplies = 4, 120, 6, testTariffs[:1],
+		[]string{wire.Accepted, wire.Full, wire.Full, wire.Ended}
 	c.retryPolicy = policy.RetryPolicy{MaxLegs: 4, MinRetries: 2, RetryRatio: 0.02, Window: 3 * time.Second}
 	requireProperty(t, c, func(c *simConfig) {
 		c.alterPolicy = func(p *policyConfig) { p.retryPolicy.Window = 0 }
--- a/internal/director/shutdown_test.go
+++ b/internal/director/shutdown_test.go
@@ -8,13 +8,13 @@
 	"fordusher/limits"
 )
 
-// An idle client connection is evicted when capacity runs short. A request received on it at that moment and taken is owed
-// an answer, so the connection must then stay open.
+// An idle client connection is evicted when capacity runs short. A request received on it at that moment and taken is
+// owed an answer, so the connection must then stay open.
 func TestConnectionOfTakenRequestIsNotEvicted(t *testing.T) {
 	h := newHarnessWith(t, 1, func(l *Loop) {
 		l.options.Detached, l.options.NoHello, l.options.Linger = true, true, 0
-		l.limits = limits.New(1, limits.Capacity{MaxConnections: 10, MaxHandshakes: 10, HeartbeatInterval: time.Hour, IdleTimeout: time.Second,
-			HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
+		l.limits = limits.New(1, limits.Capacity{MaxConnections: 10, MaxHandshakes: 10, HeartbeatInterval: time.Hour,
+			IdleTimeout: time.Second, HandshakeTimeout: time.Second, MaxRetryAfter: time.Second})
 	})
 	for conn := uint64(2); conn <= 9; conn++ { // nine of ten: near the capacity, idle connections are evicted a few per tick
 		h.connectClient(conn)
@@ -37,8 +37,8 @@
 	}
 }
 
-// A director that shuts down closes its client connections before it ends, and answers requests until the last of them is
-// closed: a request that was already read on one of them is owed an answer.
+// A director that shuts down closes its client connections before it ends, and answers requests until the last of them
+// is closed: a request that was already read on one of them is owed an answer.
 func TestShutdownWaitsForClientConnections(t *testing.T) {
 	h := newHarnessWith(t, 1, func(l *Loop) {
 		l.options.Detached, l.options.NoHello, l.options.Linger = true, true, 0
--- a/internal/director/simulation_test.go
+++ b/internal/director/simulation_test.go
@@ -16,9 +16,9 @@
 	"fordusher/shutdown"
 )
 
-// A simulation runs the loops of several directors with the real policy module. They share emulated nodes and a server list.
-// The actions of nodes, list and clients are drawn from a seed. All inputs and outputs are recorded, and package rulecheck
-// checks the rules from these records alone.
+// A simulation runs the loops of several directors with the real decider (package policy). They share emulated nodes
+// and a server list. The actions of nodes, list and clients are drawn from a seed. All inputs and outputs are recorded,
+// and package rulecheck checks the rules from these records alone.
 type simulation struct {
 	*rand.Rand
 	t             testingT
@@ -49,14 +49,14 @@
 	guardDisabled bool
 }
 
-// A policyConfig is the part of the policy module's configuration that a test can alter.
+// A policyConfig is the part of package policy's configuration that a test can alter.
 type policyConfig struct {
 	tariffs     []policy.Tariff
 	ramp        policy.Ramp
 	retryPolicy policy.RetryPolicy
 }
 
-// An alteredDecider is a policy module that gets altered events.
+// An alteredDecider is a decider that gets altered events.
 type alteredDecider struct {
 	Decider
 	alterEvent func(policy.Event) policy.Event
@@ -83,7 +83,7 @@
 	index, boot    int
 	loop           *Loop
 	startedAt      time.Duration
-	stalledUntil   time.Duration // it takes no timer before that time
+	stalledUntil   time.Duration // it runs no timer before that time
 	inbox          []Input
 	stepping       bool
 	nodeLinks      map[uint64]*nodeLink        // by link number, connected or connecting
@@ -160,16 +160,19 @@
 	}
 	ladder := policy.Ladder{Rates: []float64{100, 200, 400}, JoinCost: 1}
 	seed := d.Uint64()
-	var module Decider = policy.New(seed, policy.Peers{Index: d.index, Directors: c.directors}, policyCfg.tariffs, ladder,
+	var decider Decider = policy.New(seed, policy.Peers{Index: d.index, Directors: c.directors}, policyCfg.tariffs, ladder,
 		policy.Topology{Cells: 8, Racks: 2, LinkUnit: 10_000, Uplink: 100_000}, policyCfg.ramp, policyCfg.retryPolicy,
 		policy.ReportTiming{Delay: 500 * ms, Interval: 2 * time.Second, MaxBackoff: time.Second})
 	if c.alterEvent != nil {
-		module = alteredDecider{module, c.alterEvent}
+		decider = alteredDecider{decider, c.alterEvent}
 	}
-	d.loop = New(d.name(), fmt.Sprint(d.boot), seed, module, c.tariffs, []string{"box"}, ladder,
+	d.loop = New(d.name(), fmt.Sprint(d.boot), seed, decider, c.tariffs, []string{"box"}, ladder,
 		Options{AnswerMargin: 50 * ms, Linger: time.Second, ConnectTimeout: 250 * ms, SessionsPerConnection: 4},
-		connector.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8, HeartbeatInterval: time.Second}, shutdown.Policy{Timeout: 2 * time.Second, BatchInterval: 100 * ms},
-		limits.Capacity{MaxConnections: 1000, MaxHandshakes: 100, HeartbeatInterval: 10 * time.Second, IdleTimeout: time.Minute, HandshakeTimeout: time.Second, MaxRetryAfter: 10 * time.Second},
+		connector.ReconnectPolicy{InitialBackoff: 100 * ms, MaxBackoff: time.Second, MaxConcurrent: 8,
+			HeartbeatInterval: time.Second},
+		shutdown.Policy{Timeout: 2 * time.Second, BatchInterval: 100 * ms},
+		limits.Capacity{MaxConnections: 1000, MaxHandshakes: 100, HeartbeatInterval: 10 * time.Second,
+			IdleTimeout: time.Minute, HandshakeTimeout: time.Second, MaxRetryAfter: 10 * time.Second},
 		limits.QueuePolicy{MaxWait: 200 * ms, MaxRetryAfter: 10 * time.Second})
 	d.loop.guardDisabled = c.guardDisabled
 	d.record(rulecheck.Record{Kind: rulecheck.DirectorStarted, Director: d.name()})
@@ -178,7 +181,7 @@
 
 func (d *simDirector) name() string { return fmt.Sprint("d", d.index) }
 
-// step hands the director one input, and then every input that follows from its outputs at the same time.
+// step passes the director one input, and then every input that follows from its outputs at the same time.
 func (d *simDirector) step(in Input) {
 	d.inbox = append(d.inbox, in)
 	if d.stepping {
@@ -212,10 +215,12 @@
 	case RejectClient:
 		d.conns = slices.DeleteFunc(d.conns, func(x uint64) bool { return x == o.Conn })
 	case CloseClient:
-		d.record(rulecheck.Record{Kind: rulecheck.ConnClosed, Conn: o.Conn, ClosedBy: rulecheck.ClosedByPeer, Reason: fmt.Sprintf("%d %s", o.Code, o.Reason)})
+		d.record(rulecheck.Record{Kind: rulecheck.ConnClosed, Conn: o.Conn, ClosedBy: rulecheck.ClosedByPeer,
+			Reason: fmt.Sprintf("%d %s", o.Code, o.Reason)})
 		d.disconnectClient(o.Conn)
 	case Connect:
-		d.nodeLinks[o.Link] = &nodeLink{node: d.nodes[slices.IndexFunc(d.nodes, func(n *simNode) bool { return n.name == o.Node })], legs: map[uint64]simLeg{}}
+		d.nodeLinks[o.Link] = &nodeLink{
+			node: d.nodes[slices.IndexFunc(d.nodes, func(n *simNode) bool { return n.name == o.Node })], legs: map[uint64]simLeg{}}
 	case SendNode:
 		l := d.nodeLinks[o.Link]
 		if l != nil && o.Message.Type == wire.End { // the director's leg ends here, even if the node is notified later
@@ -261,10 +266,11 @@
 	}
 }
 
-// deliver hands a message to its node.
+// deliver delivers a message to its node.
 func (d *simDirector) deliver(l *nodeLink, o SendNode) {
 	m := o.Message
-	r := rulecheck.Record{Kind: m.Type, Node: l.node.name, Conn: l.conn, Director: d.name(), Session: m.Session, Leg: m.Leg, Tariff: m.Tariff,
+	r := rulecheck.Record{Kind: m.Type, Node: l.node.name, Conn: l.conn, Director: d.name(), Session: m.Session,
+		Leg: m.Leg, Tariff: m.Tariff,
 		Title: m.Title, Rung: m.Rung, StartTimeout: time.Duration(m.StartWithinMS) * ms}
 	switch m.Type {
 	case wire.Setup:
@@ -298,7 +304,7 @@
 	return l
 }
 
-// loseLink ends a node connection from the node's side. Setups that are still queued are reported as unsent.
+// loseLink ends a node connection from the node's side. Set-ups that are still queued are reported as unsent.
 func (d *simDirector) loseLink(link uint64) {
 	var unsent []uint64
 	for _, q := range d.removeLink(link).queued {
@@ -319,7 +325,8 @@
 
 // sendFullList sends the director a snapshot of the server list; a stale one has the previous entries.
 func (d *simDirector) sendFullList(stale bool) {
-	message := wire.DiscoveryMessage{Type: wire.Snapshot, Titles: []wire.TitlePlacement{{Title: "t", FirstCell: 0, Copies: 8}, {Title: "u", FirstCell: 1, Copies: 7}}}
+	message := wire.DiscoveryMessage{Type: wire.Snapshot, Titles: []wire.TitlePlacement{
+		{Title: "t", FirstCell: 0, Copies: 8}, {Title: "u", FirstCell: 1, Copies: 7}}}
 	var removed []wire.NodeEntry
 	for _, n := range d.nodes {
 		e := n.entry
@@ -335,7 +342,7 @@
 	d.sendList(message, removed...)
 }
 
-// sendList encodes and decodes a discovery message and hands it to the director. The unnamed entries are those that a
+// sendList encodes and decodes a discovery message and passes it to the director. The unnamed entries are those that a
 // snapshot reports as removed by leaving them out.
 func (d *simDirector) sendList(message wire.DiscoveryMessage, unnamed ...wire.NodeEntry) {
 	d.serial++
@@ -398,7 +405,9 @@
 			request := pick(s, d.requests)
 			if s.oneIn(2) {
 				request.message = wire.SessionMessage{Type: wire.Cancel, ID: request.message.ID}
-				d.requests = slices.DeleteFunc(d.requests, func(x clientRequest) bool { return x.conn == request.conn && x.message.ID == request.message.ID })
+				d.requests = slices.DeleteFunc(d.requests, func(x clientRequest) bool {
+					return x.conn == request.conn && x.message.ID == request.message.ID
+				})
 			}
 			d.sendClientMessage(request)
 		}
@@ -475,8 +484,10 @@
 			return // rejected: the director is shutting down
 		}
 		d.lastID++
-		request := clientRequest{pick(d.simulation, d.conns), wire.SessionMessage{Type: wire.Request, ID: fmt.Sprint(d.lastID), Tariff: pick(d.simulation, d.config.tariffs).Name,
-			Title: pick(d.simulation, []string{"t", "t", "t", "u", "none"}), Key: fmt.Sprint("k", d.lastID), WaitMS: int64(100 + d.IntN(3900)), LengthMS: 60_000}}
+		request := clientRequest{pick(d.simulation, d.conns),
+			wire.SessionMessage{Type: wire.Request, ID: fmt.Sprint(d.lastID), Tariff: pick(d.simulation, d.config.tariffs).Name,
+				Title: pick(d.simulation, []string{"t", "t", "t", "u", "none"}), Key: fmt.Sprint("k", d.lastID),
+				WaitMS: int64(100 + d.IntN(3900)), LengthMS: 60_000}}
 		if len(d.requests) > 0 && d.oneIn(5) {
 			request.message.Key = pick(d.simulation, d.requests).message.Key
 		}
@@ -485,8 +496,8 @@
 	}
 }
 
-// sendClientMessage encodes and decodes a client's message and hands it to the director, in some cases after a wait in its
-// queue.
+// sendClientMessage encodes and decodes a client's message and passes it to the director, in some cases after a wait in
+// its queue.
 func (d *simDirector) sendClientMessage(request clientRequest) {
 	m, err := wire.DecodeSessionMessage(wire.Encode(request.message))
 	if err != nil {
@@ -496,14 +507,15 @@
 		return
 	}
 	waited := time.Duration(pick(d.simulation, []int{0, 0, 0, 0, 120, 300})) * ms
-	r := rulecheck.Record{Kind: m.Type, Director: d.name(), Conn: request.conn, RequestID: m.ID, Tariff: m.Tariff, Title: m.Title, Wait: time.Duration(m.WaitMS) * ms}
+	r := rulecheck.Record{Kind: m.Type, Director: d.name(), Conn: request.conn, RequestID: m.ID, Tariff: m.Tariff,
+		Title: m.Title, Wait: time.Duration(m.WaitMS) * ms}
 	for _, t := range d.config.tariffs {
 		if t.Name == m.Tariff { // a request that was queued for longer than its client waits is answered in the same step
 			r.Wait = max(waited, min(r.Wait, t.HardStop)) - waited
 		}
 	}
-	// A request with the key of a session takes that session over. The earlier request then needs no answer and is recorded as
-	// cancelled.
+	// A request with the key of a session takes that session over. The earlier request then needs no answer and is
+	// recorded as cancelled.
 	if s := d.loop.sessionsByKey[m.Key]; m.Type == wire.Request && s != nil && s.conn != nil && s.conn.requests[m.ID] == nil {
 		d.record(rulecheck.Record{Kind: wire.Cancel, Director: d.name(), Conn: s.conn.id, RequestID: s.request})
 	}
@@ -641,8 +653,10 @@
 	}
 	s.advance(5 * time.Second)
 	c := s.config
-	ruleLimits := rulecheck.Limits{Tariffs: map[string]rulecheck.TariffLimits{}, DrainGrace: 0, Warmup: c.ramp.Warmup, InitialShare: c.ramp.InitialShare, OverloadMultiple: c.ramp.OverloadMultiple,
-		OverloadWindow: c.ramp.OverloadWindow, MaxLegs: c.retryPolicy.MaxLegs, MinRetries: c.retryPolicy.MinRetries, RetryRatio: c.retryPolicy.RetryRatio, RetryWindow: c.retryPolicy.Window}
+	ruleLimits := rulecheck.Limits{Tariffs: map[string]rulecheck.TariffLimits{}, DrainGrace: 0, Warmup: c.ramp.Warmup,
+		InitialShare: c.ramp.InitialShare, OverloadMultiple: c.ramp.OverloadMultiple,
+		OverloadWindow: c.ramp.OverloadWindow, MaxLegs: c.retryPolicy.MaxLegs, MinRetries: c.retryPolicy.MinRetries,
+		RetryRatio: c.retryPolicy.RetryRatio, RetryWindow: c.retryPolicy.Window}
 	for _, t := range c.tariffs {
 		ruleLimits.Tariffs[t.Name] = rulecheck.TariffLimits{Paid: t.AtMostOnce, MinRung: t.Floor, Seats: t.Seats}
 	}
@@ -665,7 +679,8 @@
 			}
 		}
 		if l := d.loop; len(l.sessions)+len(l.sessionsByKey)+len(l.legs)+l.owed+l.playing != 0 || l.counts.IllegalTransitions != 0 {
-			s.t.Fatalf("%s: state left: %d sessions, %d keys, %d legs, %d answers owed, %d playing; %d illegal transitions", d.name(), len(l.sessions),
+			s.t.Fatalf("%s: state left: %d sessions, %d keys, %d legs, %d answers owed, %d playing; %d illegal transitions",
+				d.name(), len(l.sessions),
 				len(l.sessionsByKey), len(l.legs), l.owed, l.playing, l.counts.IllegalTransitions)
 		}
 	}
