--- a/internal/director/connections.go
+++ b/internal/director/connections.go
@@ -42,8 +42,8 @@
 // linkDescriptors returns the number of descriptors that connections to nodes use.
 func (l *Loop) linkDescriptors() int { return len(l.links) + l.connector.Dialing() }
 
-// admitLink asks the limits whether one more connection to a node may be made. If the limits ask for it,
-// admitLink first closes the unneeded connection that was used least recently.
+// admitLink asks the limits whether one more connection to a node may be made. If the limits ask for it, admitLink
+// first closes the unneeded connection that was used least recently.
 func (l *Loop) admitLink() bool {
 	var idlest *node // the node whose unneeded connection was used least recently
 	for _, n := range l.links {
--- a/internal/director/discovery.go
+++ b/internal/director/discovery.go
@@ -8,8 +8,8 @@
 	"fordusher/policy"
 )
 
-// A title is something that clients can ask to play, with the cells that hold it. A cell is a position
-// at which nodes are placed.
+// A title is something that clients can ask to play, with the cells that hold it. A cell is a position at which nodes
+// are placed.
 type title struct {
 	id                uint64
 	firstCell, copies int // its first cell, and how many cells in a row hold it
--- a/internal/director/nodes.go
+++ b/internal/director/nodes.go
@@ -165,7 +165,8 @@
 	}
 }
 
-// maxReportedAge is the largest reported age that is converted to a start time.
+// maxReportedAge is the largest reported age that is converted to a start time. A much larger one would overflow a
+// time.Duration and give a start time in the future.
 const maxReportedAge = 365 * 24 * time.Hour
 
 // startTimeFromAge converts a node's reported age in milliseconds to its start time. Without an age, or with one over
--- a/internal/director/properties_test.go
+++ b/internal/director/properties_test.go
@@ -86,8 +86,8 @@
 	return strings.Join(all, "; ")
 }
 
-// Rule 1: each request that is taken gets exactly one final answer, within its client's wait and its tariff's hard stop. The
-// broken directors drop error answers.
+// Rule 1: each request that is taken gets exactly one final answer, within its client's wait and its tariff's hard
+// stop. The broken directors drop error answers.
 func TestRule1OneAnswerInTime(t *testing.T) {
 	requireProperty(t, defaultSimConfig(rulecheck.RuleAnswer), func(c *simConfig) {
 		c.dropOutput = func(o Output) bool { m, ok := o.(SendClient); return ok && m.Message.Type == wire.Errored }
