--- a/internal/director/ondemand_test.go
+++ b/internal/director/ondemand_test.go
@@ -18,7 +18,8 @@
 			HeartbeatInterval: time.Second, OnDemand: true, IdleTimeout: 20 * time.Second}
 		l.connector = connector.New(1, l.reconnectPolicy)
 		l.limits = limits.New(1, limits.Capacity{MaxConnections: 100, MaxHandshakes: 100, HeartbeatInterval: time.Hour,
-			IdleTimeout: time.Second, HandshakeTimeout: time.Second, MaxRetryAfter: time.Second, DisplaceIdleAfter: time.Second, MaxDescriptors: descriptors})
+			IdleTimeout: time.Second, HandshakeTimeout: time.Second, MaxRetryAfter: time.Second,
+			DisplaceIdleAfter: time.Second, MaxDescriptors: descriptors})
 	})
 	if len(h.links) != 0 {
 		t.Fatal("connected to a node without a session for it")
