--- a/internal/director/outcome.go
+++ b/internal/director/outcome.go
@@ -23,7 +23,8 @@
 
 var legOutcomeNames = [...]string{"rejected by the server", "not connected", "one connect attempt failed",
 	"withdrawn unsent", "connection ended unsent",
-	"server restarted, unsent", "server failed", "no answer in time", "server connection ended", "cancelled", "ended elsewhere", "served", "server lost"}
+	"server restarted, unsent", "server failed", "no answer in time", "server connection ended",
+	"cancelled", "ended elsewhere", "served", "server lost"}
 
 func (o legOutcome) String() string { return legOutcomeNames[o] }
 
