--- a/internal/director/nodes.go
+++ b/internal/director/nodes.go
@@ -109,13 +109,14 @@
 			l.endLeg(g, outcomeFailed, m.Load)
 		case m.Reason == wire.Lost:
 			l.endLeg(g, outcomeBroken, m.Load)
-		case m.Reason == wire.Canceled:
+		case m.Reason == wire.Cancelled:
 			l.endLeg(g, outcomeEndedElsewhere, m.Load)
 		default:
 			l.endLeg(g, outcomeServed, m.Load)
 		}
 	case wire.Measurement:
-		l.notifyDecider(policy.Measurement{ID: g.session.id, Node: n.name, Kind: policy.MeasurementKind(m.MeasurementKind), Value: m.MeasurementValue})
+		l.notifyDecider(policy.Measurement{ID: g.session.id, Node: n.name,
+			Kind: policy.MeasurementKind(m.MeasurementKind), Value: m.MeasurementValue})
 	default:
 		l.counts.UnknownMessages++
 	}
@@ -137,7 +138,8 @@
 		if n.reportedStartedAt == policy.UnknownStart && n.incarnation != 0 && m.Incarnation != n.incarnation {
 			n.reportedStartedAt = l.now // an earlier incarnation was known, so this one is recent
 		}
-		restarted = n.reportedStartedAt != policy.UnknownStart && (m.Incarnation != n.incarnation || n.reportedStartedAt > n.startedAt+startTimeTolerance)
+		restarted = n.reportedStartedAt != policy.UnknownStart &&
+			(m.Incarnation != n.incarnation || n.reportedStartedAt > n.startedAt+startTimeTolerance)
 		n.setIncarnation(m.Incarnation)
 		if restarted {
 			n.startedAt = n.reportedStartedAt
@@ -163,7 +165,8 @@
 	}
 }
 
-// maxReportedAge is the largest reported age that is converted to a start time.
+// maxReportedAge is the largest reported age that is converted to a start time. A much larger one would overflow a
+// time.Duration and give a start time in the future.
 const maxReportedAge = 365 * 24 * time.Hour
 
 // startTimeFromAge converts a node's reported age in milliseconds to its start time. Without an age, or with one over
@@ -176,8 +179,8 @@
 }
 
 // listIsStale reports whether a list entry describes an earlier incarnation than the hello of a connected node. If the
-// entry has no age, it is stale if it names the previous incarnation. An unknown incarnation is stale as well unless the
-// address has changed: the connection still leads to the node and is the better source.
+// entry has no age, it is stale if it names the previous incarnation. An unknown incarnation is stale as well unless
+// the address has changed: the connection still leads to the node and is the better source.
 func (l *Loop) listIsStale(n *node, e wire.NodeEntry, startedAt time.Duration, moved bool) bool {
 	if startedAt != policy.UnknownStart {
 		return startedAt < n.reportedStartedAt
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,4 +1,7 @@
-// Package simwire reads and writes the simulator's protocol: JSON, one value per line, in batches called frames.
+// Package simwire reads and writes the simulator's protocol: JSON, one value per line, in batches called frames. A
+// Reader turns the simulator's input into frames of events, and a Writer turns the actions of directors into replies.
+// Config holds a director's settings and converts messages to the events of package policy. I/O is done on the given
+// reader and writer only.
 package simwire
 
 import (
@@ -17,12 +20,12 @@
 
 // A Frame is a batch of events that occur at one time.
 type Frame struct {
-	Clock  time.Duration // the wire's own clock
+	Time   time.Duration // by the simulator's clock
 	Number uint64
 	Events []Message
 }
 
-// A Message is one line of a frame; which fields are used depends on Kind.
+// A Message is one line of a frame; which fields are used depends on Kind. An instance is one run of a director.
 type Message struct {
 	Kind            string          `json:"t"`
 	Instance        string          `json:"i"`
@@ -32,7 +35,7 @@
 	Entries         []NodeEntry     `json:"entries"`
 	ListKind        string          `json:"kind"`
 	ID              uint64          `json:"txn"`
-	Tariff          string          `json:"cls"`
+	Class           string          `json:"cls"`
 	Title           uint64          `json:"programme"`
 	ValidUntil      float64         `json:"valid_until_s"`
 	FirstCell       float64         `json:"base"`
@@ -46,7 +49,7 @@
 	MeasurementKind int             `json:"sort"`
 
 	// These fields belong to the line that begins a frame.
-	Clock  *float64 `json:"t_s"`
+	Time   *float64 `json:"t_s"`
 	Number *uint64  `json:"frame"`
 }
 
@@ -61,7 +64,7 @@
 	Cell      int     `json:"position"`
 }
 
-// The event kinds of the wire.
+// The event kinds of the wire. ProbeResult and Whisper have no counterpart in package policy.
 const (
 	Boot             = "boot"
 	Register         = "register"
@@ -154,11 +157,11 @@
 		}
 		switch {
 		case m.Kind == "tick" && !begun:
-			if m.Clock == nil || m.Number == nil {
-				return f, fmt.Errorf("after frame %d: a tick without clock or number", r.lastNumber)
+			if m.Time == nil || m.Number == nil {
+				return f, fmt.Errorf("after frame %d: a tick without time or number", r.lastNumber)
 			}
 			begun, r.lastNumber = true, *m.Number
-			f.Clock, f.Number = SecondsToDuration(*m.Clock), *m.Number
+			f.Time, f.Number = SecondsToDuration(*m.Time), *m.Number
 		case !begun:
 			return f, fmt.Errorf("after frame %d: %q instead of a tick", r.lastNumber, m.Kind)
 		case m.Kind == "go":
@@ -180,7 +183,7 @@
 	return strconv.AppendFloat(b, float64(d.Microseconds())/1e6, 'f', -1, 64)
 }
 
-// A Writer writes replies. It buffers a reply until Ack, so that the output never ends with a partial reply.
+// A Writer writes replies. It buffers a reply until Finish, so that the output never ends with a partial reply.
 type Writer struct {
 	out io.Writer
 	buf []byte
@@ -212,7 +215,7 @@
 	w.buf = strconv.AppendUint(w.buf, id, 10)
 }
 
-// Action adds an action of an instance that started at the given time on the wire's clock.
+// Action adds an action of an instance that started at the given time on the simulator's clock.
 func (w *Writer) Action(instance string, start time.Duration, action policy.Action) {
 	switch a := action.(type) {
 	case policy.Dispatch:
@@ -255,16 +258,16 @@
 	w.buf = append(w.buf, "}\n"...)
 }
 
-// Panic adds the message that an instance's code has panicked.
-func (w *Writer) Panic(instance, message string) {
+// ReportPanic adds the message that an instance has panicked.
+func (w *Writer) ReportPanic(instance, message string) {
 	w.begin("panic", instance)
 	w.key("words")
 	w.text(message)
 	w.buf = append(w.buf, "}\n"...)
 }
 
-// Ack ends the reply to a frame and writes it out.
-func (w *Writer) Ack(number uint64) error {
+// Finish ends the reply to a frame and writes it out.
+func (w *Writer) Finish(number uint64) error {
 	w.buf = append(w.buf, `{"t":"ack","frame":`...)
 	w.buf = strconv.AppendUint(w.buf, number, 10)
 	w.buf = append(w.buf, "}\n"...)
--- a/limits/budget_test.go
+++ b/limits/budget_test.go
@@ -8,11 +8,12 @@
 )
 
 // tightCapacity has the smallest budget of descriptors that a platform gives: 256.
-var tightCapacity = Capacity{MaxConnections: 256, MaxHandshakes: 256, HeartbeatInterval: 24 * time.Hour, IdleTimeout: time.Second, HandshakeTimeout: time.Second,
-	MaxRetryAfter: time.Second, DisplaceIdleAfter: time.Second, MaxDescriptors: 256, ReservedDescriptors: 40, PreHandshakeDescriptors: 32}
+var tightCapacity = Capacity{MaxConnections: 256, MaxHandshakes: 256, HeartbeatInterval: 24 * time.Hour,
+	IdleTimeout: time.Second, HandshakeTimeout: time.Second, MaxRetryAfter: time.Second,
+	DisplaceIdleAfter: time.Second, MaxDescriptors: 256, ReservedDescriptors: 40, PreHandshakeDescriptors: 32}
 
-// For any sequence of requests by clients and nodes, their connections together stay within the budget of descriptors, a
-// busy client is never evicted, and a dial to a node is refused only if every connected client is busy.
+// For any sequence of requests by clients and nodes, their connections together stay within the budget of descriptors,
+// a busy client is never evicted, and a dial to a node is refused only if every connected client is busy.
 func TestClientsAndNodesShareDescriptors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(1, tightCapacity)
@@ -38,7 +39,7 @@
 			busy, open := clients[conn]
 			switch action := rapid.IntRange(0, 9).Draw(t, "action"); {
 			case action < 4 && !open:
-				if step(Event{Kind: ConnectRequest, Conn: conn, Nodes: nodes}).Admit {
+				if step(Event{Kind: ConnectRequest, Conn: conn, NodeDescriptors: nodes}).Admit {
 					clients[conn] = false
 					if rapid.Bool().Draw(t, "requests before HandshakeDone") {
 						clients[conn] = true
@@ -47,7 +48,7 @@
 					step(Event{Kind: HandshakeDone, Conn: conn})
 				}
 			case action < 6:
-				plan := step(Event{Kind: DialRequest, Nodes: nodes, IdleNodeConn: idleNodes > 0})
+				plan := step(Event{Kind: DialRequest, NodeDescriptors: nodes, IdleNodeConn: idleNodes > 0})
 				free := tightCapacity.MaxDescriptors - tightCapacity.ReservedDescriptors - tightCapacity.PreHandshakeDescriptors - nodes - len(clients)
 				allBusy := true
 				for _, b := range clients {
@@ -77,7 +78,8 @@
 			default:
 				step(Event{Kind: TimerFired})
 			}
-			if held := nodes + len(clients) + tightCapacity.ReservedDescriptors + tightCapacity.PreHandshakeDescriptors; held > tightCapacity.MaxDescriptors {
+			if held := nodes + len(clients) + tightCapacity.ReservedDescriptors +
+				tightCapacity.PreHandshakeDescriptors; held > tightCapacity.MaxDescriptors {
 				t.Fatalf("%d of %d descriptors in use: %d nodes, %d clients", held, tightCapacity.MaxDescriptors, nodes, len(clients))
 			}
 			busyClients := 0
@@ -128,16 +130,16 @@
 		l.Step(0, Event{Kind: HandshakeDone, Conn: i})
 	}
 	nodes := tightCapacity.MaxDescriptors
-	if plan := l.Step(time.Second, Event{Kind: DialRequest, Nodes: nodes}); len(plan.Evict) != 1 || plan.Evict[0].Conn != 0 {
+	if plan := l.Step(time.Second, Event{Kind: DialRequest, NodeDescriptors: nodes}); len(plan.Evict) != 1 || plan.Evict[0].Conn != 0 {
 		t.Fatalf("%+v", plan)
 	}
 	l.Step(time.Second, Event{Kind: EvictionCancelled, Conn: 0})
 	l.Step(time.Second, Event{Kind: Busy, Conn: 0})
-	plan := l.Step(time.Second, Event{Kind: DialRequest, Nodes: nodes})
+	plan := l.Step(time.Second, Event{Kind: DialRequest, NodeDescriptors: nodes})
 	if len(plan.Evict) != 1 || plan.Evict[0].Conn != 1 {
 		t.Fatalf("%+v", plan)
 	}
-	if plan = l.Step(time.Second, Event{Kind: DialRequest, Nodes: nodes}); plan.Admit || len(plan.Evict) != 0 {
+	if plan = l.Step(time.Second, Event{Kind: DialRequest, NodeDescriptors: nodes}); plan.Admit || len(plan.Evict) != 0 {
 		t.Fatalf("a busy connection is evicted: %+v", plan)
 	}
 }
