--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -11,7 +11,8 @@
 )
 
 // Initial and maximum delay between attempts to accept while the system lacks a descriptor, buffer or memory for a
-// connection. The delay doubles with each attempt. It is short because clients wait in the listener's backlog meanwhile.
+// connection. The delay doubles with each attempt. It is short because clients wait in the listener's backlog
+// meanwhile.
 const (
 	initialAcceptDelay = time.Millisecond
 	maxAcceptDelay     = 20 * time.Millisecond
--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -34,16 +34,16 @@
 	return "lost"
 }
 
-// An InputEnder is a Handler that itself closes the connection of a peer that sent invalid input. Further input of the peer
-// is discarded, while messages to it are still sent. InputEnded is called only for accepted connections of a SplitFunc
-// protocol, after their first complete message.
+// An InputEnder is a Handler that itself closes the connection of a peer that sent invalid input. Further input of the
+// peer is discarded, while messages to it are still sent. InputEnded is called only for accepted connections of a
+// SplitFunc protocol, after their first complete message.
 type InputEnder interface {
 	InputEnded(c *Conn, err error)
 }
 
-// EndInput stops reading from a peer that has violated the protocol or exceeded a limit. If the handler is an InputEnder
-// and the connection is one for which InputEnded is called, the handler closes the connection when no answer is pending on
-// it; otherwise EndInput closes it with the status code.
+// EndInput stops reading from a peer that has violated the protocol or exceeded a limit. If the handler is an
+// InputEnder and the connection is one for which InputEnded is called, the handler closes the connection when no
+// answer is pending on it; otherwise EndInput closes it with the status code.
 func (c *Conn) EndInput(err error, code ws.StatusCode) {
 	ender, ok := c.handler.(InputEnder)
 	if !ok || c.split == nil || c.server == nil || !c.handshakeReceived.Load() {
@@ -85,8 +85,8 @@
 	c.send(ws.OpClose, body, 0)
 }
 
-// closeReason shortens a text to fit into a close frame and makes it valid UTF-8, which a peer may require (RFC 6455, 5.5.1).
-// A text that quotes the peer's own bytes may be invalid UTF-8.
+// closeReason shortens a text to fit into a close frame and makes it valid UTF-8, which a peer may require (RFC 6455,
+// 5.5.1). A text that quotes the peer's own bytes may be invalid UTF-8.
 func closeReason(text string) string {
 	const maxBytes = 120
 	text = strings.ToValidUTF8(text, "?")
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -14,15 +14,16 @@
 	"github.com/gobwas/ws"
 )
 
-// Dial connects to a server and returns when the handshake is complete or the time-out has expired. If it returns no error,
-// the handler's Opened has been called; if it returns an error, the handler is never called. The connection's user data is
-// set before Opened is called, unless userData is nil.
+// Dial connects to a server and returns when the handshake is complete or the time-out has expired. If it returns no
+// error, the handler's Opened has been called; if it returns an error, the handler is never called. The connection's
+// user data is set before Opened is called, unless userData is nil.
 func Dial(address, protocol string, timeout time.Duration, limits Limits, handler Handler, userData any) (*Conn, error) {
 	return DialFrom(netip.Addr{}, address, protocol, timeout, limits, handler, userData)
 }
 
 // DialFrom is Dial from a given address of this machine; for the zero Addr the system chooses one.
-func DialFrom(from netip.Addr, address, protocol string, timeout time.Duration, limits Limits, handler Handler, userData any) (*Conn, error) {
+func DialFrom(from netip.Addr, address, protocol string, timeout time.Duration, limits Limits, handler Handler,
+	userData any) (*Conn, error) {
 	start := time.Now()
 	np, err := dialWithRetry(timeout, func(remaining time.Duration) (netpoll.Connection, error) {
 		return dialTCPFrom(from, address, remaining)
@@ -41,7 +42,8 @@
 		return nil, fmt.Errorf("connect to %s: %w: %v", address, ErrHandshake, err)
 	}
 	np.SetReadTimeout(0)
-	c := &Conn{raw: newSocket(np), handler: handler, limits: limits, client: true, established: true, handshakeDone: true, usable: true}
+	c := &Conn{raw: newSocket(np), handler: handler, limits: limits, client: true,
+		established: true, handshakeDone: true, usable: true}
 	c.lastRead.Store(int64(monotonic()))
 	if userData != nil {
 		c.SetUserData(userData)
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -24,8 +24,8 @@
 	return len(all)
 }
 
-// Guards against a leaked descriptor, and against a missing or second call of Closed, when the peer closes the connection
-// before the dialing side has added its close callback.
+// Guards against a leaked descriptor, and against a missing or second call of Closed, when the peer closes the
+// connection before the dialing side has added its close callback.
 func TestConnectionClosedWhileBeingDialed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,7 +75,8 @@
 	}
 	defer ln.Close()
 	split := func(in []byte) (int, error) { return len(in), nil }
-	c, err := DialTCP(ln.Addr().String(), time.Second, split, Limits{MaxMessageBytes: 100, MaxQueuedBytes: 100}, closeNotifier{make(chan struct{}, 1)})
+	c, err := DialTCP(ln.Addr().String(), time.Second, split, Limits{MaxMessageBytes: 100, MaxQueuedBytes: 100},
+		closeNotifier{make(chan struct{}, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -10,8 +10,9 @@
 	"github.com/gobwas/ws"
 )
 
-// An AdmissionHandler is a Handler that decides whether a connection is accepted. Connecting is called before the handshake
-// is answered. The handler then calls Accept or Reject on the connection, at once or later, from any goroutine.
+// An AdmissionHandler is a Handler that decides whether a connection is accepted. Connecting is called before the
+// handshake is answered. The handler then calls Accept or Reject on the connection, at once or later, from any
+// goroutine.
 type AdmissionHandler interface {
 	Connecting(c *Conn)
 }
@@ -26,7 +27,8 @@
 	c.closeNow(fmt.Errorf("%w: %v", ErrHandshake, err))
 }
 
-// Accept completes a handshake that waits for the AdmissionHandler's decision.
+// Accept completes a handshake that waits for the AdmissionHandler's decision. A SplitFunc protocol has no handshake;
+// its connection is only passed to Opened.
 func (c *Conn) Accept() {
 	if c.split != nil {
 		c.handler.Opened(c)
@@ -41,7 +43,8 @@
 	}
 }
 
-// Reject answers a handshake that waits for the AdmissionHandler's decision with status 503 and a time after which to retry.
+// Reject answers a handshake that waits for the AdmissionHandler's decision with status 503 and the delay after
+// which the client may retry. A connection of a SplitFunc protocol is closed instead.
 func (c *Conn) Reject(retryAfter time.Duration, reason string) {
 	if c.split != nil {
 		c.Close(closeTryAgainLater, reason)
@@ -55,7 +58,8 @@
 		return
 	}
 	seconds := int64((retryAfter + time.Second - 1) / time.Second) // Retry-After holds whole seconds
-	c.respondAndClose(http.StatusServiceUnavailable, fmt.Sprintf("Retry-After: %d\r\nX-Retry-After-Ms: %d\r\n", seconds, retryAfter.Milliseconds()), reason)
+	c.respondAndClose(http.StatusServiceUnavailable,
+		fmt.Sprintf("Retry-After: %d\r\nX-Retry-After-Ms: %d\r\n", seconds, retryAfter.Milliseconds()), reason)
 }
 
 // respondAndClose answers a handshake with an HTTP error and closes the connection.
@@ -65,8 +69,9 @@
 		c.closeErr = fmt.Errorf("%w: %s", ErrHandshake, reason)
 	}
 	c.mu.Unlock()
-	c.writeOrQueue(frame{body: fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", status,
-		http.StatusText(status), headers, len(reason), reason)}, true)
+	c.writeOrQueue(frame{body: fmt.Appendf(nil,
+		"HTTP/1.1 %d %s\r\n%sContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s",
+		status, http.StatusText(status), headers, len(reason), reason)}, true)
 }
 
 // upgrade answers a handshake and returns whether the connection is open afterwards.
@@ -102,7 +107,8 @@
 	return true
 }
 
-// markHandshakeReceived records that the handshake has been received completely, or that the connection has ended before.
+// markHandshakeReceived records that the handshake has been received completely, or that the connection has ended
+// before.
 func (c *Conn) markHandshakeReceived() {
 	if c.server != nil && !c.handshakeReceived.Swap(true) {
 		c.server.pendingHandshakes.Add(-1)
--- a/internal/transport/memory.go
+++ b/internal/transport/memory.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// MemoryNetwork carries connections in memory, for load tests with more connections than a machine has descriptors for. All
-// code above rawConn is the same as for sockets. One goroutine delivers what servers write, in order.
+// MemoryNetwork carries connections in memory, for load tests with more connections than a machine has descriptors
+// for. All code above rawConn is the same as for sockets. One goroutine delivers what servers write, in order.
 type MemoryNetwork struct {
 	mu      sync.Mutex
 	pending []delivery
@@ -80,8 +80,8 @@
 
 func (m *memoryConn) Close() error { return m.conn.onClosed(nil) }
 
-// AttachInMemory adds a connection in memory with the given remote address. The network's goroutine calls deliver with what
-// the server writes.
+// AttachInMemory adds a connection in memory with the given remote address. The network's goroutine calls deliver with
+// what the server writes.
 func (s *Server) AttachInMemory(n *MemoryNetwork, peer netip.AddrPort, deliver func(p []byte)) *Conn {
 	c := &Conn{handler: s.handler, limits: s.limits, server: s, usable: true}
 	c.raw = &memoryConn{conn: c, network: n, peer: peer, deliver: deliver}
--- a/internal/transport/netpoll.go
+++ b/internal/transport/netpoll.go
@@ -6,8 +6,8 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// internalErrors counts the log lines of netpoll, which would otherwise go to standard error (mostly failed accepts), further
-// failed accepts, and panics of handlers.
+// internalErrors counts the log lines of netpoll, which would otherwise go to standard error (mostly failed accepts),
+// further failed accepts, and panics of handlers.
 var internalErrors atomic.Int64
 
 // ErrorCount returns the number of errors that netpoll has logged, failed accepts and handler panics so far.
@@ -21,8 +21,8 @@
 	return len(line), nil
 }
 
-// readBufferBytes is the size of the read buffer that netpoll keeps for each connection, idle or not. The buffer grows when
-// more input arrives at once.
+// readBufferBytes is the size of the read buffer that netpoll keeps for each connection, idle or not. The buffer grows
+// when more input arrives at once.
 const readBufferBytes = 256
 
 // netpoll must be configured before any of its pollers runs, so this is done in init.
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -11,8 +11,8 @@
 	"github.com/gobwas/ws"
 )
 
-// maxHandshakeBytes is the largest request head of a handshake. maxBurstBytes is how much unread input beyond one message a
-// peer may have sent before the next read.
+// maxHandshakeBytes is the largest request head of a handshake. maxBurstBytes is how much unread input beyond one
+// message a peer may have sent before the next read.
 const (
 	maxHandshakeBytes = 4 << 10
 	maxBurstBytes     = 1 << 20
@@ -37,8 +37,8 @@
 	return r.Release()
 }
 
-// recoverPanic ends the input of a connection whose handler has panicked because of a bug in the program, and counts the
-// panic. Otherwise netpoll's pool would write about it to standard error itself.
+// recoverPanic ends the input of a connection whose handler has panicked because of a bug in the program, and counts
+// the panic. Otherwise netpoll's pool would write about it to standard error itself.
 func (c *Conn) recoverPanic() {
 	if r := recover(); r != nil {
 		internalErrors.Add(1)
@@ -60,8 +60,8 @@
 	c.pong()
 }
 
-// pong answers only the latest of several pings received together, as RFC 6455 allows (5.5.3), so that a flood of pings costs
-// the sender more than the receiver.
+// pong answers only the latest of several pings received together, as RFC 6455 allows (5.5.3), so that a flood of
+// pings costs the sender more than the receiver.
 func (c *Conn) pong() {
 	if c.pongPending && (c.server == nil || !c.server.silent.Load()) {
 		c.send(ws.OpPong, c.pingPayload, 0)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -41,7 +41,8 @@
 	s.eventLoop, err = netpoll.NewEventLoop(
 		func(ctx context.Context, np netpoll.Connection) error { return ctx.Value(key{}).(*Conn).read(ctx, np) },
 		netpoll.WithOnPrepare(func(np netpoll.Connection) context.Context {
-			c := &Conn{raw: newSocket(np), handler: handler, limits: limits, server: s, split: split, handshakeDone: split != nil, acceptedAt: time.Now()}
+			c := &Conn{raw: newSocket(np), handler: handler, limits: limits, server: s, split: split,
+				handshakeDone: split != nil, acceptedAt: time.Now()}
 			n := s.pendingHandshakes.Add(1)
 			if split != nil && limits.MaxPendingHandshakes > 0 && int(n) > limits.MaxPendingHandshakes {
 				s.resetOldestPending()
@@ -63,7 +64,7 @@
 			}
 			np.AddCloseCallback(c.onClosed)
 			c.mu.Lock()
-			c.usable = true // onClosed resets it before the descriptor is closed
+			c.usable = true // finishClose clears it before the descriptor is closed
 			c.mu.Unlock()
 			s.mu.Lock()
 			s.conns[c] = true
--- a/internal/transport/syscalls.go
+++ b/internal/transport/syscalls.go
@@ -32,8 +32,8 @@
 
 func init() { currentCalls.Store(&realCalls) }
 
-// isTransient reports whether an error of a system call has nothing to do with the peer or the connection, so that the same
-// call may succeed a moment later.
+// isTransient reports whether an error of a system call has nothing to do with the peer or the connection, so that the
+// same call may succeed a moment later.
 func isTransient(err error) bool {
 	for _, e := range []syscall.Errno{unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM} {
 		if errors.Is(err, e) {
@@ -43,8 +43,8 @@
 	return false
 }
 
-// IsLocalError reports whether a dial failed because of this machine (descriptors, memory, ports, its own network), so that
-// the error is no evidence about the peer.
+// IsLocalError reports whether a dial failed because of this machine (descriptors, memory, ports, its own network), so
+// that the error is no evidence about the peer.
 func IsLocalError(err error) bool {
 	for _, e := range []syscall.Errno{unix.EMFILE, unix.ENFILE, unix.EADDRNOTAVAIL, unix.EADDRINUSE, unix.ENETUNREACH, unix.ENETDOWN,
 		unix.ECONNABORTED, unix.EPERM, unix.EACCES} {
@@ -55,8 +55,9 @@
 	return isTransient(err)
 }
 
-// A dial that fails with a local error is retried for maxLocalRetryTime, with a delay that doubles from the initial to the
-// maximum value. The time is short because the request that waits for the connection may be served by another peer.
+// A dial that fails with a local error is retried for maxLocalRetryTime, with a delay that doubles from the initial to
+// the maximum value. The time is short because the request that waits for the connection may be served by another
+// peer.
 const (
 	maxLocalRetryTime = 100 * time.Millisecond
 	initialDialDelay  = time.Millisecond
--- a/internal/transport/syscalls_test.go
+++ b/internal/transport/syscalls_test.go
@@ -14,7 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// injectCalls replaces system calls for listeners and connections created during the test; nil fields keep the real call.
+// injectCalls replaces system calls for listeners and connections created during the test; nil fields keep the real
+// call.
 func injectCalls(t *testing.T, calls systemCalls) {
 	t.Helper()
 	if calls.accept == nil {
@@ -96,8 +97,8 @@
 	}
 }
 
-// Guards against a connection that stays open while the kernel accepts no bytes: it must end after the write time-out and
-// report the unsent messages.
+// Guards against a connection that stays open while the kernel accepts no bytes: it must end after the write time-out
+// and report the unsent messages.
 func TestStalledWriteClosesConnection(t *testing.T) {
 	injectCalls(t, systemCalls{write: func(int, []byte) (int, error) { return -1, unix.ENOBUFS }})
 	limits := testTCPLimits
@@ -132,8 +133,8 @@
 	h.closeErr <- err
 }
 
-// Guards against local errors during a dial being taken for failures of the server: they are retried within the time-out and
-// reported as local, while errors caused by the server are reported at once.
+// Guards against local errors during a dial being taken for failures of the server: they are retried within the
+// time-out and reported as local, while errors caused by the server are reported at once.
 func TestDialRetriesLocalErrors(t *testing.T) {
 	s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, &recordingHandler{})
 	if err != nil {
@@ -167,17 +168,18 @@
 	for _, fault := range []syscall.Errno{unix.ECONNREFUSED, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET} {
 		tries := 0
 		injectCalls(t, systemCalls{dial: func(string, time.Duration) (net.Conn, error) { tries++; return nil, fault }})
-		if _, err := DialTCP(s.Address(), time.Second, splitByLength, testTCPLimits, &recordingHandler{}); IsLocalError(err) || !errors.Is(err, fault) || tries != 1 {
+		if _, err := DialTCP(s.Address(), time.Second, splitByLength, testTCPLimits, &recordingHandler{}); IsLocalError(err) ||
+			!errors.Is(err, fault) || tries != 1 {
 			t.Fatalf("%v, an error caused by the server: got %v after %d tries", fault, err, tries)
 		}
 	}
 }
 
-// Guards against a listener that stays idle after accept errors have ended, or loses connections that wait in its backlog
-// meanwhile, whatever the error and however long it lasts.
+// Guards against a listener that stays idle after accept errors have ended, or loses connections that wait in its
+// backlog meanwhile, whatever the error and however long it lasts.
 func TestAcceptGoesOnAfterTrouble(t *testing.T) {
-	for _, fault := range []error{unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETUNREACH, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM,
-		unix.EPERM} {
+	for _, fault := range []error{unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETUNREACH, unix.EMFILE, unix.ENFILE,
+		unix.ENOBUFS, unix.ENOMEM, unix.EPERM} {
 		t.Run(fault.Error(), func(t *testing.T) {
 			const failureTime = 700 * time.Millisecond // exceeds netpoll's delays of 10, 50, 100 and 200 ms; its next delay is 500 ms
 			var failUntil atomic.Int64
@@ -215,7 +217,8 @@
 	}
 }
 
-// Guards against a retry goroutine that outlives a server closed while accept fails, and keeps its listener's descriptor.
+// Guards against a retry goroutine that outlives a server closed while accept fails, and keeps its listener's
+// descriptor.
 func TestCloseWhileAcceptFails(t *testing.T) {
 	injectCalls(t, systemCalls{accept: func(int) (int, unix.Sockaddr, error) { return -1, nil, unix.ENFILE }})
 	s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, &recordingHandler{})
@@ -237,7 +240,7 @@
 	}
 }
 
-// Guards against a dialed connection without a remote address, which the log line for a malformed message contains.
+// Guards against a dialed connection without a remote address, which log lines about malformed messages need.
 func TestDialedConnectionHasRemoteAddr(t *testing.T) {
 	s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, &recordingHandler{})
 	if err != nil {
@@ -254,8 +257,8 @@
 	}
 }
 
-// Guards against a message of SendWithin that is sent after its time-out, or is dropped without a notification. The messages
-// queued after it must still be sent.
+// Guards against a message of SendWithin that is sent after its time-out, or is dropped without a notification. The
+// messages queued after it must still be sent.
 func TestExpiredMessageIsDropped(t *testing.T) {
 	var blocked atomic.Bool
 	injectCalls(t, systemCalls{write: func(descriptor int, p []byte) (int, error) {
--- a/internal/transport/tcp.go
+++ b/internal/transport/tcp.go
@@ -10,15 +10,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// A SplitFunc returns the size of the complete message at the beginning of the input, or 0 if the message is not complete.
-// An error means that no further input can make the bytes valid; the connection is ended. The result must depend on the
-// input alone, and not on how it is divided into reads.
+// A SplitFunc returns the size of the complete message at the beginning of the input, or 0 if the message is not
+// complete. An error means that no further input can make the bytes valid; the connection is ended. The result must
+// depend on the input alone, and not on how it is divided into reads.
 type SplitFunc func(in []byte) (size int, err error)
 
-// ServeTCP is Serve for a protocol without a handshake that frames its messages itself. The first complete message of a
-// peer counts as its handshake. Beyond Limits.MaxPendingHandshakes the oldest pending connection is reset instead of the
-// new one, as resetOldestPending chooses it; all pending connections end after Limits.HandshakeTimeout. The same time-out
-// applies to the completion of every later message.
+// ServeTCP is Serve for a protocol without a handshake that frames its messages itself. The first complete message of
+// a peer counts as its handshake. When a new connection would exceed Limits.MaxPendingHandshakes, the pending
+// connection that resetOldestPending selects is reset instead of the new one. Pending connections end after
+// Limits.HandshakeTimeout, which also applies to the completion of every later message.
 func ServeTCP(address string, split SplitFunc, limits Limits, handler Handler) (*Server, error) {
 	return serve(address, "", split, limits, handler)
 }
@@ -29,14 +29,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", address, err)
 	}
-	c := &Conn{raw: newSocket(np), handler: handler, limits: limits, client: true, split: split, established: true, handshakeDone: true, usable: true}
+	c := &Conn{raw: newSocket(np), handler: handler, limits: limits, client: true, split: split,
+		established: true, handshakeDone: true, usable: true}
 	c.lastRead.Store(int64(monotonic()))
 	c.start(np, nil)
 	return c, nil
 }
 
-// dialTCP connects with the standard library, which distinguishes a refused connection from other failures; netpoll does
-// not.
+// dialTCP connects with the standard library, which distinguishes a refused connection from other failures; netpoll
+// does not.
 func dialTCP(address string, timeout time.Duration) (netpoll.Connection, error) {
 	c, err := currentCalls.Load().dial(address, timeout)
 	if err != nil {
@@ -62,7 +63,8 @@
 	return dialedConn{np, c.RemoteAddr()}, nil
 }
 
-// dialedConn adds the remote address to a netpoll connection: netpoll does not know it for a descriptor that it is given.
+// dialedConn adds the remote address to a netpoll connection: netpoll does not know it for a descriptor that it is
+// given.
 type dialedConn struct {
 	netpoll.Connection
 	peer net.Addr
@@ -112,8 +114,8 @@
 	return nil
 }
 
-// updateMessageTimer runs a timer while a message is incomplete. When the handshake time-out expires before the message is
-// complete, the timer ends the input of the connection.
+// updateMessageTimer runs a timer while a message is incomplete. When the handshake time-out expires before the
+// message is complete, the timer ends the input of the connection.
 func (c *Conn) updateMessageTimer() {
 	if c.messageTimer != nil && (c.messageCompleted || len(c.partial) == 0) {
 		c.messageTimer.Stop()
@@ -127,8 +129,8 @@
 	}
 }
 
-// resetOldestPending resets the oldest connection without a complete message. Connections that have sent nothing at all are
-// reset first, since a partial message may be a request.
+// resetOldestPending resets the oldest connection without a complete message. Connections that have sent nothing at
+// all are reset first, since a partial message may be a request.
 func (s *Server) resetOldestPending() {
 	var oldest *Conn
 	oldestSent := false // oldest has sent a partial message
--- a/internal/transport/tcp_test.go
+++ b/internal/transport/tcp_test.go
@@ -57,7 +57,8 @@
 	t.Fatal(failure)
 }
 
-var testTCPLimits = Limits{MaxMessageBytes: 64, MaxQueuedBytes: 1 << 10, WriteTimeout: time.Second, HandshakeTimeout: 200 * time.Millisecond, MaxPendingHandshakes: 3}
+var testTCPLimits = Limits{MaxMessageBytes: 64, MaxQueuedBytes: 1 << 10, WriteTimeout: time.Second,
+	HandshakeTimeout: 200 * time.Millisecond, MaxPendingHandshakes: 3}
 
 // tcpPair starts a server and returns a connection dialed to it, whose limits are given.
 func tcpPair(t *testing.T, server, client Handler, limits Limits) *Conn {
@@ -74,8 +75,8 @@
 	return c
 }
 
-// Guards against messages that are not divided as the SplitFunc says: one write holds the end of one message and the beginning
-// of the next.
+// Guards against messages that are not divided as the SplitFunc says: one write holds the end of one message and the
+// beginning of the next.
 func TestTCPMessagesAreSplit(t *testing.T) {
 	h := &recordingHandler{echo: true}
 	client := &recordingHandler{}
@@ -87,21 +88,22 @@
 	h.wait(t, "the server did not see one open and one close", func() bool { return h.closed == 1 && h.opened == 1 })
 }
 
-// Guards against a refused connection that cannot be told from a machine that does not answer: only the refusal proves that
-// no server runs there.
+// Guards against a refused connection that is reported like a machine that does not answer: only the refusal proves
+// that no server runs there.
 func TestDialReportsConnectionRefused(t *testing.T) {
 	address, err := loopback.Reserve() // no process listens there or can do so
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer address.Close()
-	if _, err := DialTCP(address.String(), time.Second, splitByLength, testTCPLimits, &recordingHandler{}); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := DialTCP(address.String(), time.Second, splitByLength, testTCPLimits,
+		&recordingHandler{}); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Fatalf("dial returned %v", err)
 	}
 }
 
-// Guards against connections without complete messages that stay open: the oldest one must give way beyond
-// MaxPendingHandshakes, and the others must end after the handshake time-out. Invalid input must end a connection, too.
+// Guards against connections without complete messages that stay open: beyond MaxPendingHandshakes the oldest one must
+// be reset, and the others must end after the handshake time-out. Invalid input must end a connection, too.
 func TestIncompleteTCPMessagesTimeOut(t *testing.T) {
 	h := &recordingHandler{}
 	s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, h)
@@ -148,7 +150,8 @@
 	}
 }
 
-// Guards against the reset of a connection whose first message is partly received while connections without any input exist.
+// Guards against the reset of a connection whose first message is partly received while connections without any input
+// exist.
 func TestPartialFirstMessageIsResetLast(t *testing.T) {
 	h := &recordingHandler{}
 	limits := testTCPLimits
@@ -201,7 +204,8 @@
 
 func (h *panicOnInput) InputEnded(c *Conn, _ error) { h.inputEnded <- c }
 
-// Guards against a handler's panic that closes the connection: it ends only the input, and pending answers are still sent.
+// Guards against a handler's panic that closes the connection: it ends only the input, and pending answers are still
+// sent.
 func TestPanicEndsOnlyTheInput(t *testing.T) {
 	h := &panicOnInput{inputEnded: make(chan *Conn, 1)}
 	client := &recordingHandler{}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,13 +1,13 @@
-// Package transport carries messages over WebSocket (RFC 6455) on netpoll, for clients, nodes and discovery alike; each of
-// them has its own sub-protocol. The package handles frames, size limits and write queues; it does not interpret messages.
-// A protocol that frames its messages itself gives a SplitFunc instead of using WebSocket and shares everything else: see
-// tcp.go.
+// Package transport carries messages over WebSocket (RFC 6455) on netpoll, for clients, nodes and discovery alike;
+// each of them has its own sub-protocol. The package handles frames, size limits and write queues; it does not
+// interpret messages. A protocol that frames its messages itself gives a SplitFunc instead of using WebSocket and
+// shares everything else: see tcp.go.
 //
-// An idle connection costs no goroutine. Received messages are passed to the Handler on netpoll's workers, one call at a
-// time for each connection. Send may be called from any goroutine and never blocks. Every queue is bounded: a peer that
-// does not read is disconnected once its queue is full or a frame has not been written completely within the write
-// time-out. The connection of a peer that sends a message over the size limit or violates the protocol is closed with the
-// corresponding status code.
+// An idle connection costs no goroutine. Received messages are passed to the Handler on netpoll's workers, one call at
+// a time for each connection. Send may be called from any goroutine and never blocks. Every queue is bounded: a peer
+// that does not read is disconnected once its queue is full or a frame has not been written completely within the
+// write time-out. The connection of a peer that sends a message over the size limit or violates the protocol is closed
+// with the corresponding status code.
 package transport
 
 import (
@@ -24,8 +24,8 @@
 	Opened(c *Conn)
 	// Message is called with each received message. The handler owns the bytes.
 	Message(c *Conn, message []byte)
-	// Closed is called when the connection has ended, with the cause. Unsent holds the tags of messages of which
-	// not one byte was passed to the kernel. Closed may be called without a call of Opened before it.
+	// Closed is called when the connection has ended, with the cause. Unsent holds the tags (see Send) of the queued
+	// messages of which not one byte was passed to the kernel. Closed may be called without a call of Opened before it.
 	Closed(c *Conn, err error, unsent []uint64)
 }
 
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -52,7 +52,8 @@
 	return append([]string(nil), e.received...)
 }
 
-var testLimits = Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 64 << 10, WriteTimeout: 200 * time.Millisecond, HandshakeTimeout: 300 * time.Millisecond}
+var testLimits = Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 64 << 10, WriteTimeout: 200 * time.Millisecond,
+	HandshakeTimeout: 300 * time.Millisecond}
 
 func startServer(t *testing.T, h Handler) *Server {
 	t.Helper()
@@ -97,8 +98,8 @@
 	return string(ws.MustCompileFrame(ws.MaskFrame(ws.NewFrame(op, fin, []byte(text)))))
 }
 
-// Guards against messages that are lost or altered when they are large, arrive byte by byte, or are fragmented with a ping
-// between the fragments.
+// Guards against messages that are lost or altered when they are large, arrive byte by byte, or are fragmented with a
+// ping between the fragments.
 func TestMessagesAndFragmentsBothWays(t *testing.T) {
 	server, client := newEchoHandler(), newEchoHandler()
 	s := startServer(t, server)
@@ -143,15 +144,17 @@
 		bytes string
 		code  ws.StatusCode
 	}{
-		"unmasked":       {string(ws.MustCompileFrame(ws.NewTextFrame([]byte("x")))), ws.StatusProtocolError},
-		"continuation":   {maskedFrame(ws.OpContinuation, true, "x"), ws.StatusProtocolError},
-		"text in text":   {maskedFrame(ws.OpText, false, "x") + maskedFrame(ws.OpText, true, "x"), ws.StatusProtocolError},
-		"reserved":       {maskedFrame(ws.OpCode(5), true, "x"), ws.StatusProtocolError},
-		"binary":         {maskedFrame(ws.OpBinary, true, "x"), ws.StatusUnsupportedData},
-		"oversized":      {maskedFrame(ws.OpText, true, strings.Repeat("x", 5000)), ws.StatusMessageTooBig},
-		"announced":      {string(huge), ws.StatusMessageTooBig},
-		"signed length":  {string(sign), ws.StatusMessageTooBig},
-		"many fragments": {strings.Repeat(maskedFrame(ws.OpContinuation, false, ""), 0) + maskedFrame(ws.OpText, false, strings.Repeat("x", 3000)) + maskedFrame(ws.OpContinuation, true, strings.Repeat("x", 3000)), ws.StatusMessageTooBig},
+		"unmasked":      {string(ws.MustCompileFrame(ws.NewTextFrame([]byte("x")))), ws.StatusProtocolError},
+		"continuation":  {maskedFrame(ws.OpContinuation, true, "x"), ws.StatusProtocolError},
+		"text in text":  {maskedFrame(ws.OpText, false, "x") + maskedFrame(ws.OpText, true, "x"), ws.StatusProtocolError},
+		"reserved":      {maskedFrame(ws.OpCode(5), true, "x"), ws.StatusProtocolError},
+		"binary":        {maskedFrame(ws.OpBinary, true, "x"), ws.StatusUnsupportedData},
+		"oversized":     {maskedFrame(ws.OpText, true, strings.Repeat("x", 5000)), ws.StatusMessageTooBig},
+		"announced":     {string(huge), ws.StatusMessageTooBig},
+		"signed length": {string(sign), ws.StatusMessageTooBig},
+		"many fragments": {strings.Repeat(maskedFrame(ws.OpContinuation, false, ""), 0) +
+			maskedFrame(ws.OpText, false, strings.Repeat("x", 3000)) +
+			maskedFrame(ws.OpContinuation, true, strings.Repeat("x", 3000)), ws.StatusMessageTooBig},
 	} {
 		_, r := dialRaw(t, s, upgradeRequest+c.bytes)
 		readResponseHead(t, r)
@@ -169,7 +172,8 @@
 	}
 }
 
-// Guards against invalid handshakes that are accepted, and against overlong and unfinished ones that keep their connection.
+// Guards against invalid handshakes that are accepted, and against overlong and unfinished ones that keep their
+// connection.
 func TestBadHandshakesAreRejected(t *testing.T) {
 	s := startServer(t, newEchoHandler())
 	for name, head := range map[string]string{
@@ -192,8 +196,8 @@
 	}
 }
 
-// Guards against a peer that never reads and keeps its connection and an unbounded queue. The messages that were not sent must
-// be reported.
+// Guards against a peer that never reads and keeps its connection and an unbounded queue. The messages that were not
+// sent must be reported.
 func TestPeerThatNeverReadsIsDisconnected(t *testing.T) {
 	server := newEchoHandler()
 	s := startServer(t, server)
@@ -219,8 +223,8 @@
 	}
 }
 
-// Guards against a cancelled message that is sent, and a cancellation that succeeds twice, for an unknown tag or after the
-// message was sent.
+// Guards against a cancelled message that is sent, and a cancellation that succeeds twice, for an unknown tag or after
+// the message was sent.
 func TestCancelledMessagesAreNeverSent(t *testing.T) {
 	server := newEchoHandler()
 	s := startServer(t, server)
@@ -245,8 +249,9 @@
 	}
 }
 
-// Guards against a deadlock that once hung a whole day's run: a handler calls Send while it holds a lock that its Closed also
-// takes, the write fails, and Closed is called from within Send. Closed must be called from another goroutine.
+// Guards against a deadlock that once hung a whole day's run: a handler calls Send while it holds a lock that its
+// Closed also takes, the write fails, and Closed is called from within Send. Closed must be called from another
+// goroutine.
 func TestSendUnderHandlerLockDoesNotDeadlock(t *testing.T) {
 	h := &lockingHandler{opened: make(chan *Conn, 1), closed: make(chan bool, 1)}
 	s := startServer(t, h)
@@ -327,10 +332,11 @@
 	}
 }
 
-// Guards against a close reason that is not UTF-8: one that quoted the peer's own bytes was shortened in the middle of a
-// character, and a peer fails the connection for that (RFC 6455, 8.1).
+// Guards against a close reason that is not UTF-8: one that quoted the peer's own bytes was shortened in the middle of
+// a character, and a peer fails the connection for that (RFC 6455, 8.1).
 func TestCloseReasonsAreShortUTF8(t *testing.T) {
-	for _, text := range []string{"", "plain", strings.Repeat("é", 100), "x" + strings.Repeat("é", 100), "\xff\xfe", strings.Repeat("\xff", 300)} {
+	for _, text := range []string{"", "plain", strings.Repeat("é", 100), "x" + strings.Repeat("é", 100), "\xff\xfe",
+		strings.Repeat("\xff", 300)} {
 		if r := closeReason(text); len(r) > 120 || !utf8.ValidString(r) || len(text) <= 120 && utf8.ValidString(text) && r != text {
 			t.Errorf("closeReason(%q) = %q", text, r)
 		}
@@ -347,21 +353,21 @@
 	h.echoHandler.Message(c, m)
 }
 
-// Guards against a handler's panic that is not counted, leaves its connection open or affects another one. Such a panic was
-// once written by netpoll's pool to standard error, which may block on its reader.
+// Guards against a handler's panic that is not counted, leaves its connection open or affects another one. Such a
+// panic was once written by netpoll's pool to standard error, which may block on its reader.
 func TestPanicClosesOnlyItsConnection(t *testing.T) {
 	s := startServer(t, panicOnMessage{newEchoHandler()})
 	bad, good := newEchoHandler(), newEchoHandler()
-	b, err := Dial(s.Address(), "test.v1", time.Second, testLimits, bad, nil)
+	badConn, err := Dial(s.Address(), "test.v1", time.Second, testLimits, bad, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := Dial(s.Address(), "test.v1", time.Second, testLimits, good, nil)
+	goodConn, err := Dial(s.Address(), "test.v1", time.Second, testLimits, good, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := ErrorCount()
-	b.Send([]byte("trip"), 0)
+	badConn.Send([]byte("trip"), 0)
 	select {
 	case <-bad.closed:
 	case <-time.After(5 * time.Second):
@@ -370,7 +376,7 @@
 	if ErrorCount() == before {
 		t.Fatal("the panic was not counted")
 	}
-	g.Send([]byte("well"), 0)
+	goodConn.Send([]byte("well"), 0)
 	for end := time.Now().Add(5 * time.Second); len(good.messages()) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the other connection received no answer")
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -67,9 +67,9 @@
 	body       []byte
 }
 
-// Send writes a message, or queues it if others are waiting. It never calls the handler, so it may be called with any lock
-// held. CancelSend and Closed refer to the message by its tag unless that is 0. Send returns false if the connection has
-// ended or the queue is full; in the latter case it ends the connection.
+// Send writes a message, or queues it if others are waiting. It never calls the handler, so it may be called with any
+// lock held. CancelSend and Closed refer to the message by its tag unless that is 0. Send returns false if the
+// connection has ended or the queue is full; in the latter case it ends the connection.
 func (c *Conn) Send(message []byte, tag uint64) bool { return c.send(ws.OpText, message, tag) }
 
 // An Expirer is a Handler that is notified of messages of SendWithin that were dropped because their time ran out.
@@ -77,15 +77,15 @@
 	Expired(c *Conn, tag uint64)
 }
 
-// SendWithin is Send for a message that is useless unless its first byte is passed to the kernel within the time-out. After
-// that the message is dropped, and the handler is notified if it is an Expirer.
+// SendWithin is Send for a message that is useless unless its first byte is passed to the kernel within the time-out.
+// After that the message is dropped, and the handler is notified if it is an Expirer.
 func (c *Conn) SendWithin(message []byte, tag uint64, timeout time.Duration) bool {
 	return c.writeOrQueue(frame{tag: tag, expiresAt: monotonic() + timeout, body: c.encodeFrame(ws.OpText, message)}, false)
 }
 
-// SendReplaceable sends a message that may be dropped or replaced. It replaces a queued message with the same key, except
-// for key 0, and is dropped if more than half of Limits.MaxQueuedBytes is in use. It is meant for advisory messages, which
-// a later one makes obsolete.
+// SendReplaceable sends a message that may be dropped or replaced. It replaces a queued message with the same key,
+// except for key 0, and is dropped if more than half of Limits.MaxQueuedBytes is in use. It is meant for advisory
+// messages, which a later one makes obsolete.
 func (c *Conn) SendReplaceable(message []byte, key uint64) {
 	c.mu.Lock()
 	if c.queuedBytes*2 > c.limits.MaxQueuedBytes {
@@ -124,8 +124,8 @@
 	return ws.MustCompileFrame(f)
 }
 
-// writeOrQueue writes a frame at once if the queue is empty, and queues it otherwise. No frame is accepted after one with
-// last set.
+// writeOrQueue writes a frame at once if the queue is empty, and queues it otherwise. No frame is accepted after one
+// with last set.
 func (c *Conn) writeOrQueue(f frame, last bool) bool {
 	c.mu.Lock()
 	if c.closeErr != nil && !last || c.sendClosed {
@@ -165,16 +165,16 @@
 	return true
 }
 
-// applyCloseTimeout makes the kernel give up after the write time-out on a peer that acknowledges nothing. It is called with
-// the lock held, before an orderly close.
+// applyCloseTimeout makes the kernel give up after the write time-out on a peer that acknowledges nothing. It is
+// called with the lock held, before an orderly close.
 func (c *Conn) applyCloseTimeout() {
 	if c.limits.WriteTimeout > 0 {
 		c.raw.setCloseTimeout(c.limits.WriteTimeout)
 	}
 }
 
-// CancelSend removes the message with the tag from the queue. It returns true if no byte of the message was passed to the
-// kernel and none will be.
+// CancelSend removes the message with the tag from the queue. It returns true if no byte of the message was passed to
+// the kernel and none will be.
 func (c *Conn) CancelSend(tag uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,14 +188,15 @@
 	return false
 }
 
-// Initial and maximum delay before a write is tried again when the kernel accepts nothing. The delay doubles while no bytes
-// are accepted.
+// Initial and maximum delay before a write is tried again when the kernel accepts nothing. The delay doubles while no
+// bytes are accepted.
 const (
 	initialWriteDelay = 200 * time.Microsecond
 	maxWriteDelay     = 10 * time.Millisecond
 )
 
-// writeQueue passes queued frames to the kernel until none is left. Each connection runs at most one writeQueue at a time.
+// writeQueue passes queued frames to the kernel until none is left. Each connection runs at most one writeQueue at a
+// time.
 func (c *Conn) writeQueue() {
 	delay, lastFrame := initialWriteDelay, monotonic()
 	for {
@@ -230,8 +231,8 @@
 	frameWritten
 )
 
-// writeNextFrame passes as much of the first queued frame to the kernel as it accepts. It returns done if nothing is left to
-// write, after closing the connection if the last frame before the close has been written.
+// writeNextFrame passes as much of the first queued frame to the kernel as it accepts. It returns done if nothing is
+// left to write, after closing the connection if the last frame before the close has been written.
 func (c *Conn) writeNextFrame() (progress writeProgress, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
