--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -15,6 +15,7 @@
 func BenchmarkEncodeSession(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		Encode(SessionMessage{Type: Playing, ID: "12345", Session: "d.1.abc", Node: "node-1", Address: "127.0.0.1:5555", Ticket: "d.1.abc", Rung: 2})
+		Encode(SessionMessage{Type: Playing, ID: "12345", Session: "d.1.abc", Node: "node-1",
+			Address: "127.0.0.1:5555", Ticket: "d.1.abc", Rung: 2})
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,7 +1,7 @@
-// Package wire defines the messages of the program's three protocols: between clients and directors (the session API), between
-// directors and nodes, and between directors and discovery. Each message is a JSON object in one WebSocket text message; the
-// key "t" holds its type. Unknown keys are ignored, so that a protocol version can add keys; unknown types are an error.
-// docs/session-api.md and docs/director.md describe the messages in full.
+// Package wire defines the messages of the program's three protocols: between clients and directors (the session API),
+// between directors and nodes, and between directors and discovery. Each message is a JSON object in one WebSocket
+// text message; the key "t" holds its type. Unknown keys are ignored, so that a protocol version can add keys; unknown
+// types are an error. docs/session-api.md and docs/director.md describe the messages in full.
 package wire
 
 import (
@@ -11,7 +11,8 @@
 	"github.com/mailru/easyjson"
 )
 
-// The WebSocket sub-protocols, each with its version. A handshake that does not offer the listener's sub-protocol is rejected.
+// The WebSocket sub-protocols, each with its version. A handshake that does not offer the listener's sub-protocol is
+// rejected.
 const (
 	SessionProtocol   = "fordusher.session.v1"
 	NodeProtocol      = "fordusher.node.v1"
@@ -44,8 +45,8 @@
 	SessionEnded = "over"    // director: a playing session has ended
 )
 
-// SessionMessage is a message between a client and a director. Each comment names the types that use the field, as the values
-// of Type.
+// SessionMessage is a message between a client and a director. Each comment names the types that use the field, as the
+// values of Type.
 type SessionMessage struct {
 	Type           string  `json:"t"`
 	ID             string  `json:"id"`                   // the client's identifier of the request, unique on its connection
@@ -69,18 +70,18 @@
 
 // The messages between directors and nodes.
 const (
-	Hello       = "hello"    // director: its name; node: its incarnation and load; sent once by each side
+	Hello       = "hello"    // director: its name; node: its incarnation and load; each side sends one at first
 	Setup       = "setup"    // director: start a session
 	End         = "end"      // director: cancel a leg, or end its session
 	Accepted    = "accepted" // node: the session plays
 	Full        = "full"     // node: refused before the set-up began; the leg never ran
 	Failed      = "failed"   // node: the set-up failed; the leg may have run
-	Unsent      = "unsent"   // node: the set-up was not sent to it; the leg never ran
+	Unsent      = "unsent"   // in a node's name, by the platform's protocol only: the set-up was not sent to the node; the leg never ran
 	Ended       = "ended"    // node: the session has ended
 	Measurement = "note"     // node: a measurement of a session, by kind
 )
 
-// The reasons for which a session ends other than by itself.
+// Values of NodeMessage.Reason, besides "done" for a session that has played its whole length.
 const (
 	Lost      = "lost"       // the node or the connection to it was lost
 	Cancelled = "called off" // the client cancelled it, or it was moved
@@ -147,7 +148,7 @@
 	Incarnation uint64  `json:"start,omitempty"`  // a different number at each start of the node
 	UptimeMS    int64   `json:"age_ms,omitempty"` // time since the node last started; 0: long ago or unknown
 	Weight      float64 `json:"weight,omitempty"` // capacity of the node's link
-	Cell        int     `json:"cell,omitempty"`
+	Cell        int     `json:"cell,omitempty"`   // the node's position in the fleet, by which titles are placed
 }
 
 // TitlePlacement says which nodes hold a title: those of Copies consecutive cells from FirstCell on.
@@ -159,8 +160,8 @@
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all -output_filename codec_gen.go wire.go
 
-// Encode returns a message of any protocol as JSON. It cannot fail for the types of this package if their numbers are finite;
-// a number that is not finite is a bug in the program, so Encode panics.
+// Encode returns a message of any protocol as JSON. It cannot fail for the types of this package if their numbers are
+// finite; a number that is not finite is a bug in the program, so Encode panics.
 func Encode(message easyjson.Marshaler) []byte {
 	out, err := easyjson.Marshal(message)
 	if err != nil {
@@ -223,7 +224,8 @@
 	default:
 		return m, fmt.Errorf("unknown message %q", m.Type)
 	}
-	if m.Rung < 0 || m.RateKB < 0 || m.StartWithinMS < 0 || m.LengthMS < 0 || m.UptimeMS < 0 || m.MeasurementKind < 0 || m.MeasurementKind > 4 {
+	if m.Rung < 0 || m.RateKB < 0 || m.StartWithinMS < 0 || m.LengthMS < 0 || m.UptimeMS < 0 ||
+		m.MeasurementKind < 0 || m.MeasurementKind > 4 {
 		return m, fmt.Errorf("%q has a figure out of range", m.Type)
 	}
 	if m.Type == Measurement && (m.MeasurementKind == 0 || m.MeasurementValue < 0 || m.MeasurementValue > 1e6) {
@@ -239,8 +241,8 @@
 	return m, nil
 }
 
-// DecodeDiscoveryMessage parses and validates a message of the discovery protocol, from either side. It does not limit cells:
-// their users take them modulo the number of cells of the fleet.
+// DecodeDiscoveryMessage parses and validates a message of the discovery protocol, from either side. It does not limit
+// cells: their users take them modulo the number of cells of the fleet.
 func DecodeDiscoveryMessage(raw []byte) (m DiscoveryMessage, err error) {
 	if err = easyjson.Unmarshal(raw, &m); err != nil {
 		return m, syntaxError(err)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -43,14 +43,15 @@
 
 // Guards against a "top" of 0, the lowest rung, that is lost by encoding or taken for an absent one.
 func TestMaxRungZeroIsNotAbsent(t *testing.T) {
-	m, err := DecodeSessionMessage(Encode(SessionMessage{Type: Request, ID: "1", Tariff: "a", Title: "b", Key: "k", WaitMS: 5, MaxRung: new(0)}))
+	m, err := DecodeSessionMessage(Encode(SessionMessage{Type: Request, ID: "1", Tariff: "a", Title: "b", Key: "k", WaitMS: 5,
+		MaxRung: new(0)}))
 	if err != nil || m.MaxRung == nil || *m.MaxRung != 0 {
 		t.Fatal(m, err)
 	}
 }
 
-// Guards against a message that is changed by encoding and decoding it. Simulations in virtual time pass messages through the
-// same encoding.
+// Guards against a message that is changed by encoding and decoding it. Simulations in virtual time pass messages
+// through the same encoding.
 func FuzzRoundTrip(f *testing.F) {
 	f.Add([]byte(`{"t":"want","id":"1","tariff":"a","title":"b","key":"k","wait_ms":5,"top":0}`))
 	f.Add([]byte(`{"t":"note","leg":1,"kind":3,"value":0.5}`))
