--- a/internal/asynclog/writer.go
+++ b/internal/asynclog/writer.go
@@ -1,8 +1,8 @@
-// Package asynclog writes log lines without blocking the goroutines that log. It limits a burst of lines to the first ones and
-// a rate from then on, and counts and reports the lines that it drops.
+// Package asynclog writes log lines without blocking the goroutines that log. It limits a burst of lines to the first
+// ones and a rate from then on, and counts and reports the lines that it drops.
 //
-// The diode of zerolog does not block either, but it overwrites the oldest lines, and the lines from the beginning of an event
-// are the ones that show what happened. The samplers of zerolog drop lines without counting them.
+// The diode of zerolog does not block either, but it overwrites the oldest lines, and the lines from the beginning of
+// an event are the ones that show what happened. The samplers of zerolog drop lines without counting them.
 package asynclog
 
 import (
@@ -24,8 +24,8 @@
 	VerboseRate = RateLimit{Burst: 20_000, PerSecond: 5000}
 )
 
-// maxQueuedLines is the largest number of lines that wait for the output. Later lines are dropped, so that the first ones are
-// kept.
+// maxQueuedLines is the largest number of lines that wait for the output. Later lines are dropped, so that the first
+// ones are kept.
 const maxQueuedLines = 1024
 
 // Writer writes log lines asynchronously. Its methods may be called from any goroutine.
@@ -38,13 +38,14 @@
 	queue    [][]byte // lines that wait for the output
 	wake     chan struct{}
 	dropped  uint64 // number of dropped lines
-	reported uint64 // of these, the ones that were reported in the log
+	reported uint64 // of these, the number that was reported in the log
 	closed   bool
 }
 
 // New starts a writer to out, which may be slow or block forever, with a rate limit.
 func New(out io.Writer, limit RateLimit) *Writer {
-	w := &Writer{out: out, done: make(chan struct{}), limiter: rate.NewLimiter(rate.Limit(limit.PerSecond), limit.Burst), wake: make(chan struct{}, 1)}
+	w := &Writer{out: out, done: make(chan struct{}), limiter: rate.NewLimiter(rate.Limit(limit.PerSecond), limit.Burst),
+		wake: make(chan struct{}, 1)}
 	go w.run()
 	return w
 }
@@ -104,7 +105,8 @@
 	defer w.mu.Unlock()
 	lines, w.queue = w.queue, nil
 	if w.dropped > w.reported {
-		lines = append(lines, fmt.Appendf(nil, `{"level":"warn","time":%q,"left_out":%d,"message":"%d log lines were left out, %d since the start"}`+"\n",
+		lines = append(lines, fmt.Appendf(nil,
+			`{"level":"warn","time":%q,"left_out":%d,"message":"%d log lines were left out, %d since the start"}`+"\n",
 			time.Now().Format(time.RFC3339Nano), w.dropped-w.reported, w.dropped-w.reported, w.dropped))
 		w.reported = w.dropped
 	}
--- a/internal/asynclog/writer_test.go
+++ b/internal/asynclog/writer_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Guards against a burst of lines to a blocked output that blocks the goroutines that log, replaces the first lines by later
-// ones, or leaves the number of dropped lines unreported.
+// Guards against a burst of lines to a blocked output that blocks the goroutines that log, replaces the first lines by
+// later ones, or leaves the number of dropped lines unreported.
 func TestBurstWithBlockedOutput(t *testing.T) {
 	out := &blockingOutput{unblocked: make(chan struct{})}
 	w := New(out, DefaultRate)
--- a/internal/clock/monotonic.go
+++ b/internal/clock/monotonic.go
@@ -1,11 +1,11 @@
-// Package clock gives the time of day for comparison with times that others report. It is not affected by steps of the
-// machine's wall clock.
+// Package clock gives the time of day for comparison with times that other machines report. It is not affected by
+// steps of the machine's wall clock.
 package clock
 
 import "time"
 
-// MonotonicClock derives the time of day from a single reading of the wall clock and the monotonic time elapsed since. A step
-// of the wall clock after that reading does not affect it.
+// MonotonicClock derives the time of day from a single reading of the wall clock and the monotonic time elapsed since.
+// A step of the wall clock after that reading does not affect it.
 type MonotonicClock struct {
 	wallAtStart time.Time // the reading
 	startedAt   time.Time // the moment of the reading, on the monotonic clock
--- a/internal/loopback/address.go
+++ b/internal/loopback/address.go
@@ -1,7 +1,7 @@
 // Package loopback reserves TCP addresses on the loopback interface, also for the time between two listeners.
 //
-// An address that was found by listening at port 0 and closing the listener is not reserved: the system may assign its port
-// to the next outgoing connection of any process, and a later listener at the address fails with EADDRINUSE.
+// An address that was found by listening at port 0 and closing the listener is not reserved: the system may assign its
+// port to the next outgoing connection of any process, and a later listener at the address fails with EADDRINUSE.
 package loopback
 
 import (
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A ReservedAddress is a TCP address that the system assigns to no outgoing connection until Close. Any process may listen
-// at it with SO_REUSEADDR, which package net sets. Without a listener, connections to it are refused.
+// A ReservedAddress is a TCP address that the system assigns to no outgoing connection until Close. Any process may
+// listen at it with SO_REUSEADDR, which package net sets. Without a listener, connections to it are refused.
 type ReservedAddress struct {
 	descriptor int
 	port       int
@@ -33,7 +33,8 @@
 	return &ReservedAddress{descriptor, port}, nil
 }
 
-// bind binds a socket to a free port. Other sockets may bind the port with SO_REUSEADDR as long as this socket does not listen.
+// bind binds a socket to a free port. Other sockets may bind the port with SO_REUSEADDR as long as this socket does
+// not listen.
 func bind(descriptor int) (port int, err error) {
 	if err := unix.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return 0, fmt.Errorf("SO_REUSEADDR: %w", err)
--- a/internal/loopback/address_test.go
+++ b/internal/loopback/address_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Guards against a reserved address that an outgoing connection can use, also between two listeners, or that does not refuse
-// connections while it has no listener.
+// Guards against a reserved address that an outgoing connection can use, also between two listeners, or that does not
+// refuse connections while it has no listener.
 func TestReservedAddressStaysFreeForListeners(t *testing.T) {
 	address, err := Reserve()
 	if err != nil {
--- a/internal/resultarchive/resultarchive.go
+++ b/internal/resultarchive/resultarchive.go
@@ -1,5 +1,5 @@
-// Package resultarchive writes and reads result files: zstd-compressed JSON lines, of which the first is a head that describes
-// the results and the others are rows.
+// Package resultarchive writes and reads result files: zstd-compressed JSON lines, of which the first is a head that
+// describes the results and the others are rows.
 package resultarchive
 
 import (
@@ -23,50 +23,50 @@
 			err = e
 		}
 	}()
-	z, err := zstd.NewWriter(f)
+	compressor, err := zstd.NewWriter(f)
 	if err != nil {
 		return err
 	}
-	w := bufio.NewWriter(z)
-	e := json.NewEncoder(w)
-	if err = e.Encode(head); err != nil {
+	buffer := bufio.NewWriter(compressor)
+	encoder := json.NewEncoder(buffer)
+	if err = encoder.Encode(head); err != nil {
 		return err
 	}
 	for i := range rows {
-		if err = e.Encode(&rows[i]); err != nil {
+		if err = encoder.Encode(&rows[i]); err != nil {
 			return err
 		}
 	}
-	if err = w.Flush(); err != nil {
+	if err = buffer.Flush(); err != nil {
 		return err
 	}
-	return z.Close()
+	return compressor.Close()
 }
 
-// Load reads a file written by Save. If the file is truncated or has another format, Load returns an error that names the file,
-// and no rows.
+// Load reads a file written by Save. If the file is truncated or has another format, Load returns an error that names
+// the file, and no rows.
 func Load[H, R any](file string) (head H, rows []R, err error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return head, nil, err
 	}
 	defer f.Close()
-	z, err := zstd.NewReader(bufio.NewReader(f))
+	decompressor, err := zstd.NewReader(bufio.NewReader(f))
 	if err != nil {
 		return head, nil, fmt.Errorf("%s: %w", file, err)
 	}
-	defer z.Close()
-	d := json.NewDecoder(z)
-	if err := d.Decode(&head); err != nil {
+	defer decompressor.Close()
+	decoder := json.NewDecoder(decompressor)
+	if err := decoder.Decode(&head); err != nil {
 		return head, nil, fmt.Errorf("%s: head: %w", file, err)
 	}
 	for {
-		var r R
-		if err := d.Decode(&r); err == io.EOF {
+		var row R
+		if err := decoder.Decode(&row); err == io.EOF {
 			return head, rows, nil
 		} else if err != nil {
 			return head, nil, fmt.Errorf("%s: row %d: %w", file, len(rows)+1, err)
 		}
-		rows = append(rows, r)
+		rows = append(rows, row)
 	}
 }
--- a/internal/resultarchive/resultarchive_test.go
+++ b/internal/resultarchive/resultarchive_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Guards against saved results that are read back changed, a truncated file that is read without an error, and a full disk
-// that Save does not report.
+// Guards against saved results that are read back changed, a truncated file that is read without an error, and a full
+// disk that Save does not report.
 func TestSaveAndLoad(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x")
 	rows := []int{1, 2, 3}
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,6 @@
-// Package testseed fixes the seed of the property-based tests in every package whose tests import it, so that each run draws the
-// same values and a result changes only with the code. The flag -rapid.seed on the command line overrides the seed.
+// Package testseed fixes the seed of the property-based tests in every package whose tests import it, so that each run
+// draws the same values and a result changes only with the code. The flag -rapid.seed on the command line overrides
+// the seed.
 package testseed
 
 import (
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,9 +1,9 @@
-// Package timerqueue holds timers: one or two for each connection, session, leg and link, a million and more at a time, each
-// of which can be rescheduled or cancelled. It reads no clock.
+// Package timerqueue holds timers: one or two for each connection, session, leg and link, a million and more at a
+// time, each of which can be rescheduled or cancelled. It reads no clock.
 //
-// The queue is a binary heap. A hierarchical timing wheel was used before for the timers of connections: rescheduling one of a
-// million timers took 437 ns with it and takes 494 ns with the heap, and a set-up among a million connections takes the same
-// time with both (docs/hardening-review.md).
+// The queue is a binary heap. A hierarchical timing wheel was used before for the timers of connections: rescheduling
+// one of a million timers took 437 ns with it and takes 494 ns with the heap, and a set-up among a million connections
+// takes the same time with both (docs/hardening-review.md).
 package timerqueue
 
 import (
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Handle identifies a timer. After the timer has expired or was cancelled the handle identifies none, even if another timer
-// reuses its entry. The zero value never identifies a timer.
+// Handle identifies a timer. After the timer has expired or was cancelled the handle identifies none, even if another
+// timer reuses its entry. The zero value never identifies a timer.
 type Handle uint64
 
 type entry[T any] struct {
