--- a/internal/rulecheck/counts.go
+++ b/internal/rulecheck/counts.go
@@ -7,13 +7,14 @@
 )
 
 // OutcomeCounts count the requests in a list of records by outcome; each request has exactly one. Retries are the
-// requests that are not their client's first, Legs the set-ups that reached nodes.
+// requests that are not their client's first; Legs are the set-ups that reached nodes.
 type OutcomeCounts struct {
 	Received, Played, Nacked, Errored, Abandoned, Unanswered, Retries, Legs int
 }
 
-// CountOutcomes counts requests by outcome. Abandoned are unanswered requests that the client cancelled, whose connection
-// the client ended or the director closed for lack of capacity, or whose director was killed.
+// CountOutcomes counts requests by outcome. Abandoned are unanswered requests that the client cancelled, whose
+// connection the client ended or the director closed for lack of capacity, or whose director was killed. Unanswered
+// are all others without an answer.
 func CountOutcomes(records []Record) (c OutcomeCounts) {
 	type requestState struct {
 		answered  bool
--- a/internal/rulecheck/recorder.go
+++ b/internal/rulecheck/recorder.go
@@ -20,11 +20,12 @@
 	return time.Duration(ts.Nano())
 }
 
-// Kinds of records, with the recorder's side. A message is recorded under its type on the wire.
+// Kinds of records. Each comment begins with the side that adds the record. A message is recorded under its type on the
+// wire.
 const (
 	ConnClosed       = "closed"   // client, node: a connection has ended; ClosedBy has the side that ended it
-	ListAcknowledged = "told"     // discovery: a director has acknowledged a list in which the node is in State
-	ListSubscribed   = "listens"  // discovery: a director has connected and subscribed, and has no list yet
+	ListAcknowledged = "told"     // discovery: a director has acknowledged a server list in which the node is in State
+	ListSubscribed   = "listens"  // discovery: a director has connected and subscribed, and has no server list yet
 	NodeStarted      = "started"  // node: its process has started and is in slow start
 	NodeExited       = "died"     // node: its process has ended
 	DirectorKilled   = "killed"   // run: a director was killed; its open requests need no answer
--- a/internal/rulecheck/rulecheck_test.go
+++ b/internal/rulecheck/rulecheck_test.go
@@ -187,7 +187,7 @@
 		}},
 		{"too many set-ups in slow start", RuleSlowStart, func(l *recordLog, violate bool) {
 			l.add(0, Record{Kind: NodeStarted, Node: "a", MaxStreams: 50})
-			for i := range 10 { // the budget is 2 x 50 / 10 s x 0.5 = 5, and one more is allowed
+			for i := range 10 { // the budget is 2 x 50 / 10 s x 0.5 = 5, and one more is allowed for random variation
 				if i == 6 && !violate {
 					return
 				}
@@ -210,7 +210,7 @@
 		}},
 		{"too many further legs", RuleRetryBudget, func(l *recordLog, violate bool) {
 			for i := range 10 {
-				l.request(i, uint64(i+1), "clip") // the budget is 1 + 0.1 x 10, and one more is allowed
+				l.request(i, uint64(i+1), "clip") // the budget is 1 + 0.1 x 10, and one more is allowed for random variation
 			}
 			for i := range 4 {
 				if i == 3 && !violate {
@@ -241,7 +241,7 @@
 }
 
 // A director ends a leg right after sending it and sends the next leg to another node. The set-ups are recorded in
-// reverse order, and the first must not count as a second leg at the same time. Found by a run in virtual time.
+// reverse order, and the first must not count as a second leg at the same time.
 func TestSetupsToDifferentNodesArriveOutOfOrder(t *testing.T) {
 	var l recordLog
 	l.request(0, 1, "clip")
@@ -256,7 +256,7 @@
 }
 
 // A director receives that a node is up again and sends a set-up, which overtakes its acknowledgement. That is no
-// violation, but a set-up long before the acknowledgement is one. Found by a search for rule violations.
+// violation, but a set-up long before the acknowledgement is one.
 func TestSetupOvertakesAcknowledgementOfNodeUp(t *testing.T) {
 	for _, x := range []struct {
 		setup int
--- a/internal/rulecheck/rules.go
+++ b/internal/rulecheck/rules.go
@@ -14,16 +14,16 @@
 // Limits are the bounds that the rules check against.
 type Limits struct {
 	Tariffs          map[string]TariffLimits `json:"tariffs"`
-	DrainGrace       time.Duration           `json:"grace"` // set-ups sent so long after the director knows of a drain are allowed
+	DrainGrace       time.Duration           `json:"grace"` // set-ups are allowed until so long after the director knows of a drain
 	Warmup           time.Duration           `json:"warmup"`
-	InitialShare     float64                 `json:"cold_from"` // share of the full set-up rate right after a start; it grows linearly to 1 over Warmup
+	InitialShare     float64                 `json:"cold_from"` // share of the full set-up rate at a start; rises linearly to 1 over Warmup
 	OverloadMultiple float64                 `json:"multiple"`  // largest set-up rate in slow start, as a multiple of MaxStreams/Warmup
 	OverloadWindow   time.Duration           `json:"tip_after"` // over which the set-up rate is measured
 	MaxLegs          int                     `json:"most"`      // of a session; 0: unlimited
 	MinRetries       float64                 `json:"spare"`     // further legs allowed in a retry window with no requests
 	RetryRatio       float64                 `json:"share"`     // further legs allowed for each request in the retry window
 	RetryWindow      time.Duration           `json:"span"`      // 0: further legs are not limited
-	Tolerance        time.Duration           `json:"slack"`     // messages may be recorded so much out of order or late
+	Tolerance        time.Duration           `json:"slack"`     // by how much messages may be recorded late or out of order
 }
 
 // TariffLimits are the limits of one tariff.
@@ -37,12 +37,12 @@
 
 // The rules, by name, in the order of their numbers.
 const (
-	RuleAnswer       = "one_answer"
-	RuleSetupOnce    = "set_up_once"
-	RuleDrain        = "drains_kept"
-	RuleSlowStart    = "cold_kept"
-	RuleTariffLimits = "terms_kept"
-	RuleRetryBudget  = "legs_rationed"
+	RuleAnswer       = "one_answer"    // 1: each request gets exactly one final answer, before its deadline
+	RuleSetupOnce    = "set_up_once"   // 2: a session has one leg at a time; a paid one is not sent again if it may have run
+	RuleDrain        = "drains_kept"   // 3: a draining or removed node gets no set-ups after the grace time
+	RuleSlowStart    = "cold_kept"     // 4: a node in slow start gets no more set-ups than it bears
+	RuleTariffLimits = "terms_kept"    // 5: no rung is below the tariff's lowest, and no more legs run than there are seats
+	RuleRetryBudget  = "legs_rationed" // 6: further legs stay within the retry budget
 )
 
 // Rules are the names of all rules.
@@ -89,7 +89,8 @@
 	}
 }
 
-// capacityCloseMark is the part of a recorded close reason, code and retry delay, that marks a close for lack of capacity.
+// capacityCloseMark is the part of a recorded close reason, code and retry delay, that marks a close for lack of
+// capacity.
 const capacityCloseMark = "1013 retry-ms="
 
 type requestKey struct {
@@ -142,8 +143,8 @@
 	end                time.Duration                     // time of the last record
 }
 
-// A pendingDrainCheck is a set-up to a draining node after the grace time. It is no violation if the director had
-// received the node's return to up by then: its acknowledgement is recorded apart from the set-up and may come later.
+// A pendingDrainCheck is a set-up to a draining node after the grace time. The director may already have received that
+// the node is up again, since its acknowledgement may be recorded after the set-up. Then the set-up is no violation.
 type pendingDrainCheck struct {
 	at      time.Duration
 	example string
@@ -168,8 +169,9 @@
 func Check(limits Limits, records []Record) Findings {
 	c := &checker{
 		limits: limits, findings: Findings{}, requests: map[requestKey]*request{}, sessions: map[string]*request{},
-		legsByKey: map[legKey]*leg{}, legsBySession: map[string][]*leg{}, listStates: map[[2]string]listState{}, pendingDrainChecks: map[[2]string][]pendingDrainCheck{},
-		nodeStarts: map[string]Record{}, recentSetups: map[string][]Record{}, requestsByConn: map[uint64][]*request{},
+		legsByKey: map[legKey]*leg{}, legsBySession: map[string][]*leg{}, listStates: map[[2]string]listState{},
+		pendingDrainChecks: map[[2]string][]pendingDrainCheck{},
+		nodeStarts:         map[string]Record{}, recentSetups: map[string][]Record{}, requestsByConn: map[uint64][]*request{},
 		outstandingLegs: map[string][]*leg{}, killedDirectors: map[string]bool{},
 	}
 	for _, rule := range Rules {
@@ -179,7 +181,9 @@
 		c.end = max(c.end, r.At)
 		c.process(r)
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(c.pendingDrainChecks), func(x, y [2]string) int { return cmp.Or(cmp.Compare(x[0], y[0]), cmp.Compare(x[1], y[1])) }) {
+	for _, k := range slices.SortedFunc(maps.Keys(c.pendingDrainChecks), func(x, y [2]string) int {
+		return cmp.Or(cmp.Compare(x[0], y[0]), cmp.Compare(x[1], y[1]))
+	}) {
 		for _, d := range c.pendingDrainChecks[k] {
 			c.findings.check(RuleDrain, false, "%s", d.example)
 		}
@@ -296,8 +300,8 @@
 		return
 	}
 	if req.answeredAt != 0 {
-		c.findings.check(RuleAnswer, req.duplicates > 0 && req.answer == r.Kind, "%s: client %d got a second answer %s after %s from %s", formatTime(r.At),
-			req.Client, r.Kind, req.answer, req.Director)
+		c.findings.check(RuleAnswer, req.duplicates > 0 && req.answer == r.Kind,
+			"%s: client %d got a second answer %s after %s from %s", formatTime(r.At), req.Client, r.Kind, req.answer, req.Director)
 		req.duplicates--
 		return
 	}
@@ -342,8 +346,9 @@
 			c.findings.check(RuleDrain, true, "")
 		} else {
 			k := [2]string{r.Director, r.Node}
-			c.pendingDrainChecks[k] = append(c.pendingDrainChecks[k], pendingDrainCheck{r.At, fmt.Sprintf("%s: %s sent a set-up to %s %v after it received that the node is %s", formatTime(r.At), r.Director, r.Node,
-				r.At-t.at, t.state)})
+			c.pendingDrainChecks[k] = append(c.pendingDrainChecks[k], pendingDrainCheck{r.At,
+				fmt.Sprintf("%s: %s sent a set-up to %s %v after it received that the node is %s", formatTime(r.At), r.Director,
+					r.Node, r.At-t.at, t.state)})
 		}
 	} else {
 		c.findings.check(RuleDrain, true, "")
@@ -351,20 +356,24 @@
 	// Rule 4: the set-up rate of a node in slow start, from all directors together.
 	start, started := c.nodeStarts[r.Node]
 	if age := r.At - start.At; started && age < c.limits.Warmup {
-		c.recentSetups[r.Node] = slices.DeleteFunc(append(c.recentSetups[r.Node], r), func(x Record) bool { return x.At <= r.At-c.limits.OverloadWindow })
+		c.recentSetups[r.Node] = slices.DeleteFunc(append(c.recentSetups[r.Node], r), func(x Record) bool {
+			return x.At <= r.At-c.limits.OverloadWindow
+		})
 		rampShare := c.limits.InitialShare + (1-c.limits.InitialShare)*age.Seconds()/c.limits.Warmup.Seconds()
 		budget := c.limits.OverloadMultiple * start.MaxStreams / c.limits.Warmup.Seconds() * rampShare * c.limits.OverloadWindow.Seconds()
+		// One set-up more than the budget is allowed for random variation.
 		c.findings.recordMargin(RuleSlowStart, 1-float64(len(c.recentSetups[r.Node]))/(budget+1))
-		c.findings.check(RuleSlowStart, float64(len(c.recentSetups[r.Node])) <= budget+1, "%s: %d set-ups within %v on %s, %v after its start (budget %.1f)",
-			formatTime(r.At), len(c.recentSetups[r.Node]), c.limits.OverloadWindow, r.Node, age, budget)
+		c.findings.check(RuleSlowStart, float64(len(c.recentSetups[r.Node])) <= budget+1,
+			"%s: %d set-ups within %v on %s, %v after its start (budget %.1f)", formatTime(r.At),
+			len(c.recentSetups[r.Node]), c.limits.OverloadWindow, r.Node, age, budget)
 	}
 }
 
 // checkMinRung checks the part of rule 5 on rungs: none is below the tariff's lowest.
 func (c *checker) checkMinRung(tariff string, r Record) {
 	if t := c.limits.Tariffs[tariff]; t.MinRung > 0 {
-		c.findings.check(RuleTariffLimits, r.Rung >= t.MinRung, "%s: %s set rung %d of %s on %s, below the lowest rung %d", formatTime(r.At), r.Director, r.Rung,
-			tariff, r.Node, t.MinRung)
+		c.findings.check(RuleTariffLimits, r.Rung >= t.MinRung, "%s: %s set rung %d of %s on %s, below the lowest rung %d",
+			formatTime(r.At), r.Director, r.Rung, tariff, r.Node, t.MinRung)
 	}
 }
 
@@ -403,10 +412,10 @@
 				continue
 			}
 			previous := all[i-1]
-			c.findings.check(RuleSetupOnce, x.At >= c.legEnd(previous)-c.limits.Tolerance, "%s: %s has two legs at once, on %s and %s", formatTime(x.At), x.Session,
-				previous.Node, x.Node)
-			c.findings.check(RuleSetupOnce, !paid || previous.neverRan, "%s: paid %s is sent again to %s, although its leg on %s may have run", formatTime(x.At),
-				x.Session, x.Node, previous.Node)
+			c.findings.check(RuleSetupOnce, x.At >= c.legEnd(previous)-c.limits.Tolerance,
+				"%s: %s has two legs at once, on %s and %s", formatTime(x.At), x.Session, previous.Node, x.Node)
+			c.findings.check(RuleSetupOnce, !paid || previous.neverRan,
+				"%s: paid %s is sent again to %s, although its leg on %s may have run", formatTime(x.At), x.Session, x.Node, previous.Node)
 		}
 		if c.limits.MaxLegs > 0 {
 			c.findings.check(RuleSetupOnce, len(all) <= c.limits.MaxLegs, "%s had %d legs", l.Session, len(all))
@@ -417,9 +426,11 @@
 			continue
 		}
 		for _, x := range all {
-			c.findings.check(RuleSetupOnce, x.At <= req.answeredAt+c.limits.Tolerance, "%s: %s is sent to %s after its answer %s", formatTime(x.At), x.Session, x.Node, req.answer)
+			c.findings.check(RuleSetupOnce, x.At <= req.answeredAt+c.limits.Tolerance, "%s: %s is sent to %s after its answer %s",
+				formatTime(x.At), x.Session, x.Node, req.answer)
 			if paid && req.answer == wire.Nack {
-				c.findings.check(RuleSetupOnce, x.neverRan, "%s: paid %s is nacked, although its leg on %s may have run", formatTime(req.answeredAt), x.Session, x.Node)
+				c.findings.check(RuleSetupOnce, x.neverRan, "%s: paid %s is nacked, although its leg on %s may have run",
+					formatTime(req.answeredAt), x.Session, x.Node)
 			}
 		}
 	}
@@ -439,12 +450,12 @@
 		outstanding[k] = slices.DeleteFunc(outstanding[k], func(x *leg) bool { return c.legEnd(x)-c.limits.Tolerance <= l.At })
 		outstanding[k] = append(outstanding[k], l)
 		c.findings.recordMargin(RuleTariffLimits, 1-float64(len(outstanding[k]))/float64(seats+1))
-		c.findings.check(RuleTariffLimits, len(outstanding[k]) <= seats, "%s: %s holds %d sessions of %s in %s; there are %d seats", formatTime(l.At), k.run,
-			len(outstanding[k]), k.title, k.tariff, seats)
+		c.findings.check(RuleTariffLimits, len(outstanding[k]) <= seats,
+			"%s: %s holds %d sessions of %s in %s; there are %d seats", formatTime(l.At), k.run, len(outstanding[k]), k.title, k.tariff, seats)
 	}
 }
 
-// runOf is the run of a director, which a session's name has before its last dot.
+// runOf returns the part of a session's name before its last dot, which identifies the run of the director.
 func runOf(session string) string {
 	for i := len(session) - 1; i >= 0; i-- {
 		if session[i] == '.' {
@@ -471,7 +482,9 @@
 		run := runOf(l.Session)
 		// Transit times vary: legs sent a whole window apart may be recorded closer together, so the window is
 		// shorter by the tolerance.
-		recent := slices.DeleteFunc(append(further[run], l.At), func(t time.Duration) bool { return t <= l.At-c.limits.RetryWindow+c.limits.Tolerance })
+		recent := slices.DeleteFunc(append(further[run], l.At), func(t time.Duration) bool {
+			return t <= l.At-c.limits.RetryWindow+c.limits.Tolerance
+		})
 		further[run] = recent
 		n := 0
 		for _, req := range requests {
@@ -480,8 +493,9 @@
 			}
 		}
 		budget := c.limits.MinRetries + c.limits.RetryRatio*float64(n)
+		// One leg more than the budget is allowed for random variation.
 		c.findings.recordMargin(RuleRetryBudget, 1-float64(len(recent))/(budget+1))
-		c.findings.check(RuleRetryBudget, float64(len(recent)) <= budget+1, "%s: %s sent %d further legs within %v (budget %.1f)", formatTime(l.At), run,
-			len(recent), c.limits.RetryWindow, budget)
+		c.findings.check(RuleRetryBudget, float64(len(recent)) <= budget+1,
+			"%s: %s sent %d further legs within %v (budget %.1f)", formatTime(l.At), run, len(recent), c.limits.RetryWindow, budget)
 	}
 }
