--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// recordMessage records a message of a director to a client. A release counts as an answer only on the connection of the
-// request: on another one it may overtake the answer that the session plays.
+// recordMessage records a message of a director to a client. A release counts as an answer only on the connection of
+// the request: on another one it may overtake the answer that the session plays.
 func (c *checker) recordMessage(id uint64, kind byte, ownConn bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -253,6 +253,7 @@
 		return
 	}
 	if slack := r.director.pausedSince(r.sentAt); time.Since(r.sentAt) > r.wait+answerSlack+slack {
-		c.addViolation(id, r, "no final answer in time, %v after the request (wait %v, %d attempts)", time.Since(r.sentAt), r.wait, len(r.attempts))
+		c.addViolation(id, r, "no final answer in time, %v after the request (wait %v, %d attempts)", time.Since(r.sentAt), r.wait,
+			len(r.attempts))
 	}
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -53,7 +53,7 @@
 	c.checker.recordClose(ids)
 }
 
-// isRunning reports whether a process is the director's current one and the run hasn't ended it.
+// isRunning reports whether a process is the director's current one and the run has not ended it.
 func (d *director) isRunning(generation int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,8 +72,8 @@
 	return c.sendRequestFor(d, paid, wait, 0, d.options.Servers)
 }
 
-// sendRequestFor sends a request that only the servers of some cells may serve: as many as there are copies, from the
-// first cell on.
+// sendRequestFor sends a request that only the servers of some cells may serve: those of consecutive cells from
+// firstCell on, as many as copies.
 func (c *clientConnection) sendRequestFor(d *director, paid bool, wait time.Duration, firstCell, copies int) uint64 {
 	id := d.checker.addRequest(d, paid, wait)
 	class := "clip"
@@ -112,8 +112,9 @@
 	}
 }
 
-// sendRequests sends requests to a director until the context ends. Most are sent on one shared connection, where some are
-// cancelled. The other clients have connections of their own, which they close or on which they send malformed data.
+// sendRequests sends requests to a director until the context ends. Most are sent on one shared connection, where some
+// are cancelled. The other clients have connections of their own, which they close or on which they send malformed
+// data.
 func (r *run) sendRequests(ctx context.Context, d *director) {
 	const maxInterval = 60 * time.Millisecond // largest time between two requests; the mean is half of it
 	var shared *clientConnection
@@ -145,7 +146,8 @@
 	}
 }
 
-// requestOnOwnConnection sends a request on a connection of its own. Its kind is a random number from 88 to 99.
+// requestOnOwnConnection sends a request on a connection of its own. The kind, a random number from 88 to 99, selects
+// what the client does next; with 98 and 99 it only waits for its answer.
 func (r *run) requestOnOwnConnection(d *director, kind int, paid bool, wait time.Duration) {
 	c, err := dialClient(d)
 	if err != nil {
--- a/internal/soak/director.go
+++ b/internal/soak/director.go
@@ -36,7 +36,7 @@
 	cmd             *exec.Cmd
 	log             *bytes.Buffer
 	ended           chan struct{}
-	stopRequestedAt time.Time // zero: the process has no order to stop
+	stopRequestedAt time.Time // zero: the process has not been requested to stop
 	pauses          []pause
 	exitExpected    bool // the run has killed the process
 }
@@ -89,7 +89,8 @@
 	targetsJSON, _ := json.Marshal(targets) // encoding strings and numbers can't fail
 	return fmt.Appendf(nil, `{"name":"n%d","listen":%q,"seed":"%x","board":%q,"limits":{"cores":1,"memory_mb":192,"sockets":512},
  "known":{"rev":%d,"notices":[{"rev":%d,"pool":{"rev":%d,"all":true,"targets":%s}}]},"settings":%s}`,
-		d.number, d.address.String(), d.options.Seed+uint64(d.number)+1, d.discovery.ln.Addr(), d.pool.lastEvent, d.pool.lastEvent, d.pool.lastEvent, targetsJSON,
+		d.number, d.address.String(), d.options.Seed+uint64(d.number)+1, d.discovery.ln.Addr(),
+		d.pool.lastEvent, d.pool.lastEvent, d.pool.lastEvent, targetsJSON,
 		fmt.Sprintf(settings, cmp.Or(d.options.Directors, d.options.Processes), d.number, d.options.Servers))
 }
 
@@ -176,7 +177,7 @@
 
 // acceptsRequests reports whether clients send the director requests now.
 func (d *director) acceptsRequests() bool {
-	const acceptAfterStop = 500 * time.Millisecond // clients go on for a while after the order to stop
+	const acceptAfterStop = 500 * time.Millisecond // clients send requests for a while after SIGTERM
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.exitExpected && (d.stopRequestedAt.IsZero() || time.Since(d.stopRequestedAt) < acceptAfterStop)
@@ -200,7 +201,8 @@
 	return d.start()
 }
 
-// stopProcess sends the process SIGTERM and waits until it exits. A process that takes too long is reported and killed.
+// stopProcess sends the process SIGTERM and waits until it exits. A process that takes too long is killed, which
+// counts as a violation.
 func (d *director) stopProcess() {
 	const killAfter = 3*time.Second + 700*time.Millisecond
 	d.mu.Lock()
@@ -250,18 +252,18 @@
 	return total
 }
 
-// markDrainSent records that the director was sent that a server drains or is gone.
+// markDrainSent records that discovery has just sent the director the draining or gone state of a server.
 func (d *director) markDrainSent(id uint32) {
 	if s, ok := d.pool.byID.Load(id); ok {
 		s.(*server).markDrainSent(d)
 	}
 }
 
-// markDrainSent records that a director is sent that the server drains or is gone.
+// markDrainSent records that a director has just been sent the server's draining or gone state.
 func (s *server) markDrainSent(d *director) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drainSentAt[d] = time.Now() // also if it was sent before: that may not have arrived
+	s.drainSentAt[d] = time.Now() // also if it was sent before, since that message may not have arrived
 }
 
 // finish stops the process and discovery and removes the director's files.
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A fault is injected into one director, server or discovery. Its function returns once the fault is over. Faults overlap
-// in time.
+// A fault is injected into one director, server or discovery. Its function returns once the fault is over. Faults
+// overlap in time.
 type fault struct {
 	weight int // relative to the other faults
 	inject func(r *run, ctx context.Context)
@@ -93,7 +93,7 @@
 	r.randomServer().hang(r.randomDuration(600 * time.Millisecond))
 }
 
-// killServer kills a server. Discovery sends that it is gone later, and then a new server that replaces it.
+// killServer kills a server. Discovery publishes later that it is gone, and then a new server that replaces it.
 func (r *run) killServer(ctx context.Context) {
 	if len(r.pool.readyServers()) <= r.Servers/2 {
 		return
@@ -105,7 +105,7 @@
 	r.addServer()
 }
 
-// replaceServer drains a server, starts another, and kills the first after discovery has sent that it is gone.
+// replaceServer drains a server, starts another, and kills the first after discovery has published that it is gone.
 func (r *run) replaceServer(ctx context.Context) {
 	if len(r.pool.readyServers()) <= r.Servers/2 {
 		return
@@ -119,7 +119,7 @@
 	s.kill()
 }
 
-// addServer starts a server and sends it to the directors as ready.
+// addServer starts a server and publishes it as ready.
 func (r *run) addServer() {
 	s, err := r.pool.add(time.Now())
 	if err != nil {
--- a/internal/soak/messages.go
+++ b/internal/soak/messages.go
@@ -12,7 +12,8 @@
 )
 
 // Kinds and parameters of the messages between clients and directors, and causes of releases, as in the protocol's
-// specification.
+// specification. A release ends a session: a client's release cancels its request, and a director's release refuses a
+// request or reports that a session that played has ended.
 const (
 	kindSetup   = 1
 	kindAnswer  = 9
@@ -36,7 +37,8 @@
 	return raw
 }
 
-// requestMessage is a client's request for a session at one of the cells from firstCell on, as many as copies.
+// requestMessage is a client's request for a session at a server of one of the consecutive cells from firstCell on, as
+// many as copies.
 func requestMessage(session uint64, class string, wait time.Duration, firstCell, copies int) []byte {
 	return clientMessage(kindSetup, session, codeClass, class, codeWait, strconv.FormatInt(wait.Milliseconds(), 10), codeTitle,
 		fmt.Sprintf("%016x", session%64), codeHint, "1000.0", codePlacement,
--- a/internal/soak/scale.go
+++ b/internal/soak/scale.go
@@ -45,7 +45,7 @@
 	sampleInterval       = 100 * time.Millisecond
 )
 
-// counters are the counts of the emulated servers and discovery.
+// counters count what the emulated servers and discovery see.
 type counters struct {
 	connections atomic.Int64
 	listBytes   atomic.Int64
@@ -53,8 +53,11 @@
 
 // MeasureUsage runs a director for a time and returns its resource usage.
 func MeasureUsage(ctx context.Context, o ScaleOptions) (Usage, error) {
-	r := &run{Options: Options{Seed: 1, Processes: 1, Servers: o.Servers, Directors: o.Directors, Length: o.Length, Program: o.Program, Faultless: true},
-		random: rand.New(rand.NewPCG(1, 1)), checker: newChecker()}
+	r := &run{
+		Options: Options{Seed: 1, Processes: 1, Servers: o.Servers, Directors: o.Directors, Length: o.Length, Program: o.Program,
+			Faultless: true},
+		random: rand.New(rand.NewPCG(1, 1)), checker: newChecker(),
+	}
 	defer r.stop()
 	if err := r.start(ctx); err != nil {
 		return Usage{}, err
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -19,7 +19,7 @@
 	mu          sync.Mutex
 	sessions    map[uint64]*serverSession
 	conns       map[net.Conn]bool
-	drainSentAt map[*director]time.Time // when each director was last sent that the server drains or is gone
+	drainSentAt map[*director]time.Time // when each director was last sent the draining or gone state
 	hangUntil   time.Time               // the server sends nothing until then
 	killed      bool
 }
@@ -51,7 +51,7 @@
 	}
 }
 
-// drainSentTime is when a director was last sent that the server drains or is gone.
+// drainSentTime is when a director was last sent the server's draining or gone state.
 func (s *server) drainSentTime(d *director) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,8 +105,8 @@
 	}
 }
 
-// setupResponses are the responses of a server to a set-up, each with its share of a thousand. A faultless server always
-// gives the first.
+// setupResponses are the responses of a server to a set-up, each with its share in thousandths. A faultless server
+// always gives the first.
 var setupResponses = []struct {
 	share   int
 	respond func(s *server, conn net.Conn, id uint64, session *serverSession)
@@ -147,7 +147,7 @@
 // description is the body of the answer to a set-up that succeeds.
 const description = "here\r\n"
 
-// acceptSession makes a session play. It returns false if the session has been ended meanwhile or the server was killed.
+// acceptSession makes a session play. It returns false if the session has ended meanwhile or the server was killed.
 func (s *server) acceptSession(id uint64, session *serverSession) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/soak/server_pool.go
+++ b/internal/soak/server_pool.go
@@ -18,7 +18,7 @@
 	counters  counters
 
 	mu          sync.Mutex
-	servers     []*server // those that are gone included
+	servers     []*server // including those that are gone
 	lastEvent   uint64    // number of the last discovery event
 	subscribers map[*discovery]bool
 	byID        sync.Map // *server by id
@@ -29,7 +29,8 @@
 	return &serverPool{checker: checker, randomInt: randomInt, cells: cells, faultless: faultless, subscribers: map[*discovery]bool{}}
 }
 
-// add starts a server. One with a start time is in slow start for directors and takes the cell of an earlier server.
+// add starts a server. With a start time, directors treat it as in slow start, and it takes the cell of an earlier
+// server.
 func (p *serverPool) add(started time.Time) (*server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -153,7 +154,7 @@
 	}
 }
 
-// sendHeartbeats sends heartbeats on a connection until there is another.
+// sendHeartbeats sends heartbeats on a connection until it is closed or replaced.
 func (v *discovery) sendHeartbeats(c net.Conn) {
 	for {
 		time.Sleep(heartbeatInterval)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -38,7 +38,7 @@
 
 // Durations of a run, besides Options.Length.
 const (
-	startupDelay = 300 * time.Millisecond              // longer than the ramp time, in which a director that has just started limits its set-ups
+	startupDelay = 300 * time.Millisecond              // exceeds the ramp time, in which a started director limits its set-ups
 	maxWait      = 1500 * time.Millisecond             // of a request for its answer
 	finalDelay   = maxWait + answerSlack + time.Second // until the last requests are answered
 )
