--- a/internal/emulated/client/client.go
+++ b/internal/emulated/client/client.go
@@ -1,5 +1,6 @@
-// Package client emulates clients. Each connects to a director, requests a session, waits for the answer for a limited
-// time, plays, and retries or disconnects as its behavior says.
+// Package client emulates clients. Each connects to a director over WebSocket, requests a session, waits for the
+// answer for a limited time, plays, and retries or disconnects at random with the probabilities of a Behavior. Its
+// requests, cancellations and answers and the end of its connection are added to a rulecheck.Recorder.
 package client
 
 import (
@@ -45,8 +46,8 @@
 type Population struct {
 	Behavior     Behavior
 	Recorder     *rulecheck.Recorder
-	PickDirector func(r *rand.Rand) (name, address string) // of a director to connect to; no address: there is none
-	Deadline     time.Time                                 // no client retries after it
+	PickDirector func(random *rand.Rand) (name, address string) // of a director to connect to; no address: there is none
+	Deadline     time.Time                                      // no client retries after it
 
 	lastConn       atomic.Uint64 // number of the last connection
 	mu             sync.Mutex
@@ -58,7 +59,8 @@
 	ClientCount    int                // started
 }
 
-var connLimits = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 10, WriteTimeout: time.Second, HandshakeTimeout: time.Second}
+var connLimits = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 10,
+	WriteTimeout: time.Second, HandshakeTimeout: time.Second}
 
 // A clientConn is a client's connection to a director.
 type clientConn struct {
@@ -95,7 +97,8 @@
 	if c.closedByClient.Load() {
 		closedBy = rulecheck.ClosedByRecorder
 	}
-	c.population.Recorder.Add(rulecheck.Record{Kind: rulecheck.ConnClosed, Client: c.client, Conn: c.number, Director: c.director, ClosedBy: closedBy, Reason: reason.Error()})
+	c.population.Recorder.Add(rulecheck.Record{Kind: rulecheck.ConnClosed, Client: c.client, Conn: c.number, Director: c.director,
+		ClosedBy: closedBy, Reason: reason.Error()})
 	close(c.closed)
 }
 
@@ -105,9 +108,9 @@
 	c.conn.Close(1000, "bye")
 }
 
-// RunClient runs one client, retries included. It returns when the client has played its session to the end or stops
+// RunClient runs one client with its retries. It returns when the client has played its session to the end or stops
 // retrying.
-func (p *Population) RunClient(ctx context.Context, req ClientRequest, r *rand.Rand) {
+func (p *Population) RunClient(ctx context.Context, req ClientRequest, random *rand.Rand) {
 	p.mu.Lock()
 	if p.StartedInTime == nil {
 		p.StartedInTime, p.RequestedValue = map[string]bool{}, map[string]float64{}
@@ -117,9 +120,9 @@
 	p.mu.Unlock()
 	waitingSince := time.Now()
 	remaining := req.Length
-	key := 0 // part of the session's key: a client whose connection was reset requests the same session again, any other a new one
+	key := 0 // part of the session's key, increased unless the retry is for the same session
 	for retries := 0; ; retries++ {
-		outcome := p.request(ctx, req, r, retries, fmt.Sprintf("%s-%d", req.Key, key), remaining, waitingSince)
+		outcome := p.request(ctx, req, random, retries, fmt.Sprintf("%s-%d", req.Key, key), remaining, waitingSince)
 		remaining -= outcome.played
 		if outcome.played > 0 {
 			waitingSince = time.Now()
@@ -128,11 +131,11 @@
 		if !outcome.sameSession {
 			key++
 		}
-		if !outcome.retry || remaining < 200*time.Millisecond || r.Float64() >= p.Behavior.RetryShare || time.Now().After(p.Deadline) {
+		if !outcome.retry || remaining < 200*time.Millisecond || random.Float64() >= p.Behavior.RetryShare || time.Now().After(p.Deadline) {
 			return
 		}
-		delay := p.Behavior.MinRetryDelay + time.Duration(r.Int64N(int64(max(1, p.Behavior.MaxRetryDelay-p.Behavior.MinRetryDelay))))
-		if backoff > 0 && r.Float64() < p.Behavior.HonorsBackoffShare {
+		delay := p.Behavior.MinRetryDelay + time.Duration(random.Int64N(int64(max(1, p.Behavior.MaxRetryDelay-p.Behavior.MinRetryDelay))))
+		if backoff > 0 && random.Float64() < p.Behavior.HonorsBackoffShare {
 			delay = max(delay, backoff)
 		}
 		select {
@@ -148,16 +151,18 @@
 	played      time.Duration
 	backoff     time.Duration // from a nack
 	retry       bool          // the client may retry
-	sameSession bool          // a retry is for the same session
+	sameSession bool          // a retry is for the same session, because the client's connection was reset
 }
 
 // request connects to a director, sends one request and plays the session that it gets.
-func (p *Population) request(ctx context.Context, req ClientRequest, r *rand.Rand, retries int, key string, remaining time.Duration, waitingSince time.Time) requestOutcome {
-	name, address := p.PickDirector(r)
+func (p *Population) request(ctx context.Context, req ClientRequest, random *rand.Rand, retries int, key string,
+	remaining time.Duration, waitingSince time.Time) requestOutcome {
+	name, address := p.PickDirector(random)
 	if address == "" {
 		return requestOutcome{retry: true} // no director is known
 	}
-	c := &clientConn{number: p.lastConn.Add(1), messages: make(chan wire.SessionMessage, 32), closed: make(chan struct{}), population: p, client: req.ClientNumber, director: name}
+	c := &clientConn{number: p.lastConn.Add(1), messages: make(chan wire.SessionMessage, 32), closed: make(chan struct{}),
+		population: p, client: req.ClientNumber, director: name}
 	conn, err := transport.Dial(address, wire.SessionProtocol, time.Second, connLimits, c, nil)
 	if err != nil {
 		return requestOutcome{retry: true} // the director is down; no request was sent
@@ -167,8 +172,8 @@
 	id := strconv.Itoa(retries + 1)
 	request := wire.SessionMessage{Type: wire.Request, ID: id, Tariff: req.Tariff, Title: req.Title, Key: key, MaxRung: req.MaxRung,
 		WaitMS: req.Wait.Milliseconds(), LengthMS: remaining.Milliseconds(), Retry: retries > 0}
-	p.Recorder.Add(rulecheck.Record{Kind: wire.Request, Client: req.ClientNumber, Conn: c.number, Director: name, RequestID: id, Tariff: req.Tariff,
-		Title: req.Title, Wait: req.Wait, Retry: retries > 0})
+	p.Recorder.Add(rulecheck.Record{Kind: wire.Request, Client: req.ClientNumber, Conn: c.number, Director: name, RequestID: id,
+		Tariff: req.Tariff, Title: req.Title, Wait: req.Wait, Retry: retries > 0})
 	sentAt := time.Now()
 	conn.Send(wire.Encode(request), 0)
 	p.mu.Lock()
@@ -177,15 +182,16 @@
 		p.RetryCount++
 	}
 	p.mu.Unlock()
-	if r.Float64() < p.Behavior.DuplicateShare {
-		p.Recorder.Add(rulecheck.Record{Kind: wire.Request, Client: req.ClientNumber, Conn: c.number, Director: name, RequestID: id, Tariff: req.Tariff})
+	if random.Float64() < p.Behavior.DuplicateShare {
+		p.Recorder.Add(rulecheck.Record{Kind: wire.Request, Client: req.ClientNumber, Conn: c.number, Director: name, RequestID: id,
+			Tariff: req.Tariff})
 		conn.Send(wire.Encode(request), 0)
 	}
-	waitTimer := time.NewTimer(req.Wait + 400*time.Millisecond) // waits on to record a late answer
+	waitTimer := time.NewTimer(req.Wait + 400*time.Millisecond) // longer than the client's wait, to record a late answer
 	defer waitTimer.Stop()
 	cancelTimer := make(<-chan time.Time)
-	if r.Float64() < p.Behavior.CancelShare { // about when the answer is expected, so that the two often cross
-		cancelTimer = time.After(time.Duration(r.Int64N(int64(60 * time.Millisecond))))
+	if random.Float64() < p.Behavior.CancelShare { // about when the answer is expected, so that the two often cross
+		cancelTimer = time.After(time.Duration(random.Int64N(int64(60 * time.Millisecond))))
 	}
 	for {
 		select {
@@ -202,7 +208,8 @@
 			}
 			return requestOutcome{}
 		case <-waitTimer.C:
-			p.Recorder.Add(rulecheck.Record{Kind: rulecheck.ClientTimedOut, Client: req.ClientNumber, Conn: c.number, Director: name, RequestID: id})
+			p.Recorder.Add(rulecheck.Record{Kind: rulecheck.ClientTimedOut, Client: req.ClientNumber, Conn: c.number, Director: name,
+				RequestID: id})
 			return requestOutcome{retry: !req.Paid}
 		case m := <-c.messages:
 			switch m.Type {
@@ -217,20 +224,20 @@
 					p.StartedInTime[m.Session] = true
 				}
 				p.mu.Unlock()
-				return p.playSession(ctx, c, r, remaining)
+				return p.playSession(ctx, c, random, remaining)
 			}
 		}
 	}
 }
 
 // playSession plays until the session ends, its connection ends, or the client resets it.
-func (p *Population) playSession(ctx context.Context, c *clientConn, r *rand.Rand, remaining time.Duration) requestOutcome {
+func (p *Population) playSession(ctx context.Context, c *clientConn, random *rand.Rand, remaining time.Duration) requestOutcome {
 	startedAt := time.Now()
 	endTimer := time.NewTimer(remaining + time.Second) // limits the wait for a node that doesn't end the session
 	defer endTimer.Stop()
 	resetTimer := make(<-chan time.Time)
-	if r.Float64() < p.Behavior.DisconnectShare {
-		resetTimer = time.After(time.Duration(r.Int64N(int64(remaining))))
+	if random.Float64() < p.Behavior.DisconnectShare {
+		resetTimer = time.After(time.Duration(random.Int64N(int64(remaining))))
 	}
 	for {
 		select {
--- a/internal/emulated/discovery/model.go
+++ b/internal/emulated/discovery/model.go
@@ -8,14 +8,14 @@
 	"fordusher/internal/wire"
 )
 
-// A Model is a model of discovery without sockets or a clock. It has the published list of nodes, the updates that are to
-// be published later, and the entries of each serial. Source and the emulator each have one.
+// A Model is a model of discovery without sockets or a clock. It holds the published server list, the updates that are
+// to be published later, and the entries that were sent under each serial number. Source and package emulator use it.
 type Model struct {
 	nodes           map[string]listEntry // the published list, by node
 	pending         []pendingUpdate      // updates to be published, by time
 	lag             time.Duration
 	serial          uint64
-	entriesBySerial map[uint64][]wire.NodeEntry // by serial, the last maxSerials, for acknowledgements
+	entriesBySerial map[uint64][]wire.NodeEntry // by serial, the last maxSerials; acknowledgements name only a serial
 }
 
 // A listEntry is the entry of a node in the list, with the time of its start.
@@ -24,7 +24,7 @@
 	startedAt time.Duration // 0: long ago
 }
 
-// A pendingUpdate is an entry that is published at a time, or later by the lag.
+// A pendingUpdate is an entry that is published at a time plus the lag.
 type pendingUpdate struct {
 	at    time.Duration
 	entry listEntry
@@ -42,8 +42,8 @@
 	return m
 }
 
-// ScheduleUpdate schedules a change of a node's entry, with the node's start (0: long ago). It is published at a time, or
-// later by the lag of that time.
+// ScheduleUpdate schedules a change of a node's entry. startedAt is when the node started (0: long ago). The change is
+// published at the given time plus the lag that is set then.
 func (m *Model) ScheduleUpdate(e wire.NodeEntry, startedAt, at time.Duration) {
 	m.pending = append(m.pending, pendingUpdate{at, listEntry{e, startedAt}})
 	slices.SortStableFunc(m.pending, func(x, y pendingUpdate) int { return int(min(1, max(-1, x.at-y.at))) })
--- a/internal/emulated/discovery/source.go
+++ b/internal/emulated/discovery/source.go
@@ -1,5 +1,7 @@
-// Package discovery emulates discovery. It pushes the list of nodes and its changes to every director, with a delay that
-// grows by the lag.
+// Package discovery emulates discovery. It sends the server list (nodes and title placements) and the list's later
+// changes to every director that subscribes. Changes are sent after a delay, which a configurable lag increases; a
+// director that reconnects gets the whole current list. Model has no sockets and no clock; Source serves a model on a
+// loopback socket.
 package discovery
 
 import (
@@ -11,7 +13,7 @@
 	"fordusher/internal/wire"
 )
 
-// Source serves the list of nodes and titles to the directors that subscribe.
+// Source serves the server list to the directors that subscribe, and records their subscriptions and acknowledgements.
 type Source struct {
 	mu          sync.Mutex
 	server      *transport.Server
@@ -23,7 +25,8 @@
 	subscribers map[*transport.Conn]string // directors' names by open connection
 }
 
-var connLimits = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 20, WriteTimeout: 10 * time.Second, HandshakeTimeout: 10 * time.Second}
+var connLimits = transport.Limits{MaxMessageBytes: wire.MaxSessionMessageBytes, MaxQueuedBytes: 64 << 20,
+	WriteTimeout: 10 * time.Second, HandshakeTimeout: 10 * time.Second}
 
 // Start starts a source on a loopback port of its own.
 func Start(recorder *rulecheck.Recorder, nodes []wire.NodeEntry, titles []wire.TitlePlacement) (*Source, error) {
@@ -48,8 +51,8 @@
 	s.server.Close()
 }
 
-// UpdateNode changes a node's entry, with the node's start (0: long ago). Directors are notified after a delay and the lag
-// of that time.
+// UpdateNode changes a node's entry. startedAt is when the node started (0: long ago). Directors are notified after
+// the delay plus the lag that is set then.
 func (s *Source) UpdateNode(e wire.NodeEntry, startedAt, delay time.Duration) {
 	s.mu.Lock()
 	s.model.ScheduleUpdate(e, startedAt, rulecheck.MonotonicNow()+delay)
--- a/internal/emulated/node/host.go
+++ b/internal/emulated/node/host.go
@@ -9,7 +9,8 @@
 	"fordusher/internal/wire"
 )
 
-// Host serves the nodes of a model on sockets, with one listener for each, and records the messages that cross them.
+// Host serves the nodes of a model on sockets, with one listener for each, and records the messages that they send and
+// receive.
 type Host struct {
 	mu         sync.Mutex // guards the model and the fields below
 	model      *Model
@@ -20,12 +21,13 @@
 	wake       chan struct{}
 	quit       chan struct{}
 	recorder   *rulecheck.Recorder
-	silent     map[string]bool
+	silent     map[string]bool // nodes whose machine sends and receives nothing, by name
 	onOverload func(node string)
 }
 
 // connLimits are the emulated nodes' connection limits. They are so wide that they never limit a director.
-var connLimits = transport.Limits{MaxMessageBytes: wire.MaxNodeMessageBytes, MaxQueuedBytes: 16 << 20, WriteTimeout: 5 * time.Second, HandshakeTimeout: 10 * time.Second}
+var connLimits = transport.Limits{MaxMessageBytes: wire.MaxNodeMessageBytes, MaxQueuedBytes: 16 << 20,
+	WriteTimeout: 5 * time.Second, HandshakeTimeout: 10 * time.Second}
 
 // StartHost starts every node of a model on a loopback port of its own. It calls onOverload, if it isn't nil, when a
 // node's process ends because of too many set-ups in slow start.
@@ -49,14 +51,15 @@
 // Address is the address on which a node listens.
 func (h *Host) Address(node string) string { return h.servers[node].Address() }
 
-// Start returns the number of a node's last start and its age (0: long ago).
+// Start returns the number of a node's last start and the time since then (0: long ago).
 func (h *Host) Start(node string) (start uint64, age time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.model.Start(h.now(), node)
 }
 
-// Records returns no records: the host adds them to the recorder that it was given.
+// Records returns no records, because the host adds them to the recorder that it was given. Implementations whose
+// nodes run in another process return theirs.
 func (h *Host) Records() ([]rulecheck.Record, error) { return nil, nil }
 
 // Close closes all listeners and connections.
@@ -103,7 +106,8 @@
 			continue
 		}
 		if o.Earning != nil {
-			h.recorder.Add(rulecheck.Record{Kind: rulecheck.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
+			h.recorder.Add(rulecheck.Record{Kind: rulecheck.SessionEarned, Node: o.Node, Session: o.Earning.Session,
+				Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
 			continue
 		}
 		c := h.conns[o.Conn]
@@ -123,8 +127,8 @@
 	}
 }
 
-// wakeUp makes run determine the next deadline anew. Without it run does so when the last known deadline is over, after
-// a second at the latest.
+// wakeUp makes run determine the next deadline anew. Without it, run does so at the last known deadline, and after a
+// second at the latest.
 func (h *Host) wakeUp() {
 	select {
 	case h.wake <- struct{}{}:
@@ -147,24 +151,24 @@
 }
 
 // Inject applies a fault to the model and to the sockets.
-func (h *Host) Inject(x Fault) {
+func (h *Host) Inject(fault Fault) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for name, s := range h.servers {
-		if x.Node != "" && x.Node != name {
+		if fault.Node != "" && fault.Node != name {
 			continue
 		}
-		if x.Hang != nil { // a hung process doesn't answer handshakes either
-			s.SetSilent(*x.Hang)
+		if fault.Hang != nil { // a hung process doesn't answer handshakes either
+			s.SetSilent(*fault.Hang)
 		}
 		switch {
-		case x.Crash:
+		case fault.Crash:
 			h.recorder.Add(rulecheck.Record{Kind: rulecheck.NodeExited, Node: name})
 			s.SetRefusing(true)
-		case x.Silent != nil && *x.Silent:
+		case fault.Silent != nil && *fault.Silent:
 			h.silent[name] = true
 			s.SetSilent(true)
-		case x.Start:
+		case fault.Start:
 			if h.silent[name] {
 				h.recorder.Add(rulecheck.Record{Kind: rulecheck.NodeExited, Node: name, Reason: "came back anew"})
 			}
@@ -174,7 +178,7 @@
 			h.recorder.Add(rulecheck.Record{Kind: rulecheck.NodeStarted, Node: name, MaxStreams: float64(h.model.nodes[name].MaxStreams)})
 		}
 	}
-	h.deliver(h.model.Apply(h.now(), x))
+	h.deliver(h.model.Apply(h.now(), fault))
 	h.wakeUp()
 }
 
--- a/internal/emulated/node/model.go
+++ b/internal/emulated/node/model.go
@@ -1,5 +1,6 @@
 // Package node emulates streaming servers. Model is a model of nodes, their links and their racks' uplinks, which does
-// no I/O and has no clock; Host serves it on real sockets.
+// no I/O and has no clock: it takes messages of directors, faults and the time, and returns the messages to send. Host
+// serves a model on real sockets.
 package node
 
 import (
@@ -29,14 +30,14 @@
 	Uplinks          []float64     `json:"uplinks_kb"`   // by rack, kB a second
 	RejectThreshold  float64       `json:"refuses_from"` // utilization of its link from which a node answers full; 0: never
 	Warmup           time.Duration `json:"warmup"`
-	InitialShare     float64       `json:"cold_from"`            // share of the full set-up speed right after a start; it grows linearly to 1 over Warmup
-	OverloadMultiple float64       `json:"multiple"`             // set-up rate that a node in slow start bears, as a multiple of MaxStreams/Warmup
+	InitialShare     float64       `json:"cold_from"`            // share of the full set-up speed at a start; rises linearly to 1 over Warmup
+	OverloadMultiple float64       `json:"multiple"`             // set-up rate that a node in slow start bears, in MaxStreams/Warmup
 	OverloadWindow   time.Duration `json:"tip_after"`            // over which the set-up rate is measured
 	ReportDelay      time.Duration `json:"late"`                 // of measurements
 	ReportInterval   time.Duration `json:"every"`                // between measurements of link and uplink
 	LoadRefresh      time.Duration `json:"refresh"`              // age from which the load in answers is computed anew
 	RungValues       []float64     `json:"worth,omitempty"`      // value of a second at each rung; empty: sessions earn nothing
-	StallCost        float64       `json:"stall_cost,omitempty"` // percentage points of the value lost for each point of the delivered share below 98
+	StallCost        float64       `json:"stall_cost,omitempty"` // loss of value, in points, for each point of the delivered share below 98%
 }
 
 // Fault is a change of the state of a node, of all nodes (Node is empty) or of a rack's uplink. Fields that are not set
@@ -44,7 +45,7 @@
 type Fault struct {
 	Node             string   `json:"node,omitempty"`
 	Rack             *int     `json:"rack,omitempty"`
-	Hang             *bool    `json:"hang,omitempty"`       // true: the process accepts messages but sends nothing; false: it sends what it deferred
+	Hang             *bool    `json:"hang,omitempty"`       // true: the process receives but sends nothing; false: it sends what it deferred
 	SlowFactor       *float64 `json:"slow,omitempty"`       // factor of the set-up time
 	FailShare        *float64 `json:"fail,omitempty"`       // share of set-ups that fail at once
 	LossShare        *float64 `json:"lose,omitempty"`       // share of answers that are lost
@@ -79,7 +80,7 @@
 type stream struct {
 	conn    uint64
 	leg     uint64
-	rate    float64
+	rate    float64 // requested, kB a second
 	rung    int
 	playing bool
 	endsAt  time.Duration // once it plays; 0: it plays until the director ends it
@@ -101,8 +102,8 @@
 // A nodeState is a node with its process, streams and injected faults.
 type nodeState struct {
 	Spec
-	alive, silent        bool
-	start                uint64
+	alive, silent        bool          // its process runs; its machine receives and sends nothing
+	start                uint64        // number of its last start
 	startedAt            time.Duration // below 0: long ago
 	hung                 bool
 	slowFactor           float64
@@ -184,7 +185,7 @@
 	return m
 }
 
-// Start returns the number of a node's last start and its age (0: long ago).
+// Start returns the number of a node's last start and the time since then (0: long ago).
 func (m *Model) Start(now time.Duration, name string) (start uint64, age time.Duration) {
 	n := m.nodes[name]
 	if n.startedAt < 0 {
@@ -249,7 +250,8 @@
 	m.outputs = m.outputs[:0]
 	m.advance(now)
 	n := m.nodes[node]
-	n.directors = append(n.directors, &director{conn: conn, nextLoadReport: m.now + m.env.ReportInterval, nextDeliveryReport: m.now + time.Second})
+	n.directors = append(n.directors, &director{conn: conn, nextLoadReport: m.now + m.env.ReportInterval,
+		nextDeliveryReport: m.now + time.Second})
 	if !n.reporting {
 		n.reporting = true
 		m.schedule(event{at: m.now + min(reportCheckInterval, max(time.Millisecond, m.env.ReportInterval)), kind: eventReport, node: n})
@@ -318,11 +320,13 @@
 	return m.env.InitialShare + (1-m.env.InitialShare)*float64(m.now-n.startedAt)/float64(m.env.Warmup)
 }
 
-// startSetup schedules a set-up on the core that is free first, or rejects it. The process of a node in slow start ends if
-// it gets too many set-ups within the overload window.
+// startSetup schedules a set-up on the core that is free first, or rejects it. The process of a node in slow start
+// ends if it gets too many set-ups within the overload window.
 func (m *Model) startSetup(n *nodeState, key [2]uint64, msg wire.NodeMessage) {
 	if rampShare := m.rampShare(n); rampShare < 1 {
-		n.recentSetups = append(slices.DeleteFunc(n.recentSetups, func(t time.Duration) bool { return t <= m.now-m.env.OverloadWindow }), m.now)
+		n.recentSetups = append(slices.DeleteFunc(n.recentSetups, func(t time.Duration) bool {
+			return t <= m.now-m.env.OverloadWindow
+		}), m.now)
 		allowed := m.env.OverloadMultiple * float64(n.MaxStreams) / m.env.Warmup.Seconds() * rampShare * m.env.OverloadWindow.Seconds()
 		if float64(len(n.recentSetups)) > allowed+2 {
 			m.outputs = append(m.outputs, Output{Node: n.Name, Overloaded: true})
@@ -339,7 +343,8 @@
 		m.answerSetup(n, key, wire.NodeMessage{Type: wire.Full, Leg: key[1], Load: m.reportedLoad(n)})
 		return
 	}
-	s := &stream{session: msg.Session, tariff: msg.Tariff, conn: key[0], leg: key[1], rate: msg.RateKB, rung: msg.Rung, length: time.Duration(msg.LengthMS) * time.Millisecond}
+	s := &stream{session: msg.Session, tariff: msg.Tariff, conn: key[0], leg: key[1], rate: msg.RateKB, rung: msg.Rung,
+		length: time.Duration(msg.LengthMS) * time.Millisecond}
 	if msg.StartWithinMS > 0 {
 		s.expires = m.now + time.Duration(msg.StartWithinMS)*time.Millisecond
 	}
@@ -441,8 +446,8 @@
 	return max(0, n.demand) / (n.LinkRate / n.bandwidthDivisor), max(0, r.demand) / (r.uplink / r.bandwidthDivisor)
 }
 
-// deliveredShare is the share of its rate that each session on a node gets. A shortage on the link or the uplink reduces
-// all rates by the same factor.
+// deliveredShare is the share of its rate that each session on a node gets. A shortage on the link or the uplink
+// reduces all rates by the same factor.
 func (m *Model) deliveredShare(n *nodeState) float64 {
 	link, uplink := m.utilization(n)
 	return 1 / max(1, link, uplink)
@@ -505,38 +510,38 @@
 }
 
 // Apply applies a fault.
-func (m *Model) Apply(now time.Duration, x Fault) []Output {
+func (m *Model) Apply(now time.Duration, fault Fault) []Output {
 	m.outputs = m.outputs[:0]
 	m.advance(now)
-	if x.Rack != nil && x.BandwidthDivisor != nil {
-		m.racks[*x.Rack%len(m.racks)].bandwidthDivisor = *x.BandwidthDivisor
+	if fault.Rack != nil && fault.BandwidthDivisor != nil {
+		m.racks[*fault.Rack%len(m.racks)].bandwidthDivisor = *fault.BandwidthDivisor
 		return m.outputs
 	}
 	for _, n := range m.nodeOrder {
-		if x.Node == "" || x.Node == n.Name {
-			m.applyFault(n, x)
+		if fault.Node == "" || fault.Node == n.Name {
+			m.applyFault(n, fault)
 		}
 	}
 	return m.outputs
 }
 
 // applyFault applies a fault to a node.
-func (m *Model) applyFault(n *nodeState, x Fault) {
+func (m *Model) applyFault(n *nodeState, fault Fault) {
 	set := func(to *float64, from *float64) {
 		if from != nil {
 			*to = *from
 		}
 	}
-	set(&n.slowFactor, x.SlowFactor)
-	set(&n.failShare, x.FailShare)
-	set(&n.lossShare, x.LossShare)
-	set(&n.duplicateShare, x.DuplicateShare)
-	set(&n.bandwidthDivisor, x.BandwidthDivisor)
-	if x.LossShare != nil {
-		n.resetOnLoss = x.ResetOnLoss
+	set(&n.slowFactor, fault.SlowFactor)
+	set(&n.failShare, fault.FailShare)
+	set(&n.lossShare, fault.LossShare)
+	set(&n.duplicateShare, fault.DuplicateShare)
+	set(&n.bandwidthDivisor, fault.BandwidthDivisor)
+	if fault.LossShare != nil {
+		n.resetOnLoss = fault.ResetOnLoss
 	}
-	if x.Hang != nil && n.hung != *x.Hang {
-		n.hung = *x.Hang
+	if fault.Hang != nil && n.hung != *fault.Hang {
+		n.hung = *fault.Hang
 		deferred := n.deferred
 		n.deferred = nil
 		for _, e := range deferred {
@@ -545,13 +550,13 @@
 		}
 		m.advance(m.now)
 	}
-	if x.Crash {
+	if fault.Crash {
 		m.endProcess(n)
 	}
-	if x.Silent != nil {
-		n.silent = *x.Silent
+	if fault.Silent != nil {
+		n.silent = *fault.Silent
 	}
-	if x.Start {
+	if fault.Start {
 		m.endProcess(n)
 		m.lastStart++
 		n.alive, n.silent, n.hung, n.start, n.startedAt = true, false, false, m.lastStart, m.now
@@ -578,8 +583,7 @@
 }
 
 // EarningRate is what all sessions earn a second at this moment, with the number of playing sessions. Each earns its
-// tariff's credit multiplied by the value of its rung, which is reduced while it gets less than 0.98 of
-// its rate.
+// tariff's credit multiplied by the value of its rung, which is reduced while it gets less than 0.98 of its rate.
 func (m *Model) EarningRate(credit map[string]float64) (rate float64, playing int) {
 	for _, n := range m.nodeOrder {
 		if !n.alive || n.silent || n.hung {
--- a/internal/emulated/node/model_test.go
+++ b/internal/emulated/node/model_test.go
@@ -11,7 +11,8 @@
 
 const ms = time.Millisecond
 
-var testEnvironment = Environment{Uplinks: []float64{3000, 1e9}, Warmup: 10 * time.Second, InitialShare: 0.5, OverloadMultiple: 2, OverloadWindow: time.Second,
+var testEnvironment = Environment{Uplinks: []float64{3000, 1e9}, Warmup: 10 * time.Second,
+	InitialShare: 0.5, OverloadMultiple: 2, OverloadWindow: time.Second,
 	ReportDelay: 500 * ms, ReportInterval: 2 * time.Second, LoadRefresh: 100 * ms}
 
 func newTestModel() *Model {
@@ -45,9 +46,10 @@
 	return n
 }
 
-// The expected shares are computed by hand. Node a has a link of 1000 and three sessions with rates of 400, 400 and 800,
-// so each gets 1000/1600 of its rate. Node b on the same rack has two sessions of 1200 each, so the demand on the uplink
-// of 3000 is 4000 and the uplink delivers 3/4. That is less than the link of b delivers and more than that of a.
+// The expected shares are computed by hand. Node a has a link of 1000 and three sessions with rates of 400, 400 and
+// 800, so each gets 1000/1600 of its rate. Node b on the same rack has two sessions of 1200 each, so the demand on the
+// uplink of 3000 is 4000 and the uplink delivers 3/4. That is less than the link of b delivers and more than that of
+// a.
 func TestShortfallIsSharedEvenly(t *testing.T) {
 	model := newTestModel()
 	model.ConnOpened(0, "a", 1)
@@ -60,7 +62,8 @@
 	}
 	model.Receive(0, "b", 2, setup(1, 1200))
 	model.Receive(0, "b", 2, setup(2, 1200))
-	if a, b := model.deliveredShare(model.nodes["a"]), model.deliveredShare(model.nodes["b"]); math.Abs(a-0.625) > 1e-9 || math.Abs(b-0.75) > 1e-9 {
+	if a, b := model.deliveredShare(model.nodes["a"]), model.deliveredShare(model.nodes["b"]); math.Abs(a-0.625) > 1e-9 ||
+		math.Abs(b-0.75) > 1e-9 {
 		t.Fatal(a, b)
 	}
 	model.Apply(0, Fault{Rack: new(0), BandwidthDivisor: new(2.0)})
@@ -122,7 +125,8 @@
 	}
 }
 
-// A node in slow start ends when all directors together send more set-ups than it bears. At the allowed rate it doesn't.
+// A node in slow start ends when all directors together send more set-ups than it bears. At the allowed rate it does
+// not end.
 func TestRampingNodeOverloads(t *testing.T) {
 	for _, tooMany := range []bool{false, true} {
 		model := newTestModel()
@@ -203,7 +207,8 @@
 func TestSetupQueueMatchesPollaczekKhinchine(t *testing.T) {
 	const work = 10 * time.Millisecond
 	for _, load := range []float64{0.3, 0.5, 0.7} {
-		model := NewModel(1, Environment{Uplinks: []float64{1e12}, Warmup: time.Second, InitialShare: 1, OverloadMultiple: 1, OverloadWindow: time.Second, ReportDelay: time.Hour, LoadRefresh: time.Hour},
+		model := NewModel(1, Environment{Uplinks: []float64{1e12}, Warmup: time.Second, InitialShare: 1, OverloadMultiple: 1,
+			OverloadWindow: time.Second, ReportDelay: time.Hour, LoadRefresh: time.Hour},
 			[]Spec{{Name: "n", MaxStreams: 1 << 30, LinkRate: 1e12, Cores: 1, SetupTime: work}})
 		model.ConnOpened(0, "n", 1)
 		r := rand.New(rand.NewPCG(2, 2))
@@ -232,9 +237,9 @@
 				model.Receive(at, "n", 1, wire.NodeMessage{Type: wire.End, Leg: leg - 1000})
 			}
 		}
-		s := work.Seconds()
-		second := s * s * (1 + 0.2*0.2/3)
-		want := s + rate*second/(2*(1-load))
+		mean := work.Seconds()
+		secondMoment := mean * mean * (1 + 0.2*0.2/3)
+		want := mean + rate*secondMoment/(2*(1-load))
 		got := total.Seconds() / float64(served)
 		if served < 98_000 || got < want*0.95 || got > want*1.05 {
 			t.Errorf("load %.2f: %d served, mean %.3f ms, by the formula %.3f ms", load, served, got*1000, want*1000)
