--- a/internal/emulated/node/model.go
+++ b/internal/emulated/node/model.go
@@ -21,8 +21,8 @@
 	Rack       int           `json:"rack"`
 	MaxStreams int           `json:"places"`  // at one time
 	LinkRate   float64       `json:"link_kb"` // kB a second
-	Cores      int           `json:"cores"`   // of these each processes one set-up at a time
-	SetupTime  time.Duration `json:"work"`    // of one core for a set-up, on average and after slow start
+	Cores      int           `json:"cores"`   // each processes one set-up at a time
+	SetupTime  time.Duration `json:"work"`    // average time that a core takes for a set-up after slow start
 }
 
 // Environment are the parameters that all nodes share.
@@ -32,8 +32,8 @@
 	Warmup           time.Duration `json:"warmup"`
 	InitialShare     float64       `json:"cold_from"`            // share of the full set-up speed at a start; rises linearly to 1 over Warmup
 	OverloadMultiple float64       `json:"multiple"`             // set-up rate that a node in slow start bears, in MaxStreams/Warmup
-	OverloadWindow   time.Duration `json:"tip_after"`            // over which the set-up rate is measured
-	ReportDelay      time.Duration `json:"late"`                 // of measurements
+	OverloadWindow   time.Duration `json:"tip_after"`            // window over which the set-up rate is measured
+	ReportDelay      time.Duration `json:"late"`                 // from a measurement to its sending
 	ReportInterval   time.Duration `json:"every"`                // between measurements of link and uplink
 	LoadRefresh      time.Duration `json:"refresh"`              // age from which the load in answers is computed anew
 	RungValues       []float64     `json:"worth,omitempty"`      // value of a second at each rung; empty: sessions earn nothing
@@ -104,7 +104,7 @@
 	Spec
 	alive, silent        bool          // its process runs; its machine receives and sends nothing
 	start                uint64        // number of its last start
-	startedAt            time.Duration // below 0: long ago
+	startedAt            time.Duration // negative: long ago
 	hung                 bool
 	slowFactor           float64
 	failShare, lossShare float64
--- a/internal/emulated/node/model_test.go
+++ b/internal/emulated/node/model_test.go
@@ -149,6 +149,8 @@
 	}
 }
 
+// Each injected fault has its effect, and only while it lasts: a hung node defers its answers, set-ups fail, answers
+// are lost or sent twice, and a crashed node sends nothing until its next start.
 func TestFaults(t *testing.T) {
 	model := newTestModel()
 	model.ConnOpened(0, "a", 1)
--- a/internal/rulecheck/recorder.go
+++ b/internal/rulecheck/recorder.go
@@ -38,8 +38,8 @@
 
 // Sides that end a connection.
 const (
-	ClosedByPeer     = "peer"
-	ClosedByRecorder = "us" // the emulated side, which records
+	ClosedByPeer     = "peer" // the director
+	ClosedByRecorder = "us"   // the emulated side, which records
 )
 
 // A Record is one event at an emulated node, client or discovery, or of the run. A message has the time at which the
--- a/internal/rulecheck/rules.go
+++ b/internal/rulecheck/rules.go
@@ -18,7 +18,7 @@
 	Warmup           time.Duration           `json:"warmup"`
 	InitialShare     float64                 `json:"cold_from"` // share of the full set-up rate at a start; rises linearly to 1 over Warmup
 	OverloadMultiple float64                 `json:"multiple"`  // largest set-up rate in slow start, as a multiple of MaxStreams/Warmup
-	OverloadWindow   time.Duration           `json:"tip_after"` // over which the set-up rate is measured
+	OverloadWindow   time.Duration           `json:"tip_after"` // window over which the set-up rate is measured
 	MaxLegs          int                     `json:"most"`      // of a session; 0: unlimited
 	MinRetries       float64                 `json:"spare"`     // further legs allowed in a retry window with no requests
 	RetryRatio       float64                 `json:"share"`     // further legs allowed for each request in the retry window
@@ -129,7 +129,7 @@
 	findings           Findings
 	requests           map[requestKey]*request
 	requestOrder       []*request
-	sessions           map[string]*request // answered with a nack or an error, by session name
+	unservedBySession  map[string]*request // answered with a nack or an error, by session name
 	legsByKey          map[legKey]*leg
 	sentLegs           []*leg
 	legsBySession      map[string][]*leg                 // in the order of their records, then of their numbers
@@ -168,7 +168,7 @@
 // Check checks records, which must be sorted by time, against all rules.
 func Check(limits Limits, records []Record) Findings {
 	c := &checker{
-		limits: limits, findings: Findings{}, requests: map[requestKey]*request{}, sessions: map[string]*request{},
+		limits: limits, findings: Findings{}, requests: map[requestKey]*request{}, unservedBySession: map[string]*request{},
 		legsByKey: map[legKey]*leg{}, legsBySession: map[string][]*leg{}, listStates: map[[2]string]listState{},
 		pendingDrainChecks: map[[2]string][]pendingDrainCheck{},
 		nodeStarts:         map[string]Record{}, recentSetups: map[string][]Record{}, requestsByConn: map[uint64][]*request{},
@@ -307,7 +307,7 @@
 	}
 	req.answeredAt, req.answer, req.session = r.At, r.Kind, r.Session
 	if r.Session != "" && r.Kind != wire.Playing {
-		c.sessions[r.Session] = req
+		c.unservedBySession[r.Session] = req
 	}
 }
 
@@ -421,7 +421,7 @@
 			c.findings.check(RuleSetupOnce, len(all) <= c.limits.MaxLegs, "%s had %d legs", l.Session, len(all))
 		}
 		c.findings.check(RuleSetupOnce, !paid || accepted <= 1, "paid %s was accepted %d times", l.Session, accepted)
-		req := c.sessions[l.Session]
+		req := c.unservedBySession[l.Session]
 		if req == nil {
 			continue
 		}
--- a/internal/soak/director.go
+++ b/internal/soak/director.go
@@ -28,8 +28,8 @@
 	checker   *checker
 	discovery *discovery
 	address   *loopback.ReservedAddress
-	config    string
-	dir       string
+	config    string // path of the start configuration
+	dir       string // temporary directory, which holds it
 
 	mu              sync.Mutex
 	generation      int // number of the process
@@ -59,7 +59,8 @@
 	return d, err
 }
 
-// settings are the directors' settings: a small deployment with a free and a paid class.
+// settings are the directors' settings: a small deployment with a free and a paid class, as the platform calls a
+// tariff.
 const settings = `{"balancers":%d,"me":%d,"zone":"z","zones":["z"],"flavors":["box"],
  "classes":[{"name":"clip","target_s":0.8,"give_up_s":1.5,"semantics":"free","credit":1},
   {"name":"exam","target_s":0.8,"give_up_s":1.5,"semantics":"single_shot","credit":3}],
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -34,9 +34,9 @@
 	MaxMessageBytes      int           // largest message that is read, all fragments together
 	MaxQueuedBytes       int           // bytes of messages that wait to be written
 	WriteTimeout         time.Duration // longest time for writing one frame, and for delivery by the kernel after a close
-	HandshakeTimeout     time.Duration // longest time that a handshake may take
+	HandshakeTimeout     time.Duration // longest time for receiving a handshake, or a message of a SplitFunc protocol
 	KernelBufferBytes    int           // socket send buffer, which bounds the unsent bytes in the kernel; 0: system default
-	MaxPendingHandshakes int           // connections with an unfinished handshake; further ones are reset; 0: no limit
+	MaxPendingHandshakes int           // connections with an unfinished handshake; beyond it one is reset; 0: no limit
 }
 
 // Conn is a connection: WebSocket, or a protocol with a SplitFunc.
