--- a/cmd/fordusher/log_test.go
+++ b/cmd/fordusher/log_test.go
@@ -33,8 +33,8 @@
 	return v
 }
 
-// Runs a director whose standard error is a full pipe that nobody reads. Guards against a log write that blocks the event
-// loop, and with it every answer.
+// Runs a director whose standard error is a full pipe that nobody reads. Guards against a log write that blocks the
+// event loop, and with it every answer.
 func TestUnreadLogPipeDoesNotBlockAnswers(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
--- a/cmd/fordusher/main_test.go
+++ b/cmd/fordusher/main_test.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// Lets clients connect until the process has no descriptors left. Guards against a director that then does not serve the
-// connected clients, accepts none after some have closed, or retries accept in a loop that uses up the CPU.
+// Lets clients connect until the process has no descriptors left. Guards against a director that then does not serve
+// the connected clients, accepts none after some have closed, or retries accept in a loop that uses up the CPU.
 func TestDescriptorExhaustion(t *testing.T) {
 	source, err := discovery.Start(rulecheck.DiscardRecorder, nil, []wire.TitlePlacement{{Title: "t", Copies: 1}})
 	if err != nil {
@@ -254,8 +254,8 @@
 	}
 }
 
-// Runs a load scenario with each kind of part over processes, loads the saved results and plots them. Guards against lost
-// idle connections, parts whose requests are not answered, and results that can't be read again.
+// Runs a load scenario with each kind of part over processes, loads the saved results and plots them. Guards against
+// lost idle connections, parts whose requests are not answered, and results that can't be read again.
 func TestScenarioWithProcesses(t *testing.T) {
 	s := file(t, "small.jsonc", `{"name": "small", "clients": 2, "directors": 2, "nodes": 4, "racks": 2, "warm": "1s", "for": "2s", "room": 1000,
 		"parts": [{"kind": "idle", "connections": 21}, {"kind": "set-ups", "connections": 4, "rate": 50, "length": "200ms"},
--- a/cmd/fordusher/pause_test.go
+++ b/cmd/fordusher/pause_test.go
@@ -7,8 +7,8 @@
 )
 
 // Stops the process while a request arrives, so that the request waits in the kernel and its client has less time left
-// than the request says. Guards against a time-out stated to a node that is longer than the client's remaining time, with
-// a tolerance of 0.15 s.
+// than the request says. Guards against a set-up whose time-out is longer than the client's remaining time, with a
+// tolerance of 0.15 s.
 func TestSetupTimeoutCountsProcessPause(t *testing.T) {
 	const (
 		wait      = 800 * time.Millisecond
--- a/cmd/fordusher/platform_test.go
+++ b/cmd/fordusher/platform_test.go
@@ -23,8 +23,8 @@
 	"fordusher/internal/loopback"
 )
 
-// These tests run the program as the platform runs it: as a process between media nodes, a discovery server and clients.
-// The tests implement these peers from the protocol documents, and control when the peers answer.
+// These tests run the program as the platform runs it: as a process between media nodes, a discovery server and
+// clients. The tests implement these peers from the protocol documents, and control when the peers answer.
 
 const waitTimeout = 20 * time.Second // the longest that a test waits for an expected event
 
@@ -43,7 +43,7 @@
 	ln      net.Listener
 	mu      sync.Mutex
 	holding bool
-	// setupReply returns the bytes that the node sends for a set-up, in one write; if nil, it is setupResponse
+	// setupReply returns the bytes that the node sends for a set-up, in one write; nil: those of setupResponse
 	setupReply  func(session string) string
 	heldAnswers []func()
 	sessions    []string       // sessions set up, in order
@@ -207,8 +207,8 @@
 		c.listen, c.discovery, c.sockets, strings.Join(targets, ","), c.deadline, c.deadline, len(c.nodes))
 }
 
-// freeAddress returns a loopback address that nothing listens on. It stays reserved for the test's own listeners until the
-// test ends.
+// freeAddress returns a loopback address that nothing listens on. It stays reserved for the test's own listeners until
+// the test ends.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := loopback.Reserve()
@@ -324,7 +324,8 @@
 	}
 }
 
-// A discoveryServer passes on each connection on which it has received the number of the event to send updates from.
+// A discoveryServer accepts a director's connections and reads the request that begins each: the number of the event
+// from which to send updates. It then passes the connection to the test, which sends the events.
 type discoveryServer struct {
 	ln       net.Listener
 	requests chan net.Conn
@@ -373,8 +374,8 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(raw, 1000), 0)
 }
 
-// Idle clients that keep connecting fill a small descriptor limit while discovery is down. Guards against a director that
-// then can't connect to its 200 media nodes, serve a new client, or reconnect to discovery once it is back.
+// Idle clients that keep connecting fill a small descriptor limit while discovery is down. Guards against a director
+// that then can't connect to its 200 media nodes, serve a new client, or reconnect to discovery once it is back.
 func TestIdleClientsFillDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil || limit.Cur < 2500 {
@@ -534,9 +535,9 @@
 	c.expect(kindRelease, 2) // and no message about session 1 before it
 }
 
-// Moves discovery to a new address with SIGHUP, while the old discovery server closes in the middle of a frame. Then only
-// the new server reports that a node drains. Guards against a director that stays with the old server and sends set-ups
-// to the draining node.
+// Moves discovery to a new address with SIGHUP, while the old discovery server closes in the middle of a frame. Then
+// only the new server reports that a node drains. Guards against a director that stays with the old server and sends
+// set-ups to the draining node.
 func TestSIGHUPSwitchesDiscovery(t *testing.T) {
 	nodes := []*mediaNode{newMediaNode(t), newMediaNode(t)}
 	config := platformConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 5, nodes: nodes}
--- a/cmd/fordusher/processes.go
+++ b/cmd/fordusher/processes.go
@@ -159,8 +159,8 @@
 	SaveTo  string      `json:"save,omitempty"`  // a file to write the records so far to
 }
 
-// A nodeReply is a line that the nodes' process prints in reply to a nodeRequest. A line with Overloaded is not a reply:
-// it reports that the named node has failed because of overload.
+// A nodeReply is a line that the nodes' process prints in reply to a nodeRequest. A line with Overloaded is not a
+// reply: it reports that the named node has failed because of overload.
 type nodeReply struct {
 	Start      uint64        `json:"start,omitempty"`
 	Age        time.Duration `json:"age,omitempty"`
--- a/cmd/fordusher/release_test.go
+++ b/cmd/fordusher/release_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // A node ends a session right after its answer, with the cause that the session was moved or that its client has ended
-// it. The client can't have ended it, since the answer is still on the way to it. Guards against a director that does not
-// send the answer and then the release, which leaves the client with a session that is over.
+// it. The client can't have ended it, since the answer is still on the way to it. Guards against a director that does
+// not send the answer and then the release: the client would wait on a session that is over.
 func TestReleaseRightAfterAnswerReachesClient(t *testing.T) {
 	const moved = 31
 	n := newMediaNode(t)
--- a/cmd/fordusher/scale.go
+++ b/cmd/fordusher/scale.go
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// exceededBounds names the measurements that exceed what the operators' standing test allows at a larger size, given
-// those at the baseline size.
+// exceededBounds names the measurements that exceed their bounds, given those at the baseline size. The bounds are
+// those that a test which the operators run regularly sets for a larger fleet.
 func exceededBounds(baseline, usage soak.Usage) (exceeded []string) {
 	thousands := float64(usage.Servers) / 1000
 	const megabyte, kilobyte = 1 << 20, 1 << 10
--- a/cmd/fordusher/soak_test.go
+++ b/cmd/fordusher/soak_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Runs a short soak with two seeds: directors run as processes that are killed, stopped, restarted and frozen, while nodes
-// and discovery fail too. Guards against rule violations under overlapping faults.
+// Runs a short soak with two seeds: directors run as processes that are killed, stopped, restarted and frozen, while
+// nodes and discovery fail too. Guards against rule violations under overlapping faults.
 func TestSoakViolatesNoRule(t *testing.T) {
 	t.Setenv("FORDUSHER_MAIN", "1")
 	t.Setenv("GORACE", "atexit_sleep_ms=0")
--- a/cmd/fordusher/stop_test.go
+++ b/cmd/fordusher/stop_test.go
@@ -14,8 +14,8 @@
 const lossWindow = 50 * time.Millisecond
 
 // Sends requests on open connections after SIGTERM until the director closes them. Guards against a request without an
-// answer, other than one sent just before the close, and against a program that has not exited by itself at the time when
-// the platform kills it, also with short deadlines.
+// answer, other than one sent just before the close, and against a program that has not exited by itself at the time
+// when the platform kills it, also with short deadlines.
 func TestRequestsDuringShutdownAreAnswered(t *testing.T) {
 	for _, deadline := range []float64{0.3, 2} {
 		t.Run(fmt.Sprint(deadline), func(t *testing.T) {
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -1,6 +1,6 @@
-// Package conf reads a director's configuration file: JSON with comments, in which every value has its unit. It
-// reports all mistakes of a file at once, each with file, line and column. docs/configuration.md describes the
-// keys.
+// Package conf reads a director's configuration file: JSON with comments, in which every value has its unit. From
+// the text it makes a Config, or reports all mistakes at once, each with file, line and column. Only Load does I/O:
+// it reads the file. Other packages use the Parser for their own files. docs/configuration.md describes the keys.
 package conf
 
 import (
@@ -21,7 +21,8 @@
 
 // Config is the configuration with which a director starts.
 type Config struct {
-	// DisableGuard is for tests that break a rule on purpose; no configuration file sets it.
+	// DisableGuard makes the loop send the decider's legs unchecked. It is for tests that break a rule on purpose; no
+	// configuration file sets it.
 	DisableGuard bool
 
 	Name                 string
@@ -59,7 +60,7 @@
 // clientCloseTimeout is the time that client connections may take to close when a director shuts down.
 const clientCloseTimeout = 200 * time.Millisecond
 
-// NewDecider returns a policy director for the configuration.
+// NewDecider returns the decider of the policy module with the configuration's settings.
 func (c *Config) NewDecider(seed uint64) *policy.Director {
 	tariffs := make([]policy.Tariff, len(c.Tariffs))
 	for i, t := range c.Tariffs {
@@ -68,7 +69,8 @@
 	return policy.New(seed, c.Peers, tariffs, c.Ladder, c.Topology, c.Ramp, c.Legs, c.ReportTiming)
 }
 
-// NewLoop returns a director's loop that uses the given decider. The text boot has to be different in every run.
+// NewLoop returns a director's loop that uses the given decider. boot identifies the run: it has to be different in
+// every run of a director.
 func (c *Config) NewLoop(boot string, seed uint64, decider director.Decider) *director.Loop {
 	loop := director.New(c.Name, boot, seed, decider, c.Tariffs, c.MachineKinds, c.Ladder, c.ProtocolOptions, c.ReconnectPolicy, c.ShutdownPolicy, c.Capacity, c.Queue)
 	if c.DisableGuard {
@@ -97,33 +99,33 @@
 	c.parseDirector(p, o.Object("director", true))
 	c.ListenAddress = parseAddress(p, o, "listen", true)
 	c.MetricsAddress = parseAddress(p, o, "metrics", false)
-	list := o.Object("list", !o.Has("nodes"))
-	c.DiscoveryAddress = parseAddress(p, list, "address", !o.Has("nodes"))
-	pollWithin := list.Duration("ask_within", 0, time.Second, time.Hour, false)
-	list.ReportUnknownKeys()
+	discovery := o.Object("list", !o.Has("nodes"))
+	c.DiscoveryAddress = parseAddress(p, discovery, "address", !o.Has("nodes"))
+	pollWithin := discovery.Duration("ask_within", 0, time.Second, time.Hour, false)
+	discovery.ReportUnknownKeys()
 	c.parseLadder(p, o.Object("ladder", true))
 	c.parseTariffs(p, o.Object("tariffs", true))
-	c.parseFleet(p, o.Object("fleet", true))
+	c.parseTopology(p, o.Object("fleet", true))
 	c.parseRamp(o.Object("ramp", true))
 	c.Ramp.PollWithin = pollWithin
 	c.parseLegs(p, o.Object("legs", false))
 	c.parseReportTiming(o.Object("tidings", false))
 	c.parseProtocolOptions(p, o.Object("manners", false))
-	reach := o.Object("reach", false)
-	c.ReconnectPolicy.InitialBackoff = reach.Duration("first", 200*time.Millisecond, time.Millisecond, time.Minute, false)
-	c.ReconnectPolicy.MaxBackoff = reach.Duration("most", 5*time.Second, time.Millisecond, time.Hour, false)
-	c.ReconnectPolicy.MaxConcurrent = reach.Int("at_once", 64, 1, 10_000, false)
+	reconnect := o.Object("reach", false)
+	c.ReconnectPolicy.InitialBackoff = reconnect.Duration("first", 200*time.Millisecond, time.Millisecond, time.Minute, false)
+	c.ReconnectPolicy.MaxBackoff = reconnect.Duration("most", 5*time.Second, time.Millisecond, time.Hour, false)
+	c.ReconnectPolicy.MaxConcurrent = reconnect.Int("at_once", 64, 1, 10_000, false)
 	if c.ReconnectPolicy.InitialBackoff > c.ReconnectPolicy.MaxBackoff {
-		p.AddProblem(reach.OffsetOf("first"), "first is %v; it has to be at most the value of most, %v", c.ReconnectPolicy.InitialBackoff, c.ReconnectPolicy.MaxBackoff)
+		p.AddProblem(reconnect.OffsetOf("first"), "first is %v; it has to be at most the value of most, %v", c.ReconnectPolicy.InitialBackoff, c.ReconnectPolicy.MaxBackoff)
 	}
-	reach.ReportUnknownKeys()
-	closing := o.Object("closing", false)
+	reconnect.ReportUnknownKeys()
+	shutdownKeys := o.Object("closing", false)
 	c.ShutdownPolicy = shutdown.Policy{
-		Timeout:       closing.Duration("within", 8*time.Second, time.Millisecond, time.Hour, false),
-		BatchInterval: closing.Duration("slice", 500*time.Millisecond, time.Millisecond, time.Minute, false),
+		Timeout:       shutdownKeys.Duration("within", 8*time.Second, time.Millisecond, time.Hour, false),
+		BatchInterval: shutdownKeys.Duration("slice", 500*time.Millisecond, time.Millisecond, time.Minute, false),
 		CloseTimeout:  clientCloseTimeout,
 	}
-	closing.ReportUnknownKeys()
+	shutdownKeys.ReportUnknownKeys()
 	c.parseLimits(p, o.Object("limits", false))
 	c.parseNodes(p, o.Object("nodes", false))
 	c.parseTitles(p, o.Object("titles", false))
@@ -214,7 +216,7 @@
 	o.ReportUnknownKeys()
 }
 
-func (c *Config) parseFleet(p *Parser, o *Object) {
+func (c *Config) parseTopology(p *Parser, o *Object) {
 	c.Topology = policy.Topology{
 		Cells:            o.Int("cells", 0, 1, 1e6, true),
 		Racks:            o.Int("racks", 0, 1, 1e6, true),
--- a/internal/day/baseline.go
+++ b/internal/day/baseline.go
@@ -10,8 +10,8 @@
 )
 
 // Baselines are simple deciders, by name, that the policy module is compared with. They run in the same director
-// loop. They follow the server list, avoid draining nodes and never set up a paid session twice, but judge neither
-// failures nor slow start nor, apart from least-middle's count of streams, load.
+// loop. They follow the server list, avoid draining nodes and never set up a paid session twice. They ignore failed
+// nodes and slow start, and only least-middle considers load: it counts each node's streams.
 var Baselines = map[string]func(config *conf.Config, seed uint64) director.Decider{
 	"random-lowest": func(config *conf.Config, seed uint64) director.Decider {
 		return newBaseline(config, seed, selectRandom)
@@ -38,7 +38,7 @@
 	config    *conf.Config
 	random    *rand.Rand
 	selection selection
-	next      int
+	next      int // the last position of selectRoundRobin in the rotation
 	nodes     map[string]policy.NodeEntry
 	nodeNames []string
 	streams   map[string]float64          // by node name, from load reports and own legs
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -14,8 +14,8 @@
 	"fordusher/policy"
 )
 
-// shortDay is a script of six seconds in which drains, a crash, lost answers, a delayed server list and killed directors
-// overlap.
+// shortDay is a script of six seconds in which drains, a crash, lost answers, a delayed server list and killed
+// directors overlap.
 const shortDay = `{
   "length": "6s", "requests": 500, "directors": 3, "nodes": 12, "racks": 3, "titles": 10, "load": 0.8,
   "viewers": {"mean_length": "1500ms", "hasty": 0.1, "repeats": 0.05, "drops": 0.1},
@@ -31,8 +31,8 @@
   ],
 }`
 
-// testTolerance allows for stalls of CI machines. The violations that the rule checker must find here exceed a second
-// by far.
+// testTolerance allows for stalls of CI machines. The violations that the rule checker has to find here are longer than
+// a second by far.
 const testTolerance = 400 * time.Millisecond
 
 func runScript(t *testing.T, text string, opt Options) *Result {
--- a/internal/day/harness.go
+++ b/internal/day/harness.go
@@ -33,7 +33,7 @@
 	WrapDecider  func(d director.Decider) director.Decider // wraps the decider in tests; may be nil
 	Launcher     Launcher                                  // nil: all parts run in this process
 	Tolerance    time.Duration                             // of the rule checker; 0: 100 ms
-	Config       *conf.Config                              // a director's config with nodes and titles that replace the script's; may be nil
+	Config       *conf.Config                              // a director's config whose nodes and titles replace the script's; may be nil
 	ListUpdates  []ListUpdate                              // changes of the server list during the day
 }
 
@@ -56,7 +56,7 @@
 	Address(node string) string
 	// Start returns the identity of a node's current start, and the time since then.
 	Start(node string) (start uint64, age time.Duration)
-	Inject(x node.Fault)
+	Inject(fault node.Fault)
 	// Records returns what the nodes recorded, unless they write to the day's own recorder.
 	Records() ([]rulecheck.Record, error)
 	Close()
@@ -64,7 +64,7 @@
 
 // A Launcher starts the parts of a day in separate processes.
 type Launcher interface {
-	StartNodes(seed uint64, site node.Environment, nodes []node.Spec, record *rulecheck.Recorder, onOverload func(string)) (NodeFleet, error)
+	StartNodes(seed uint64, environment node.Environment, nodes []node.Spec, record *rulecheck.Recorder, onOverload func(string)) (NodeFleet, error)
 	StartDirector(config []byte, name, boot string, seed uint64) (DirectorHandle, error)
 }
 
@@ -215,7 +215,7 @@
 	}
 }
 
-// run starts clients until all of the script's have arrived, and waits for the last of them.
+// run starts clients at the day's arrival rate until all of the script's have arrived, and waits for the last of them.
 func (h *harness) run(ctx context.Context) {
 	h.startedAt = time.Now()
 	if h.opt.Config == nil {
@@ -316,8 +316,8 @@
 	}
 }
 
-// kill ends a director at once. It records the kill before and after: from the first record on, unanswered requests
-// of the director are excused, and until the second one, its messages are still checked against the rules.
+// kill ends a director at once. It records the kill before and after it: requests that are unanswered at the first
+// record are no violation, and messages of the director up to the second record are still checked.
 func (h *harness) kill(slot *directorSlot) {
 	h.recorder.Add(rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: slot.name})
 	h.mu.Lock()
--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -22,10 +22,10 @@
 //go:embed director.jsonc
 var configText string
 
-var configTemplate = template.Must(template.New("house").Parse(configText))
+var configTemplate = template.Must(template.New("director.jsonc").Parse(configText))
 
-// rungValues is the value of a second at each rung, as a share of the highest rung's. director.jsonc has the same
-// numbers under "worth".
+// rungValues is the value of a second of playing at each rung, as a share of its value at the highest rung.
+// director.jsonc has the same numbers under "worth".
 var rungValues = []float64{0.23, 0.52, 0.76, 1}
 
 // stallCost is the loss of value per share of the rung's rate that a stream lacks; see node.Environment.
@@ -190,9 +190,9 @@
 // WeightedSeconds returns the day's length in seconds, with the time of each burst multiplied by its arrival rate.
 func (layout *Layout) WeightedSeconds() float64 {
 	seconds := layout.Script.Length.Seconds()
-	for _, t := range layout.Script.Incidents {
-		if t.Kind == "burst" {
-			seconds += min(t.Duration, layout.Script.Length-t.At).Seconds() * (t.Size - 1)
+	for _, incident := range layout.Script.Incidents {
+		if incident.Kind == "burst" {
+			seconds += min(incident.Duration, layout.Script.Length-incident.At).Seconds() * (incident.Size - 1)
 		}
 	}
 	return seconds
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -1,5 +1,7 @@
 // Package day runs a scripted day on loopback sockets: directors with emulated nodes, discovery and clients, and
-// incidents that overlap. A rule checker judges the day from the messages that crossed the sockets.
+// incidents that overlap. A Script and a seed go in. A Result comes out: counts, latencies, and the findings of a rule
+// checker, which judges the day from the messages that crossed the sockets. Scripts, layouts and timelines do no I/O
+// apart from reading script files; package emulator runs the same ones in virtual time.
 package day
 
 import (
@@ -24,8 +26,8 @@
 var IncidentKinds = []string{"ageing", "answer_lost", "balancer_roll", "burst", "crash", "deploy", "discovery_stale", "fast_errors",
 	"hang", "hot_key", "origin_slow", "preempt", "shared_slow", "vanish"}
 
-// An Incident is a fault, a change of load, or a rollout during a day. What Share and Size stand for depends on the
-// kind.
+// An Incident is a fault, a change of load, or a rollout during a day. docs/day-scripts.md explains for each kind what
+// Share and Size stand for.
 type Incident struct {
 	Kind     string
 	At       time.Duration
@@ -76,8 +78,8 @@
 
 // ParseScript parses a script.
 func ParseScript(file string, text []byte) (*Script, error) {
-	r, o := conf.Parse(file, text)
-	if err := r.Err(); err != nil {
+	parser, o := conf.Parse(file, text)
+	if err := parser.Err(); err != nil {
 		return nil, err
 	}
 	s := &Script{
@@ -91,7 +93,7 @@
 		Seed:      uint64(o.Int("seed", 0, 0, 1<<53, false)),
 	}
 	if s.Racks > s.Nodes {
-		r.AddProblem(o.OffsetOf("racks"), "there are %d racks for %d nodes", s.Racks, s.Nodes)
+		parser.AddProblem(o.OffsetOf("racks"), "there are %d racks for %d nodes", s.Racks, s.Nodes)
 	}
 	clients := o.Object("viewers", false)
 	s.MeanLength = clients.Duration("mean_length", 3*time.Second, 100*time.Millisecond, time.Hour, false)
@@ -105,7 +107,7 @@
 		DisconnectShare:    clients.Number("drops", 0.03, 0, 1, false),
 	}
 	if s.Behavior.MinRetryDelay > s.Behavior.MaxRetryDelay {
-		r.AddProblem(clients.OffsetOf("pause_low"), "pause_low is %v, longer than pause_high, which is %v", s.Behavior.MinRetryDelay, s.Behavior.MaxRetryDelay)
+		parser.AddProblem(clients.OffsetOf("pause_low"), "pause_low is %v, longer than pause_high, which is %v", s.Behavior.MinRetryDelay, s.Behavior.MaxRetryDelay)
 	}
 	clients.ReportUnknownKeys()
 	list := o.Object("list", false)
@@ -113,7 +115,7 @@
 	s.MaxListDelay = list.Duration("notice_high", 900*time.Millisecond, 0, time.Hour, false)
 	s.SilentNodeListDelay = list.Duration("silent_notice", 3*time.Second, 0, time.Hour, false)
 	if s.MinListDelay > s.MaxListDelay {
-		r.AddProblem(list.OffsetOf("notice_low"), "notice_low is %v, longer than notice_high, which is %v", s.MinListDelay, s.MaxListDelay)
+		parser.AddProblem(list.OffsetOf("notice_low"), "notice_low is %v, longer than notice_high, which is %v", s.MinListDelay, s.MaxListDelay)
 	}
 	list.ReportUnknownKeys()
 	o.Objects("troubles", false, func(_ int, incident *conf.Object) {
@@ -125,16 +127,16 @@
 			Size:     incident.Number("size", defaultSize(incident.Text("kind", "", false)), 0, 1000, false),
 		}
 		if x.Kind != "" && !slices.Contains(IncidentKinds, x.Kind) {
-			r.AddProblem(incident.OffsetOf("kind"), "unknown trouble %q; the troubles are %s", x.Kind, strings.Join(IncidentKinds, ", "))
+			parser.AddProblem(incident.OffsetOf("kind"), "unknown trouble %q; the troubles are %s", x.Kind, strings.Join(IncidentKinds, ", "))
 		}
 		if x.At >= s.Length {
-			r.AddProblem(incident.OffsetOf("at"), "%s begins at %v, but the day ends at %v", x.Kind, x.At, s.Length)
+			parser.AddProblem(incident.OffsetOf("at"), "%s begins at %v, but the day ends at %v", x.Kind, x.At, s.Length)
 		}
 		incident.ReportUnknownKeys()
 		s.Incidents = append(s.Incidents, x)
 	})
 	o.ReportUnknownKeys()
-	if err := r.Err(); err != nil {
+	if err := parser.Err(); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -146,14 +148,15 @@
 	if comment != "" {
 		fmt.Fprintf(&b, "// %s\n", strings.ReplaceAll(comment, "\n", "\n// "))
 	}
-	h := s.Behavior
+	behavior := s.Behavior
 	fmt.Fprintf(&b, "{\n  \"seed\": %d, \"length\": \"%v\", \"requests\": %d, \"directors\": %d, \"nodes\": %d, \"racks\": %d, \"titles\": %d, \"load\": %g,\n", s.Seed,
 		s.Length, s.Requests, s.Directors, s.Nodes, s.Racks, s.Titles, s.Load)
 	fmt.Fprintf(&b, "  \"viewers\": {\"mean_length\": \"%v\", \"returns\": %g, \"pause_low\": \"%v\", \"pause_high\": \"%v\", \"heeds\": %g, \"hasty\": %g, \"repeats\": %g, \"drops\": %g},\n",
-		s.MeanLength, h.RetryShare, h.MinRetryDelay, h.MaxRetryDelay, h.HonorsBackoffShare, h.CancelShare, h.DuplicateShare, h.DisconnectShare)
+		s.MeanLength, behavior.RetryShare, behavior.MinRetryDelay, behavior.MaxRetryDelay, behavior.HonorsBackoffShare,
+		behavior.CancelShare, behavior.DuplicateShare, behavior.DisconnectShare)
 	fmt.Fprintf(&b, "  \"list\": {\"notice_low\": \"%v\", \"notice_high\": \"%v\", \"silent_notice\": \"%v\"},\n  \"troubles\": [\n", s.MinListDelay, s.MaxListDelay, s.SilentNodeListDelay)
-	for _, t := range s.Incidents {
-		fmt.Fprintf(&b, "    {\"kind\": \"%s\", \"at\": \"%v\", \"for\": \"%v\", \"share\": %g, \"size\": %g},\n", t.Kind, t.At, t.Duration, t.Share, t.Size)
+	for _, x := range s.Incidents {
+		fmt.Fprintf(&b, "    {\"kind\": \"%s\", \"at\": \"%v\", \"for\": \"%v\", \"share\": %g, \"size\": %g},\n", x.Kind, x.At, x.Duration, x.Share, x.Size)
 	}
 	b.WriteString("  ],\n}\n")
 	return []byte(b.String())
--- a/internal/day/timeline.go
+++ b/internal/day/timeline.go
@@ -96,7 +96,8 @@
 	b.add(Action{At: at, List: &ListChange{Machine: i, State: wire.Up, Born: true, Late: b.drawListDelay()}})
 }
 
-// addListUpdates adds the layout's list updates. Nodes that they add start cold, and nodes that they remove exit.
+// addListUpdates adds the layout's list updates. Nodes that they add start, and so begin with their slow start; nodes
+// that they remove exit.
 func (b *timelineBuilder) addListUpdates() {
 	index := map[string]int{}
 	down := make([]bool, len(b.layout.Nodes))
@@ -154,7 +155,7 @@
 // addIncident adds the actions of one incident.
 func (b *timelineBuilder) addIncident(incident Incident) {
 	end := incident.At + incident.Duration
-	size := time.Duration(incident.Size * float64(time.Second))
+	size := time.Duration(incident.Size * float64(time.Second)) // for the kinds whose size is a number of seconds
 	switch incident.Kind {
 	case "crash":
 		b.forEachNode(incident, incident.Duration, "die, back cold", func(i int) {
@@ -216,7 +217,7 @@
 }
 
 // addDeploy replaces a share of the nodes in waves of an eighth of the fleet. The nodes of a wave are listed as
-// draining, exit a second after the maximum list delay, and restart cold after the incident's size.
+// draining, exit a second after the maximum list delay, and restart after the downtime.
 func (b *timelineBuilder) addDeploy(incident Incident, downtime time.Duration) {
 	nodes := b.claimNodes(incident, incident.At+incident.Duration+downtime+b.layout.Script.MaxListDelay+time.Second)
 	b.announce(incident.At, "deploy: %d nodes are replaced in waves", len(nodes))
@@ -235,7 +236,7 @@
 }
 
 // addDirectorRestarts kills all directors in batches of the incident's share and restarts each batch after the
-// incident's size, with an empty state.
+// downtime, with an empty state.
 func (b *timelineBuilder) addDirectorRestarts(incident Incident, downtime time.Duration) {
 	count := b.layout.Script.Directors
 	batch := max(1, int(incident.Share*float64(count)))
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -71,8 +71,8 @@
 		c.active++
 		c.maxEarning += request.BestRungValue * sim.creditByTariff[request.Tariff]
 		c.requestedValue[request.Tariff] += request.Length.Seconds() * request.BestRungValue
-		cl := &emulatedClient{ClientRequest: request, random: random, remaining: request.Length, waitingSince: at}
-		c.connect(at, cl)
+		client := &emulatedClient{ClientRequest: request, random: random, remaining: request.Length, waitingSince: at}
+		c.connect(at, client)
 	}
 	if c.arrived < sim.script.Requests {
 		sim.events.schedule(at+arrivalInterval, c.addArrivals)
@@ -87,17 +87,17 @@
 }
 
 // connect begins an attempt: the client connects to a random director.
-func (c *clientModel) connect(at time.Duration, cl *emulatedClient) {
+func (c *clientModel) connect(at time.Duration, client *emulatedClient) {
 	sim := c.sim
-	d := sim.directors[cl.random.IntN(len(sim.directors))]
+	d := sim.directors[client.random.IntN(len(sim.directors))]
 	if !d.running { // the connection is refused
-		c.finishAttempt(at, cl, attemptOutcome{retry: true})
+		c.finishAttempt(at, client, attemptOutcome{retry: true})
 		return
 	}
 	c.lastConnID++
-	conn := &clientConn{client: cl, id: c.lastConnID, director: d.index, boot: d.boot, requestID: strconv.Itoa(cl.retries + 1)}
+	conn := &clientConn{client: client, id: c.lastConnID, director: d.index, boot: d.boot, requestID: strconv.Itoa(client.retries + 1)}
 	c.conns[conn.id] = conn
-	sim.deliver(at+sim.drawLatency(cl.random), d, d.boot, director.ClientConnecting{Conn: conn.id, Address: clientAddress(conn.id)})
+	sim.deliver(at+sim.drawLatency(client.random), d, d.boot, director.ClientConnecting{Conn: conn.id, Address: clientAddress(conn.id)})
 }
 
 // clientAccepted sends the request of a client whose connection the director has accepted.
@@ -107,23 +107,23 @@
 	if conn == nil || conn.closed {
 		return
 	}
-	cl := conn.client
+	client := conn.client
 	behavior := sim.script.Behavior
 	conn.requestedAt = at
-	m := wire.SessionMessage{Type: wire.Request, ID: conn.requestID, Tariff: cl.Tariff, Title: cl.Title, Key: fmt.Sprintf("%s-%d", cl.Key, cl.sessionNumber), MaxRung: cl.MaxRung,
-		WaitMS: cl.Wait.Milliseconds(), LengthMS: cl.remaining.Milliseconds(), Retry: cl.retries > 0}
-	c.send(at, conn, m, rulecheck.Record{Tariff: cl.Tariff, Title: cl.Title, Wait: cl.Wait, Retry: cl.retries > 0})
-	if cl.random.Float64() < behavior.DuplicateShare {
-		c.send(at, conn, m, rulecheck.Record{Tariff: cl.Tariff})
+	m := wire.SessionMessage{Type: wire.Request, ID: conn.requestID, Tariff: client.Tariff, Title: client.Title, Key: fmt.Sprintf("%s-%d", client.Key, client.sessionNumber), MaxRung: client.MaxRung,
+		WaitMS: client.Wait.Milliseconds(), LengthMS: client.remaining.Milliseconds(), Retry: client.retries > 0}
+	c.send(at, conn, m, rulecheck.Record{Tariff: client.Tariff, Title: client.Title, Wait: client.Wait, Retry: client.retries > 0})
+	if client.random.Float64() < behavior.DuplicateShare {
+		c.send(at, conn, m, rulecheck.Record{Tariff: client.Tariff})
 	}
-	sim.events.schedule(at+cl.Wait+400*time.Millisecond, func(at time.Duration) { // a late answer is still recorded
+	sim.events.schedule(at+client.Wait+400*time.Millisecond, func(at time.Duration) { // a late answer is still recorded
 		if !conn.closed && conn.playingSince == 0 && !conn.cancelling {
 			sim.addRecord(at, c.newRecord(conn, rulecheck.ClientTimedOut))
-			c.disconnect(at, conn, attemptOutcome{retry: !cl.Paid})
+			c.disconnect(at, conn, attemptOutcome{retry: !client.Paid})
 		}
 	})
-	if cl.random.Float64() < behavior.CancelShare { // close to the time of the answer, so that cancellation and answer often cross
-		sim.events.schedule(at+time.Duration(cl.random.Int64N(int64(60*time.Millisecond))), func(at time.Duration) {
+	if client.random.Float64() < behavior.CancelShare { // close to the time of the answer, so that cancellation and answer often cross
+		sim.events.schedule(at+time.Duration(client.random.Int64N(int64(60*time.Millisecond))), func(at time.Duration) {
 			if conn.closed || conn.playingSince > 0 {
 				return
 			}
@@ -138,8 +138,8 @@
 	return rulecheck.Record{Kind: kind, Client: conn.client.ClientNumber, Conn: conn.id, Director: c.sim.directors[conn.director].name, RequestID: conn.requestID}
 }
 
-// send records a client's message and delivers it to the director through the codec. The record gets the
-// request's fields from the argument of that name.
+// send records a client's message and delivers it to the director through the codec. fields holds the values that
+// the record of a request has in addition: tariff, title, wait and whether it is a retry.
 func (c *clientModel) send(at time.Duration, conn *clientConn, m wire.SessionMessage, fields rulecheck.Record) {
 	r := c.newRecord(conn, m.Type)
 	r.Tariff, r.Title, r.Wait, r.Retry = fields.Tariff, fields.Title, fields.Wait, fields.Retry
@@ -182,7 +182,7 @@
 	if conn.cancelling {
 		return
 	}
-	cl := conn.client
+	client := conn.client
 	switch {
 	case m.Type == wire.SessionEnded && conn.playingSince > 0:
 		c.disconnect(at, conn, attemptOutcome{played: at - conn.playingSince, retry: m.Reason != "ended"})
@@ -190,17 +190,17 @@
 	case m.Type == wire.Nack:
 		c.disconnect(at, conn, attemptOutcome{backoff: time.Duration(m.BackoffMS) * time.Millisecond, retry: true})
 	case m.Type == wire.Errored:
-		c.disconnect(at, conn, attemptOutcome{retry: !cl.Paid})
+		c.disconnect(at, conn, attemptOutcome{retry: !client.Paid})
 	case m.Type == wire.Playing:
 		c.latencies = append(c.latencies, at-conn.requestedAt)
-		if at-cl.waitingSince <= cl.StartGoal {
+		if at-client.waitingSince <= client.StartGoal {
 			c.startedInTime[m.Session] = true
 		}
 		conn.playingSince = at
-		remaining := cl.remaining
+		remaining := client.remaining
 		sim.events.schedule(at+remaining+time.Second, func(at time.Duration) { c.disconnect(at, conn, attemptOutcome{played: remaining}) }) // for a node that does not end the session itself
-		if cl.random.Float64() < sim.script.Behavior.DisconnectShare {
-			sim.events.schedule(at+time.Duration(cl.random.Int64N(int64(max(1, remaining)))), func(at time.Duration) {
+		if client.random.Float64() < sim.script.Behavior.DisconnectShare {
+			sim.events.schedule(at+time.Duration(client.random.Int64N(int64(max(1, remaining)))), func(at time.Duration) {
 				c.disconnect(at, conn, attemptOutcome{played: at - conn.playingSince, retry: true, sameSession: true})
 			})
 		}
@@ -268,25 +268,25 @@
 }
 
 // finishAttempt schedules the client's retry, or removes the client from the day.
-func (c *clientModel) finishAttempt(at time.Duration, cl *emulatedClient, outcome attemptOutcome) {
+func (c *clientModel) finishAttempt(at time.Duration, client *emulatedClient, outcome attemptOutcome) {
 	sim, behavior := c.sim, c.sim.script.Behavior
-	cl.remaining -= outcome.played
+	client.remaining -= outcome.played
 	if outcome.played > 0 {
-		cl.waitingSince = at
+		client.waitingSince = at
 	}
 	if !outcome.sameSession {
-		cl.sessionNumber++
+		client.sessionNumber++
 	}
-	if !outcome.retry || cl.remaining < 200*time.Millisecond || cl.random.Float64() >= behavior.RetryShare || at > settleTime+sim.script.Length+2*time.Second {
+	if !outcome.retry || client.remaining < 200*time.Millisecond || client.random.Float64() >= behavior.RetryShare || at > settleTime+sim.script.Length+2*time.Second {
 		c.active--
-		c.maxEarning -= cl.BestRungValue * sim.creditByTariff[cl.Tariff]
+		c.maxEarning -= client.BestRungValue * sim.creditByTariff[client.Tariff]
 		c.checkFinished()
 		return
 	}
-	pause := behavior.MinRetryDelay + time.Duration(cl.random.Int64N(int64(max(1, behavior.MaxRetryDelay-behavior.MinRetryDelay))))
-	if outcome.backoff > 0 && cl.random.Float64() < behavior.HonorsBackoffShare {
+	pause := behavior.MinRetryDelay + time.Duration(client.random.Int64N(int64(max(1, behavior.MaxRetryDelay-behavior.MinRetryDelay))))
+	if outcome.backoff > 0 && client.random.Float64() < behavior.HonorsBackoffShare {
 		pause = max(pause, outcome.backoff)
 	}
-	cl.retries++
-	sim.events.schedule(at+pause, func(at time.Duration) { c.connect(at, cl) })
+	client.retries++
+	sim.events.schedule(at+pause, func(at time.Duration) { c.connect(at, client) })
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,7 +1,8 @@
 // Package emulator runs a scripted day in virtual time. One process holds hundreds of directors with their real
 // loops, policy module and codec, together with models of the nodes, discovery, the network and the clients.
-// Nothing reads a clock and all random sources are seeded, so a day produces the same records byte for byte on
-// every run, on any number of cores.
+// A script and a seed go in; the records, their hash, and the result of the rule checks come out. Nothing reads a
+// clock and all random sources are seeded, so a day produces the same records byte for byte on every run, on any
+// number of cores. Only experiments do I/O: they read and write files.
 //
 // Virtual time advances in windows as long as the minimum network latency. Within a window no message can travel
 // from a director to another director or to the environment, so the directors run in parallel. Afterwards the
@@ -80,7 +81,7 @@
 	outgoing     []outgoingEvent // outputs of the current window, in order
 	random       *rand.Rand
 	lastArrivals map[uint64]time.Duration // by route: messages on one route do not overtake each other
-	lastReceived map[uint64]time.Duration // by link
+	lastReceived map[uint64]time.Duration // by link: when the director last received a message
 	nodeByLink   map[uint64]int           // by link: the index of the link's node
 	shutdownDone bool                     // the director has completed its shutdown
 }
@@ -317,21 +318,21 @@
 type workerPool struct {
 	wait    sync.WaitGroup
 	tasks   chan func()
-	size    int
-	claimed atomic.Int64
+	size    int          // workers, with the caller of run as one of them
+	claimed atomic.Int64 // directors of the current window that a worker has taken
 }
 
 func newWorkerPool(size int) *workerPool {
-	c := &workerPool{tasks: make(chan func()), size: size}
+	p := &workerPool{tasks: make(chan func()), size: size}
 	for range size - 1 {
 		go func() {
-			for f := range c.tasks {
+			for f := range p.tasks {
 				f()
-				c.wait.Done()
+				p.wait.Done()
 			}
 		}()
 	}
-	return c
+	return p
 }
 
 func (p *workerPool) close() { close(p.tasks) }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -157,8 +157,8 @@
 }
 
 // 20 to 30 directors share nodes that have just restarted. During the warm-up the directors are killed, a third at a
-// time, and forget what they have sent. In any overload window the set-ups from all directors together must stay within the
-// budget N of the node's ramp plus a random excess of 2*sqrt(N) + 2. The nodes must still get set-ups during the
+// time, and forget what they have sent. In any overload window the set-ups from all directors together must stay within
+// the budget N of the node's ramp plus a random excess of 2*sqrt(N) + 2. The nodes must still get set-ups during the
 // warm-up, and a baseline that ignores slow start must exceed the budget.
 func TestFleetKeepsSlowStartBudget(t *testing.T) {
 	baselineFailures := 0 // an emulated node fails as soon as its budget is exceeded, so a failure shows that the baseline exceeded it
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r, o := conf.Parse(file, text)
-	if err := r.Err(); err != nil {
+	parser, o := conf.Parse(file, text)
+	if err := parser.Err(); err != nil {
 		return nil, err
 	}
 	x := &Experiment{
@@ -63,11 +63,11 @@
 	}
 	for _, p := range x.Policies {
 		if p != DefaultPolicy && day.Baselines[p] == nil {
-			r.AddProblem(o.OffsetOf("policies"), "there is no policy %q; there are %s and %s", p, DefaultPolicy, strings.Join(sortedKeys(day.Baselines), ", "))
+			parser.AddProblem(o.OffsetOf("policies"), "there is no policy %q; there are %s and %s", p, DefaultPolicy, strings.Join(sortedKeys(day.Baselines), ", "))
 		}
 	}
 	o.ReportUnknownKeys()
-	if err := r.Err(); err != nil {
+	if err := parser.Err(); err != nil {
 		return nil, err
 	}
 	if script == "" {
--- a/internal/emulator/search.go
+++ b/internal/emulator/search.go
@@ -17,7 +17,7 @@
 
 // A Search generates random scripts and looks for days in which a rule is violated, or nearly violated. Scripts
 // that showed a new feature (a rule closer to its limit, another mix of outcomes, a new overlap of incidents) are
-// kept and mutated.
+// added to a corpus, and later scripts are mutations of scripts of the corpus or entirely random.
 type Search struct {
 	Seed       uint64
 	Runs       int
@@ -182,17 +182,17 @@
 func round(x float64) float64 { return math.Round(x*100) / 100 }
 
 func drawIncident(random *rand.Rand, s *day.Script) day.Incident {
-	t := day.Incident{Kind: day.IncidentKinds[random.IntN(len(day.IncidentKinds))], At: time.Duration(random.Int64N(int64(s.Length*3/4)/1e6)) * time.Millisecond,
+	incident := day.Incident{Kind: day.IncidentKinds[random.IntN(len(day.IncidentKinds))], At: time.Duration(random.Int64N(int64(s.Length*3/4)/1e6)) * time.Millisecond,
 		Duration: time.Duration(300+random.IntN(8000)) * time.Millisecond, Share: round(0.02 + drawSkewed(random, 0, 0.6))}
-	switch t.Kind {
+	switch incident.Kind {
 	case "answer_lost", "fast_errors", "hot_key":
-		t.Size = round(random.Float64())
+		incident.Size = round(random.Float64())
 	case "ageing":
-		t.Size = float64(2 + random.IntN(14))
+		incident.Size = float64(2 + random.IntN(14))
 	default:
-		t.Size = round(1 + drawSkewed(random, 0, 3))
+		incident.Size = round(1 + drawSkewed(random, 0, 3))
 	}
-	return t
+	return incident
 }
 
 // mutate returns a copy of a script with one to three random changes.
@@ -285,8 +285,8 @@
 		try("a shorter day", func(x *day.Script) bool {
 			x.Length = (x.Length / 2).Round(100 * time.Millisecond)
 			x.Requests = max(1, x.Requests/2)
-			for _, t := range x.Incidents {
-				if t.At >= x.Length {
+			for _, incident := range x.Incidents {
+				if incident.At >= x.Length {
 					return false
 				}
 			}
--- a/internal/haproxy/token.go
+++ b/internal/haproxy/token.go
@@ -1,7 +1,10 @@
 // Package haproxy parses HAProxy configurations as the configuration manual describes them (versions 2.x and
 // 3.x): words, conditional blocks, sections, and the settings of each proxy after inheritance from defaults
-// sections. It reads only the text and the variables that it is given: it does not read the environment,
-// resolve names or look up addresses of the local machine.
+// sections. A Reader takes texts or files and returns a Config; its Proxies are the proxies with their settings and
+// servers. Apart from these files the package does no I/O: variables come from the caller, not from the environment,
+// and it neither resolves names nor looks up addresses of the local machine.
+//
+// Every Line also records its Outcome, that is, whether an importer carried it over, and why not.
 package haproxy
 
 import (
--- a/internal/importer/import.go
+++ b/internal/importer/import.go
@@ -285,10 +285,10 @@
 
 // reportOptions records the outcome of each option on the lines of the handled servers.
 func (imp *importState) reportOptions() {
-	for _, u := range imp.handled {
-		for _, o := range u.server.OwnOptions {
-			if o.Name != u.reported {
-				imp.reportOption(u.server.Line, o)
+	for _, handled := range imp.handled {
+		for _, o := range handled.server.OwnOptions {
+			if o.Name != handled.reported {
+				imp.reportOption(handled.server.Line, o)
 			}
 		}
 	}
--- a/internal/importer/mapping.go
+++ b/internal/importer/mapping.go
@@ -1,5 +1,7 @@
-// Package importer converts a HAProxy configuration to a director's configuration file. It carries over the
-// settings that have the same meaning for a director, and reports the outcome of every line.
+// Package importer converts a HAProxy configuration to a director's configuration file. Import takes the parsed
+// HAProxy configuration, and an Overlay with the settings that HAProxy does not have. It carries over the settings
+// that have the same meaning for a director. The Result writes the director's file and a report with the outcome of
+// every line. The package opens no files: callers pass texts and writers.
 package importer
 
 import (
--- a/internal/importer/overlay.go
+++ b/internal/importer/overlay.go
@@ -22,7 +22,7 @@
 // A serverPlacement is the part of an overlay that applies to the servers that match one pattern.
 type serverPlacement struct {
 	order    int    // the position in the overlay; later entries override earlier ones
-	pattern  string // matches NAME or BACKEND/NAME; a pattern with wildcards matches BACKEND/NAME as in path.Match
+	pattern  string // a plain one equals NAME or BACKEND/NAME; one with wildcards matches BACKEND/NAME as in path.Match
 	offset   int    // in the overlay file, for error messages
 	cell     int    // the cell of the servers; below 0: not set
 	cellFrom int    // the cell of the first server that matches; the following ones get the next cells; below 0: not set
--- a/internal/load/client_process.go
+++ b/internal/load/client_process.go
@@ -94,7 +94,7 @@
 // partClients are the clients of one part in one process.
 type partClients struct {
 	Part
-	order             ClientConfig
+	config            ClientConfig
 	random            *rand.Rand // for the schedule
 	source            netip.Addr
 	counter           partCounter
@@ -110,18 +110,18 @@
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, 1<<20)
 	if !lines.Scan() {
-		return fmt.Errorf("no client order on the input")
+		return fmt.Errorf("no client configuration on the input")
 	}
-	var o ClientConfig
-	if err := json.Unmarshal(lines.Bytes(), &o); err != nil {
+	var config ClientConfig
+	if err := json.Unmarshal(lines.Bytes(), &config); err != nil {
 		return err
 	}
 	encoder := json.NewEncoder(out)
-	parts := make([]*partClients, len(o.Parts))
-	for i, p := range o.Parts {
+	parts := make([]*partClients, len(config.Parts))
+	for i, p := range config.Parts {
 		// Each part of each client process connects from its own address, so that ports don't run out.
-		parts[i] = &partClients{Part: p, order: o, random: rand.New(rand.NewPCG(o.Seed, uint64(o.Client*100+i))),
-			source: netip.AddrFrom4([4]byte{127, 0, byte(1 + o.Client), byte(1 + i)}), pendingDuplicates: map[*transport.Conn][]time.Duration{},
+		parts[i] = &partClients{Part: p, config: config, random: rand.New(rand.NewPCG(config.Seed, uint64(config.Client*100+i))),
+			source: netip.AddrFrom4([4]byte{127, 0, byte(1 + config.Client), byte(1 + i)}), pendingDuplicates: map[*transport.Conn][]time.Duration{},
 			counter: partCounter{latencies: newHistogram()}}
 		if err := parts[i].connect(ctx); err != nil {
 			return fmt.Errorf("part %s: %w", p.Name, err)
@@ -140,7 +140,7 @@
 	for _, c := range parts {
 		wait.Go(func() { c.run(ctx, time.Duration(startedAt)) })
 	}
-	seconds := int((o.Warmup + o.Duration) / time.Second)
+	seconds := int((config.Warmup + config.Duration) / time.Second)
 	for second := range seconds + 1 { // the additional second collects late answers
 		time.Sleep(time.Duration(startedAt) + time.Duration(second+1)*time.Second - rulecheck.MonotonicNow())
 		for _, c := range parts {
@@ -165,7 +165,7 @@
 
 // directorAddress returns the address of the director for a connection.
 func (c *partClients) directorAddress(i int) string {
-	return c.order.Directors[(i+c.order.Client)%len(c.order.Directors)]
+	return c.config.Directors[(i+c.config.Client)%len(c.config.Directors)]
 }
 
 func (c *partClients) dial(i int) (*transport.Conn, error) {
@@ -248,7 +248,7 @@
 		<-ctx.Done()
 		return
 	}
-	due, end := startedAt, startedAt+c.order.Warmup+c.order.Duration
+	due, end := startedAt, startedAt+c.config.Warmup+c.config.Duration
 	for n := 0; ; n++ {
 		due += time.Duration(c.random.ExpFloat64() / c.Rate * float64(time.Second))
 		if due >= end || ctx.Err() != nil {
@@ -266,10 +266,10 @@
 func (c *partClients) sendRequest(conn *transport.Conn, id string, n int) {
 	length := c.Length
 	if c.Kind == KindDuplicates {
-		length = c.order.Warmup + c.order.Duration
+		length = c.config.Warmup + c.config.Duration
 	}
-	conn.Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip", Title: "title-" + strconv.Itoa(n%c.order.Titles),
-		Key: fmt.Sprintf("%s-%d-%d-%s", c.Name, c.order.Client, n, id), WaitMS: 3000, LengthMS: length.Milliseconds()}), 0)
+	conn.Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip", Title: "title-" + strconv.Itoa(n%c.config.Titles),
+		Key: fmt.Sprintf("%s-%d-%d-%s", c.Name, c.config.Client, n, id), WaitMS: 3000, LengthMS: length.Milliseconds()}), 0)
 }
 
 func (c *partClients) Opened(*transport.Conn) {}
@@ -346,7 +346,7 @@
 	})
 }
 
-// The functions below use raw sockets for clients that don't read what they receive.
+// The functions below use raw sockets, because a transport.Conn always reads what it receives.
 
 // rawReceiveBuffer is the kernel's receive buffer for a client that does not read. It is as small as possible, so that
 // the director has to queue the rest.
--- a/internal/load/idle_connections.go
+++ b/internal/load/idle_connections.go
@@ -207,15 +207,15 @@
 // An InMemoryResult holds the results of an InMemoryLoad.
 type InMemoryResult struct {
 	InMemoryLoad
-	Bytes              float64      `json:"bytes"`        // Go memory in use, per connection
-	BytesPerConnection float64      `json:"record_bytes"` // the part of Bytes for the record in the loop and the limits, with its timer
-	Before             *SetupResult `json:"before"`       // set-ups without the idle connections
-	WithIdle           *SetupResult `json:"among"`        // set-ups with the idle connections and their heartbeats
-	TimersAligned      *SetupResult `json:"together"`     // set-ups while the heartbeat timers of all connections expire at once
-	Drains             int          `json:"drains"`
-	MaxDrainDelay      float64      `json:"drain_most_ms"` // maximum time from a drain's announcement to the last set-up at that node
-	Pings              int64        `json:"pings"`
-	Lost               int64        `json:"lost"`
+	Bytes         float64      `json:"bytes"`        // Go memory in use, per connection
+	RecordBytes   float64      `json:"record_bytes"` // the part of Bytes that the connection's record in the loop and the limits takes, with its timer
+	Before        *SetupResult `json:"before"`       // set-ups without the idle connections
+	WithIdle      *SetupResult `json:"among"`        // set-ups with the idle connections and their heartbeats
+	TimersAligned *SetupResult `json:"together"`     // set-ups while the heartbeat timers of all connections expire at once
+	Drains        int          `json:"drains"`
+	MaxDrainDelay float64      `json:"drain_most_ms"` // maximum time from a drain's announcement to the last set-up at that node
+	Pings         int64        `json:"pings"`
+	Lost          int64        `json:"lost"`
 }
 
 const handshakeRequest = "GET / HTTP/1.1\r\nHost: d\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\n" +
@@ -247,8 +247,8 @@
 	}
 	defer d.Kill()
 	time.Sleep(1500 * time.Millisecond)
-	r := &InMemoryResult{InMemoryLoad: x, BytesPerConnection: x.measureRecordBytes(config)}
-	logf("%.0f bytes per record with its timer", r.BytesPerConnection)
+	r := &InMemoryResult{InMemoryLoad: x, RecordBytes: x.measureRecordBytes(config)}
+	logf("%.0f bytes per record with its timer", r.RecordBytes)
 	if r.Before, err = load.runAgainst(ctx, f, d.Address(), "before"); err != nil {
 		return nil, err
 	}
@@ -396,6 +396,6 @@
 // Table formats the result.
 func (r *InMemoryResult) Table() string {
 	return fmt.Sprintf("%d idle connections: %.0f bytes each, %.2f GiB in total; record with its timer %.0f bytes\n", r.Connections, r.Bytes,
-		r.Bytes*float64(r.Connections)/(1<<30), r.BytesPerConnection) + SetupTable(r.Before, r.WithIdle, r.TimersAligned) +
+		r.Bytes*float64(r.Connections)/(1<<30), r.RecordBytes) + SetupTable(r.Before, r.WithIdle, r.TimersAligned) +
 		fmt.Sprintf("%d drains, last set-up up to %.1f ms after a drain; %d pings answered, %d connections lost\n", r.Drains, r.MaxDrainDelay, r.Pings, r.Lost)
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -24,7 +24,7 @@
 //go:embed scenario_director.jsonc
 var scenarioConfigText string
 
-var scenarioConfigTemplate = template.Must(template.New("house").Parse(scenarioConfigText))
+var scenarioConfigTemplate = template.Must(template.New("scenario_director.jsonc").Parse(scenarioConfigText))
 
 // A Launcher starts the processes of a scenario.
 type Launcher interface {
@@ -90,17 +90,17 @@
 		directors = append(directors, d)
 		addresses = append(addresses, d.Address())
 	}
-	time.Sleep(1500 * time.Millisecond) // until the director has connected to all nodes and its cautious phase after a start has passed
+	time.Sleep(1500 * time.Millisecond) // until the director has connected to all nodes and the slow start after its own start is over
 
 	clients := make([]*clientProcess, s.Clients)
 	for i := range clients {
-		order := ClientConfig{Client: i, Seed: seed, Directors: addresses, Titles: s.Titles, Warmup: s.Warmup, Duration: s.Duration}
+		config := ClientConfig{Client: i, Seed: seed, Directors: addresses, Titles: s.Titles, Warmup: s.Warmup, Duration: s.Duration}
 		for _, p := range s.Parts {
 			if p = p.share(i, s.Clients); p.Connections > 0 && (run == "with" || !slices.Contains(s.ExcludedParts, p.Name)) {
-				order.Parts = append(order.Parts, p)
+				config.Parts = append(config.Parts, p)
 			}
 		}
-		client, err := startClient(launcher, order)
+		client, err := startClient(launcher, config)
 		if err != nil {
 			return nil, err
 		}
@@ -127,7 +127,7 @@
 	go func() { usageRows <- s.monitor(directors, run, startedAt, seconds) }()
 	all := map[string]*ArchiveRow{}
 	for _, client := range clients {
-		if err := client.read(run, all, seconds*len(client.order.Parts)); err != nil {
+		if err := client.read(run, all, seconds*len(client.config.Parts)); err != nil {
 			<-usageRows
 			return nil, err
 		}
@@ -174,19 +174,19 @@
 
 // A clientProcess is the parent's handle on a client process.
 type clientProcess struct {
-	order ClientConfig
-	in    io.WriteCloser
-	out   *bufio.Reader
-	end   func()
+	config ClientConfig
+	in     io.WriteCloser
+	out    *bufio.Reader
+	end    func()
 }
 
-// startClient starts a client process and sends it its order.
-func startClient(launcher Launcher, order ClientConfig) (*clientProcess, error) {
-	line, err := json.Marshal(order)
+// startClient starts a client process and sends it its configuration.
+func startClient(launcher Launcher, config ClientConfig) (*clientProcess, error) {
+	line, err := json.Marshal(config)
 	if err != nil {
 		return nil, err
 	}
-	c := &clientProcess{order: order}
+	c := &clientProcess{config: config}
 	if c.in, c.out, c.end, err = launcher.StartClient(); err != nil {
 		return nil, err
 	}
@@ -203,7 +203,7 @@
 	for range n {
 		var x Sample
 		if err := d.Decode(&x); err != nil {
-			return fmt.Errorf("client %d ended: %w", c.order.Client, err)
+			return fmt.Errorf("client %d ended: %w", c.config.Client, err)
 		}
 		key := fmt.Sprint(x.Second, x.Part)
 		r := all[key]
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -10,7 +10,8 @@
 	"fordusher/internal/conf"
 )
 
-// A Scenario is a load of parts that run at the same time. Its file is JSON with comments.
+// A Scenario is a load on one or more directors that consists of parts, which run at the same time. Its file is JSON
+// with comments.
 type Scenario struct {
 	Name           string        `json:"name"`
 	Directors      int           `json:"directors"` // processes
@@ -37,7 +38,7 @@
 	Connections int           `json:"connections"`
 	Rate        float64       `json:"rate"`   // per second, over all connections
 	Length      time.Duration `json:"length"` // of a session
-	Bytes       int           `json:"bytes"`  // that one burst makes the director answer
+	Bytes       int           `json:"bytes"`  // size of one burst of pings, each of which the director has to answer
 }
 
 // The kinds of parts.
@@ -84,8 +85,8 @@
 
 // ParseScenario parses a scenario.
 func ParseScenario(file string, text []byte) (*Scenario, error) {
-	r, o := conf.Parse(file, text)
-	if err := r.Err(); err != nil {
+	parser, o := conf.Parse(file, text)
+	if err := parser.Err(); err != nil {
 		return nil, err
 	}
 	s := &Scenario{
@@ -105,7 +106,7 @@
 		Seed:           uint64(o.Int("seed", 1, 0, 1<<31, false)),
 	}
 	if s.Racks > s.Nodes {
-		r.AddProblem(o.OffsetOf("racks"), "there are %d racks for %d nodes", s.Racks, s.Nodes)
+		parser.AddProblem(o.OffsetOf("racks"), "there are %d racks for %d nodes", s.Racks, s.Nodes)
 	}
 	var names []string
 	o.Objects("parts", true, func(_ int, p *conf.Object) {
@@ -116,10 +117,10 @@
 		part.Length = p.Duration("length", time.Second, time.Millisecond, time.Hour, false)
 		part.Bytes = p.Bytes("bytes", 200<<10, 1, 1<<30)
 		if part.Kind != "" && !slices.Contains(partKinds, part.Kind) {
-			r.AddProblem(p.OffsetOf("kind"), "unknown kind %q; the kinds are %s", part.Kind, strings.Join(partKinds, ", "))
+			parser.AddProblem(p.OffsetOf("kind"), "unknown kind %q; the kinds are %s", part.Kind, strings.Join(partKinds, ", "))
 		}
 		if slices.Contains(names, part.Name) {
-			r.AddProblem(p.OffsetOf("name"), "two parts are called %q; give one of them a name of its own", part.Name)
+			parser.AddProblem(p.OffsetOf("name"), "two parts are called %q; give one of them a name of its own", part.Name)
 		}
 		names = append(names, part.Name)
 		p.ReportUnknownKeys()
@@ -128,14 +129,14 @@
 	s.ExcludedParts = o.Texts("without", false)
 	for _, name := range s.ExcludedParts {
 		if !slices.Contains(names, name) {
-			r.AddProblem(o.OffsetOf("without"), "there is no part %q", name)
+			parser.AddProblem(o.OffsetOf("without"), "there is no part %q", name)
 		}
 	}
 	if len(s.Parts) == 0 && o.Has("parts") {
-		r.AddProblem(o.OffsetOf("parts"), "a scenario needs at least one part")
+		parser.AddProblem(o.OffsetOf("parts"), "a scenario needs at least one part")
 	}
 	o.ReportUnknownKeys()
-	if err := r.Err(); err != nil {
+	if err := parser.Err(); err != nil {
 		return nil, err
 	}
 	return s, nil
--- a/internal/load/scenario_test.go
+++ b/internal/load/scenario_test.go
@@ -61,8 +61,8 @@
 	})
 }
 
-// A saved archive loads with all rows, its summaries leave out the warm-up, and the error for a truncated file names the
-// file.
+// A saved archive loads with all rows, its summaries leave out the warm-up, and the error for a truncated file names
+// the file.
 func TestArchive(t *testing.T) {
 	s := &Scenario{Name: "x", Warmup: time.Second, Duration: 2 * time.Second, Parts: []Part{{Name: "p", Kind: KindSetups}}}
 	a := &Archive{Header: ArchiveHeader{Scenario: s, Cores: 4}}
@@ -107,9 +107,9 @@
 	}
 }
 
-// The heartbeat timers of 20,000 idle connections expire at once while set-ups and drains arrive. The work on the timers
-// must not hold up other events so long that a set-up goes unanswered or reaches a node after its drain grace, or that
-// a connection is lost. The load command measures the same with a million connections.
+// The heartbeat timers of 20,000 idle connections expire at once while set-ups and drains arrive. The work on the
+// timers must not hold up other events so long that a set-up goes unanswered or reaches a node after its drain grace,
+// or that a connection is lost. The load command measures the same with a million connections.
 func TestIdleTimersAligned(t *testing.T) {
 	x := InMemoryLoad{Connections: 20_000, Ping: time.Minute, Rate: 100, Duration: 1500 * time.Millisecond, Nodes: 10}
 	var r *InMemoryResult
--- a/internal/load/setup_rate.go
+++ b/internal/load/setup_rate.go
@@ -1,6 +1,8 @@
 // Package load puts an open-loop load on directors and measures the latency and the resource usage that they add.
 // Requests follow a schedule that does not wait for answers, and latencies count from a request's due time. So the
-// measurement does not hide a stall of the server behind a client that stalls with it.
+// measurement does not hide a stall of the server behind a client that stalls with it. Three kinds of load are
+// measured: set-ups at a rate (SetupLoad), idle connections (IdleLoad, InMemoryLoad), and parts that run at the same
+// time (Scenario). The package opens sockets; callers start the processes under load.
 package load
 
 import (
@@ -28,7 +30,7 @@
 //go:embed director.jsonc
 var configText string
 
-var configTemplate = template.Must(template.New("house").Parse(configText))
+var configTemplate = template.Must(template.New("director.jsonc").Parse(configText))
 
 // A SetupLoad is a load of set-ups at a steady rate, with a steady number of playing sessions.
 type SetupLoad struct {
@@ -229,7 +231,7 @@
 	return m.result("direct", due), nil
 }
 
-// length returns the session length at which the load's number of sessions plays at a time.
+// length returns the session length with which, at the load's rate, its number of sessions plays at any time.
 func (s SetupLoad) length() time.Duration {
 	return max(time.Millisecond, time.Duration(float64(s.Playing)/s.Rate*float64(time.Second)))
 }
@@ -269,7 +271,7 @@
 		return nil, err
 	}
 	defer p.Kill()
-	time.Sleep(1500 * time.Millisecond) // until the director has connected to all nodes and its cautious phase after a start has passed
+	time.Sleep(1500 * time.Millisecond) // until the director has connected to all nodes and the slow start after its own start is over
 	var cpu, from time.Duration
 	r, err := s.measure(ctx, f, p.Address(), "through a director", func() { from, cpu = rulecheck.MonotonicNow(), p.CPU() })
 	if err != nil {
