--- a/cmd/fordusher/day.go
+++ b/cmd/fordusher/day.go
@@ -117,8 +117,8 @@
 	var r *day.Result
 	if c.Virtual {
 		start := time.Now()
-		v, err := emulator.Run(s, c.Seed, emulator.Options{Workers: c.Workers, NewDecider: opt.NewDecider, Log: opt.Progress, Config: opt.Config, ListUpdates: opt.ListUpdates, Until: c.Until,
-			Actions: actions})
+		v, err := emulator.Run(s, c.Seed, emulator.Options{Workers: c.Workers, NewDecider: opt.NewDecider, Log: opt.Progress,
+			Config: opt.Config, ListUpdates: opt.ListUpdates, Until: c.Until, Actions: actions})
 		if err != nil {
 			return err
 		}
--- a/cmd/fordusher/hunt.go
+++ b/cmd/fordusher/hunt.go
@@ -31,8 +31,8 @@
 	fmt.Printf("%d days, %d features\n", c.Days, features)
 	violated := false
 	for i, r := range results {
-		summary := fmt.Sprintf("%d requests; rules violated: %t; smallest margin: %.3f of %s; credit %.3f", r.Result.Received, !r.Result.Passed(), r.Result.MinMargin,
-			r.Result.MinMarginRule, r.Result.Credit)
+		summary := fmt.Sprintf("%d requests; rules violated: %t; smallest margin: %.3f of %s; credit %.3f", r.Result.Received,
+			!r.Result.Passed(), r.Result.MinMargin, r.Result.MinMarginRule, r.Result.Credit)
 		fmt.Printf("%d. seed %d: %s\n", i+1, r.Script.Seed, summary)
 		if !r.Result.Passed() {
 			violated = true
@@ -87,7 +87,8 @@
 		}
 		return !r.Passed()
 	}
-	smaller, tried, err := emulator.MinimizeScript(s, fails, c.Most, func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
+	smaller, tried, err := emulator.MinimizeScript(s, fails, c.Most,
+		func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
 	if err != nil {
 		return err
 	}
--- a/cmd/fordusher/import.go
+++ b/cmd/fordusher/import.go
@@ -197,8 +197,8 @@
 // planRollout plans the changes that lead from the nodes of one configuration to those of another, and has the
 // planner's checker verify them.
 func planRollout(before, after *conf.Config, c planConstraints) ([]planLine, error) {
-	constraints := rollout.Constraints{Cells: after.Topology.Cells, Racks: after.Topology.Racks, MaxPerRack: c.PerRack, MaxPerTitle: c.PerTitle, MaxWarming: c.Cold,
-		Warmup: after.Ramp.Warmup, DrainTime: c.Drain, PropagationDelay: c.Notice}
+	constraints := rollout.Constraints{Cells: after.Topology.Cells, Racks: after.Topology.Racks, MaxPerRack: c.PerRack,
+		MaxPerTitle: c.PerTitle, MaxWarming: c.Cold, Warmup: after.Ramp.Warmup, DrainTime: c.Drain, PropagationDelay: c.Notice}
 	if before.Topology.Cells != after.Topology.Cells || before.Topology.Racks != after.Topology.Racks {
 		return nil, errors.New("no plan: fleet.cells or fleet.racks changed, which moves every title; start the directors with the new configuration")
 	}
--- a/cmd/fordusher/import_test.go
+++ b/cmd/fordusher/import_test.go
@@ -35,8 +35,8 @@
 	if code, out, errs := program(t, "check", path("1.json")); code != 0 {
 		t.Fatal(code, out, errs)
 	}
-	code, out, errs := program(t, "import", "haproxy", path("2.cfg"), "--with", path("with.jsonc"), "-o", path("2.json"), "--against", path("1.json"),
-		"--plan", path("plan.jsonl"), "--plan-drain", "1s", "--plan-notice", "200ms", "--json")
+	code, out, errs := program(t, "import", "haproxy", path("2.cfg"), "--with", path("with.jsonc"), "-o", path("2.json"), "--against",
+		path("1.json"), "--plan", path("plan.jsonl"), "--plan-drain", "1s", "--plan-notice", "200ms", "--json")
 	var report struct {
 		Changes []struct{ Node, What string }
 		Lines   []struct{ Line int }
--- a/cmd/fordusher/load.go
+++ b/cmd/fordusher/load.go
@@ -78,7 +78,8 @@
 	}
 	fmt.Print(load.IdleTable(results...))
 	director, baseline := results[0], results[1]
-	fmt.Printf("ratio of director to baseline: Go memory %.2f, RSS %.2f, CPU time %.2f\n", (director.Heap+director.Stacks)/(baseline.Heap+baseline.Stacks), director.RSS/baseline.RSS, director.CPU/baseline.CPU)
+	fmt.Printf("ratio of director to baseline: Go memory %.2f, RSS %.2f, CPU time %.2f\n",
+		(director.Heap+director.Stacks)/(baseline.Heap+baseline.Stacks), director.RSS/baseline.RSS, director.CPU/baseline.CPU)
 	return printJSON(c.JSON, map[string]any{"load": idleLoad, "results": results})
 }
 
@@ -236,7 +237,8 @@
 			return err
 		}
 	}
-	return printJSON(c.JSON, map[string]any{"load": s, "cores": runtime.NumCPU(), "director_cores": c.Cores, "results": []*load.SetupResult{direct, through}})
+	return printJSON(c.JSON, map[string]any{"load": s, "cores": runtime.NumCPU(), "director_cores": c.Cores,
+		"results": []*load.SetupResult{direct, through}})
 }
 
 // startDirectorOnCores starts a director's process that uses the given number of cores.
--- a/cmd/fordusher/log_test.go
+++ b/cmd/fordusher/log_test.go
@@ -66,7 +66,8 @@
 	}()
 	ready := receiveWithin10s(t, "the director is ready", started)
 	answers := make(messageChannel, 10)
-	c, err := transport.Dial(ready.Listen, wire.SessionProtocol, 5*time.Second, transport.Limits{MaxMessageBytes: 1 << 12, MaxQueuedBytes: 1 << 16, WriteTimeout: time.Second}, answers, nil)
+	c, err := transport.Dial(ready.Listen, wire.SessionProtocol, 5*time.Second,
+		transport.Limits{MaxMessageBytes: 1 << 12, MaxQueuedBytes: 1 << 16, WriteTimeout: time.Second}, answers, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fordusher/main.go
+++ b/cmd/fordusher/main.go
@@ -46,7 +46,8 @@
 func main() {
 	var c commands
 	ctx := kong.Parse(&c, kong.Name("fordusher"), kong.Description("Places and shapes video sessions on streaming servers."),
-		kong.UsageOnError(), kong.Vars{"scenarios": strings.Join(load.ScenarioNames(), ", "), "cores": strconv.Itoa(runtime.NumCPU())}, kong.Exit(func(code int) {
+		kong.UsageOnError(), kong.Vars{"scenarios": strings.Join(load.ScenarioNames(), ", "), "cores": strconv.Itoa(runtime.NumCPU())},
+		kong.Exit(func(code int) {
 			if code != 0 {
 				code = exitInvalidInput
 			}
--- a/cmd/fordusher/main_test.go
+++ b/cmd/fordusher/main_test.go
@@ -123,7 +123,8 @@
 		t.Fatal(string(line), err)
 	}
 	r := &messageReceiver{messages: make(chan wire.SessionMessage, 10), closed: make(chan error, 1)}
-	conn, err := transport.Dial(ready.Listen, wire.SessionProtocol, 5*time.Second, transport.Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 4096, WriteTimeout: time.Second}, r, nil)
+	conn, err := transport.Dial(ready.Listen, wire.SessionProtocol, 5*time.Second,
+		transport.Limits{MaxMessageBytes: 4096, MaxQueuedBytes: 4096, WriteTimeout: time.Second}, r, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fordusher/pause_test.go
+++ b/cmd/fordusher/pause_test.go
@@ -15,7 +15,8 @@
 		tolerance = 150 * time.Millisecond
 	)
 	n := newMediaNode(t)
-	d := startPlatformDirector(t, platformConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 5, nodes: []*mediaNode{n}})
+	d := startPlatformDirector(t, platformConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 5,
+		nodes: []*mediaNode{n}})
 	for i, pause := range []time.Duration{0, 250 * time.Millisecond, 500 * time.Millisecond} {
 		session := uint64(i + 1)
 		c := d.connect()
--- a/cmd/fordusher/platform.go
+++ b/cmd/fordusher/platform.go
@@ -67,7 +67,8 @@
 		}
 		protocol = platform.NewTracer(protocol, traceLevel, os.Stderr, time.Now, stop)
 	}
-	d, err := daemon.StartWithProtocol(protocol, config, strconv.FormatInt(time.Now().UnixMilli(), 36), seed, startConfig.NewDecider(seed), log)
+	d, err := daemon.StartWithProtocol(protocol, config, strconv.FormatInt(time.Now().UnixMilli(), 36), seed,
+		startConfig.NewDecider(seed), log)
 	if err != nil {
 		return err
 	}
--- a/cmd/fordusher/platform_test.go
+++ b/cmd/fordusher/platform_test.go
@@ -86,7 +86,8 @@
 
 // releaseRequest is a node's message that a session has ended, with the cause.
 func releaseRequest(session string, cause int) string {
-	return fmt.Sprintf("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: %s\r\nReason: cause=%d\r\nContent-Length: 0\r\n\r\n", session, cause)
+	return fmt.Sprintf("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: %s\r\nReason: cause=%d\r\nContent-Length: 0\r\n\r\n",
+		session, cause)
 }
 
 func (n *mediaNode) closeAll() {
@@ -457,7 +458,8 @@
 		t.Run(fmt.Sprint(deadline), func(t *testing.T) {
 			t.Parallel()
 			n := newMediaNode(t)
-			d := startPlatformDirector(t, platformConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: deadline, nodes: []*mediaNode{n}})
+			d := startPlatformDirector(t, platformConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512,
+				deadline: deadline, nodes: []*mediaNode{n}})
 			n.hold()
 			inFlight, open, pieces := d.connect(), d.connect(), d.connect()
 			inFlight.conn.Write(setupRequest(1))
--- a/cmd/fordusher/processes.go
+++ b/cmd/fordusher/processes.go
@@ -127,7 +127,8 @@
 
 // StartNodes starts one process that runs all emulated nodes. It calls overloaded with the name of each node that fails
 // because of overload.
-func (p *processes) StartNodes(seed uint64, environment node.Environment, specs []node.Spec, _ *rulecheck.Recorder, overloaded func(string)) (day.NodeFleet, error) {
+func (p *processes) StartNodes(seed uint64, environment node.Environment, specs []node.Spec, _ *rulecheck.Recorder,
+	overloaded func(string)) (day.NodeFleet, error) {
 	spec, err := json.Marshal(nodesSpec{seed, environment, specs})
 	if err != nil {
 		return nil, err
@@ -273,7 +274,8 @@
 		defer mu.Unlock()
 		json.NewEncoder(os.Stdout).Encode(x)
 	}
-	host, err := node.StartHost(node.NewModel(spec.Seed, spec.Environment, spec.Specs), &recorder, func(name string) { printLine(nodeReply{Overloaded: name}) })
+	host, err := node.StartHost(node.NewModel(spec.Seed, spec.Environment, spec.Specs), &recorder,
+		func(name string) { printLine(nodeReply{Overloaded: name}) })
 	if err != nil {
 		return err
 	}
--- a/cmd/fordusher/release_test.go
+++ b/cmd/fordusher/release_test.go
@@ -9,7 +9,8 @@
 	const moved = 31
 	n := newMediaNode(t)
 	n.setupReply = func(session string) string { return setupResponse(session) + releaseRequest(session, moved) }
-	d := startPlatformDirector(t, platformConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 2, nodes: []*mediaNode{n}})
+	d := startPlatformDirector(t, platformConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 2,
+		nodes: []*mediaNode{n}})
 	c := d.connect()
 	c.conn.Write(setupRequest(1))
 	c.expect(kindAnswer, 1)
--- a/cmd/fordusher/scale.go
+++ b/cmd/fordusher/scale.go
@@ -42,7 +42,8 @@
 	var baseline soak.Usage
 	violated := false
 	for i, n := range servers {
-		usage, err := soak.MeasureUsage(context.Background(), soak.ScaleOptions{Servers: n, Directors: directors[i], Length: c.Length, Program: program})
+		usage, err := soak.MeasureUsage(context.Background(), soak.ScaleOptions{Servers: n, Directors: directors[i], Length: c.Length,
+			Program: program})
 		if err != nil {
 			return err
 		}
@@ -51,8 +52,9 @@
 		}
 		exceeded := exceededBounds(baseline, usage)
 		violated = violated || len(exceeded) > 0 || len(usage.Violations) > 0
-		fmt.Fprintf(table, "%d\t%d\t%.2f\t%.1f\t%d\t%d\t%.1f\t%d of %d\t%s\n", n, directors[i], usage.CPU.Seconds(), float64(usage.PeakMemory)/(1<<20),
-			usage.Descriptors, usage.Connections, float64(usage.ListBytes)/(1<<10), usage.Served, usage.Requests, strings.Join(exceeded, ", "))
+		fmt.Fprintf(table, "%d\t%d\t%.2f\t%.1f\t%d\t%d\t%.1f\t%d of %d\t%s\n", n, directors[i], usage.CPU.Seconds(),
+			float64(usage.PeakMemory)/(1<<20), usage.Descriptors, usage.Connections, float64(usage.ListBytes)/(1<<10), usage.Served,
+			usage.Requests, strings.Join(exceeded, ", "))
 		for _, v := range usage.Violations {
 			fmt.Fprintln(os.Stderr, v)
 		}
--- a/cmd/fordusher/serve.go
+++ b/cmd/fordusher/serve.go
@@ -91,7 +91,8 @@
 		reg.MustRegister(d, collectors.NewGoCollector(), prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "fordusher_log_lines_left_out_total", Help: "log lines dropped because they exceeded the rate limit or standard error was not read",
 		}, func() float64 { return float64(logWriter.Dropped()) }))
-		server := &http.Server{Handler: metricsHandler(reg), ReadHeaderTimeout: 5 * time.Second, WriteTimeout: metricsTimeout, IdleTimeout: metricsTimeout}
+		server := &http.Server{Handler: metricsHandler(reg), ReadHeaderTimeout: 5 * time.Second, WriteTimeout: metricsTimeout,
+			IdleTimeout: metricsTimeout}
 		go server.Serve(ln)
 		defer server.Close()
 		addresses.Metrics = ln.Addr().String()
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -72,7 +72,8 @@
 // NewLoop returns a director's loop that uses the given decider. boot identifies the run: it has to be different in
 // every run of a director.
 func (c *Config) NewLoop(boot string, seed uint64, decider director.Decider) *director.Loop {
-	loop := director.New(c.Name, boot, seed, decider, c.Tariffs, c.MachineKinds, c.Ladder, c.ProtocolOptions, c.ReconnectPolicy, c.ShutdownPolicy, c.Capacity, c.Queue)
+	loop := director.New(c.Name, boot, seed, decider, c.Tariffs, c.MachineKinds, c.Ladder, c.ProtocolOptions, c.ReconnectPolicy,
+		c.ShutdownPolicy, c.Capacity, c.Queue)
 	if c.DisableGuard {
 		loop.DisableGuard()
 	}
@@ -116,7 +117,8 @@
 	c.ReconnectPolicy.MaxBackoff = reconnect.Duration("most", 5*time.Second, time.Millisecond, time.Hour, false)
 	c.ReconnectPolicy.MaxConcurrent = reconnect.Int("at_once", 64, 1, 10_000, false)
 	if c.ReconnectPolicy.InitialBackoff > c.ReconnectPolicy.MaxBackoff {
-		p.AddProblem(reconnect.OffsetOf("first"), "first is %v; it has to be at most the value of most, %v", c.ReconnectPolicy.InitialBackoff, c.ReconnectPolicy.MaxBackoff)
+		p.AddProblem(reconnect.OffsetOf("first"), "first is %v; it has to be at most the value of most, %v",
+			c.ReconnectPolicy.InitialBackoff, c.ReconnectPolicy.MaxBackoff)
 	}
 	reconnect.ReportUnknownKeys()
 	shutdownKeys := o.Object("closing", false)
@@ -356,7 +358,8 @@
 	c.ConnectionLimits.Clients = parsePeer(clients, wire.MaxSessionMessageBytes, 64<<10)
 	c.ConnectionLimits.Clients.KernelBufferBytes = clients.Bytes("kernel", 16<<10, 0, 64<<20)
 	c.ConnectionLimits.Nodes = parsePeer(nodes, wire.MaxNodeMessageBytes, 1<<20)
-	c.ConnectionLimits.Discovery = transport.Limits{MaxMessageBytes: wire.MaxDiscoveryMessageBytes, MaxQueuedBytes: 64 << 10, WriteTimeout: time.Second, HandshakeTimeout: 5 * time.Second}
+	c.ConnectionLimits.Discovery = transport.Limits{MaxMessageBytes: wire.MaxDiscoveryMessageBytes, MaxQueuedBytes: 64 << 10,
+		WriteTimeout: time.Second, HandshakeTimeout: 5 * time.Second}
 	c.Capacity.MaxConnections = o.Int("connections", 15_000, 1, 10_000_000, false)
 	c.Capacity.MaxPerAddress = o.Int("per_address", 0, 0, 10_000_000, false)
 	c.Capacity.MaxHandshakes = o.Int("handshakes", 1024, 1, 10_000_000, false)
@@ -372,7 +375,8 @@
 	c.Queue.MaxRetryAfter = c.Capacity.MaxRetryAfter
 	c.ConnectionLimits.Clients.MaxPendingHandshakes = c.Capacity.MaxHandshakes
 	if c.Capacity.MaxPerAddress > c.Capacity.MaxConnections {
-		p.AddProblem(o.OffsetOf("per_address"), "per_address is %d, more than connections, which is %d", c.Capacity.MaxPerAddress, c.Capacity.MaxConnections)
+		p.AddProblem(o.OffsetOf("per_address"), "per_address is %d, more than connections, which is %d", c.Capacity.MaxPerAddress,
+			c.Capacity.MaxConnections)
 	}
 	c.ConnectionLimits.InboxSize = o.Int("inbox", 512, 16, 1<<20, false)
 	if c.ConnectionLimits.Nodes.WriteTimeout >= c.DrainGrace {
--- a/internal/day/harness.go
+++ b/internal/day/harness.go
@@ -64,7 +64,8 @@
 
 // A Launcher starts the parts of a day in separate processes.
 type Launcher interface {
-	StartNodes(seed uint64, environment node.Environment, nodes []node.Spec, record *rulecheck.Recorder, onOverload func(string)) (NodeFleet, error)
+	StartNodes(seed uint64, environment node.Environment, nodes []node.Spec, record *rulecheck.Recorder,
+		onOverload func(string)) (NodeFleet, error)
 	StartDirector(config []byte, name, boot string, seed uint64) (DirectorHandle, error)
 }
 
@@ -219,7 +220,8 @@
 func (h *harness) run(ctx context.Context) {
 	h.startedAt = time.Now()
 	if h.opt.Config == nil {
-		h.recorder.Add(rulecheck.Record{Kind: rulecheck.RunStarted, RequestID: strconv.FormatUint(h.opt.Seed, 10), Reason: string(h.script.Format(""))})
+		h.recorder.Add(rulecheck.Record{Kind: rulecheck.RunStarted, RequestID: strconv.FormatUint(h.opt.Seed, 10),
+			Reason: string(h.script.Format(""))})
 	}
 	end := h.startedAt.Add(h.script.Length)
 	h.clients.Deadline = end.Add(2 * time.Second)
--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -75,7 +75,8 @@
 		uplinks = append(uplinks, layout.values.Uplink*(0.85+0.3*layout.random.Float64()))
 	}
 	for i := range s.Nodes {
-		layout.addNode(wire.NodeEntry{Node: "node-" + strconv.Itoa(i), State: wire.Up, MachineKind: "box", Zone: "hall", Weight: 1, Cell: i}, s.Racks, layout.values.Places, link)
+		layout.addNode(wire.NodeEntry{Node: "node-" + strconv.Itoa(i), State: wire.Up, MachineKind: "box", Zone: "hall", Weight: 1, Cell: i},
+			s.Racks, layout.values.Places, link)
 	}
 	layout.Environment = node.Environment{
 		Uplinks: uplinks, Warmup: 5 * time.Second, InitialShare: 0.4, OverloadMultiple: 4, OverloadWindow: time.Second,
@@ -84,7 +85,8 @@
 	}
 	copies := max(min(3, s.Nodes), s.Nodes/5)
 	for i := range s.Titles {
-		layout.Titles = append(layout.Titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i), FirstCell: layout.random.IntN(s.Nodes), Copies: copies})
+		layout.Titles = append(layout.Titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i),
+			FirstCell: layout.random.IntN(s.Nodes), Copies: copies})
 	}
 	return layout
 }
@@ -99,9 +101,11 @@
 // of those that the updates add, and its titles.
 func NewLayoutFromConfig(s *Script, seed uint64, config *conf.Config, updates []ListUpdate) (*Layout, error) {
 	if len(config.Nodes) == 0 || len(config.Titles) == 0 {
-		return nil, fmt.Errorf("the director's config has %d nodes and %d titles: a day needs at least one of each", len(config.Nodes), len(config.Titles))
+		return nil, fmt.Errorf("the director's config has %d nodes and %d titles: a day needs at least one of each", len(config.Nodes),
+			len(config.Titles))
 	}
-	layout := &Layout{Script: s, Seed: seed, Titles: config.Titles, RungValues: config.Ladder.Worth, ListUpdates: updates, config: config, random: rand.New(rand.NewPCG(seed, 2))}
+	layout := &Layout{Script: s, Seed: seed, Titles: config.Titles, RungValues: config.Ladder.Worth, ListUpdates: updates,
+		config: config, random: rand.New(rand.NewPCG(seed, 2))}
 	if len(layout.RungValues) == 0 {
 		for _, r := range config.Ladder.Rates {
 			layout.RungValues = append(layout.RungValues, r/config.Ladder.Rates[len(config.Ladder.Rates)-1])
@@ -127,8 +131,10 @@
 		}
 		layout.addNode(e, config.Topology.Racks, int(config.Ramp.MaxStreams[kind]), config.Topology.LinkUnit*e.Weight)
 	}
-	layout.Environment = node.Environment{Warmup: config.Ramp.Warmup, InitialShare: config.Ramp.InitialShare, OverloadMultiple: config.Ramp.OverloadMultiple, OverloadWindow: config.Ramp.OverloadWindow,
-		ReportDelay: config.ReportTiming.Delay, ReportInterval: config.ReportTiming.Interval, LoadRefresh: 300 * time.Millisecond, RungValues: layout.RungValues, StallCost: stallCost}
+	layout.Environment = node.Environment{Warmup: config.Ramp.Warmup, InitialShare: config.Ramp.InitialShare,
+		OverloadMultiple: config.Ramp.OverloadMultiple, OverloadWindow: config.Ramp.OverloadWindow,
+		ReportDelay: config.ReportTiming.Delay, ReportInterval: config.ReportTiming.Interval, LoadRefresh: 300 * time.Millisecond,
+		RungValues: layout.RungValues, StallCost: stallCost}
 	for range config.Topology.Racks {
 		layout.Environment.Uplinks = append(layout.Environment.Uplinks, config.Topology.Uplink*(0.85+0.3*layout.random.Float64()))
 	}
@@ -201,12 +207,14 @@
 // RuleLimits returns the limits that the rule checker applies, taken from the directors' config.
 func RuleLimits(config *conf.Config, tolerance time.Duration) rulecheck.Limits {
 	limits := rulecheck.Limits{
-		Tariffs: map[string]rulecheck.TariffLimits{}, DrainGrace: config.DrainGrace, Warmup: config.Ramp.Warmup, InitialShare: config.Ramp.InitialShare,
-		OverloadMultiple: config.Ramp.OverloadMultiple, OverloadWindow: config.Ramp.OverloadWindow, MaxLegs: config.Legs.MaxLegs, MinRetries: config.Legs.MinRetries, RetryRatio: config.Legs.RetryRatio,
-		RetryWindow: config.Legs.Window, Tolerance: tolerance,
+		Tariffs: map[string]rulecheck.TariffLimits{}, DrainGrace: config.DrainGrace, Warmup: config.Ramp.Warmup,
+		InitialShare: config.Ramp.InitialShare, OverloadMultiple: config.Ramp.OverloadMultiple, OverloadWindow: config.Ramp.OverloadWindow,
+		MaxLegs: config.Legs.MaxLegs, MinRetries: config.Legs.MinRetries, RetryRatio: config.Legs.RetryRatio, RetryWindow: config.Legs.Window,
+		Tolerance: tolerance,
 	}
 	for _, x := range config.Tariffs {
-		limits.Tariffs[x.Name] = rulecheck.TariffLimits{Paid: x.AtMostOnce, MinRung: x.Floor, Seats: x.Seats, Credit: x.Credit, StartGoal: x.GoalTime}
+		limits.Tariffs[x.Name] = rulecheck.TariffLimits{Paid: x.AtMostOnce, MinRung: x.Floor, Seats: x.Seats, Credit: x.Credit,
+			StartGoal: x.GoalTime}
 	}
 	return limits
 }
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -107,7 +107,8 @@
 		DisconnectShare:    clients.Number("drops", 0.03, 0, 1, false),
 	}
 	if s.Behavior.MinRetryDelay > s.Behavior.MaxRetryDelay {
-		parser.AddProblem(clients.OffsetOf("pause_low"), "pause_low is %v, longer than pause_high, which is %v", s.Behavior.MinRetryDelay, s.Behavior.MaxRetryDelay)
+		parser.AddProblem(clients.OffsetOf("pause_low"), "pause_low is %v, longer than pause_high, which is %v",
+			s.Behavior.MinRetryDelay, s.Behavior.MaxRetryDelay)
 	}
 	clients.ReportUnknownKeys()
 	list := o.Object("list", false)
@@ -154,9 +155,11 @@
 	fmt.Fprintf(&b, "  \"viewers\": {\"mean_length\": \"%v\", \"returns\": %g, \"pause_low\": \"%v\", \"pause_high\": \"%v\", \"heeds\": %g, \"hasty\": %g, \"repeats\": %g, \"drops\": %g},\n",
 		s.MeanLength, behavior.RetryShare, behavior.MinRetryDelay, behavior.MaxRetryDelay, behavior.HonorsBackoffShare,
 		behavior.CancelShare, behavior.DuplicateShare, behavior.DisconnectShare)
-	fmt.Fprintf(&b, "  \"list\": {\"notice_low\": \"%v\", \"notice_high\": \"%v\", \"silent_notice\": \"%v\"},\n  \"troubles\": [\n", s.MinListDelay, s.MaxListDelay, s.SilentNodeListDelay)
+	fmt.Fprintf(&b, "  \"list\": {\"notice_low\": \"%v\", \"notice_high\": \"%v\", \"silent_notice\": \"%v\"},\n  \"troubles\": [\n",
+		s.MinListDelay, s.MaxListDelay, s.SilentNodeListDelay)
 	for _, x := range s.Incidents {
-		fmt.Fprintf(&b, "    {\"kind\": \"%s\", \"at\": \"%v\", \"for\": \"%v\", \"share\": %g, \"size\": %g},\n", x.Kind, x.At, x.Duration, x.Share, x.Size)
+		fmt.Fprintf(&b, "    {\"kind\": \"%s\", \"at\": \"%v\", \"for\": \"%v\", \"share\": %g, \"size\": %g},\n", x.Kind, x.At,
+			x.Duration, x.Share, x.Size)
 	}
 	b.WriteString("  ],\n}\n")
 	return []byte(b.String())
--- a/internal/day/timeline.go
+++ b/internal/day/timeline.go
@@ -177,7 +177,8 @@
 	case "ageing":
 		b.forEachNode(incident, incident.Duration+2*time.Second, "grow slower and then die", func(i int) {
 			for step := 1; step <= 20; step++ {
-				b.addFault(incident.At+incident.Duration*time.Duration(step-1)/20, node.Fault{Node: b.nodeName(i), SlowFactor: new(1 + (incident.Size-1)*float64(step)/20)})
+				b.addFault(incident.At+incident.Duration*time.Duration(step-1)/20,
+					node.Fault{Node: b.nodeName(i), SlowFactor: new(1 + (incident.Size-1)*float64(step)/20)})
 			}
 			b.crash(end, i)
 			b.restart(end+2*time.Second, i)
@@ -246,7 +247,8 @@
 		for i := first; i < min(count, first+batch); i++ {
 			directors = append(directors, i)
 		}
-		b.add(Action{At: at, Kill: directors, Director: true, Say: fmt.Sprintf("directors %d to %d are killed", directors[0], directors[len(directors)-1])})
+		b.add(Action{At: at, Kill: directors, Director: true,
+			Say: fmt.Sprintf("directors %d to %d are killed", directors[0], directors[len(directors)-1])})
 		b.add(Action{At: at + downtime, Start: directors, Director: true})
 		at = max(at+downtime, at+incident.Duration*time.Duration(batch)/time.Duration(count))
 	}
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -57,7 +57,8 @@
 const arrivalInterval = 5 * time.Millisecond
 
 func (c *clientModel) start(sim *simulation) {
-	*c = clientModel{sim: sim, arrivalRate: 1, conns: map[uint64]*clientConn{}, startedInTime: map[string]bool{}, requestedValue: map[string]float64{}}
+	*c = clientModel{sim: sim, arrivalRate: 1, conns: map[uint64]*clientConn{}, startedInTime: map[string]bool{},
+		requestedValue: map[string]float64{}}
 	sim.events.schedule(settleTime, c.addArrivals)
 }
 
@@ -110,7 +111,8 @@
 	client := conn.client
 	behavior := sim.script.Behavior
 	conn.requestedAt = at
-	m := wire.SessionMessage{Type: wire.Request, ID: conn.requestID, Tariff: client.Tariff, Title: client.Title, Key: fmt.Sprintf("%s-%d", client.Key, client.sessionNumber), MaxRung: client.MaxRung,
+	m := wire.SessionMessage{Type: wire.Request, ID: conn.requestID, Tariff: client.Tariff, Title: client.Title,
+		Key: fmt.Sprintf("%s-%d", client.Key, client.sessionNumber), MaxRung: client.MaxRung,
 		WaitMS: client.Wait.Milliseconds(), LengthMS: client.remaining.Milliseconds(), Retry: client.retries > 0}
 	c.send(at, conn, m, rulecheck.Record{Tariff: client.Tariff, Title: client.Title, Wait: client.Wait, Retry: client.retries > 0})
 	if client.random.Float64() < behavior.DuplicateShare {
@@ -135,7 +137,8 @@
 }
 
 func (c *clientModel) newRecord(conn *clientConn, kind string) rulecheck.Record {
-	return rulecheck.Record{Kind: kind, Client: conn.client.ClientNumber, Conn: conn.id, Director: c.sim.directors[conn.director].name, RequestID: conn.requestID}
+	return rulecheck.Record{Kind: kind, Client: conn.client.ClientNumber, Conn: conn.id,
+		Director: c.sim.directors[conn.director].name, RequestID: conn.requestID}
 }
 
 // send records a client's message and delivers it to the director through the codec. fields holds the values that
@@ -234,7 +237,8 @@
 	}
 	slices.Sort(conns)
 	for _, id := range conns {
-		c.sim.events.schedule(at+c.sim.drawLatency(c.sim.random), func(at time.Duration) { c.sim.clientClosed(at, id, "connection lost", rulecheck.ClosedByPeer) })
+		c.sim.events.schedule(at+c.sim.drawLatency(c.sim.random),
+			func(at time.Duration) { c.sim.clientClosed(at, id, "connection lost", rulecheck.ClosedByPeer) })
 	}
 }
 
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -197,7 +197,8 @@
 			if sim.opt.Log != nil {
 				line := o.Text
 				// Logging must not affect the run, so no random latency is drawn for it.
-				d.outgoing = append(d.outgoing, outgoingEvent{at + sim.opt.Latency.Min, func(at time.Duration) { sim.logf(at, "%s: %s", d.name, line) }})
+				d.outgoing = append(d.outgoing, outgoingEvent{at + sim.opt.Latency.Min,
+					func(at time.Duration) { sim.logf(at, "%s: %s", d.name, line) }})
 			}
 		case director.ShutdownComplete:
 			d.running, d.shutdownDone = false, true
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -63,7 +63,8 @@
 	}
 	for _, p := range x.Policies {
 		if p != DefaultPolicy && day.Baselines[p] == nil {
-			parser.AddProblem(o.OffsetOf("policies"), "there is no policy %q; there are %s and %s", p, DefaultPolicy, strings.Join(sortedKeys(day.Baselines), ", "))
+			parser.AddProblem(o.OffsetOf("policies"), "there is no policy %q; there are %s and %s", p, DefaultPolicy,
+				strings.Join(sortedKeys(day.Baselines), ", "))
 		}
 	}
 	o.ReportUnknownKeys()
@@ -153,7 +154,8 @@
 		if err != nil {
 			return err
 		}
-		run.Hash, run.Received, run.Played, run.Nacked, run.Errored, run.Legs, run.P99, run.Credit = r.Hash, r.Received, r.Played, r.Nacked, r.Errored, r.Legs, r.P99, r.Credit
+		run.Hash, run.Received, run.Played, run.Nacked, run.Errored, run.Legs, run.P99, run.Credit = r.Hash, r.Received, r.Played,
+			r.Nacked, r.Errored, r.Legs, r.P99, r.Credit
 		run.Violations, run.Samples = r.violations(), r.Samples
 		for _, e := range r.Incidents {
 			if took, ok := r.RecoveryTime(e); ok {
@@ -233,8 +235,8 @@
 // from the first policy, paired by seed.
 func (r *ExperimentResult) FormatTable() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s\n%-26s %-14s %5s %16s %16s %8s %9s %9s %10s %9s %7s\n", r.Name, "", "policy", "days", "credit", "over the first", "nacked", "errored",
-		"legs/play", "recovery s", "unmended", "broken")
+	fmt.Fprintf(&b, "%s\n%-26s %-14s %5s %16s %16s %8s %9s %9s %10s %9s %7s\n", r.Name, "", "policy", "days", "credit",
+		"over the first", "nacked", "errored", "legs/play", "recovery s", "unmended", "broken")
 	for _, point := range r.gridPoints() {
 		var first []float64
 		for _, policy := range r.policies() {
@@ -264,8 +266,10 @@
 			if len(recoveries) > 0 {
 				mean = stat.Mean(recoveries, nil)
 			}
-			fmt.Fprintf(&b, "%-26s %-14s %5d %8.3f ± %.3f %16s %7.1f%% %8.2f%% %9.3f %10.2f %9d %7d\n", point, policy, len(days), stat.Mean(credit, nil), confidenceInterval(credit), diff,
-				100*float64(sum(func(d ExperimentRun) int { return d.Nacked }))/received, 100*float64(sum(func(d ExperimentRun) int { return d.Errored }))/received,
+			fmt.Fprintf(&b, "%-26s %-14s %5d %8.3f ± %.3f %16s %7.1f%% %8.2f%% %9.3f %10.2f %9d %7d\n", point, policy, len(days),
+				stat.Mean(credit, nil), confidenceInterval(credit), diff,
+				100*float64(sum(func(d ExperimentRun) int { return d.Nacked }))/received,
+				100*float64(sum(func(d ExperimentRun) int { return d.Errored }))/received,
 				float64(sum(func(d ExperimentRun) int { return d.Legs }))/float64(max(1, sum(func(d ExperimentRun) int { return d.Played }))), mean,
 				sum(func(d ExperimentRun) int { return d.Unrecovered }), sum(func(d ExperimentRun) int { return d.Violations }))
 		}
--- a/internal/emulator/search.go
+++ b/internal/emulator/search.go
@@ -92,8 +92,8 @@
 		slices.SortStableFunc(results, compareSeverity)
 		results = results[:min(len(results), max(1, search.MaxResults))]
 		worst := results[0]
-		logf("%d days, %d features; worst day: %d violations, margin %.2f of rule %s, credit %.3f", done, len(features), worst.Result.violations(), worst.Result.MinMargin,
-			worst.Result.MinMarginRule, worst.Result.Credit)
+		logf("%d days, %d features; worst day: %d violations, margin %.2f of rule %s, credit %.3f", done, len(features),
+			worst.Result.violations(), worst.Result.MinMargin, worst.Result.MinMarginRule, worst.Result.Credit)
 	}
 	return results, len(features), ctx.Err()
 }
@@ -164,10 +164,13 @@
 // drawScript generates a random script.
 func drawScript(random *rand.Rand) *day.Script {
 	s := &day.Script{
-		Length: time.Duration(drawSkewed(random, 6, 20)*10) * 100 * time.Millisecond, Directors: 1 + int(drawSkewed(random, 0, 12)), Nodes: 4 + int(drawSkewed(random, 0, 40)),
-		Titles: 5 + int(drawSkewed(random, 0, 60)), Load: round(0.4 + random.Float64()), MeanLength: time.Duration(5+random.IntN(60)) * 100 * time.Millisecond,
-		Behavior: client.Behavior{RetryShare: round(0.5 + random.Float64()/2), MinRetryDelay: 200 * time.Millisecond, MaxRetryDelay: 1200 * time.Millisecond, HonorsBackoffShare: round(random.Float64()),
-			CancelShare: round(drawSkewed(random, 0, 0.2)), DuplicateShare: round(drawSkewed(random, 0, 0.1)), DisconnectShare: round(drawSkewed(random, 0, 0.2))},
+		Length: time.Duration(drawSkewed(random, 6, 20)*10) * 100 * time.Millisecond, Directors: 1 + int(drawSkewed(random, 0, 12)),
+		Nodes: 4 + int(drawSkewed(random, 0, 40)), Titles: 5 + int(drawSkewed(random, 0, 60)), Load: round(0.4 + random.Float64()),
+		MeanLength: time.Duration(5+random.IntN(60)) * 100 * time.Millisecond,
+		Behavior: client.Behavior{RetryShare: round(0.5 + random.Float64()/2), MinRetryDelay: 200 * time.Millisecond,
+			MaxRetryDelay: 1200 * time.Millisecond, HonorsBackoffShare: round(random.Float64()),
+			CancelShare: round(drawSkewed(random, 0, 0.2)), DuplicateShare: round(drawSkewed(random, 0, 0.1)),
+			DisconnectShare: round(drawSkewed(random, 0, 0.2))},
 		MinListDelay: time.Duration(random.IntN(400)) * time.Millisecond, SilentNodeListDelay: time.Duration(1+random.IntN(9)) * time.Second,
 	}
 	s.Racks = 1 + random.IntN(min(8, s.Nodes))
@@ -182,8 +185,12 @@
 func round(x float64) float64 { return math.Round(x*100) / 100 }
 
 func drawIncident(random *rand.Rand, s *day.Script) day.Incident {
-	incident := day.Incident{Kind: day.IncidentKinds[random.IntN(len(day.IncidentKinds))], At: time.Duration(random.Int64N(int64(s.Length*3/4)/1e6)) * time.Millisecond,
-		Duration: time.Duration(300+random.IntN(8000)) * time.Millisecond, Share: round(0.02 + drawSkewed(random, 0, 0.6))}
+	incident := day.Incident{
+		Kind:     day.IncidentKinds[random.IntN(len(day.IncidentKinds))],
+		At:       time.Duration(random.Int64N(int64(s.Length*3/4)/1e6)) * time.Millisecond,
+		Duration: time.Duration(300+random.IntN(8000)) * time.Millisecond,
+		Share:    round(0.02 + drawSkewed(random, 0, 0.6)),
+	}
 	switch incident.Kind {
 	case "answer_lost", "fast_errors", "hot_key":
 		incident.Size = round(random.Float64())
@@ -223,7 +230,8 @@
 		case 7:
 			s.MaxListDelay = s.MinListDelay + time.Duration(random.IntN(10_000))*time.Millisecond
 		case 8:
-			s.Behavior.DisconnectShare, s.Behavior.CancelShare, s.Behavior.DuplicateShare = round(drawSkewed(random, 0, 0.5)), round(drawSkewed(random, 0, 0.5)), round(drawSkewed(random, 0, 0.5))
+			s.Behavior.DisconnectShare, s.Behavior.CancelShare, s.Behavior.DuplicateShare = round(drawSkewed(random, 0, 0.5)),
+				round(drawSkewed(random, 0, 0.5)), round(drawSkewed(random, 0, 0.5))
 		}
 	}
 	return &s
@@ -232,7 +240,8 @@
 // MinimizeScript reduces a script as long as its day still fails: it removes incidents, halves the numbers of
 // directors, nodes, racks, clients and titles and the length, and sets shares of client behavior to zero. It runs at
 // most the given number of days and returns how many it ran; smaller is nil if the script itself does not fail.
-func MinimizeScript(s *day.Script, fails func(r *Result) bool, maxRuns int, logf func(format string, args ...any)) (smaller *day.Script, runs int, err error) {
+func MinimizeScript(s *day.Script, fails func(r *Result) bool, maxRuns int,
+	logf func(format string, args ...any)) (smaller *day.Script, runs int, err error) {
 	stillFails := func(x *day.Script) bool {
 		if runs >= maxRuns || err != nil {
 			return false
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -72,7 +72,8 @@
 	}
 	sim.nodes = node.NewModel(seed, layout.Environment, layout.Nodes)
 	count := len(layout.Nodes)
-	sim.exited, sim.silent, sim.hung, sim.unresponsiveSince = make([]bool, count), make([]bool, count), make([]bool, count), make([]time.Duration, count)
+	sim.exited, sim.silent, sim.hung, sim.unresponsiveSince = make([]bool, count), make([]bool, count), make([]bool, count),
+		make([]time.Duration, count)
 	sim.discovery = &discoveryModel{sim: sim, subscribers: map[int]int{}, entries: slices.Clone(layout.Entries)}
 	var listed []wire.NodeEntry
 	for i, m := range layout.Nodes {
@@ -299,7 +300,8 @@
 	if m.Type == wire.Hello || m.Type == wire.Measurement {
 		return
 	}
-	sim.addRecord(at, rulecheck.Record{Kind: m.Type, Node: sim.layout.Nodes[l.node].Name, Conn: l.id, Director: l.directorName, Session: m.Session, Leg: m.Leg,
+	sim.addRecord(at, rulecheck.Record{Kind: m.Type, Node: sim.layout.Nodes[l.node].Name, Conn: l.id, Director: l.directorName,
+		Session: m.Session, Leg: m.Leg,
 		Tariff: m.Tariff, Title: m.Title, Rung: m.Rung, StartTimeout: time.Duration(m.StartWithinMS) * time.Millisecond, Reason: m.Reason})
 }
 
@@ -330,7 +332,8 @@
 			sim.logf(at, "%s failed from overload and stays down", o.Node)
 			continue
 		case o.Earning != nil:
-			sim.addRecord(at, rulecheck.Record{Kind: rulecheck.SessionEarned, Node: o.Node, Session: o.Earning.Session, Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
+			sim.addRecord(at, rulecheck.Record{Kind: rulecheck.SessionEarned, Node: o.Node, Session: o.Earning.Session,
+				Tariff: o.Earning.Tariff, Seconds: o.Earning.Seconds})
 			continue
 		}
 		l := sim.linksByID[o.Conn]
--- a/internal/haproxy/proxy.go
+++ b/internal/haproxy/proxy.go
@@ -225,8 +225,8 @@
 	}
 	options, unknownWord := parseOptions(l, minWords)
 	if unknownWord >= 0 {
-		l.MarkSkipped("", fmt.Sprintf("%q (column %d) is unknown or lacks an argument, so the words after it can't be parsed reliably", l.WordAt(unknownWord), l.Words[unknownWord].Col),
-			"remove it from this line and import again, or list this node by hand")
+		l.MarkSkipped("", fmt.Sprintf("%q (column %d) is unknown or lacks an argument, so the words after it can't be parsed reliably",
+			l.WordAt(unknownWord), l.Words[unknownWord].Col), "remove it from this line and import again, or list this node by hand")
 		return nil
 	}
 	s.OwnOptions = options
--- a/internal/haproxy/reader.go
+++ b/internal/haproxy/reader.go
@@ -229,7 +229,8 @@
 		l.MarkIgnored("in a branch that is not taken")
 		return nil
 	case state == unknown:
-		l.MarkSkipped("", "it is unknown whether this branch is taken: "+r.unknownBranchReason(), "pass --env or --haproxy-version if the condition needs them, or remove the branch from the file")
+		l.MarkSkipped("", "it is unknown whether this branch is taken: "+r.unknownBranchReason(),
+			"pass --env or --haproxy-version if the condition needs them, or remove the branch from the file")
 		if slices.Contains(KnownSections, l.Words[0].Text) {
 			r.section, r.unknownSectionReason = nil, fmt.Sprintf("it is unknown whether the section that begins at %v is part of the configuration", l.Position)
 		}
@@ -256,7 +257,8 @@
 		return &SyntaxError{at, fmt.Sprintf("%q is outside of any section: the input is no HAProxy configuration, or its first section is of an unknown kind", kind)}
 	}
 	if len(l.UnsetVariables) > 0 {
-		r.section, r.unknownSectionReason = nil, fmt.Sprintf("the name of the section at line %d contains variables without a value: %s", l.Line, strings.Join(l.UnsetVariables, ", "))
+		r.section, r.unknownSectionReason = nil, fmt.Sprintf("the name of the section at line %d contains variables without a value: %s",
+			l.Line, strings.Join(l.UnsetVariables, ", "))
 		l.MarkSkipped("", r.unknownSectionReason, "pass --env NAME=VALUE")
 		return nil
 	}
@@ -368,7 +370,8 @@
 		r.branches = r.branches[:top]
 	case ".alert":
 		if r.branchState() == yes {
-			l.MarkSkipped("", "HAProxy refuses to start here: "+l.JoinFrom(1), "the importer reads the rest of the configuration as if this line were not there")
+			l.MarkSkipped("", "HAProxy refuses to start here: "+l.JoinFrom(1),
+				"the importer reads the rest of the configuration as if this line were not there")
 			return nil
 		}
 	case ".notice", ".warning", ".diag":
--- a/internal/importer/import.go
+++ b/internal/importer/import.go
@@ -59,10 +59,12 @@
 	if err != nil {
 		return nil, err
 	}
-	imp := &importState{files: files, overlay: overlay, proxies: proxies, maxSessions: map[string]int{}, settings: newObject(), result: &Result{Source: files}}
+	imp := &importState{files: files, overlay: overlay, proxies: proxies, maxSessions: map[string]int{}, settings: newObject(),
+		result: &Result{Source: files}}
 	for _, l := range files.Lines {
 		if len(l.UnsetVariables) > 0 && !l.HasOutcome() {
-			l.MarkSkipped("", "variables without a value: "+strings.Join(l.UnsetVariables, ", "), "pass --env NAME=VALUE, or write a default: ${NAME-default}")
+			l.MarkSkipped("", "variables without a value: "+strings.Join(l.UnsetVariables, ", "),
+				"pass --env NAME=VALUE, or write a default: ${NAME-default}")
 		}
 	}
 	for _, p := range proxies {
@@ -230,10 +232,12 @@
 			l.MarkSkipped("server "+name, s.AddressText+": a server can't have a range of ports", "")
 			return false
 		case address.Host == "" || address.Host == "*" || address.Host == "0.0.0.0" || address.Host == "::":
-			l.MarkSkipped("server "+name, s.AddressText+": HAProxy uses the address to which the client connected", "give the address that clients can reach with --with")
+			l.MarkSkipped("server "+name, s.AddressText+": HAProxy uses the address to which the client connected",
+				"give the address that clients can reach with --with")
 			return false
 		}
-		n := &Node{server: s, NodeEntry: wire.NodeEntry{Node: name, Address: net.JoinHostPort(address.Host, strconv.Itoa(address.FirstPort)), State: state, MachineKind: kind,
+		n := &Node{server: s, NodeEntry: wire.NodeEntry{Node: name,
+			Address: net.JoinHostPort(address.Host, strconv.Itoa(address.FirstPort)), State: state, MachineKind: kind,
 			Weight: float64(weight), Zone: placement.zone}}
 		if placement.kind != "" {
 			n.MachineKind = placement.kind
@@ -393,7 +397,8 @@
 		if setting := p.Settings["retry-on"]; setting != nil {
 			if unsafe := slices.DeleteFunc(slices.Clone(setting.Args), func(a string) bool { return a == "none" || a == "conn-failure" }); len(unsafe) > 0 {
 				if !setting.Line.HasOutcome() {
-					setting.Line.MarkSkipped(strings.Join(unsafe, " "), reasonAtMostOnce, "clients of tariffs that are not paid get further legs anyway (legs.most)")
+					setting.Line.MarkSkipped(strings.Join(unsafe, " "), reasonAtMostOnce,
+						"clients of tariffs that are not paid get further legs anyway (legs.most)")
 				}
 			} else if !slices.Contains(lines, setting.Line) {
 				lines = append(lines, setting.Line)
@@ -501,7 +506,8 @@
 		case err != nil:
 			setting.Line.MarkSkipped("", err.Error(), row.Advice)
 		case len(imp.withClients) > 1:
-			setting.Line.MarkSkipped("", fmt.Sprintf("the limit of one of %d frontends, but the director has one limit for all clients", len(imp.withClients)), row.Advice)
+			setting.Line.MarkSkipped("", fmt.Sprintf("the limit of one of %d frontends, but the director has one limit for all clients",
+				len(imp.withClients)), row.Advice)
 		case maxConnections > 0 && n > maxConnections:
 			setting.Line.MarkIgnored("the process allows fewer: the global maxconn is lower")
 		default:
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -74,7 +74,8 @@
 		{"unknown word", "backend b\n server a h:1 frobnicate weight 0", "", map[int]string{2: `"frobnicate" (column 15)`}},
 		{"word without value", "backend b\n server a h:1 weight", "", map[int]string{2: `"weight"`}},
 		{"sockets and offsets", "backend b\n server a unix@/x\n server c h:+1\n server d h\n server e 0.0.0.0:80", "",
-			map[int]string{2: haproxy.LocalSocket, 3: haproxy.PortOffset, 4: haproxy.NoPort, 5: "HAProxy uses the address to which the client connected"}},
+			map[int]string{2: haproxy.LocalSocket, 3: haproxy.PortOffset, 4: haproxy.NoPort,
+				5: "HAProxy uses the address to which the client connected"}},
 		{"ipv6", "backend b\n server a [2001:db8::1]:80", "a=[2001:db8::1]:80/up/1/unlimited", nil},
 		{"maxconn 0", "backend b\n server a h:1 maxconn 0", "a=h:1/up/1/unlimited", nil},
 		{"variable missing", "backend b\n server a \"$HOST:1\"\n server c h:1", "c=h:1/up/1/unlimited", map[int]string{2: "variables without a value: HOST"}},
@@ -143,7 +144,8 @@
 			got = v.leaf
 		}
 		if got != x.want || !strings.Contains(outcomeOf(r, x.line), x.note) {
-			t.Errorf("%s: got value %q, want %q; line %d: got outcome %s, want one with %s", x.name, got, x.want, x.line, outcomeOf(r, x.line), x.note)
+			t.Errorf("%s: got value %q, want %q; line %d: got outcome %s, want one with %s", x.name, got, x.want, x.line,
+				outcomeOf(r, x.line), x.note)
 		}
 	}
 }
--- a/internal/importer/report.go
+++ b/internal/importer/report.go
@@ -30,8 +30,10 @@
 
 // Report returns the report on an import, with the changes since a previous configuration.
 func (r *Result) Report(changes []Change) *Report {
-	p := &Report{Totals: map[haproxy.Outcome]int{haproxy.Carried: 0, haproxy.PartlyCarried: 0, haproxy.Skipped: 0, haproxy.Ignored: 0}, Nodes: len(r.Nodes),
-		MissingKeys: r.tree.blankPaths(""), Warnings: r.Warnings, Suggestions: r.Suggestions, Changes: changes}
+	p := &Report{
+		Totals: map[haproxy.Outcome]int{haproxy.Carried: 0, haproxy.PartlyCarried: 0, haproxy.Skipped: 0, haproxy.Ignored: 0},
+		Nodes:  len(r.Nodes), MissingKeys: r.tree.blankPaths(""), Warnings: r.Warnings, Suggestions: r.Suggestions, Changes: changes,
+	}
 	for _, l := range r.Source.Lines {
 		outcome, reason := l.Outcome()
 		p.Totals[outcome]++
@@ -54,8 +56,9 @@
 
 // Summary returns the totals in one line.
 func (p *Report) Summary() string {
-	return fmt.Sprintf("%d lines: %d carried, %d partly, %d skipped, %d ignored; %d nodes; %d blanks to fill in", len(p.Lines), p.Totals[haproxy.Carried],
-		p.Totals[haproxy.PartlyCarried], p.Totals[haproxy.Skipped], p.Totals[haproxy.Ignored], p.Nodes, len(p.MissingKeys))
+	return fmt.Sprintf("%d lines: %d carried, %d partly, %d skipped, %d ignored; %d nodes; %d blanks to fill in", len(p.Lines),
+		p.Totals[haproxy.Carried], p.Totals[haproxy.PartlyCarried], p.Totals[haproxy.Skipped], p.Totals[haproxy.Ignored], p.Nodes,
+		len(p.MissingKeys))
 }
 
 // WriteText writes the report for people.
--- a/internal/load/idle_connections.go
+++ b/internal/load/idle_connections.go
@@ -142,9 +142,11 @@
 // IdleTable formats results as a table.
 func IdleTable(results ...*IdleResult) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%-24s %12s %9s %9s %9s %9s %12s %11s\n", "bytes per connection", "connections", "heap", "stacks", "RSS", "kernel", "cpu ms/min", "goroutines")
+	fmt.Fprintf(&b, "%-24s %12s %9s %9s %9s %9s %12s %11s\n", "bytes per connection", "connections", "heap", "stacks", "RSS",
+		"kernel", "cpu ms/min", "goroutines")
 	for _, r := range results {
-		fmt.Fprintf(&b, "%-24s %12d %9.0f %9.0f %9.0f %9.0f %12.3f %11d\n", r.Name, r.Connections, r.Heap, r.Stacks, r.RSS, r.Kernel, r.CPU, r.Goroutines)
+		fmt.Fprintf(&b, "%-24s %12d %9.0f %9.0f %9.0f %9.0f %12.3f %11d\n", r.Name, r.Connections, r.Heap, r.Stacks, r.RSS, r.Kernel,
+			r.CPU, r.Goroutines)
 	}
 	return b.String()
 }
@@ -224,8 +226,8 @@
 // Run runs the load and measures it. The process should be limited to the number of cores that is reported with the
 // results.
 func (x InMemoryLoad) Run(ctx context.Context, logf func(format string, args ...any)) (*InMemoryResult, error) {
-	load := SetupLoad{Rate: x.Rate, Playing: int(x.Rate), Duration: x.Duration, Warmup: time.Second, Nodes: x.Nodes, Racks: max(1, x.Nodes/7), Titles: 50,
-		Connections: 50, Seed: 1}
+	load := SetupLoad{Rate: x.Rate, Playing: int(x.Rate), Duration: x.Duration, Warmup: time.Second, Nodes: x.Nodes,
+		Racks: max(1, x.Nodes/7), Titles: 50, Connections: 50, Seed: 1}
 	recorder := &rulecheck.Recorder{}
 	f, err := load.startFixtureWith(recorder)
 	if err != nil {
@@ -308,7 +310,8 @@
 			}
 			i := n % len(f.nodeSpecs)
 			n++
-			entry := wire.NodeEntry{Node: f.nodeSpecs[i].Name, Address: f.nodes.Address(f.nodeSpecs[i].Name), MachineKind: "box", Weight: 1, Cell: i, State: wire.Draining}
+			entry := wire.NodeEntry{Node: f.nodeSpecs[i].Name, Address: f.nodes.Address(f.nodeSpecs[i].Name), MachineKind: "box", Weight: 1,
+				Cell: i, State: wire.Draining}
 			entry.Incarnation, _ = f.nodes.Start(entry.Node)
 			f.discovery.UpdateNode(entry, 0, 0)
 			entry.State = wire.Up
@@ -340,7 +343,8 @@
 	case answered < int64(r.TimersAligned.Due):
 		return fmt.Sprintf("%d of %d set-ups were not answered in time", int64(r.TimersAligned.Due)-answered, r.TimersAligned.Due)
 	case 2*r.Bytes*float64(r.Connections)*1.5 > free: // a garbage collection needs additional memory
-		return fmt.Sprintf("twice as many connections need %.1f GiB plus memory for garbage collection; %.1f GiB are free", 2*r.Bytes*float64(r.Connections)/(1<<30), free/(1<<30))
+		return fmt.Sprintf("twice as many connections need %.1f GiB plus memory for garbage collection; %.1f GiB are free",
+			2*r.Bytes*float64(r.Connections)/(1<<30), free/(1<<30))
 	}
 	return ""
 }
@@ -397,5 +401,6 @@
 func (r *InMemoryResult) Table() string {
 	return fmt.Sprintf("%d idle connections: %.0f bytes each, %.2f GiB in total; record with its timer %.0f bytes\n", r.Connections, r.Bytes,
 		r.Bytes*float64(r.Connections)/(1<<30), r.RecordBytes) + SetupTable(r.Before, r.WithIdle, r.TimersAligned) +
-		fmt.Sprintf("%d drains, last set-up up to %.1f ms after a drain; %d pings answered, %d connections lost\n", r.Drains, r.MaxDrainDelay, r.Pings, r.Lost)
+		fmt.Sprintf("%d drains, last set-up up to %.1f ms after a drain; %d pings answered, %d connections lost\n", r.Drains,
+			r.MaxDrainDelay, r.Pings, r.Lost)
 }
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -19,8 +19,8 @@
 	p.X.Label.Text = "share of requests"
 	p.Y.Label.Text = "ms from the due time"
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	p.X.Tick.Marker = plot.ConstantTicks{{Value: 0, Label: "0"}, {Value: 1, Label: "90%"}, {Value: 2, Label: "99%"}, {Value: 3, Label: "99.9%"},
-		{Value: 4, Label: "99.99%"}}
+	p.X.Tick.Marker = plot.ConstantTicks{{Value: 0, Label: "0"}, {Value: 1, Label: "90%"}, {Value: 2, Label: "99%"},
+		{Value: 3, Label: "99.9%"}, {Value: 4, Label: "99.99%"}}
 	p.Add(plotter.NewGrid())
 	for i, r := range results {
 		var line plotter.XYs
@@ -47,13 +47,14 @@
 func (a *Archive) Table() string {
 	var b strings.Builder
 	s := a.Header.Scenario
-	fmt.Fprintf(&b, "%s: %d directors of %d cores, %d clients, %v after %v, %d repeats; machine of %d cores, %s\n", s.Name, s.Directors, s.Cores,
-		s.Clients, s.Duration, s.Warmup, s.Repeats, a.Header.Cores, a.Header.At)
-	fmt.Fprintf(&b, "%-8s %-14s %9s %9s %8s %8s %8s %8s %8s %9s %9s %9s\n", "run", "part", "due", "answered", "nacked", "errored", "turned", "lost", "open",
-		"p50 ms", "p99 ms", "max ms")
+	fmt.Fprintf(&b, "%s: %d directors of %d cores, %d clients, %v after %v, %d repeats; machine of %d cores, %s\n", s.Name,
+		s.Directors, s.Cores, s.Clients, s.Duration, s.Warmup, s.Repeats, a.Header.Cores, a.Header.At)
+	fmt.Fprintf(&b, "%-8s %-14s %9s %9s %8s %8s %8s %8s %8s %9s %9s %9s\n", "run", "part", "due", "answered", "nacked", "errored",
+		"turned", "lost", "open", "p50 ms", "p99 ms", "max ms")
 	all := a.Summaries()
 	for _, x := range all {
-		fmt.Fprintf(&b, "%-8s %-14s %9d %9d %8d %8d %8d %8d %8d", x.Run, x.Part, x.Due, x.Answered, x.Nacked, x.Errored, x.Rejected, x.Lost, x.Open)
+		fmt.Fprintf(&b, "%-8s %-14s %9d %9d %8d %8d %8d %8d %8d", x.Run, x.Part, x.Due, x.Answered, x.Nacked, x.Errored, x.Rejected,
+			x.Lost, x.Open)
 		if x.histogram.TotalCount() > 0 {
 			fmt.Fprintf(&b, " %9.3f %9.3f %9.3f", x.Percentile(50), x.Percentile(99), float64(x.histogram.Max())/1000)
 		}
@@ -67,7 +68,8 @@
 				n++
 				cpu += r.Usage.CPU
 				conns += r.Usage.Conns
-				rss, heap, sockets, loopDelay = max(rss, r.Usage.RSS), max(heap, r.Usage.Heap), max(sockets, r.Usage.SocketMemory), max(loopDelay, r.Usage.LoopDelay)
+				rss, heap, sockets, loopDelay = max(rss, r.Usage.RSS), max(heap, r.Usage.Heap), max(sockets, r.Usage.SocketMemory),
+					max(loopDelay, r.Usage.LoopDelay)
 			}
 		}
 		if n > 0 {
@@ -78,7 +80,8 @@
 	for _, x := range all {
 		for _, y := range all {
 			if x.Run == "with" && y.Run == "without" && x.Part == y.Part && y.histogram.TotalCount() > 0 && x.histogram.TotalCount() > 0 {
-				fmt.Fprintf(&b, "%s, p99 with %s over without: %.2f (p50 %.2f)\n", x.Part, strings.Join(s.ExcludedParts, ", "), x.Percentile(99)/y.Percentile(99), x.Percentile(50)/y.Percentile(50))
+				fmt.Fprintf(&b, "%s, p99 with %s over without: %.2f (p50 %.2f)\n", x.Part, strings.Join(s.ExcludedParts, ", "),
+					x.Percentile(99)/y.Percentile(99), x.Percentile(50)/y.Percentile(50))
 			}
 		}
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -77,7 +77,8 @@
 	for i := range s.Directors {
 		var text bytes.Buffer
 		spec := f.nodeSpecs[0]
-		err := scenarioConfigTemplate.Execute(&text, map[string]any{"Me": i, "Directors": s.Directors, "List": f.discovery.Address(), "Nodes": s.Nodes,
+		err := scenarioConfigTemplate.Execute(&text, map[string]any{"Me": i, "Directors": s.Directors, "List": f.discovery.Address(),
+			"Nodes": s.Nodes,
 			"Racks": s.Racks, "Link": spec.LinkRate, "Uplink": spec.LinkRate * float64((s.Nodes+s.Racks-1)/s.Racks), "Places": spec.MaxStreams,
 			"Ping": s.Ping.String(), "Room": s.MaxConnections})
 		if err != nil {
--- a/internal/load/setup_rate.go
+++ b/internal/load/setup_rate.go
@@ -2,7 +2,8 @@
 // Requests follow a schedule that does not wait for answers, and latencies count from a request's due time. So the
 // measurement does not hide a stall of the server behind a client that stalls with it. Three kinds of load are
 // measured: set-ups at a rate (SetupLoad), idle connections (IdleLoad, InMemoryLoad), and parts that run at the same
-// time (Scenario). The package opens sockets; callers start the processes under load.
+// time (Scenario). The package opens sockets. Callers start the processes under load; only InMemoryLoad runs a director
+// in its own process.
 package load
 
 import (
@@ -99,19 +100,21 @@
 			LinkRate: link, Cores: 64, SetupTime: 0})
 	}
 	var err error
-	f.nodes, err = node.StartHost(node.NewModel(s.Seed, node.Environment{Uplinks: uplinks, Warmup: time.Second, InitialShare: 0.5, OverloadMultiple: 4,
-		OverloadWindow: time.Second, ReportDelay: 900 * time.Millisecond, ReportInterval: 3750 * time.Millisecond, LoadRefresh: 300 * time.Millisecond},
-		f.nodeSpecs), recorder, nil)
+	f.nodes, err = node.StartHost(node.NewModel(s.Seed, node.Environment{Uplinks: uplinks, Warmup: time.Second, InitialShare: 0.5,
+		OverloadMultiple: 4, OverloadWindow: time.Second, ReportDelay: 900 * time.Millisecond, ReportInterval: 3750 * time.Millisecond,
+		LoadRefresh: 300 * time.Millisecond}, f.nodeSpecs), recorder, nil)
 	if err != nil {
 		return nil, err
 	}
 	var entries []wire.NodeEntry
 	for i, m := range f.nodeSpecs {
 		start, _ := f.nodes.Start(m.Name)
-		entries = append(entries, wire.NodeEntry{Node: m.Name, Address: f.nodes.Address(m.Name), State: wire.Up, MachineKind: "box", Weight: 1, Cell: i, Incarnation: start})
+		entries = append(entries, wire.NodeEntry{Node: m.Name, Address: f.nodes.Address(m.Name), State: wire.Up, MachineKind: "box",
+			Weight: 1, Cell: i, Incarnation: start})
 	}
 	for i := range s.Titles {
-		f.titles = append(f.titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i), FirstCell: random.IntN(s.Nodes), Copies: min(6, s.Nodes)})
+		f.titles = append(f.titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i), FirstCell: random.IntN(s.Nodes),
+			Copies: min(6, s.Nodes)})
 	}
 	f.discovery, err = discovery.Start(recorder, entries, f.titles)
 	if err != nil {
@@ -312,8 +315,8 @@
 			begin()
 		}
 		id := strconv.FormatInt(int64(due), 36)
-		conns[n%len(conns)].Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip", Title: f.titles[n%len(f.titles)].Title,
-			Key: "k" + id, WaitMS: 3000, LengthMS: length.Milliseconds()}), 0)
+		conns[n%len(conns)].Send(wire.Encode(wire.SessionMessage{Type: wire.Request, ID: id, Tariff: "clip",
+			Title: f.titles[n%len(f.titles)].Title, Key: "k" + id, WaitMS: 3000, LengthMS: length.Milliseconds()}), 0)
 	})
 	time.Sleep(500 * time.Millisecond)
 	return m.result(name, due), nil
