--- a/cmd/fordusher/import.go
+++ b/cmd/fordusher/import.go
@@ -28,17 +28,17 @@
 }
 
 type haproxyCommand struct {
-	Files   []string          `arg:"" optional:"" help:"Files and directories."`
-	Out     string            `short:"o" help:"Write the director's configuration to this file." type:"path"`
-	Report  string            `help:"Write the report on every line to this file." type:"path"`
-	JSON    bool              `help:"Write the report as JSON."`
-	With    string            `help:"File with settings that HAProxy does not have: sections of a director's configuration, and servers by name or pattern."`
-	Env     map[string]string `help:"Values of environment variables; the process's own environment is not used." mapsep:"none"`
-	Version string            `name:"haproxy-version" help:"HAProxy version that the files were written for, such as 2.8; used by version_atleast."`
-	Against string            `help:"A director's configuration from a previous import: keep the values that were filled in by hand, and report what changed."`
-	Plan    string            `help:"With --against: write the change to this file, as updates to the server list in a safe order." type:"path"`
-	Terms   planConstraints   `embed:"" prefix:"plan-"`
-	Table   bool              `help:"Print the table of which keywords are carried over, as in docs/import-haproxy.md, and exit."`
+	Files       []string          `arg:"" optional:"" help:"Files and directories."`
+	Out         string            `short:"o" help:"Write the director's configuration to this file." type:"path"`
+	Report      string            `help:"Write the report on every line to this file." type:"path"`
+	JSON        bool              `help:"Write the report as JSON."`
+	With        string            `help:"File with settings that HAProxy does not have: sections of a director's configuration, and servers by name or pattern."`
+	Env         map[string]string `help:"Values of environment variables; the process's own environment is not used." mapsep:"none"`
+	Version     string            `name:"haproxy-version" help:"HAProxy version that the files were written for, such as 2.8; used by version_atleast."`
+	Against     string            `help:"A director's configuration from a previous import: keep the values that were filled in by hand, and report what changed."`
+	Plan        string            `help:"With --against: write the change to this file, as updates to the server list in a safe order." type:"path"`
+	Constraints planConstraints   `embed:"" prefix:"plan-"`
+	Table       bool              `help:"Print the table of which keywords are carried over, as in docs/import-haproxy.md, and exit."`
 }
 
 // planConstraints are the flags that limit how fast a plan may change the server list.
@@ -179,7 +179,7 @@
 	if err != nil {
 		return fmt.Errorf("a plan needs a complete configuration: %w", err)
 	}
-	lines, err := planRollout(before, after, c.Terms)
+	lines, err := planRollout(before, after, c.Constraints)
 	if err != nil {
 		return err
 	}
@@ -231,14 +231,14 @@
 	}
 	var lines []planLine
 	for _, s := range steps {
-		for _, ch := range s.Changes {
-			e := entries[ch.Node.Name]
-			switch ch.Kind {
+		for _, change := range s.Changes {
+			e := entries[change.Node.Name]
+			switch change.Kind {
 			case rollout.Add:
-				e = targetEntries[ch.Node.Name]
+				e = targetEntries[change.Node.Name]
 			case rollout.Reopen, rollout.Reweight:
-				e.State, e.Weight = wire.Draining, ch.Node.Weight
-				if ch.Node.Up {
+				e.State, e.Weight = wire.Draining, change.Node.Weight
+				if change.Node.Up {
 					e.State = wire.Up
 				}
 			case rollout.Drain:
@@ -246,8 +246,8 @@
 			case rollout.Remove:
 				e.State = wire.Removed
 			}
-			entries[ch.Node.Name] = e
-			lines = append(lines, planLine{At: s.At.String(), Kind: string(ch.Kind), Entry: &e})
+			entries[change.Node.Name] = e
+			lines = append(lines, planLine{At: s.At.String(), Kind: string(change.Kind), Entry: &e})
 		}
 	}
 	return lines, nil
--- a/cmd/fordusher/load.go
+++ b/cmd/fordusher/load.go
@@ -226,7 +226,9 @@
 		return err
 	}
 	defer p.close()
-	through, err := s.RunThroughDirector(ctx, func(config []byte) (load.Process, error) { return p.startDirectorOnCores(config, c.Cores, c.Profile) })
+	through, err := s.RunThroughDirector(ctx, func(config []byte) (load.Process, error) {
+		return p.startDirectorOnCores(config, c.Cores, c.Profile)
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/fordusher/processes.go
+++ b/cmd/fordusher/processes.go
@@ -125,10 +125,10 @@
 	<-d.done
 }
 
-// StartNodes starts one process that runs all emulated nodes. It calls overloaded with the name of each node that fails
+// StartNodes starts one process that runs all emulated nodes. It calls onOverload with the name of each node that fails
 // because of overload.
 func (p *processes) StartNodes(seed uint64, environment node.Environment, specs []node.Spec, _ *rulecheck.Recorder,
-	overloaded func(string)) (day.NodeFleet, error) {
+	onOverload func(string)) (day.NodeFleet, error) {
 	spec, err := json.Marshal(nodesSpec{seed, environment, specs})
 	if err != nil {
 		return nil, err
@@ -142,7 +142,7 @@
 	if n.cmd, n.in, r, err = p.spawn(&n.addresses, "node", "--farm", file); err != nil {
 		return nil, err
 	}
-	go n.read(r, overloaded)
+	go n.read(r, onOverload)
 	return n, nil
 }
 
@@ -179,23 +179,23 @@
 	replies    chan nodeReply
 }
 
-// read passes the process's replies to call, and calls overloaded for each report of a failed node.
-func (n *nodesProcess) read(r *bufio.Reader, overloaded func(string)) {
+// read passes the process's replies to call, and calls onOverload for each report of a failed node.
+func (n *nodesProcess) read(r *bufio.Reader, onOverload func(string)) {
 	defer close(n.replies)
 	for {
 		line, err := r.ReadBytes('\n')
 		if err != nil {
 			return
 		}
-		var x nodeReply
-		if json.Unmarshal(line, &x) != nil {
+		var reply nodeReply
+		if json.Unmarshal(line, &reply) != nil {
 			continue
 		}
-		if x.Overloaded != "" {
-			overloaded(x.Overloaded)
+		if reply.Overloaded != "" {
+			onOverload(reply.Overloaded)
 			continue
 		}
-		n.replies <- x
+		n.replies <- reply
 	}
 }
 
@@ -210,21 +210,21 @@
 	if _, err := n.in.Write(append(line, '\n')); err != nil {
 		return nodeReply{}, err
 	}
-	x, ok := <-n.replies
+	reply, ok := <-n.replies
 	if !ok {
-		return x, errors.New("the nodes' process has ended")
+		return reply, errors.New("the nodes' process has ended")
 	}
-	if x.Error != "" {
-		return x, errors.New(x.Error)
+	if reply.Error != "" {
+		return reply, errors.New(reply.Error)
 	}
-	return x, nil
+	return reply, nil
 }
 
 func (n *nodesProcess) Address(name string) string { return n.addresses[name] }
 
 func (n *nodesProcess) Start(name string) (uint64, time.Duration) {
-	x, _ := n.call(nodeRequest{StartOf: name})
-	return x.Start, x.Age
+	reply, _ := n.call(nodeRequest{StartOf: name})
+	return reply.Start, reply.Age
 }
 
 func (n *nodesProcess) Inject(fault node.Fault) { n.call(nodeRequest{Fault: &fault}) }
@@ -288,26 +288,26 @@
 	in := bufio.NewScanner(os.Stdin)
 	for in.Scan() {
 		var request nodeRequest
-		var x nodeReply
+		var reply nodeReply
 		if err := json.Unmarshal(in.Bytes(), &request); err != nil {
-			x.Error = err.Error()
+			reply.Error = err.Error()
 		}
 		if request.Fault != nil {
 			host.Inject(*request.Fault)
 		}
 		if request.StartOf != "" {
 			if addresses[request.StartOf] == "" {
-				x.Error = "no node " + request.StartOf
+				reply.Error = "no node " + request.StartOf
 			} else {
-				x.Start, x.Age = host.Start(request.StartOf)
+				reply.Start, reply.Age = host.Start(request.StartOf)
 			}
 		}
 		if request.SaveTo != "" {
 			if err := resultarchive.Save(request.SaveTo, rulecheck.Limits{}, recorder.Records()); err != nil {
-				x.Error = err.Error()
+				reply.Error = err.Error()
 			}
 		}
-		printLine(x)
+		printLine(reply)
 	}
 	return in.Err()
 }
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -207,7 +207,8 @@
 				p.Line(t.OffsetOf("hard_stop")), tariff.HardStop)
 		}
 		if tariff.Floor > tariff.Top {
-			p.AddProblem(t.OffsetOf("floor"), "floor is rung %d; it has to be at most top, which is rung %d, or rule 5 (terms kept) can't hold", tariff.Floor, tariff.Top)
+			p.AddProblem(t.OffsetOf("floor"), "floor is rung %d; it has to be at most top, which is rung %d, or rule 5 (terms kept) can't hold",
+				tariff.Floor, tariff.Top)
 		}
 		t.ReportUnknownKeys()
 		c.Tariffs = append(c.Tariffs, director.Tariff{Name: name, Tariff: tariff})
@@ -228,7 +229,8 @@
 		RefusalThreshold: o.Number("refuses_from", 0, 0, 10, false),
 	}
 	if c.Topology.Racks > c.Topology.Cells && c.Topology.Cells > 0 {
-		p.AddProblem(o.OffsetOf("racks"), "there are %d racks, but only %d cells; a cell lies in one rack, so there can be no more racks than cells", c.Topology.Racks, c.Topology.Cells)
+		p.AddProblem(o.OffsetOf("racks"), "there are %d racks, but only %d cells; a cell lies in one rack, so there can be no more racks than cells",
+			c.Topology.Racks, c.Topology.Cells)
 	}
 	machines := o.Object("machines", true)
 	for _, kind := range machines.Names() {
--- a/internal/day/harness.go
+++ b/internal/day/harness.go
@@ -64,7 +64,7 @@
 
 // A Launcher starts the parts of a day in separate processes.
 type Launcher interface {
-	StartNodes(seed uint64, environment node.Environment, nodes []node.Spec, record *rulecheck.Recorder,
+	StartNodes(seed uint64, environment node.Environment, nodes []node.Spec, recorder *rulecheck.Recorder,
 		onOverload func(string)) (NodeFleet, error)
 	StartDirector(config []byte, name, boot string, seed uint64) (DirectorHandle, error)
 }
@@ -318,8 +318,8 @@
 	}
 }
 
-// kill ends a director at once. It records the kill before and after it: requests that are unanswered at the first
-// record are no violation, and messages of the director up to the second record are still checked.
+// kill ends a director at once. It records the kill before and after it. From the first record on, the rules need no
+// answers of the director to its requests; what it still sends before the second record is checked as usual.
 func (h *harness) kill(slot *directorSlot) {
 	h.recorder.Add(rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: slot.name})
 	h.mu.Lock()
--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -149,7 +149,8 @@
 	name := DirectorName(i)
 	if layout.config != nil {
 		config := *layout.config
-		config.Name, config.Peers.Index, config.Peers.Directors, config.ListenAddress, config.DiscoveryAddress, config.MetricsAddress = name, i, layout.Script.Directors, "127.0.0.1:0", discoveryAddress, ""
+		config.Name, config.Peers.Index, config.Peers.Directors, config.ListenAddress, config.DiscoveryAddress, config.MetricsAddress =
+			name, i, layout.Script.Directors, "127.0.0.1:0", discoveryAddress, ""
 		config.Nodes, config.Titles = nil, nil // discovery provides them
 		return &config, nil, nil
 	}
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -201,7 +201,9 @@
 		}
 		conn.playingSince = at
 		remaining := client.remaining
-		sim.events.schedule(at+remaining+time.Second, func(at time.Duration) { c.disconnect(at, conn, attemptOutcome{played: remaining}) }) // for a node that does not end the session itself
+		sim.events.schedule(at+remaining+time.Second, func(at time.Duration) { // for a node that does not end the session itself
+			c.disconnect(at, conn, attemptOutcome{played: remaining})
+		})
 		if client.random.Float64() < sim.script.Behavior.DisconnectShare {
 			sim.events.schedule(at+time.Duration(client.random.Int64N(int64(max(1, remaining)))), func(at time.Duration) {
 				c.disconnect(at, conn, attemptOutcome{played: at - conn.playingSince, retry: true, sameSession: true})
@@ -281,7 +283,8 @@
 	if !outcome.sameSession {
 		client.sessionNumber++
 	}
-	if !outcome.retry || client.remaining < 200*time.Millisecond || client.random.Float64() >= behavior.RetryShare || at > settleTime+sim.script.Length+2*time.Second {
+	if !outcome.retry || client.remaining < 200*time.Millisecond || client.random.Float64() >= behavior.RetryShare ||
+		at > settleTime+sim.script.Length+2*time.Second {
 		c.active--
 		c.maxEarning -= client.BestRungValue * sim.creditByTariff[client.Tariff]
 		c.checkFinished()
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -34,8 +34,8 @@
 // Options configure a run of a day in virtual time.
 type Options struct {
 	Latency     LatencyRange                                            // zero: 0.5 ms to 2 ms
-	Workers     int                                                     // cores; 0: one. The number affects only the wall-clock time of the run
-	Until       time.Duration                                           // virtual time at which the run ends, if it has not ended before; 0: no limit
+	Workers     int                                                     // cores; 0: one. Affects only the time that the run takes
+	Until       time.Duration                                           // virtual time at which the run ends at the latest; 0: no limit
 	NewDecider  func(config *conf.Config, seed uint64) director.Decider // nil: the policy module
 	Log         func(line string)                                       // receives progress and log lines; may be nil
 	Actions     []day.Action                                            // replace the script's timeline; nil: the script's timeline
@@ -260,20 +260,20 @@
 	nexts := make([]time.Duration, len(sim.directors))
 	var due []*simDirector
 	for sim.err == nil && !sim.finished {
-		t := sim.events.nextAt()
+		start := sim.events.nextAt()
 		if at, ok := sim.nodes.NextDeadline(); ok {
-			t = min(t, at)
+			start = min(start, at)
 		}
 		for i, d := range sim.directors {
 			if d.nextAtStale {
 				nexts[i], d.nextAtStale = d.nextAt(), false
 			}
-			t = min(t, nexts[i])
+			start = min(start, nexts[i])
 		}
-		if t >= end {
+		if start >= end {
 			break
 		}
-		stop := t + sim.opt.Latency.Min
+		stop := start + sim.opt.Latency.Min
 		due = due[:0]
 		for i, d := range sim.directors {
 			if nexts[i] < stop {
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -114,7 +114,7 @@
 	Samples     []Sample  `json:"points"`
 }
 
-// An ExperimentResult holds all days of an experiment.
+// An ExperimentResult holds all runs of an experiment.
 type ExperimentResult struct {
 	Name string          `json:"name"`
 	Runs []ExperimentRun `json:"-"`
@@ -173,14 +173,14 @@
 
 // LoadExperimentResult reads a file that Save wrote.
 func LoadExperimentResult(file string) (*ExperimentResult, error) {
-	result, days, err := resultarchive.Load[*ExperimentResult, ExperimentRun](file)
+	result, runs, err := resultarchive.Load[*ExperimentResult, ExperimentRun](file)
 	switch {
 	case err != nil:
 		return nil, err
 	case result == nil || result.Name == "":
 		return nil, fmt.Errorf("%s: not the results of an experiment", file)
 	}
-	result.Runs = days
+	result.Runs = runs
 	return result, nil
 }
 
@@ -193,14 +193,14 @@
 	return t * stat.StdDev(x, nil) / math.Sqrt(float64(len(x)))
 }
 
-// runsOf returns the days of one grid point and policy, by seed.
-func (r *ExperimentResult) runsOf(point GridPoint, policy string) (days []ExperimentRun) {
+// runsOf returns the runs of one grid point and policy, by seed.
+func (r *ExperimentResult) runsOf(point GridPoint, policy string) (runs []ExperimentRun) {
 	for _, d := range r.Runs {
 		if d.GridPoint == point && d.Policy == policy {
-			days = append(days, d)
+			runs = append(runs, d)
 		}
 	}
-	return days
+	return runs
 }
 
 // gridPoints returns the grid points of the runs, in their order.
@@ -224,8 +224,8 @@
 }
 
 // mapRuns returns f of each run.
-func mapRuns(days []ExperimentRun, f func(d ExperimentRun) float64) (all []float64) {
-	for _, d := range days {
+func mapRuns(runs []ExperimentRun, f func(d ExperimentRun) float64) (all []float64) {
+	for _, d := range runs {
 		all = append(all, f(d))
 	}
 	return all
@@ -240,11 +240,11 @@
 	for _, point := range r.gridPoints() {
 		var first []float64
 		for _, policy := range r.policies() {
-			days := r.runsOf(point, policy)
-			if len(days) == 0 {
+			runs := r.runsOf(point, policy)
+			if len(runs) == 0 {
 				continue
 			}
-			credit := mapRuns(days, func(d ExperimentRun) float64 { return d.Credit })
+			credit := mapRuns(runs, func(d ExperimentRun) float64 { return d.Credit })
 			diff := ""
 			if first == nil {
 				first = credit
@@ -252,13 +252,13 @@
 				diff = pairedDifference(credit, first)
 			}
 			sum := func(f func(d ExperimentRun) int) (n int) {
-				for _, d := range days {
+				for _, d := range runs {
 					n += f(d)
 				}
 				return n
 			}
 			var recoveries []float64
-			for _, d := range days {
+			for _, d := range runs {
 				recoveries = append(recoveries, d.Recoveries...)
 			}
 			received := float64(sum(func(d ExperimentRun) int { return d.Received }))
@@ -266,7 +266,7 @@
 			if len(recoveries) > 0 {
 				mean = stat.Mean(recoveries, nil)
 			}
-			fmt.Fprintf(&b, "%-26s %-14s %5d %8.3f ± %.3f %16s %7.1f%% %8.2f%% %9.3f %10.2f %9d %7d\n", point, policy, len(days),
+			fmt.Fprintf(&b, "%-26s %-14s %5d %8.3f ± %.3f %16s %7.1f%% %8.2f%% %9.3f %10.2f %9d %7d\n", point, policy, len(runs),
 				stat.Mean(credit, nil), confidenceInterval(credit), diff,
 				100*float64(sum(func(d ExperimentRun) int { return d.Nacked }))/received,
 				100*float64(sum(func(d ExperimentRun) int { return d.Errored }))/received,
@@ -321,16 +321,16 @@
 		p.Y.Min, p.Y.Max = 0, 1
 		p.Add(plotter.NewGrid())
 		for k, policy := range r.policies() {
-			days := r.runsOf(point, policy)
+			runs := r.runsOf(point, policy)
 			var line plotter.XYs
 			for second := 0; ; second++ {
 				var shares []float64
-				for _, d := range days {
+				for _, d := range runs {
 					if second < len(d.Samples) && d.Samples[second].MaxEarning > 0 {
 						shares = append(shares, min(1, d.Samples[second].Earning/d.Samples[second].MaxEarning))
 					}
 				}
-				if len(shares) < max(1, len(days)/2) {
+				if len(shares) < max(1, len(runs)/2) {
 					break
 				}
 				line = append(line, plotter.XY{X: float64(second), Y: stat.Mean(shares, nil)})
--- a/internal/haproxy/proxy.go
+++ b/internal/haproxy/proxy.go
@@ -176,8 +176,8 @@
 	case "default-server":
 		options, unknownWord := parseOptions(l, 1)
 		if unknownWord >= 0 {
-			l.MarkSkipped(l.JoinFrom(unknownWord), fmt.Sprintf("%q (column %d) is unknown or lacks an argument, so the words after it can't be parsed reliably", l.WordAt(unknownWord), l.Words[unknownWord].Col),
-				"remove it from this line and import again")
+			l.MarkSkipped(l.JoinFrom(unknownWord), fmt.Sprintf("%q (column %d) is unknown or lacks an argument, so the words after it can't be parsed reliably",
+				l.WordAt(unknownWord), l.Words[unknownWord].Col), "remove it from this line and import again")
 		}
 		p.defaultOptions = append(p.defaultOptions, options...)
 	case "server", "server-template":
--- a/internal/importer/import.go
+++ b/internal/importer/import.go
@@ -147,8 +147,9 @@
 			}
 		}
 		if total > 0 && draining == total {
-			imp.result.Warnings = append(imp.result.Warnings, fmt.Sprintf("%s: all servers of %s have weight 0: a title that only they hold has no node that takes sessions",
-				p.Head.Position, p.Name))
+			imp.result.Warnings = append(imp.result.Warnings,
+				fmt.Sprintf("%s: all servers of %s have weight 0: a title that only they hold has no node that takes sessions",
+					p.Head.Position, p.Name))
 		}
 	}
 	for _, p := range imp.proxies {
@@ -169,8 +170,10 @@
 		s.Line.MarkCarried("server "+n.Node, "nodes."+first.Node+" (the same address)")
 		return
 	}
-	s.Line.MarkSkipped("server "+n.Node, fmt.Sprintf("node %s (%s) has the same address, but another weight, state or capacity: one node can't have both", first.Node,
-		first.server.Line.Position), "make the two lines agree, or configure the node by hand")
+	s.Line.MarkSkipped("server "+n.Node,
+		fmt.Sprintf("node %s (%s) has the same address, but another weight, state or capacity: one node can't have both",
+			first.Node, first.server.Line.Position),
+		"make the two lines agree, or configure the node by hand")
 }
 
 // nodesOf creates the nodes of a server line: one for a server, one for each number of a template. ok is false if
--- a/internal/load/client_process.go
+++ b/internal/load/client_process.go
@@ -101,7 +101,7 @@
 	conns             []*transport.Conn
 	rawConns          []net.Conn
 	mu                sync.Mutex
-	pendingDuplicates map[*transport.Conn][]time.Duration // of KindDuplicates: due times of repetitions without an answer, at most 64 for each connection
+	pendingDuplicates map[*transport.Conn][]time.Duration // for KindDuplicates: due times of unanswered repetitions, at most 64 each
 }
 
 // RunClient runs a client process. It reads a ClientConfig from in, connects, writes {"ready":true}, and waits for a
--- a/internal/load/idle_connections.go
+++ b/internal/load/idle_connections.go
@@ -210,12 +210,12 @@
 type InMemoryResult struct {
 	InMemoryLoad
 	Bytes         float64      `json:"bytes"`        // Go memory in use, per connection
-	RecordBytes   float64      `json:"record_bytes"` // the part of Bytes that the connection's record in the loop and the limits takes, with its timer
+	RecordBytes   float64      `json:"record_bytes"` // the part of Bytes for the record in the loop and the limits, and its timer
 	Before        *SetupResult `json:"before"`       // set-ups without the idle connections
 	WithIdle      *SetupResult `json:"among"`        // set-ups with the idle connections and their heartbeats
 	TimersAligned *SetupResult `json:"together"`     // set-ups while the heartbeat timers of all connections expire at once
 	Drains        int          `json:"drains"`
-	MaxDrainDelay float64      `json:"drain_most_ms"` // maximum time from a drain's announcement to the last set-up at that node
+	MaxDrainDelay float64      `json:"drain_most_ms"` // maximum time from the acknowledgement of a drain to the last set-up at the node
 	Pings         int64        `json:"pings"`
 	Lost          int64        `json:"lost"`
 }
