--- a/cmd/fordusher/load.go
+++ b/cmd/fordusher/load.go
@@ -78,7 +78,8 @@
 	}
 	fmt.Print(load.IdleTable(results...))
 	director, baseline := results[0], results[1]
-	fmt.Printf("ratio of director to baseline: Go memory %.2f, RSS %.2f, CPU time %.2f\n", (director.Heap+director.Stacks)/(baseline.Heap+baseline.Stacks), director.RSS/baseline.RSS, director.CPU/baseline.CPU)
+	fmt.Printf("ratio of director to baseline: Go memory %.2f, RSS %.2f, CPU time %.2f\n",
+		(director.Heap+director.Stacks)/(baseline.Heap+baseline.Stacks), director.RSS/baseline.RSS, director.CPU/baseline.CPU)
 	return printJSON(c.JSON, map[string]any{"load": idleLoad, "results": results})
 }
 
@@ -225,7 +226,9 @@
 		return err
 	}
 	defer p.close()
-	through, err := s.RunThroughDirector(ctx, func(config []byte) (load.Process, error) { return p.startDirectorOnCores(config, c.Cores, c.Profile) })
+	through, err := s.RunThroughDirector(ctx, func(config []byte) (load.Process, error) {
+		return p.startDirectorOnCores(config, c.Cores, c.Profile)
+	})
 	if err != nil {
 		return err
 	}
@@ -236,7 +239,8 @@
 			return err
 		}
 	}
-	return printJSON(c.JSON, map[string]any{"load": s, "cores": runtime.NumCPU(), "director_cores": c.Cores, "results": []*load.SetupResult{direct, through}})
+	return printJSON(c.JSON, map[string]any{"load": s, "cores": runtime.NumCPU(), "director_cores": c.Cores,
+		"results": []*load.SetupResult{direct, through}})
 }
 
 // startDirectorOnCores starts a director's process that uses the given number of cores.
--- a/cmd/fordusher/log_test.go
+++ b/cmd/fordusher/log_test.go
@@ -33,8 +33,8 @@
 	return v
 }
 
-// Runs a director whose standard error is a full pipe that nobody reads. Guards against a log write that blocks the event
-// loop, and with it every answer.
+// Runs a director whose standard error is a full pipe that nobody reads. Guards against a log write that blocks the
+// event loop, and with it every answer.
 func TestUnreadLogPipeDoesNotBlockAnswers(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -66,7 +66,8 @@
 	}()
 	ready := receiveWithin10s(t, "the director is ready", started)
 	answers := make(messageChannel, 10)
-	c, err := transport.Dial(ready.Listen, wire.SessionProtocol, 5*time.Second, transport.Limits{MaxMessageBytes: 1 << 12, MaxQueuedBytes: 1 << 16, WriteTimeout: time.Second}, answers, nil)
+	c, err := transport.Dial(ready.Listen, wire.SessionProtocol, 5*time.Second,
+		transport.Limits{MaxMessageBytes: 1 << 12, MaxQueuedBytes: 1 << 16, WriteTimeout: time.Second}, answers, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fordusher/pause_test.go
+++ b/cmd/fordusher/pause_test.go
@@ -7,15 +7,16 @@
 )
 
 // Stops the process while a request arrives, so that the request waits in the kernel and its client has less time left
-// than the request says. Guards against a time-out stated to a node that is longer than the client's remaining time, with
-// a tolerance of 0.15 s.
+// than the request says. Guards against a set-up whose time-out is longer than the client's remaining time, with a
+// tolerance of 0.15 s.
 func TestSetupTimeoutCountsProcessPause(t *testing.T) {
 	const (
 		wait      = 800 * time.Millisecond
 		tolerance = 150 * time.Millisecond
 	)
 	n := newMediaNode(t)
-	d := startPlatformDirector(t, platformConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 5, nodes: []*mediaNode{n}})
+	d := startPlatformDirector(t, platformConfig{listen: freeAddress(t), discovery: freeAddress(t), sockets: 512, deadline: 5,
+		nodes: []*mediaNode{n}})
 	for i, pause := range []time.Duration{0, 250 * time.Millisecond, 500 * time.Millisecond} {
 		session := uint64(i + 1)
 		c := d.connect()
--- a/cmd/fordusher/scale.go
+++ b/cmd/fordusher/scale.go
@@ -42,7 +42,8 @@
 	var baseline soak.Usage
 	violated := false
 	for i, n := range servers {
-		usage, err := soak.MeasureUsage(context.Background(), soak.ScaleOptions{Servers: n, Directors: directors[i], Length: c.Length, Program: program})
+		usage, err := soak.MeasureUsage(context.Background(), soak.ScaleOptions{Servers: n, Directors: directors[i], Length: c.Length,
+			Program: program})
 		if err != nil {
 			return err
 		}
@@ -51,8 +52,9 @@
 		}
 		exceeded := exceededBounds(baseline, usage)
 		violated = violated || len(exceeded) > 0 || len(usage.Violations) > 0
-		fmt.Fprintf(table, "%d\t%d\t%.2f\t%.1f\t%d\t%d\t%.1f\t%d of %d\t%s\n", n, directors[i], usage.CPU.Seconds(), float64(usage.PeakMemory)/(1<<20),
-			usage.Descriptors, usage.Connections, float64(usage.ListBytes)/(1<<10), usage.Served, usage.Requests, strings.Join(exceeded, ", "))
+		fmt.Fprintf(table, "%d\t%d\t%.2f\t%.1f\t%d\t%d\t%.1f\t%d of %d\t%s\n", n, directors[i], usage.CPU.Seconds(),
+			float64(usage.PeakMemory)/(1<<20), usage.Descriptors, usage.Connections, float64(usage.ListBytes)/(1<<10), usage.Served,
+			usage.Requests, strings.Join(exceeded, ", "))
 		for _, v := range usage.Violations {
 			fmt.Fprintln(os.Stderr, v)
 		}
@@ -66,8 +68,8 @@
 	return nil
 }
 
-// exceededBounds names the measurements that exceed what the operators' standing test allows at a larger size, given
-// those at the baseline size.
+// exceededBounds names the measurements that exceed their bounds, given those at the baseline size. The bounds are
+// those that a test which the operators run regularly sets for a larger fleet.
 func exceededBounds(baseline, usage soak.Usage) (exceeded []string) {
 	thousands := float64(usage.Servers) / 1000
 	const megabyte, kilobyte = 1 << 20, 1 << 10
--- a/internal/day/harness.go
+++ b/internal/day/harness.go
@@ -33,7 +33,7 @@
 	WrapDecider  func(d director.Decider) director.Decider // wraps the decider in tests; may be nil
 	Launcher     Launcher                                  // nil: all parts run in this process
 	Tolerance    time.Duration                             // of the rule checker; 0: 100 ms
-	Config       *conf.Config                              // a director's config with nodes and titles that replace the script's; may be nil
+	Config       *conf.Config                              // a director's config whose nodes and titles replace the script's; may be nil
 	ListUpdates  []ListUpdate                              // changes of the server list during the day
 }
 
@@ -56,7 +56,7 @@
 	Address(node string) string
 	// Start returns the identity of a node's current start, and the time since then.
 	Start(node string) (start uint64, age time.Duration)
-	Inject(x node.Fault)
+	Inject(fault node.Fault)
 	// Records returns what the nodes recorded, unless they write to the day's own recorder.
 	Records() ([]rulecheck.Record, error)
 	Close()
@@ -64,7 +64,8 @@
 
 // A Launcher starts the parts of a day in separate processes.
 type Launcher interface {
-	StartNodes(seed uint64, site node.Environment, nodes []node.Spec, record *rulecheck.Recorder, onOverload func(string)) (NodeFleet, error)
+	StartNodes(seed uint64, environment node.Environment, nodes []node.Spec, recorder *rulecheck.Recorder,
+		onOverload func(string)) (NodeFleet, error)
 	StartDirector(config []byte, name, boot string, seed uint64) (DirectorHandle, error)
 }
 
@@ -215,11 +216,12 @@
 	}
 }
 
-// run starts clients until all of the script's have arrived, and waits for the last of them.
+// run starts clients at the day's arrival rate until all of the script's have arrived, and waits for the last of them.
 func (h *harness) run(ctx context.Context) {
 	h.startedAt = time.Now()
 	if h.opt.Config == nil {
-		h.recorder.Add(rulecheck.Record{Kind: rulecheck.RunStarted, RequestID: strconv.FormatUint(h.opt.Seed, 10), Reason: string(h.script.Format(""))})
+		h.recorder.Add(rulecheck.Record{Kind: rulecheck.RunStarted, RequestID: strconv.FormatUint(h.opt.Seed, 10),
+			Reason: string(h.script.Format(""))})
 	}
 	end := h.startedAt.Add(h.script.Length)
 	h.clients.Deadline = end.Add(2 * time.Second)
@@ -316,8 +318,8 @@
 	}
 }
 
-// kill ends a director at once. It records the kill before and after: from the first record on, unanswered requests
-// of the director are excused, and until the second one, its messages are still checked against the rules.
+// kill ends a director at once. It records the kill before and after it. From the first record on, the rules need no
+// answers of the director to its requests; what it still sends before the second record is checked as usual.
 func (h *harness) kill(slot *directorSlot) {
 	h.recorder.Add(rulecheck.Record{Kind: rulecheck.DirectorKilled, Director: slot.name})
 	h.mu.Lock()
--- a/internal/day/layout.go
+++ b/internal/day/layout.go
@@ -22,10 +22,10 @@
 //go:embed director.jsonc
 var configText string
 
-var configTemplate = template.Must(template.New("house").Parse(configText))
+var configTemplate = template.Must(template.New("director.jsonc").Parse(configText))
 
-// rungValues is the value of a second at each rung, as a share of the highest rung's. director.jsonc has the same
-// numbers under "worth".
+// rungValues is the value of a second of playing at each rung, as a share of its value at the highest rung.
+// director.jsonc has the same numbers under "worth".
 var rungValues = []float64{0.23, 0.52, 0.76, 1}
 
 // stallCost is the loss of value per share of the rung's rate that a stream lacks; see node.Environment.
@@ -75,7 +75,8 @@
 		uplinks = append(uplinks, layout.values.Uplink*(0.85+0.3*layout.random.Float64()))
 	}
 	for i := range s.Nodes {
-		layout.addNode(wire.NodeEntry{Node: "node-" + strconv.Itoa(i), State: wire.Up, MachineKind: "box", Zone: "hall", Weight: 1, Cell: i}, s.Racks, layout.values.Places, link)
+		layout.addNode(wire.NodeEntry{Node: "node-" + strconv.Itoa(i), State: wire.Up, MachineKind: "box", Zone: "hall", Weight: 1, Cell: i},
+			s.Racks, layout.values.Places, link)
 	}
 	layout.Environment = node.Environment{
 		Uplinks: uplinks, Warmup: 5 * time.Second, InitialShare: 0.4, OverloadMultiple: 4, OverloadWindow: time.Second,
@@ -84,7 +85,8 @@
 	}
 	copies := max(min(3, s.Nodes), s.Nodes/5)
 	for i := range s.Titles {
-		layout.Titles = append(layout.Titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i), FirstCell: layout.random.IntN(s.Nodes), Copies: copies})
+		layout.Titles = append(layout.Titles, wire.TitlePlacement{Title: "title-" + strconv.Itoa(i),
+			FirstCell: layout.random.IntN(s.Nodes), Copies: copies})
 	}
 	return layout
 }
@@ -99,9 +101,11 @@
 // of those that the updates add, and its titles.
 func NewLayoutFromConfig(s *Script, seed uint64, config *conf.Config, updates []ListUpdate) (*Layout, error) {
 	if len(config.Nodes) == 0 || len(config.Titles) == 0 {
-		return nil, fmt.Errorf("the director's config has %d nodes and %d titles: a day needs at least one of each", len(config.Nodes), len(config.Titles))
+		return nil, fmt.Errorf("the director's config has %d nodes and %d titles: a day needs at least one of each", len(config.Nodes),
+			len(config.Titles))
 	}
-	layout := &Layout{Script: s, Seed: seed, Titles: config.Titles, RungValues: config.Ladder.Worth, ListUpdates: updates, config: config, random: rand.New(rand.NewPCG(seed, 2))}
+	layout := &Layout{Script: s, Seed: seed, Titles: config.Titles, RungValues: config.Ladder.Worth, ListUpdates: updates,
+		config: config, random: rand.New(rand.NewPCG(seed, 2))}
 	if len(layout.RungValues) == 0 {
 		for _, r := range config.Ladder.Rates {
 			layout.RungValues = append(layout.RungValues, r/config.Ladder.Rates[len(config.Ladder.Rates)-1])
@@ -127,8 +131,10 @@
 		}
 		layout.addNode(e, config.Topology.Racks, int(config.Ramp.MaxStreams[kind]), config.Topology.LinkUnit*e.Weight)
 	}
-	layout.Environment = node.Environment{Warmup: config.Ramp.Warmup, InitialShare: config.Ramp.InitialShare, OverloadMultiple: config.Ramp.OverloadMultiple, OverloadWindow: config.Ramp.OverloadWindow,
-		ReportDelay: config.ReportTiming.Delay, ReportInterval: config.ReportTiming.Interval, LoadRefresh: 300 * time.Millisecond, RungValues: layout.RungValues, StallCost: stallCost}
+	layout.Environment = node.Environment{Warmup: config.Ramp.Warmup, InitialShare: config.Ramp.InitialShare,
+		OverloadMultiple: config.Ramp.OverloadMultiple, OverloadWindow: config.Ramp.OverloadWindow,
+		ReportDelay: config.ReportTiming.Delay, ReportInterval: config.ReportTiming.Interval, LoadRefresh: 300 * time.Millisecond,
+		RungValues: layout.RungValues, StallCost: stallCost}
 	for range config.Topology.Racks {
 		layout.Environment.Uplinks = append(layout.Environment.Uplinks, config.Topology.Uplink*(0.85+0.3*layout.random.Float64()))
 	}
@@ -143,7 +149,8 @@
 	name := DirectorName(i)
 	if layout.config != nil {
 		config := *layout.config
-		config.Name, config.Peers.Index, config.Peers.Directors, config.ListenAddress, config.DiscoveryAddress, config.MetricsAddress = name, i, layout.Script.Directors, "127.0.0.1:0", discoveryAddress, ""
+		config.Name, config.Peers.Index, config.Peers.Directors, config.ListenAddress, config.DiscoveryAddress, config.MetricsAddress =
+			name, i, layout.Script.Directors, "127.0.0.1:0", discoveryAddress, ""
 		config.Nodes, config.Titles = nil, nil // discovery provides them
 		return &config, nil, nil
 	}
@@ -190,9 +197,9 @@
 // WeightedSeconds returns the day's length in seconds, with the time of each burst multiplied by its arrival rate.
 func (layout *Layout) WeightedSeconds() float64 {
 	seconds := layout.Script.Length.Seconds()
-	for _, t := range layout.Script.Incidents {
-		if t.Kind == "burst" {
-			seconds += min(t.Duration, layout.Script.Length-t.At).Seconds() * (t.Size - 1)
+	for _, incident := range layout.Script.Incidents {
+		if incident.Kind == "burst" {
+			seconds += min(incident.Duration, layout.Script.Length-incident.At).Seconds() * (incident.Size - 1)
 		}
 	}
 	return seconds
@@ -201,12 +208,14 @@
 // RuleLimits returns the limits that the rule checker applies, taken from the directors' config.
 func RuleLimits(config *conf.Config, tolerance time.Duration) rulecheck.Limits {
 	limits := rulecheck.Limits{
-		Tariffs: map[string]rulecheck.TariffLimits{}, DrainGrace: config.DrainGrace, Warmup: config.Ramp.Warmup, InitialShare: config.Ramp.InitialShare,
-		OverloadMultiple: config.Ramp.OverloadMultiple, OverloadWindow: config.Ramp.OverloadWindow, MaxLegs: config.Legs.MaxLegs, MinRetries: config.Legs.MinRetries, RetryRatio: config.Legs.RetryRatio,
-		RetryWindow: config.Legs.Window, Tolerance: tolerance,
+		Tariffs: map[string]rulecheck.TariffLimits{}, DrainGrace: config.DrainGrace, Warmup: config.Ramp.Warmup,
+		InitialShare: config.Ramp.InitialShare, OverloadMultiple: config.Ramp.OverloadMultiple, OverloadWindow: config.Ramp.OverloadWindow,
+		MaxLegs: config.Legs.MaxLegs, MinRetries: config.Legs.MinRetries, RetryRatio: config.Legs.RetryRatio, RetryWindow: config.Legs.Window,
+		Tolerance: tolerance,
 	}
 	for _, x := range config.Tariffs {
-		limits.Tariffs[x.Name] = rulecheck.TariffLimits{Paid: x.AtMostOnce, MinRung: x.Floor, Seats: x.Seats, Credit: x.Credit, StartGoal: x.GoalTime}
+		limits.Tariffs[x.Name] = rulecheck.TariffLimits{Paid: x.AtMostOnce, MinRung: x.Floor, Seats: x.Seats, Credit: x.Credit,
+			StartGoal: x.GoalTime}
 	}
 	return limits
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,7 +1,8 @@
 // Package emulator runs a scripted day in virtual time. One process holds hundreds of directors with their real
 // loops, policy module and codec, together with models of the nodes, discovery, the network and the clients.
-// Nothing reads a clock and all random sources are seeded, so a day produces the same records byte for byte on
-// every run, on any number of cores.
+// A script and a seed go in; the records, their hash, and the result of the rule checks come out. Nothing reads a
+// clock and all random sources are seeded, so a day produces the same records byte for byte on every run, on any
+// number of cores. Only experiments do I/O: they read and write files.
 //
 // Virtual time advances in windows as long as the minimum network latency. Within a window no message can travel
 // from a director to another director or to the environment, so the directors run in parallel. Afterwards the
@@ -33,8 +34,8 @@
 // Options configure a run of a day in virtual time.
 type Options struct {
 	Latency     LatencyRange                                            // zero: 0.5 ms to 2 ms
-	Workers     int                                                     // cores; 0: one. The number affects only the wall-clock time of the run
-	Until       time.Duration                                           // virtual time at which the run ends, if it has not ended before; 0: no limit
+	Workers     int                                                     // cores; 0: one. Affects only the time that the run takes
+	Until       time.Duration                                           // virtual time at which the run ends at the latest; 0: no limit
 	NewDecider  func(config *conf.Config, seed uint64) director.Decider // nil: the policy module
 	Log         func(line string)                                       // receives progress and log lines; may be nil
 	Actions     []day.Action                                            // replace the script's timeline; nil: the script's timeline
@@ -80,7 +81,7 @@
 	outgoing     []outgoingEvent // outputs of the current window, in order
 	random       *rand.Rand
 	lastArrivals map[uint64]time.Duration // by route: messages on one route do not overtake each other
-	lastReceived map[uint64]time.Duration // by link
+	lastReceived map[uint64]time.Duration // by link: when the director last received a message
 	nodeByLink   map[uint64]int           // by link: the index of the link's node
 	shutdownDone bool                     // the director has completed its shutdown
 }
@@ -196,7 +197,8 @@
 			if sim.opt.Log != nil {
 				line := o.Text
 				// Logging must not affect the run, so no random latency is drawn for it.
-				d.outgoing = append(d.outgoing, outgoingEvent{at + sim.opt.Latency.Min, func(at time.Duration) { sim.logf(at, "%s: %s", d.name, line) }})
+				d.outgoing = append(d.outgoing, outgoingEvent{at + sim.opt.Latency.Min,
+					func(at time.Duration) { sim.logf(at, "%s: %s", d.name, line) }})
 			}
 		case director.ShutdownComplete:
 			d.running, d.shutdownDone = false, true
@@ -258,20 +260,20 @@
 	nexts := make([]time.Duration, len(sim.directors))
 	var due []*simDirector
 	for sim.err == nil && !sim.finished {
-		t := sim.events.nextAt()
+		start := sim.events.nextAt()
 		if at, ok := sim.nodes.NextDeadline(); ok {
-			t = min(t, at)
+			start = min(start, at)
 		}
 		for i, d := range sim.directors {
 			if d.nextAtStale {
 				nexts[i], d.nextAtStale = d.nextAt(), false
 			}
-			t = min(t, nexts[i])
+			start = min(start, nexts[i])
 		}
-		if t >= end {
+		if start >= end {
 			break
 		}
-		stop := t + sim.opt.Latency.Min
+		stop := start + sim.opt.Latency.Min
 		due = due[:0]
 		for i, d := range sim.directors {
 			if nexts[i] < stop {
@@ -317,21 +319,21 @@
 type workerPool struct {
 	wait    sync.WaitGroup
 	tasks   chan func()
-	size    int
-	claimed atomic.Int64
+	size    int          // workers, with the caller of run as one of them
+	claimed atomic.Int64 // directors of the current window that a worker has taken
 }
 
 func newWorkerPool(size int) *workerPool {
-	c := &workerPool{tasks: make(chan func()), size: size}
+	p := &workerPool{tasks: make(chan func()), size: size}
 	for range size - 1 {
 		go func() {
-			for f := range c.tasks {
+			for f := range p.tasks {
 				f()
-				c.wait.Done()
+				p.wait.Done()
 			}
 		}()
 	}
-	return c
+	return p
 }
 
 func (p *workerPool) close() { close(p.tasks) }
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r, o := conf.Parse(file, text)
-	if err := r.Err(); err != nil {
+	parser, o := conf.Parse(file, text)
+	if err := parser.Err(); err != nil {
 		return nil, err
 	}
 	x := &Experiment{
@@ -63,11 +63,12 @@
 	}
 	for _, p := range x.Policies {
 		if p != DefaultPolicy && day.Baselines[p] == nil {
-			r.AddProblem(o.OffsetOf("policies"), "there is no policy %q; there are %s and %s", p, DefaultPolicy, strings.Join(sortedKeys(day.Baselines), ", "))
+			parser.AddProblem(o.OffsetOf("policies"), "there is no policy %q; there are %s and %s", p, DefaultPolicy,
+				strings.Join(sortedKeys(day.Baselines), ", "))
 		}
 	}
 	o.ReportUnknownKeys()
-	if err := r.Err(); err != nil {
+	if err := parser.Err(); err != nil {
 		return nil, err
 	}
 	if script == "" {
@@ -113,7 +114,7 @@
 	Samples     []Sample  `json:"points"`
 }
 
-// An ExperimentResult holds all days of an experiment.
+// An ExperimentResult holds all runs of an experiment.
 type ExperimentResult struct {
 	Name string          `json:"name"`
 	Runs []ExperimentRun `json:"-"`
@@ -153,7 +154,8 @@
 		if err != nil {
 			return err
 		}
-		run.Hash, run.Received, run.Played, run.Nacked, run.Errored, run.Legs, run.P99, run.Credit = r.Hash, r.Received, r.Played, r.Nacked, r.Errored, r.Legs, r.P99, r.Credit
+		run.Hash, run.Received, run.Played, run.Nacked, run.Errored, run.Legs, run.P99, run.Credit = r.Hash, r.Received, r.Played,
+			r.Nacked, r.Errored, r.Legs, r.P99, r.Credit
 		run.Violations, run.Samples = r.violations(), r.Samples
 		for _, e := range r.Incidents {
 			if took, ok := r.RecoveryTime(e); ok {
@@ -171,14 +173,14 @@
 
 // LoadExperimentResult reads a file that Save wrote.
 func LoadExperimentResult(file string) (*ExperimentResult, error) {
-	result, days, err := resultarchive.Load[*ExperimentResult, ExperimentRun](file)
+	result, runs, err := resultarchive.Load[*ExperimentResult, ExperimentRun](file)
 	switch {
 	case err != nil:
 		return nil, err
 	case result == nil || result.Name == "":
 		return nil, fmt.Errorf("%s: not the results of an experiment", file)
 	}
-	result.Runs = days
+	result.Runs = runs
 	return result, nil
 }
 
@@ -191,14 +193,14 @@
 	return t * stat.StdDev(x, nil) / math.Sqrt(float64(len(x)))
 }
 
-// runsOf returns the days of one grid point and policy, by seed.
-func (r *ExperimentResult) runsOf(point GridPoint, policy string) (days []ExperimentRun) {
+// runsOf returns the runs of one grid point and policy, by seed.
+func (r *ExperimentResult) runsOf(point GridPoint, policy string) (runs []ExperimentRun) {
 	for _, d := range r.Runs {
 		if d.GridPoint == point && d.Policy == policy {
-			days = append(days, d)
+			runs = append(runs, d)
 		}
 	}
-	return days
+	return runs
 }
 
 // gridPoints returns the grid points of the runs, in their order.
@@ -222,8 +224,8 @@
 }
 
 // mapRuns returns f of each run.
-func mapRuns(days []ExperimentRun, f func(d ExperimentRun) float64) (all []float64) {
-	for _, d := range days {
+func mapRuns(runs []ExperimentRun, f func(d ExperimentRun) float64) (all []float64) {
+	for _, d := range runs {
 		all = append(all, f(d))
 	}
 	return all
@@ -233,16 +235,16 @@
 // from the first policy, paired by seed.
 func (r *ExperimentResult) FormatTable() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s\n%-26s %-14s %5s %16s %16s %8s %9s %9s %10s %9s %7s\n", r.Name, "", "policy", "days", "credit", "over the first", "nacked", "errored",
-		"legs/play", "recovery s", "unmended", "broken")
+	fmt.Fprintf(&b, "%s\n%-26s %-14s %5s %16s %16s %8s %9s %9s %10s %9s %7s\n", r.Name, "", "policy", "days", "credit",
+		"over the first", "nacked", "errored", "legs/play", "recovery s", "unmended", "broken")
 	for _, point := range r.gridPoints() {
 		var first []float64
 		for _, policy := range r.policies() {
-			days := r.runsOf(point, policy)
-			if len(days) == 0 {
+			runs := r.runsOf(point, policy)
+			if len(runs) == 0 {
 				continue
 			}
-			credit := mapRuns(days, func(d ExperimentRun) float64 { return d.Credit })
+			credit := mapRuns(runs, func(d ExperimentRun) float64 { return d.Credit })
 			diff := ""
 			if first == nil {
 				first = credit
@@ -250,13 +252,13 @@
 				diff = pairedDifference(credit, first)
 			}
 			sum := func(f func(d ExperimentRun) int) (n int) {
-				for _, d := range days {
+				for _, d := range runs {
 					n += f(d)
 				}
 				return n
 			}
 			var recoveries []float64
-			for _, d := range days {
+			for _, d := range runs {
 				recoveries = append(recoveries, d.Recoveries...)
 			}
 			received := float64(sum(func(d ExperimentRun) int { return d.Received }))
@@ -264,8 +266,10 @@
 			if len(recoveries) > 0 {
 				mean = stat.Mean(recoveries, nil)
 			}
-			fmt.Fprintf(&b, "%-26s %-14s %5d %8.3f ± %.3f %16s %7.1f%% %8.2f%% %9.3f %10.2f %9d %7d\n", point, policy, len(days), stat.Mean(credit, nil), confidenceInterval(credit), diff,
-				100*float64(sum(func(d ExperimentRun) int { return d.Nacked }))/received, 100*float64(sum(func(d ExperimentRun) int { return d.Errored }))/received,
+			fmt.Fprintf(&b, "%-26s %-14s %5d %8.3f ± %.3f %16s %7.1f%% %8.2f%% %9.3f %10.2f %9d %7d\n", point, policy, len(runs),
+				stat.Mean(credit, nil), confidenceInterval(credit), diff,
+				100*float64(sum(func(d ExperimentRun) int { return d.Nacked }))/received,
+				100*float64(sum(func(d ExperimentRun) int { return d.Errored }))/received,
 				float64(sum(func(d ExperimentRun) int { return d.Legs }))/float64(max(1, sum(func(d ExperimentRun) int { return d.Played }))), mean,
 				sum(func(d ExperimentRun) int { return d.Unrecovered }), sum(func(d ExperimentRun) int { return d.Violations }))
 		}
@@ -317,16 +321,16 @@
 		p.Y.Min, p.Y.Max = 0, 1
 		p.Add(plotter.NewGrid())
 		for k, policy := range r.policies() {
-			days := r.runsOf(point, policy)
+			runs := r.runsOf(point, policy)
 			var line plotter.XYs
 			for second := 0; ; second++ {
 				var shares []float64
-				for _, d := range days {
+				for _, d := range runs {
 					if second < len(d.Samples) && d.Samples[second].MaxEarning > 0 {
 						shares = append(shares, min(1, d.Samples[second].Earning/d.Samples[second].MaxEarning))
 					}
 				}
-				if len(shares) < max(1, len(days)/2) {
+				if len(shares) < max(1, len(runs)/2) {
 					break
 				}
 				line = append(line, plotter.XY{X: float64(second), Y: stat.Mean(shares, nil)})
--- a/internal/emulator/search.go
+++ b/internal/emulator/search.go
@@ -17,7 +17,7 @@
 
 // A Search generates random scripts and looks for days in which a rule is violated, or nearly violated. Scripts
 // that showed a new feature (a rule closer to its limit, another mix of outcomes, a new overlap of incidents) are
-// kept and mutated.
+// added to a corpus, and later scripts are mutations of scripts of the corpus or entirely random.
 type Search struct {
 	Seed       uint64
 	Runs       int
@@ -92,8 +92,8 @@
 		slices.SortStableFunc(results, compareSeverity)
 		results = results[:min(len(results), max(1, search.MaxResults))]
 		worst := results[0]
-		logf("%d days, %d features; worst day: %d violations, margin %.2f of rule %s, credit %.3f", done, len(features), worst.Result.violations(), worst.Result.MinMargin,
-			worst.Result.MinMarginRule, worst.Result.Credit)
+		logf("%d days, %d features; worst day: %d violations, margin %.2f of rule %s, credit %.3f", done, len(features),
+			worst.Result.violations(), worst.Result.MinMargin, worst.Result.MinMarginRule, worst.Result.Credit)
 	}
 	return results, len(features), ctx.Err()
 }
@@ -164,10 +164,13 @@
 // drawScript generates a random script.
 func drawScript(random *rand.Rand) *day.Script {
 	s := &day.Script{
-		Length: time.Duration(drawSkewed(random, 6, 20)*10) * 100 * time.Millisecond, Directors: 1 + int(drawSkewed(random, 0, 12)), Nodes: 4 + int(drawSkewed(random, 0, 40)),
-		Titles: 5 + int(drawSkewed(random, 0, 60)), Load: round(0.4 + random.Float64()), MeanLength: time.Duration(5+random.IntN(60)) * 100 * time.Millisecond,
-		Behavior: client.Behavior{RetryShare: round(0.5 + random.Float64()/2), MinRetryDelay: 200 * time.Millisecond, MaxRetryDelay: 1200 * time.Millisecond, HonorsBackoffShare: round(random.Float64()),
-			CancelShare: round(drawSkewed(random, 0, 0.2)), DuplicateShare: round(drawSkewed(random, 0, 0.1)), DisconnectShare: round(drawSkewed(random, 0, 0.2))},
+		Length: time.Duration(drawSkewed(random, 6, 20)*10) * 100 * time.Millisecond, Directors: 1 + int(drawSkewed(random, 0, 12)),
+		Nodes: 4 + int(drawSkewed(random, 0, 40)), Titles: 5 + int(drawSkewed(random, 0, 60)), Load: round(0.4 + random.Float64()),
+		MeanLength: time.Duration(5+random.IntN(60)) * 100 * time.Millisecond,
+		Behavior: client.Behavior{RetryShare: round(0.5 + random.Float64()/2), MinRetryDelay: 200 * time.Millisecond,
+			MaxRetryDelay: 1200 * time.Millisecond, HonorsBackoffShare: round(random.Float64()),
+			CancelShare: round(drawSkewed(random, 0, 0.2)), DuplicateShare: round(drawSkewed(random, 0, 0.1)),
+			DisconnectShare: round(drawSkewed(random, 0, 0.2))},
 		MinListDelay: time.Duration(random.IntN(400)) * time.Millisecond, SilentNodeListDelay: time.Duration(1+random.IntN(9)) * time.Second,
 	}
 	s.Racks = 1 + random.IntN(min(8, s.Nodes))
@@ -182,17 +185,21 @@
 func round(x float64) float64 { return math.Round(x*100) / 100 }
 
 func drawIncident(random *rand.Rand, s *day.Script) day.Incident {
-	t := day.Incident{Kind: day.IncidentKinds[random.IntN(len(day.IncidentKinds))], At: time.Duration(random.Int64N(int64(s.Length*3/4)/1e6)) * time.Millisecond,
-		Duration: time.Duration(300+random.IntN(8000)) * time.Millisecond, Share: round(0.02 + drawSkewed(random, 0, 0.6))}
-	switch t.Kind {
+	incident := day.Incident{
+		Kind:     day.IncidentKinds[random.IntN(len(day.IncidentKinds))],
+		At:       time.Duration(random.Int64N(int64(s.Length*3/4)/1e6)) * time.Millisecond,
+		Duration: time.Duration(300+random.IntN(8000)) * time.Millisecond,
+		Share:    round(0.02 + drawSkewed(random, 0, 0.6)),
+	}
+	switch incident.Kind {
 	case "answer_lost", "fast_errors", "hot_key":
-		t.Size = round(random.Float64())
+		incident.Size = round(random.Float64())
 	case "ageing":
-		t.Size = float64(2 + random.IntN(14))
+		incident.Size = float64(2 + random.IntN(14))
 	default:
-		t.Size = round(1 + drawSkewed(random, 0, 3))
+		incident.Size = round(1 + drawSkewed(random, 0, 3))
 	}
-	return t
+	return incident
 }
 
 // mutate returns a copy of a script with one to three random changes.
@@ -223,7 +230,8 @@
 		case 7:
 			s.MaxListDelay = s.MinListDelay + time.Duration(random.IntN(10_000))*time.Millisecond
 		case 8:
-			s.Behavior.DisconnectShare, s.Behavior.CancelShare, s.Behavior.DuplicateShare = round(drawSkewed(random, 0, 0.5)), round(drawSkewed(random, 0, 0.5)), round(drawSkewed(random, 0, 0.5))
+			s.Behavior.DisconnectShare, s.Behavior.CancelShare, s.Behavior.DuplicateShare = round(drawSkewed(random, 0, 0.5)),
+				round(drawSkewed(random, 0, 0.5)), round(drawSkewed(random, 0, 0.5))
 		}
 	}
 	return &s
@@ -232,7 +240,8 @@
 // MinimizeScript reduces a script as long as its day still fails: it removes incidents, halves the numbers of
 // directors, nodes, racks, clients and titles and the length, and sets shares of client behavior to zero. It runs at
 // most the given number of days and returns how many it ran; smaller is nil if the script itself does not fail.
-func MinimizeScript(s *day.Script, fails func(r *Result) bool, maxRuns int, logf func(format string, args ...any)) (smaller *day.Script, runs int, err error) {
+func MinimizeScript(s *day.Script, fails func(r *Result) bool, maxRuns int,
+	logf func(format string, args ...any)) (smaller *day.Script, runs int, err error) {
 	stillFails := func(x *day.Script) bool {
 		if runs >= maxRuns || err != nil {
 			return false
@@ -285,8 +294,8 @@
 		try("a shorter day", func(x *day.Script) bool {
 			x.Length = (x.Length / 2).Round(100 * time.Millisecond)
 			x.Requests = max(1, x.Requests/2)
-			for _, t := range x.Incidents {
-				if t.At >= x.Length {
+			for _, incident := range x.Incidents {
+				if incident.At >= x.Length {
 					return false
 				}
 			}
--- a/internal/importer/import.go
+++ b/internal/importer/import.go
@@ -59,10 +59,12 @@
 	if err != nil {
 		return nil, err
 	}
-	imp := &importState{files: files, overlay: overlay, proxies: proxies, maxSessions: map[string]int{}, settings: newObject(), result: &Result{Source: files}}
+	imp := &importState{files: files, overlay: overlay, proxies: proxies, maxSessions: map[string]int{}, settings: newObject(),
+		result: &Result{Source: files}}
 	for _, l := range files.Lines {
 		if len(l.UnsetVariables) > 0 && !l.HasOutcome() {
-			l.MarkSkipped("", "variables without a value: "+strings.Join(l.UnsetVariables, ", "), "pass --env NAME=VALUE, or write a default: ${NAME-default}")
+			l.MarkSkipped("", "variables without a value: "+strings.Join(l.UnsetVariables, ", "),
+				"pass --env NAME=VALUE, or write a default: ${NAME-default}")
 		}
 	}
 	for _, p := range proxies {
@@ -145,8 +147,9 @@
 			}
 		}
 		if total > 0 && draining == total {
-			imp.result.Warnings = append(imp.result.Warnings, fmt.Sprintf("%s: all servers of %s have weight 0: a title that only they hold has no node that takes sessions",
-				p.Head.Position, p.Name))
+			imp.result.Warnings = append(imp.result.Warnings,
+				fmt.Sprintf("%s: all servers of %s have weight 0: a title that only they hold has no node that takes sessions",
+					p.Head.Position, p.Name))
 		}
 	}
 	for _, p := range imp.proxies {
@@ -167,8 +170,10 @@
 		s.Line.MarkCarried("server "+n.Node, "nodes."+first.Node+" (the same address)")
 		return
 	}
-	s.Line.MarkSkipped("server "+n.Node, fmt.Sprintf("node %s (%s) has the same address, but another weight, state or capacity: one node can't have both", first.Node,
-		first.server.Line.Position), "make the two lines agree, or configure the node by hand")
+	s.Line.MarkSkipped("server "+n.Node,
+		fmt.Sprintf("node %s (%s) has the same address, but another weight, state or capacity: one node can't have both",
+			first.Node, first.server.Line.Position),
+		"make the two lines agree, or configure the node by hand")
 }
 
 // nodesOf creates the nodes of a server line: one for a server, one for each number of a template. ok is false if
@@ -230,10 +235,12 @@
 			l.MarkSkipped("server "+name, s.AddressText+": a server can't have a range of ports", "")
 			return false
 		case address.Host == "" || address.Host == "*" || address.Host == "0.0.0.0" || address.Host == "::":
-			l.MarkSkipped("server "+name, s.AddressText+": HAProxy uses the address to which the client connected", "give the address that clients can reach with --with")
+			l.MarkSkipped("server "+name, s.AddressText+": HAProxy uses the address to which the client connected",
+				"give the address that clients can reach with --with")
 			return false
 		}
-		n := &Node{server: s, NodeEntry: wire.NodeEntry{Node: name, Address: net.JoinHostPort(address.Host, strconv.Itoa(address.FirstPort)), State: state, MachineKind: kind,
+		n := &Node{server: s, NodeEntry: wire.NodeEntry{Node: name,
+			Address: net.JoinHostPort(address.Host, strconv.Itoa(address.FirstPort)), State: state, MachineKind: kind,
 			Weight: float64(weight), Zone: placement.zone}}
 		if placement.kind != "" {
 			n.MachineKind = placement.kind
@@ -285,10 +292,10 @@
 
 // reportOptions records the outcome of each option on the lines of the handled servers.
 func (imp *importState) reportOptions() {
-	for _, u := range imp.handled {
-		for _, o := range u.server.OwnOptions {
-			if o.Name != u.reported {
-				imp.reportOption(u.server.Line, o)
+	for _, handled := range imp.handled {
+		for _, o := range handled.server.OwnOptions {
+			if o.Name != handled.reported {
+				imp.reportOption(handled.server.Line, o)
 			}
 		}
 	}
@@ -393,7 +400,8 @@
 		if setting := p.Settings["retry-on"]; setting != nil {
 			if unsafe := slices.DeleteFunc(slices.Clone(setting.Args), func(a string) bool { return a == "none" || a == "conn-failure" }); len(unsafe) > 0 {
 				if !setting.Line.HasOutcome() {
-					setting.Line.MarkSkipped(strings.Join(unsafe, " "), reasonAtMostOnce, "clients of tariffs that are not paid get further legs anyway (legs.most)")
+					setting.Line.MarkSkipped(strings.Join(unsafe, " "), reasonAtMostOnce,
+						"clients of tariffs that are not paid get further legs anyway (legs.most)")
 				}
 			} else if !slices.Contains(lines, setting.Line) {
 				lines = append(lines, setting.Line)
@@ -501,7 +509,8 @@
 		case err != nil:
 			setting.Line.MarkSkipped("", err.Error(), row.Advice)
 		case len(imp.withClients) > 1:
-			setting.Line.MarkSkipped("", fmt.Sprintf("the limit of one of %d frontends, but the director has one limit for all clients", len(imp.withClients)), row.Advice)
+			setting.Line.MarkSkipped("", fmt.Sprintf("the limit of one of %d frontends, but the director has one limit for all clients",
+				len(imp.withClients)), row.Advice)
 		case maxConnections > 0 && n > maxConnections:
 			setting.Line.MarkIgnored("the process allows fewer: the global maxconn is lower")
 		default:
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -24,7 +24,7 @@
 //go:embed scenario_director.jsonc
 var scenarioConfigText string
 
-var scenarioConfigTemplate = template.Must(template.New("house").Parse(scenarioConfigText))
+var scenarioConfigTemplate = template.Must(template.New("scenario_director.jsonc").Parse(scenarioConfigText))
 
 // A Launcher starts the processes of a scenario.
 type Launcher interface {
@@ -77,7 +77,8 @@
 	for i := range s.Directors {
 		var text bytes.Buffer
 		spec := f.nodeSpecs[0]
-		err := scenarioConfigTemplate.Execute(&text, map[string]any{"Me": i, "Directors": s.Directors, "List": f.discovery.Address(), "Nodes": s.Nodes,
+		err := scenarioConfigTemplate.Execute(&text, map[string]any{"Me": i, "Directors": s.Directors, "List": f.discovery.Address(),
+			"Nodes": s.Nodes,
 			"Racks": s.Racks, "Link": spec.LinkRate, "Uplink": spec.LinkRate * float64((s.Nodes+s.Racks-1)/s.Racks), "Places": spec.MaxStreams,
 			"Ping": s.Ping.String(), "Room": s.MaxConnections})
 		if err != nil {
@@ -90,17 +91,17 @@
 		directors = append(directors, d)
 		addresses = append(addresses, d.Address())
 	}
-	time.Sleep(1500 * time.Millisecond) // until the director has connected to all nodes and its cautious phase after a start has passed
+	time.Sleep(1500 * time.Millisecond) // until the director has connected to all nodes and the slow start after its own start is over
 
 	clients := make([]*clientProcess, s.Clients)
 	for i := range clients {
-		order := ClientConfig{Client: i, Seed: seed, Directors: addresses, Titles: s.Titles, Warmup: s.Warmup, Duration: s.Duration}
+		config := ClientConfig{Client: i, Seed: seed, Directors: addresses, Titles: s.Titles, Warmup: s.Warmup, Duration: s.Duration}
 		for _, p := range s.Parts {
 			if p = p.share(i, s.Clients); p.Connections > 0 && (run == "with" || !slices.Contains(s.ExcludedParts, p.Name)) {
-				order.Parts = append(order.Parts, p)
+				config.Parts = append(config.Parts, p)
 			}
 		}
-		client, err := startClient(launcher, order)
+		client, err := startClient(launcher, config)
 		if err != nil {
 			return nil, err
 		}
@@ -127,7 +128,7 @@
 	go func() { usageRows <- s.monitor(directors, run, startedAt, seconds) }()
 	all := map[string]*ArchiveRow{}
 	for _, client := range clients {
-		if err := client.read(run, all, seconds*len(client.order.Parts)); err != nil {
+		if err := client.read(run, all, seconds*len(client.config.Parts)); err != nil {
 			<-usageRows
 			return nil, err
 		}
@@ -174,19 +175,19 @@
 
 // A clientProcess is the parent's handle on a client process.
 type clientProcess struct {
-	order ClientConfig
-	in    io.WriteCloser
-	out   *bufio.Reader
-	end   func()
+	config ClientConfig
+	in     io.WriteCloser
+	out    *bufio.Reader
+	end    func()
 }
 
-// startClient starts a client process and sends it its order.
-func startClient(launcher Launcher, order ClientConfig) (*clientProcess, error) {
-	line, err := json.Marshal(order)
+// startClient starts a client process and sends it its configuration.
+func startClient(launcher Launcher, config ClientConfig) (*clientProcess, error) {
+	line, err := json.Marshal(config)
 	if err != nil {
 		return nil, err
 	}
-	c := &clientProcess{order: order}
+	c := &clientProcess{config: config}
 	if c.in, c.out, c.end, err = launcher.StartClient(); err != nil {
 		return nil, err
 	}
@@ -203,7 +204,7 @@
 	for range n {
 		var x Sample
 		if err := d.Decode(&x); err != nil {
-			return fmt.Errorf("client %d ended: %w", c.order.Client, err)
+			return fmt.Errorf("client %d ended: %w", c.config.Client, err)
 		}
 		key := fmt.Sprint(x.Second, x.Part)
 		r := all[key]
