--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -1,12 +1,13 @@
 package transport
 
 import (
+	"errors"
 	"net"
+	"os"
 	"runtime"
 	"sync/atomic"
 	"time"
 
-	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 )
 
@@ -22,29 +23,49 @@
 // waiting. When accepting fails for lack of a local resource, netpoll stops watching the socket and calls Accept from a
 // goroutine of its own with delays of up to a second. Accept delays and retries itself instead, so that the delays are
 // shorter.
+//
+// The listener owns its descriptor and closes it once. Netpoll's own listener closes the number twice, and the second
+// close may hit a file that was opened in between.
 type listener struct {
-	netpoll.Listener
-	calls    *systemCalls
-	retrying atomic.Bool // Accept is called from netpoll's retry goroutine
-	closed   atomic.Bool
+	file       *os.File // owns the descriptor
+	descriptor int
+	address    net.Addr
+	calls      *systemCalls
+	retrying   atomic.Bool // Accept is called from netpoll's retry goroutine
+	closed     atomic.Bool
 }
 
 func listen(address string) (*listener, error) {
-	ln, err := netpoll.CreateListener("tcp", address)
+	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &listener{Listener: ln, calls: currentCalls.Load()}, nil
+	file, err := ln.(*net.TCPListener).File() // a duplicate, which listens on after ln is closed
+	if err := errors.Join(err, ln.Close()); err != nil {
+		return nil, err
+	}
+	l := &listener{file: file, descriptor: int(file.Fd()), address: ln.Addr(), calls: currentCalls.Load()}
+	if err := unix.SetNonblock(l.descriptor, true); err != nil { // Fd may have set it to blocking
+		file.Close()
+		return nil, err
+	}
+	return l, nil
 }
 
+// Addr returns the address at which the listener listens.
+func (l *listener) Addr() net.Addr { return l.address }
+
+// Fd returns the descriptor, which netpoll watches.
+func (l *listener) Fd() int { return l.descriptor }
+
 // Accept returns a connection, or neither a connection nor an error if none is waiting.
 func (l *listener) Accept() (net.Conn, error) {
 	delay := initialAcceptDelay
 	for {
-		descriptor, peer, err := l.calls.accept(l.Fd())
+		descriptor, peer, err := l.calls.accept(l.descriptor)
 		switch err {
 		case nil:
-			return newAccepted(descriptor, l.Addr(), peer), nil
+			return newAccepted(descriptor, l.address, peer), nil
 		case unix.EAGAIN:
 			l.retrying.Store(false)
 			return nil, nil
@@ -75,7 +96,7 @@
 	if l.closed.Swap(true) {
 		return nil
 	}
-	return l.Listener.Close()
+	return l.file.Close()
 }
 
 // acceptedSocket is the descriptor and the addresses of a new connection, as netpoll expects them.
