--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -10,7 +10,6 @@
 // busy machine takes between a write and its read.
 const (
 	answerSlack   = 500 * time.Millisecond
-	releaseSlack  = 1500 * time.Millisecond
 	cancelSlack   = 250 * time.Millisecond // an attempt may begin so long after its client has cancelled
 	drainSlack    = 250 * time.Millisecond
 	deadlineSlack = 150 * time.Millisecond
--- a/rollout/nodeset.go
+++ b/rollout/nodeset.go
@@ -4,15 +4,14 @@
 type nodeSet struct {
 	constraints Constraints
 	nodes       map[string]Node
-	cells       map[int][]string // always empty: nothing reads or fills it
 	titles      []Title
 	byCell      map[int][]int // indices of the titles that a cell holds
 	up          []int         // number of holders that are up, by title
 }
 
 func newNodeSet(nodes []Node, titles []Title, constraints Constraints) *nodeSet {
-	s := &nodeSet{constraints: constraints, nodes: map[string]Node{}, cells: map[int][]string{}, titles: titles,
-		byCell: map[int][]int{}, up: make([]int, len(titles))}
+	s := &nodeSet{constraints: constraints, nodes: map[string]Node{}, titles: titles, byCell: map[int][]int{},
+		up: make([]int, len(titles))}
 	for i, t := range titles {
 		for k := range min(t.Copies, constraints.Cells) {
 			c := (t.FirstCell + k) % constraints.Cells
