--- a/internal/platform/daemon_test.go
+++ b/internal/platform/daemon_test.go
@@ -1,306 +1,14 @@
 package platform
 
 import (
-	"bufio"
-	"encoding/binary"
-	"encoding/json"
-	"fmt"
-	"io"
-	"net"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-
-	"fordusher/internal/daemon"
-	"fordusher/internal/director"
-	"fordusher/internal/transport"
+	"fordusher/internal/platformtest"
 )
 
-// These tests run the daemon on loopback with emulated nodes, discovery services and clients, which speak the
-// platform's protocols and send what each test prescribes.
-
-// testTimeout is how long a test waits for an expected event before it fails. No test waits for it to pass.
-const testTimeout = 10 * time.Second
-
-// An emulatedNode is a node that answers each set-up with the bytes that reply returns, if any.
-type emulatedNode struct {
-	t        *testing.T
-	ln       net.Listener
-	mu       sync.Mutex
-	conns    []net.Conn
-	received []string // headers and bodies of all messages
-	reply    func(session string) string
-}
-
-func newEmulatedNode(t *testing.T) *emulatedNode {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	n := &emulatedNode{t: t, ln: ln, reply: acceptResponse}
-	t.Cleanup(n.stop)
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			n.mu.Lock()
-			n.conns = append(n.conns, c)
-			n.mu.Unlock()
-			go n.serve(c)
-		}
-	}()
-	return n
-}
-
-// stop emulates a crash of the node: its connections are reset, and new ones are refused.
-func (n *emulatedNode) stop() {
-	n.ln.Close()
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, c := range n.conns {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
-	}
-	n.conns = nil
-}
-
-func (n *emulatedNode) serve(c net.Conn) {
-	var buffered []byte
-	for {
-		buf := make([]byte, 4096)
-		k, err := c.Read(buf)
-		if err != nil {
-			return
-		}
-		buffered = append(buffered, buf[:k]...)
-		for {
-			size, err := splitRTSP(buffered)
-			if err != nil {
-				n.t.Errorf("the director sent %q: %v", buffered, err)
-				return
-			}
-			if size == 0 {
-				break
-			}
-			m, _ := parseRTSP(buffered[:size])
-			n.mu.Lock()
-			n.received = append(n.received, string(buffered[:size]))
-			reply := n.reply
-			n.mu.Unlock()
-			buffered = buffered[size:]
-			if m.method == methodSetup {
-				io.WriteString(c, reply(m.session()))
-			}
-		}
-	}
-}
-
-func (n *emulatedNode) setReply(reply func(session string) string) {
-	n.mu.Lock()
-	n.reply = reply
-	n.mu.Unlock()
-}
-
-// send writes text to the node's newest connection.
-func (n *emulatedNode) send(text string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	io.WriteString(n.conns[len(n.conns)-1], text)
-}
-
-// countReceived returns the number of received messages that contain a text.
-func (n *emulatedNode) countReceived(part string) (times int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, m := range n.received {
-		if strings.Contains(m, part) {
-			times++
-		}
-	}
-	return times
-}
-
-const nodeDescription = "0011223344556677\r\nc=IN IP4 10.9.9.9\r\n"
-
-func rtspResponse(session string, status int, body string) string {
-	return fmt.Sprintf("RTSP/1.0 %d X\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: %d\r\n\r\n%s", status, session, len(body), body)
-}
-
-func acceptResponse(session string) string { return rtspResponse(session, 200, nodeDescription) }
-
-func teardownMessage(session string, cause int) string {
-	return fmt.Sprintf("TEARDOWN rtsp://media/x RTSP/1.0\r\nCSeq: 2\r\nSession: %s\r\nReason: cause=%d\r\nContent-Length: 0\r\n\r\n",
-		session, cause)
-}
-
-// A fixture is a director with the emulated nodes on its server list.
-type fixture struct {
-	t             *testing.T
-	d             *daemon.Daemon
-	nodes         []*emulatedNode
-	probeClient   *emulatedClient // sends probes beside the connection under test; made on first use
-	closedClients atomic.Int32    // client connections whose end the director has handled
-}
-
-// A countingProtocol counts the client connections that have ended.
-type countingProtocol struct {
-	*Protocol
-	closedClients *atomic.Int32
-}
-
-func (p countingProtocol) Listen(h transport.Handler) (*transport.Server, error) {
-	return p.Protocol.Listen(countingHandler{h, h.(transport.AdmissionHandler), p.closedClients})
-}
-
-// A countingHandler passes events on to the daemon's handler and counts closed connections.
-type countingHandler struct {
-	transport.Handler
-	transport.AdmissionHandler
-	closedClients *atomic.Int32
-}
-
-func (h countingHandler) InputEnded(c *transport.Conn, reason error) {
-	h.Handler.(transport.InputEnder).InputEnded(c, reason)
-}
-
-func (h countingHandler) Closed(c *transport.Conn, reason error, unsent []uint64) {
-	h.Handler.Closed(c, reason, unsent)
-	h.closedClients.Add(1)
-}
-
-// testSettings are the settings of a deployment, limited to the keys that a director reads.
-const testSettings = `{"balancers":1,"me":0,"zone":"z","zones":["z"],"flavors":["box"],"membership_mode":"push",
- "classes":[{"name":"clip","target_s":1,"give_up_s":2,"semantics":"free","credit":1},
-  {"name":"exam","target_s":1,"give_up_s":2,"semantics":"single_shot","credit":3}],
- "family_info":{"positions":4,"shelves":1,"kind_slots":[100],"ladder_kb":[100,200],"level_worth":[0.5,1],"link_unit_kb":10000,
-  "rack_link_kb":100000,"told_every_s":30,"told_late_s":1},
- "permissions":{"max_attempts":4,"connect_timeout_s":0.5},"report":{"fields":["x0","x1"]},
- "rules":{"cold_from":0.5,"fall_multiple":4,"ramp_time_s":0.1,"tip_after_s":0.05}}`
-
-func startFixture(t *testing.T, nodes int, discoveryAddress string) *fixture {
-	t.Helper()
-	return startFixtureWith(t, nodes, discoveryAddress, testSettings, nil)
-}
-
-// startFixtureWith is startFixture with other settings and, if wrap is not nil, with the decider that wrap returns.
-func startFixtureWith(t *testing.T, nodes int, discoveryAddress, settings string, wrap func(director.Decider) director.Decider) *fixture {
-	t.Helper()
-	return startFixtureLimited(t, 512, nodes, discoveryAddress, settings, wrap)
-}
-
-// startFixtureLimited is startFixtureWith with a limit on file descriptors.
-func startFixtureLimited(t *testing.T, sockets, nodes int, discoveryAddress, settings string,
-	wrap func(director.Decider) director.Decider) *fixture {
-	t.Helper()
-	p := &fixture{t: t}
-	var targets []target
-	for i := range nodes {
-		n := newEmulatedNode(t)
-		p.nodes = append(p.nodes, n)
-		targets = append(targets, target{ID: nodeName(uint32(i)), Endpoint: n.ln.Addr().String(), Zone: "z", Kind: "box", Cell: i,
-			State: "ready", Weight: 1})
-	}
-	nodeTargets, err := json.Marshal(targets)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if discoveryAddress == "" {
-		discoveryAddress = "127.0.0.1:1"
-	}
-	startConfig, err := parseStartConfig(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"1f","board":%q,
- "limits":{"cores":1,"memory_mb":256,"sockets":%d},"settings":%s,
- "known":{"rev":3,"notices":[{"rev":3,"pool":{"rev":3,"all":true,"targets":%s}}]}}`, discoveryAddress, sockets, settings, nodeTargets))
-	if err != nil {
-		t.Fatal(err)
-	}
-	config := startConfig.Config(time.Now())
-	protocol := NewProtocol(startConfig, config, time.Now)
-	decider := startConfig.NewDecider(1)
-	if wrap != nil {
-		decider = wrap(decider)
-	}
-	p.d, err = daemon.StartWithProtocol(countingProtocol{protocol, &p.closedClients}, config, "b", 1, decider, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(p.d.Kill)
-	time.Sleep(150 * time.Millisecond) // a director is cautious for the ramp's warmup (0.1 s here) after its start
-	return p
-}
-
-// wait waits until ok returns true, or fails the test with the given message.
-func (p *fixture) wait(failure string, ok func() bool) {
-	p.t.Helper()
-	for deadline := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(deadline) {
-			p.t.Fatal(failure)
-		}
-	}
-}
-
-// An emulatedClient is a client connection of the platform.
-type emulatedClient struct {
-	t *testing.T
-	c net.Conn
-	r *bufio.Reader
-}
-
-func (p *fixture) newClient() *emulatedClient {
-	p.t.Helper()
-	c, err := net.Dial("tcp", p.d.Address())
-	if err != nil {
-		p.t.Fatal(err)
-	}
-	p.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testTimeout))
-	return &emulatedClient{p.t, c, bufio.NewReader(c)}
-}
-
-func (e *emulatedClient) send(raw []byte) { e.c.Write(raw) }
-
-// next reads a message; ok is false if the connection has ended.
-func (e *emulatedClient) next() (m clientMessage, ok bool) {
-	e.t.Helper()
-	head := make([]byte, lengthSize)
-	if _, err := io.ReadFull(e.r, head); err != nil {
-		if n, is := err.(net.Error); is && n.Timeout() {
-			e.t.Fatal("no message was received")
-		}
-		return m, false
-	}
-	raw := append(head, make([]byte, binary.BigEndian.Uint16(head))...)
-	if _, err := io.ReadFull(e.r, raw[lengthSize:]); err != nil {
-		return m, false
-	}
-	m, err := parseClientMessage(raw)
-	if err != nil {
-		e.t.Fatal(err)
-	}
-	return m, true
-}
-
-// expect reads a message, which must have the given kind and session, and returns the value of one of its parameters.
-func (e *emulatedClient) expect(kind byte, session uint64, code byte) (value string) {
-	e.t.Helper()
-	m, ok := e.next()
-	if !ok || m.kind != kind || m.session != session {
-		e.t.Fatalf("read ok: %v, kind %d, session %d; want kind %d, session %d", ok, m.kind, m.session, kind, session)
-	}
-	m.eachParam(func(c byte, x []byte) error {
-		if c == code {
-			value = string(x)
-		}
-		return nil
-	})
-	return value
-}
-
 func TestSessionFromSetupToRelease(t *testing.T) {
 	p := startFixture(t, 1, "")
 	client := p.newClient()
@@ -316,7 +24,7 @@
 		n.countReceived("rtsp://media/7f3a9c21e0b4d655 ") != 1 {
 		t.Fatalf("%q", n.received)
 	}
-	p.nodes[0].send(teardownMessage(sessionID(7), causeEnded))
+	p.nodes[0].send(platformtest.Teardown(sessionID(7), causeEnded))
 	if client.expect(kindRelease, 7, codeCause) != string([]byte{causeEnded}) {
 		t.Fatal("the release has another cause than the node's")
 	}
@@ -333,11 +41,9 @@
 	other.send(newClientMessage(kindProbe, 1).finish())
 	other.expect(kindProbeReply, 1, codeCause)
 	n := p.nodes[0]
-	n.mu.Lock()
-	n.conns[0].Close()
-	n.mu.Unlock()
-	p.wait("the director did not reconnect to the node", func() bool { n.mu.Lock(); defer n.mu.Unlock(); return len(n.conns) > 1 })
-	n.send(teardownMessage(sessionID(7), causeEnded))
+	n.Conns()[0].Close()
+	p.wait("the director did not reconnect to the node", func() bool { return len(n.Conns()) > 1 })
+	n.send(platformtest.Teardown(sessionID(7), causeEnded))
 	other.expect(kindRelease, 7, codeCause)
 }
 
@@ -437,7 +143,7 @@
 		intruder.send(setupMessage(1, placement))
 		intruder.expect(kindRelease, 1, codeCause)
 	}
-	p.nodes[0].send(teardownMessage(sessionID(1), causeEnded))
+	p.nodes[0].send(platformtest.Teardown(sessionID(1), causeEnded))
 	correct.expect(kindRelease, 1, codeCause)
 }
 
@@ -447,92 +153,34 @@
 	client.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
 	client.expect(kindAnswer, 7, codeDescription)
 	stoppedAt := time.Now()
-	p.nodes[0].stop()
+	p.nodes[0].Crash()
 	if cause := client.expect(kindRelease, 7, codeCause); cause != string([]byte{causeLost}) || time.Since(stoppedAt) > time.Second {
 		t.Fatalf("cause %q after %v", cause, time.Since(stoppedAt))
 	}
 }
 
-// An emulatedDiscovery is a discovery service: it hands the test the connections that it accepts, and the event
-// number after which each requests events.
-type emulatedDiscovery struct {
-	ln            net.Listener
-	requestedFrom chan uint64
-	conns         chan net.Conn
-}
-
-func newEmulatedDiscovery(t *testing.T) *emulatedDiscovery {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	d := &emulatedDiscovery{ln, make(chan uint64, 16), make(chan net.Conn, 16)}
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			from := make([]byte, 8)
-			if _, err := io.ReadFull(c, from); err != nil {
-				continue
-			}
-			d.requestedFrom <- binary.BigEndian.Uint64(from)
-			d.conns <- c
-		}
-	}()
-	return d
-}
-
-func (d *emulatedDiscovery) next(t *testing.T) (from uint64, c net.Conn) {
-	t.Helper()
-	select {
-	case from = <-d.requestedFrom:
-		return from, <-d.conns
-	case <-time.After(testTimeout):
-		t.Fatal("the director did not connect to discovery")
-	}
-	return 0, nil
-}
-
-// nodeEvent returns the frame of a discovery event that changes one node's state.
-func nodeEvent(number uint64, node uint32, state byte, address string) []byte {
-	raw := binary.BigEndian.AppendUint32(nil, frameHeaderSize-frameLengthSize+recordSize)
-	raw = append(binary.BigEndian.AppendUint64(raw, number), frameUpdate)
-	raw = binary.BigEndian.AppendUint32(raw, node)
-	a := net.ParseIP("127.0.0.1").To4()
-	port := 0
-	if tcp, err := net.ResolveTCPAddr("tcp", address); err == nil {
-		port = tcp.Port
-	}
-	raw = binary.BigEndian.AppendUint16(append(raw, a...), uint16(port))
-	raw = append(raw, state, 0, 0, 0, byte(node))
-	raw = binary.BigEndian.AppendUint32(raw, 1000)
-	return binary.BigEndian.AppendUint64(raw, 0)
-}
-
 func TestDiscoveryReconnectsAndResumes(t *testing.T) {
-	discovery, moved := newEmulatedDiscovery(t), newEmulatedDiscovery(t)
-	p := startFixture(t, 2, discovery.ln.Addr().String())
-	from, c := discovery.next(t)
+	discovery := platformtest.ServeDiscovery(t, "127.0.0.1:0")
+	moved := platformtest.ServeDiscovery(t, "127.0.0.1:0")
+	p := startFixture(t, 2, discovery.Address())
+	from, c := discovery.Next(t, testTimeout)
 	if from != 3 {
 		t.Fatalf("events after %d were requested", from)
 	}
-	drained := nodeEvent(4, 0, 1, p.nodes[0].ln.Addr().String())
+	drained := platformtest.NodeEvent(4, 0, platformtest.StateDraining, p.nodes[0].Address())
 	c.Write(drained)
 	c.Write(drained) // a duplicate
-	c.Write(nodeEvent(6, 1, 1, p.nodes[1].ln.Addr().String()))
-	if from, c = discovery.next(t); from != 4 { // event 5 was skipped
+	c.Write(platformtest.NodeEvent(6, 1, platformtest.StateDraining, p.nodes[1].Address()))
+	if from, c = discovery.Next(t, testTimeout); from != 4 { // event 5 was skipped
 		t.Fatalf("events after %d were requested", from)
 	}
 	c.Write(drained[:20]) // a truncated frame
 	c.Close()
-	if from, _ = discovery.next(t); from != 4 {
+	if from, _ = discovery.Next(t, testTimeout); from != 4 {
 		t.Fatalf("events after %d were requested", from)
 	}
-	p.d.SetDiscoveryAddress(moved.ln.Addr().String())
-	if from, c = moved.next(t); from != 4 {
+	p.d.SetDiscoveryAddress(moved.Address())
+	if from, c = moved.Next(t, testTimeout); from != 4 {
 		t.Fatalf("events after %d were requested", from)
 	}
 	client := p.newClient()
@@ -543,15 +191,15 @@
 	if sent := p.nodes[0].countReceived(methodSetup + " "); sent != 0 {
 		t.Fatalf("%d set-ups were sent to a draining node", sent)
 	}
-	c.Write(nodeEvent(5, 1, 2, p.nodes[1].ln.Addr().String())) // the node is removed; its sessions are lost when its connection ends
-	p.nodes[1].stop()
+	c.Write(platformtest.NodeEvent(5, 1, platformtest.StateRemoved, p.nodes[1].Address())) // the node is removed; its sessions are lost when its connection ends
+	p.nodes[1].Crash()
 	for range 4 {
 		if m, ok := client.next(); !ok || m.kind != kindRelease {
 			t.Fatalf("%v, kind %d", ok, m.kind)
 		}
 	}
 	// After a silence the director reconnects although the connection is still open.
-	if from, _ = moved.next(t); from != 5 {
+	if from, _ = moved.Next(t, testTimeout); from != 5 {
 		t.Fatalf("events after %d were requested", from)
 	}
 }
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"fordusher/internal/director"
+	"fordusher/internal/platformtest"
 	"fordusher/policy"
 )
 
@@ -122,28 +123,44 @@
 // oneSeatSettings are testSettings with one seat for each title of the paid class.
 var oneSeatSettings = strings.Replace(testSettings, `"shelves":1`, `"licence_cap":[0,1],"shelves":1`, 1)
 
+// startWithSeatTaken starts a director with one node and one seat, which session 1 has. It also returns the parameters
+// of a request for that seat.
+func startWithSeatTaken(t *testing.T) (p *fixture, paid map[byte]string) {
+	t.Helper()
+	p = startFixtureWith(t, 1, "", oneSeatSettings, nil)
+	paid = map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam"}
+	first := p.newClient()
+	first.send(setupMessage(1, paid))
+	first.expect(kindAnswer, 1, codeDescription)
+	return p, paid
+}
+
+// leaveWhileWaitingForSeat lets a client, which has sent request 2, leave while the request waits for the seat of
+// session 1. The request is then never sent to the node, and request 3 of another client gets the seat once it is free.
+func leaveWhileWaitingForSeat(p *fixture, paid map[byte]string, client, last *emulatedClient, leave func(*emulatedClient)) {
+	p.t.Helper()
+	p.wait("the request was not taken", func() bool { return p.d.Counts().Taken == 2 })
+	leave(client)
+	p.wait("the request was not abandoned", func() bool { return p.d.Counts().Abandoned == 1 })
+	last.send(setupMessage(3, paid))
+	last.roundTrip()
+	p.nodes[0].send(platformtest.Teardown(sessionID(1), causeEnded)) // frees the seat
+	last.expect(kindAnswer, 3, codeDescription)
+	if n := p.nodes[0].countReceived("Session: " + sessionID(2)); n != 0 {
+		p.t.Fatalf("%d messages of session 2 were sent to the node after its client had left", n)
+	}
+}
+
 // A request whose client leaves while it waits for a seat is never sent to a node, and the next request gets the seat.
 func TestClientDepartsWhileItsRequestWaitsForASeat(t *testing.T) {
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := startFixtureWith(t, 1, "", oneSeatSettings, nil)
-			paid := map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam"}
-			first, client, last := p.newClient(), p.newClient(), p.newClient()
-			first.send(setupMessage(1, paid))
-			first.expect(kindAnswer, 1, codeDescription)
+			p, paid := startWithSeatTaken(t)
+			client, last := p.newClient(), p.newClient()
 			client.send(setupMessage(2, paid)) // waits, because the only seat is taken
 			client.roundTrip()
-			p.wait("the request was not taken", func() bool { return p.d.Counts().Taken == 2 })
-			leave(client)
-			p.wait("the request was not abandoned", func() bool { return p.d.Counts().Abandoned == 1 })
-			last.send(setupMessage(3, paid))
-			last.roundTrip()
-			p.nodes[0].send(teardownMessage(sessionID(1), causeEnded)) // frees the seat
-			last.expect(kindAnswer, 3, codeDescription)
-			if n := p.nodes[0].countReceived("Session: " + sessionID(2)); n != 0 {
-				t.Fatalf("%d messages of session 2 were sent to the node after its client had left", n)
-			}
+			leaveWhileWaitingForSeat(p, paid, client, last, leave)
 		})
 	}
 }
@@ -171,13 +188,13 @@
 	for name, leave := range departures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			discovery := newEmulatedDiscovery(t)
+			discovery := platformtest.ServeDiscovery(t, "127.0.0.1:0")
 			drains := make(chan struct{}, 1)
-			p := startFixtureWith(t, 2, discovery.ln.Addr().String(), testSettings,
+			p := startFixtureWith(t, 2, discovery.Address(), testSettings,
 				func(d director.Decider) director.Decider { return drainObserver{d, drains} })
-			_, conn := discovery.next(t)
-			conn.Write(nodeEvent(4, 1, 1, p.nodes[1].ln.Addr().String())) // the other node that holds the title drains
-			<-drains                                                      // otherwise the second leg could go there at once
+			_, conn := discovery.Next(t, testTimeout)
+			conn.Write(platformtest.NodeEvent(4, 1, platformtest.StateDraining, p.nodes[1].Address())) // the other node that holds the title drains
+			<-drains                                                                                   // otherwise the second leg could go there at once
 			p.nodes[0].setReply(func(s string) string { return rtspResponse(s, 500, "") })
 			client, last := p.newClient(), p.newClient()
 			placement := map[byte]string{codePlacement: "home:0;copies:2;top:1"}
@@ -186,7 +203,7 @@
 			client.roundTrip()
 			leave(client)
 			p.wait("the request was not abandoned", func() bool { return p.d.Counts().Abandoned == 1 })
-			conn.Write(nodeEvent(5, 1, 0, p.nodes[1].ln.Addr().String())) // the node is up again, so a leg could start there
+			conn.Write(platformtest.NodeEvent(5, 1, platformtest.StateUp, p.nodes[1].Address())) // the node is up again, so a leg could start there
 			last.send(setupMessage(3, placement))
 			last.expect(kindAnswer, 3, codeDescription)
 			if n := p.nodes[1].countReceived("Session: " + sessionID(2)); n != 0 {
@@ -288,9 +305,7 @@
 				if !whole {
 					text = text[:len(text)-1]
 				}
-				n.mu.Lock()
-				defer n.mu.Unlock()
-				for _, c := range n.conns {
+				for _, c := range n.Conns() {
 					fmt.Fprint(c, text)
 					c.Close()
 				}
@@ -316,9 +331,9 @@
 // A message that arrives in two parts, split at any byte, has the same effect as the whole message: a client's set-up,
 // a node's answer and a discovery event.
 func TestMessagesSplitAtEveryByte(t *testing.T) {
-	discovery := newEmulatedDiscovery(t)
-	p := startFixture(t, 2, discovery.ln.Addr().String())
-	_, conn := discovery.next(t)
+	discovery := platformtest.ServeDiscovery(t, "127.0.0.1:0")
+	p := startFixture(t, 2, discovery.Address())
+	_, conn := discovery.Next(t, testTimeout)
 	client := p.newClient()
 	raw := setupMessage(0, defaultPlacement)
 	for cut := 1; cut < len(raw); cut++ {
@@ -347,13 +362,13 @@
 	}
 	n.setReply(acceptResponse)
 	number := uint64(4)
-	for cut := range len(nodeEvent(0, 0, 0, "")) {
-		event := nodeEvent(number, 0, byte(number%2)^1, n.ln.Addr().String()) // alternately draining and up
+	for cut := range len(platformtest.NodeEvent(0, 0, 0, "")) {
+		event := platformtest.NodeEvent(number, 0, byte(number%2)^1, n.Address()) // alternately draining and up
 		conn.Write(event[:cut])
 		conn.Write(event[cut:])
 		number++
 	}
-	conn.Write(nodeEvent(number, 0, 1, n.ln.Addr().String()))
+	conn.Write(platformtest.NodeEvent(number, 0, platformtest.StateDraining, n.Address()))
 	sent := func() int { return n.countReceived(methodSetup + " ") }
 	for id := uint64(9000); ; id++ {
 		before := sent()
@@ -396,15 +411,12 @@
 			client.expect(kindAck, 1000+id, 0)
 		}
 		before := n.countReceived("Session: " + sessionID(id))
-		n.mu.Lock()
-		for _, c := range n.conns {
+		for _, c := range n.TakeConns() {
 			if id%2 == 0 {
 				c.(*net.TCPConn).SetLinger(0)
 			}
 			c.Close()
 		}
-		n.conns = nil
-		n.mu.Unlock()
 		client.send(setupMessage(id, map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam", codeWait: "1000"}))
 		m, ok = client.next()
 		sent := n.countReceived("Session: "+sessionID(id)) - before
@@ -453,11 +465,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := startFixtureWith(t, 1, "", oneSeatSettings, nil)
-			paid := map[byte]string{codePlacement: "home:0;copies:1;top:1", codeClass: "exam"}
-			first, client, last := p.newClient(), p.newClient(), p.newClient()
-			first.send(setupMessage(1, paid))
-			first.expect(kindAnswer, 1, codeDescription)
+			p, paid := startWithSeatTaken(t)
+			client, last := p.newClient(), p.newClient()
 			client.c.(*net.TCPConn).SetReadBuffer(4096)
 			many := []byte{}
 			for range 12_000 { // the replies exceed both kernels' socket buffers but not the director's write queue
@@ -465,16 +474,7 @@
 			}
 			client.send(many)
 			client.send(setupMessage(2, paid)) // waits, because the only seat is taken
-			p.wait("the request was not taken", func() bool { return p.d.Counts().Taken == 2 })
-			leave(client)
-			p.wait("the request was not abandoned", func() bool { return p.d.Counts().Abandoned == 1 })
-			last.send(setupMessage(3, paid))
-			last.roundTrip()
-			p.nodes[0].send(teardownMessage(sessionID(1), causeEnded))
-			last.expect(kindAnswer, 3, codeDescription)
-			if n := p.nodes[0].countReceived("Session: " + sessionID(2)); n != 0 {
-				t.Fatalf("%d messages of session 2 were sent to the node after its client had left", n)
-			}
+			leaveWhileWaitingForSeat(p, paid, client, last, leave)
 		})
 	}
 }
