--- a/rollout/add_reweight.go
+++ b/rollout/add_reweight.go
@@ -18,7 +18,7 @@
 func (p *plan) takeWave(nodes []Node, maxNodes int) (together, later []Node) {
 	w := p.nodeSet.newWave(maxNodes)
 	for _, n := range nodes {
-		if w.conflict(n.Cell) != "" {
+		if w.conflict(n.Cell) != nil {
 			later = append(later, n)
 			continue
 		}
--- a/rollout/check.go
+++ b/rollout/check.go
@@ -1,12 +1,9 @@
 package rollout
 
-import (
-	"fmt"
-	"time"
-)
+import "time"
 
-// Check simulates a plan with its own record of the nodes, independently of Plan. It returns the first violation, or
-// nil if the plan keeps the constraints and ends with the target nodes.
+// Check simulates a plan with its own record of the nodes, independently of Plan. It returns the first violation, a
+// *ViolationError, or nil if the plan keeps the constraints and ends with the target nodes.
 func Check(current, target []Node, titles []Title, constraints Constraints, steps []Step) error {
 	s := newSimulation(current, titles, constraints)
 	for number, step := range steps {
@@ -86,7 +83,7 @@
 // checkTime checks that every director has received the step before.
 func (s *simulation) checkTime(number int, at time.Duration) error {
 	if at < s.lastStep || number > 0 && at < s.lastStep+s.constraints.PropagationDelay {
-		return fmt.Errorf("step %d at %v comes before every director has received the step at %v", number, at, s.lastStep)
+		return violation(StepTooEarly, "step %d at %v comes before every director has received the step at %v", number, at, s.lastStep)
 	}
 	s.lastStep = at
 	return nil
@@ -100,21 +97,21 @@
 		return s.add(at, c.Node)
 	case Reopen, Reweight:
 		if n == nil || c.Node.Cell != n.Cell || c.Node.Identity != n.Identity || c.Kind == Reweight && c.Node.Up != n.Up {
-			return fmt.Errorf("%s %s: the node does not exist, or another property of it changes", c.Kind, c.Node.Name)
+			return violation(InvalidChange, "%s %s: the node does not exist, or another property of it changes", c.Kind, c.Node.Name)
 		}
 		n.Node = c.Node
 	case Drain:
 		if n == nil || !n.Up && n.drainedAt >= 0 {
-			return fmt.Errorf("%s is drained and does not exist, or is draining", c.Node.Name)
+			return violation(InvalidChange, "%s is drained and does not exist, or is draining", c.Node.Name)
 		}
 		s.drainsStarted = true
 		n.Up, n.drainedAt, n.transitionEnd = false, at, at+s.constraints.DrainTime
 	case Remove:
 		if n == nil || n.Up {
-			return fmt.Errorf("%s is removed and is up, or does not exist", c.Node.Name)
+			return violation(InvalidChange, "%s is removed and is up, or does not exist", c.Node.Name)
 		}
 		if n.drainedAt >= 0 && at < n.drainedAt+s.constraints.DrainTime {
-			return fmt.Errorf("%s is removed %v after its drain", c.Node.Name, at-n.drainedAt)
+			return violation(RemovedTooSoon, "%s is removed %v after its drain", c.Node.Name, at-n.drainedAt)
 		}
 		delete(s.nodes, c.Node.Name)
 		s.removalKnownAt[c.Node.Name] = at + s.constraints.PropagationDelay
@@ -125,19 +122,19 @@
 // add adds a node, which has to be new or removed for long enough, and may not have the identity of another.
 func (s *simulation) add(at time.Duration, added Node) error {
 	if s.nodes[added.Name] != nil {
-		return fmt.Errorf("%s is added and exists already", added.Name)
+		return violation(InvalidChange, "%s is added and exists already", added.Name)
 	}
 	for _, other := range s.nodes {
 		if other.Identity == added.Identity && added.Identity != "" {
-			return fmt.Errorf("%s is added with the identity of %s", added.Name, other.Name)
+			return violation(IdentityTaken, "%s is added with the identity of %s", added.Name, other.Name)
 		}
 	}
 	knownAt, removed := s.removalKnownAt[added.Name]
 	if removed && at < knownAt {
-		return fmt.Errorf("%s is added again before every director has received its removal", added.Name)
+		return violation(AddedTooSoon, "%s is added again before every director has received its removal", added.Name)
 	}
 	if s.drainsStarted && !removed {
-		return fmt.Errorf("%s is added after drains have started", added.Name)
+		return violation(AddedAfterDrains, "%s is added after drains have started", added.Name)
 	}
 	n := &simulatedNode{Node: added, drainedAt: -1, transitionEnd: at + s.constraints.Warmup}
 	if added.Up {
@@ -168,20 +165,20 @@
 		}
 	}
 	if most := s.maxWarming(up); warming > most {
-		return fmt.Errorf("step %d: %d nodes are warming up, %d may be", number, warming, most)
+		return violation(TooManyWarming, "step %d: %d nodes are warming up, %d may be", number, warming, most)
 	}
 	for r, n := range racks {
 		if n > s.constraints.MaxPerRack {
-			return fmt.Errorf("step %d: %d nodes of rack %d are in transition", number, n, r)
+			return violation(TooManyInRack, "step %d: %d nodes of rack %d are in transition", number, n, r)
 		}
 	}
 	for i, t := range s.titles {
 		if inTransition[i] > s.constraints.MaxPerTitle {
-			return fmt.Errorf("step %d: %d holders of title %s are in transition", number, inTransition[i], t.Name)
+			return violation(TooManyOfTitle, "step %d: %d holders of title %s are in transition", number, inTransition[i], t.Name)
 		}
 		hasHolder := s.hasHolder(t, at)
 		if s.hadHolder[i] && !hasHolder {
-			return fmt.Errorf("step %d: title %s has no holder that is up", number, t.Name)
+			return violation(TitleWithoutHolder, "step %d: title %s has no holder that is up", number, t.Name)
 		}
 		s.hadHolder[i] = s.hadHolder[i] || hasHolder
 	}
@@ -200,11 +197,11 @@
 // checkTarget checks that the nodes are those of the target.
 func (s *simulation) checkTarget(target []Node) error {
 	if len(s.nodes) != len(target) {
-		return fmt.Errorf("%d nodes at the end, the target has %d", len(s.nodes), len(target))
+		return violation(TargetMissed, "%d nodes at the end, the target has %d", len(s.nodes), len(target))
 	}
 	for _, n := range target {
 		if x := s.nodes[n.Name]; x == nil || x.Cell != n.Cell || x.Identity != n.Identity || x.Up != n.Up || x.Up && x.Weight != n.Weight {
-			return fmt.Errorf("%s differs from the target at the end", n.Name)
+			return violation(TargetMissed, "%s differs from the target at the end", n.Name)
 		}
 	}
 	return nil
--- a/rollout/drain.go
+++ b/rollout/drain.go
@@ -18,7 +18,7 @@
 		for _, n := range nodes {
 			old := p.nodeSet.nodes[n.Name]
 			title, conflict := p.nodeSet.titleLosingLastHolder(old), w.conflict(old.Cell)
-			if title != "" || conflict != "" {
+			if title != "" || conflict != nil {
 				if blocked == nil {
 					blocked = p.blockedError(n, title, conflict)
 				}
--- a/rollout/move.go
+++ b/rollout/move.go
@@ -42,7 +42,7 @@
 			old := p.nodeSet.nodes[n.Name]
 			title := p.nodeSet.titleLosingLastHolder(old)
 			conflict := w.conflict(old.Cell, n.Cell)
-			if title != "" || conflict != "" || p.identityInUse(n) {
+			if title != "" || conflict != nil || p.identityInUse(n) {
 				if blocked == nil {
 					blocked = p.blockedError(n, title, conflict)
 				}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -1,6 +1,7 @@
 package rollout
 
 import (
+	"errors"
 	"fmt"
 	"testing"
 	"time"
@@ -79,31 +80,57 @@
 // Guards against a Check that finds nothing: it reports a violation for each of these plans.
 func TestCheckReportsViolations(t *testing.T) {
 	a, b := node("a", 0, true), node("b", 0, true)
-	down := a
-	down.Up = false
+	down, twin := a, a
+	down.Up, twin.Name = false, "twin"
 	titles := []Title{{"t", 0, 1}}
 	for _, x := range []struct {
 		name            string
+		want            Violation
 		current, target []Node
 		steps           []Step
 	}{
-		{"removed while up", []Node{a, b}, []Node{b}, []Step{{0, []Change{{Remove, a}}}}},
-		{"removed too soon", []Node{a, b}, []Node{b},
+		{"removed while up", InvalidChange, []Node{a, b}, []Node{b}, []Step{{0, []Change{{Remove, a}}}}},
+		{"removed too soon", RemovedTooSoon, []Node{a, b}, []Node{b},
 			[]Step{{0, []Change{{Drain, down}}}, {5 * time.Second, []Change{{Remove, down}}}}},
-		{"title without a holder", []Node{a}, []Node{down}, []Step{{0, []Change{{Drain, down}}}}},
-		{"too many warming up", nil, []Node{a, b, node("c", 1, true)},
+		{"title without a holder", TitleWithoutHolder, []Node{a}, []Node{down}, []Step{{0, []Change{{Drain, down}}}}},
+		{"too many warming up", TooManyWarming, nil, []Node{a, b, node("c", 1, true)},
 			[]Step{{0, []Change{{Add, a}, {Add, b}, {Add, node("c", 1, true)}}}}},
-		{"too many holders of a title in transition", nil, []Node{a, b}, []Step{{0, []Change{{Add, a}, {Add, b}}}}},
-		{"the only other holder is warming up", []Node{a}, []Node{b, down},
+		{"too many holders of a title in transition", TooManyOfTitle, nil, []Node{a, b}, []Step{{0, []Change{{Add, a}, {Add, b}}}}},
+		{"the only other holder is warming up and counts as in transition", TooManyOfTitle, []Node{a}, []Node{b, down},
 			[]Step{{0, []Change{{Add, b}}}, {time.Second, []Change{{Drain, down}}}}},
-		{"added after drains", []Node{a, b}, []Node{b, down, node("c", 1, true)},
+		{"identity of another node", IdentityTaken, []Node{a}, nil, []Step{{0, []Change{{Add, twin}}}}},
+		{"removed and added in one step", AddedTooSoon, []Node{down}, []Node{a}, []Step{{0, []Change{{Remove, down}, {Add, a}}}}},
+		{"a rack drained at once", TooManyInRack, []Node{node("r1", 1, true), node("r3", 3, true), node("r5", 5, true)}, nil,
+			[]Step{{0, []Change{{Drain, node("r1", 1, false)}, {Drain, node("r3", 3, false)}, {Drain, node("r5", 5, false)}}}}},
+		{"added after drains", AddedAfterDrains, []Node{a, b}, []Node{b, down, node("c", 1, true)},
 			[]Step{{0, []Change{{Drain, down}}}, {20 * time.Second, []Change{{Add, node("c", 1, true)}}}}},
-		{"a node is missing at the end", []Node{a}, []Node{a, b}, nil},
-		{"steps too close together", nil, []Node{a, node("c", 1, true)},
+		{"a node is missing at the end", TargetMissed, []Node{a}, []Node{a, b}, nil},
+		{"steps too close together", StepTooEarly, nil, []Node{a, node("c", 1, true)},
 			[]Step{{0, []Change{{Add, a}}}, {0, []Change{{Add, node("c", 1, true)}}}}},
 	} {
-		if Check(x.current, x.target, titles, testConstraints, x.steps) == nil {
-			t.Errorf("%s: Check reports no violation", x.name)
+		err := Check(x.current, x.target, titles, testConstraints, x.steps)
+		if got, ok := errors.AsType[*ViolationError](err); !ok || got.Violation != x.want {
+			t.Errorf("%s: Check reports %v, want the violation %v", x.name, err, x.want)
+		}
+	}
+	// A holder that is warming up does not count as one that is up, even if it may be in transition beside the other.
+	constraints := testConstraints
+	constraints.MaxPerTitle = 2
+	err := Check([]Node{a}, []Node{b, down}, titles, constraints, []Step{{0, []Change{{Add, b}}}, {time.Second, []Change{{Drain, down}}}})
+	if got, ok := errors.AsType[*ViolationError](err); !ok || got.Violation != TitleWithoutHolder {
+		t.Errorf("the only other holder is warming up: Check reports %v", err)
+	}
+}
+
+func TestEveryViolationAndReasonHasAName(t *testing.T) {
+	for v := StepTooEarly; v <= TargetMissed; v++ {
+		if v.String() == "" {
+			t.Errorf("violation %d has no name", v)
+		}
+	}
+	for r := BlockedByConstraints; r <= BlockedByIdentity; r++ {
+		if r.String() == "" {
+			t.Errorf("reason %d has no name", r)
 		}
 	}
 }
@@ -116,7 +143,7 @@
 	a2.Cell, b2.Cell = 1, 0
 	titles := []Title{{"t0", 0, 1}, {"t1", 1, 1}}
 	if _, blocked := Plan([]Node{a, b}, []Node{a2, b2}, titles, testConstraints); blocked == nil ||
-		!blocked.Exhaustive || blocked.Title == "" {
+		!blocked.Exhaustive || blocked.Title == "" || blocked.Reason != BlockedByTitle {
 		t.Fatal(blocked)
 	}
 	// Nodes m1 and m2 leave cell 0, m3 moves into it, and m2 moves into the cell of m3: a plan exists only if m2 moves
--- a/rollout/wave.go
+++ b/rollout/wave.go
@@ -19,22 +19,24 @@
 	return &wave{nodeSet: s, racks: map[int]int{}, titles: map[int]int{}, maxNodes: maxNodes}
 }
 
-// conflict returns the constraint that a further node in these cells would violate, "" if there is none.
-func (w *wave) conflict(cells ...int) string {
+// conflict returns the constraint that a further node in these cells would violate, nil if there is none.
+func (w *wave) conflict(cells ...int) *conflict {
 	if w.size >= w.maxNodes {
-		return "no more nodes may be warming up at this time"
+		return &conflict{BlockedByWarming, "no more nodes may be warming up at this time"}
 	}
 	for _, c := range cells {
 		if w.racks[c%w.nodeSet.constraints.Racks] >= w.nodeSet.constraints.MaxPerRack {
-			return fmt.Sprintf("rack %d already has the allowed number of nodes in transition", c%w.nodeSet.constraints.Racks)
+			return &conflict{BlockedByRack,
+				fmt.Sprintf("rack %d already has the allowed number of nodes in transition", c%w.nodeSet.constraints.Racks)}
 		}
 		for _, t := range w.nodeSet.byCell[c] {
 			if w.titles[t] >= w.nodeSet.constraints.MaxPerTitle {
-				return "title " + w.nodeSet.titles[t].Name + " already has the allowed number of holders in transition"
+				return &conflict{BlockedByTitleHolders,
+					"title " + w.nodeSet.titles[t].Name + " already has the allowed number of holders in transition"}
 			}
 		}
 	}
-	return ""
+	return nil
 }
 
 // add counts a node in the wave. A rack or title that several of its cells share counts once.
