--- a/connector/connector.go
+++ b/connector/connector.go
@@ -62,6 +62,12 @@
 	TimerFired                      // the time in Plan.NextTimer has come
 )
 
+var eventKindNames = [...]string{Listed: "listed", Unlisted: "unlisted", Connected: "connected", ConnectFailed: "connect failed",
+	ConnectionLost: "connection lost", Received: "received", Refused: "refused", Suspected: "suspected", NoCapacity: "no capacity",
+	Needed: "needed", Unneeded: "unneeded", TimerFired: "timer fired"}
+
+func (k EventKind) String() string { return eventKindNames[k] }
+
 // Plan is what the caller has to do after an event. Close, BackingOff and Suspect concern the node of the event.
 type Plan struct {
 	Dial       []int // nodes to connect to now
@@ -83,6 +89,10 @@
 	connected
 )
 
+var stateNames = [...]string{idle: "idle", dialing: "dialing", connected: "connected"}
+
+func (s state) String() string { return stateNames[s] }
+
 // node is what a Connector knows of one node.
 type node struct {
 	state     state
--- a/limits/admission.go
+++ b/limits/admission.go
@@ -18,15 +18,15 @@
 	a, known := l.byAddr[key]
 	switch {
 	case l.draining:
-		reason = "director closes"
+		reason = RejectedByShutdown
 	case (l.used >= l.maxClients() || l.mode == Full) && !l.evictForNewClient():
-		reason = "no room"
+		reason = RejectedByCapacity
 	case l.handshakes >= l.capacity.MaxHandshakes:
-		reason = "too many handshakes"
+		reason = RejectedByHandshakes
 	case l.capacity.MaxPerAddress > 0 && known && int(l.addresses[a].conns) >= l.capacity.MaxPerAddress:
-		reason = "too many connections from this address"
+		reason = RejectedByAddress
 	case l.admitQuota >= 0 && l.admitted >= l.admitQuota:
-		reason = "no room yet"
+		reason = RejectedByQuota
 	}
 	if reason != "" {
 		l.rejected++
@@ -60,7 +60,7 @@
 	if l.capacity.DisplaceIdleAfter == 0 || l.idleHead == none || l.now-l.conns[l.idleHead].idleSince < l.capacity.DisplaceIdleAfter {
 		return false
 	}
-	l.evict(l.idleHead, 0, "idle for longest", 0)
+	l.evict(l.idleHead, closeAbort, EvictedForNewClient, 0)
 	return true
 }
 
--- a/limits/connections.go
+++ b/limits/connections.go
@@ -20,6 +20,10 @@
 	evicting // the eviction is planned; the connection counts as used until Closed
 )
 
+var connStateNames = [...]string{closed: "closed", handshaking: "handshaking", idle: "idle", busy: "busy", evicting: "evicting"}
+
+func (s connState) String() string { return connStateNames[s] }
+
 // conn is the state of one client connection.
 type conn struct {
 	timer           timerqueue.Handle
--- a/limits/descriptors.go
+++ b/limits/descriptors.go
@@ -55,7 +55,7 @@
 	case idleNodeConn:
 		l.plan.CloseIdleNode = true
 	case l.idleHead != none:
-		l.evict(l.idleHead, 0, "its place is needed", 0)
+		l.evict(l.idleHead, closeAbort, EvictedForNode, 0)
 	default:
 		l.plan.Admit = false
 	}
--- a/limits/heartbeats.go
+++ b/limits/heartbeats.go
@@ -34,12 +34,12 @@
 	c.timer = 0
 	switch {
 	case c.state == handshaking:
-		l.evict(i, 0, "handshake took too long", 0)
+		l.evict(i, closeAbort, EvictedInHandshake, 0)
 	case c.state == evicting || c.state == closed:
 	case c.unansweredPings >= maxMissedHeartbeats:
 		// Heartbeats sent are counted rather than time, so that a delay of the director itself does not count
 		// against its clients.
-		l.evict(i, 1008, "no sign of life", 0)
+		l.evict(i, closePolicyViolation, EvictedAsDead, 0)
 	case l.now-c.lastReceived < l.capacity.HeartbeatInterval/2:
 		// A client that sent data just now needs no heartbeat. The next time is random, so that connections that
 		// received data together, or were reset together after a stall, are not probed together.
--- a/limits/messages.go
+++ b/limits/messages.go
@@ -23,6 +23,12 @@
 	TimerFired                         // the time returned by NextTimer has come
 )
 
+var eventKindNames = [...]string{ConnectRequest: "connect request", HandshakeDone: "handshake done", Received: "received",
+	Busy: "busy", Idle: "idle", Closed: "closed", MemorySample: "memory sample", Draining: "draining",
+	DialRequest: "dial request", EvictionCancelled: "eviction cancelled", TimerFired: "timer fired"}
+
+func (k EventKind) String() string { return eventKindNames[k] }
+
 // Event is something that happened. The caller identifies a connection by a small index, which may be used again after
 // Closed.
 type Event struct {
@@ -35,11 +41,36 @@
 	IdleNodeConn    bool // DialRequest: there is an idle connection to another node
 }
 
+// The reasons for which a client is not admitted (Plan.Reason).
+const (
+	RejectedByShutdown   = "director closes"
+	RejectedByCapacity   = "no room"
+	RejectedByHandshakes = "too many handshakes"
+	RejectedByAddress    = "too many connections from this address"
+	RejectedByQuota      = "no room yet" // full mode has ended, and new clients are admitted gradually
+)
+
+// The reasons for which a connection is evicted (Eviction.Reason).
+const (
+	EvictedForNewClient = "idle for longest"
+	EvictedForNode      = "its place is needed"
+	EvictedInHandshake  = "handshake took too long"
+	EvictedAsDead       = "no sign of life"
+	EvictedForCapacity  = "no room for the idle"
+)
+
+// Close codes of RFC 6455 with which connections are evicted.
+const (
+	closeAbort           = 0 // no close frame
+	closePolicyViolation = 1008
+	closeTryAgainLater   = 1013
+)
+
 // Eviction is a connection to close.
 type Eviction struct {
 	Conn       int
 	Code       int           // close code of RFC 6455; 0: abort without a close frame
-	Reason     string        // why; sent to the client in a close frame
+	Reason     string        // why, one of the reasons above; sent to the client in a close frame
 	RetryAfter time.Duration // delay before the client reconnects; 0: none
 }
 
@@ -49,7 +80,7 @@
 	// CloseIdleNode asks to close an idle connection to a node: that frees the capacity for the dial.
 	CloseIdleNode bool
 	RetryAfter    time.Duration // if a client is not admitted: delay before it retries
-	Reason        string        // if a client is not admitted: why
+	Reason        string        // if a client is not admitted: why, one of the reasons above
 	Ping          []int         // connections to send a heartbeat to
 	Evict         []Eviction
 	Log           string // log line for a change of mode; "": none
--- a/limits/modes.go
+++ b/limits/modes.go
@@ -99,7 +99,7 @@
 		if l.mode == Shedding && l.now-c.idleSince < l.capacity.IdleTimeout || l.mode == Full && l.usageShare() <= fullEnd {
 			break
 		}
-		l.evict(longest, 1013, "no room for the idle", l.retryDelay())
+		l.evict(longest, closeTryAgainLater, EvictedForCapacity, l.retryDelay())
 		evicted++
 	}
 	if evicted == l.batch {
