--- a/internal/importer/listeners.go
+++ b/internal/importer/listeners.go
@@ -11,6 +11,15 @@
 
 // importListeners carries over the address for clients and the limit of their connections.
 func (imp *importState) importListeners() {
+	imp.importBinds()
+	maxConnections := imp.importFrontendLimit(imp.importGlobalLimit())
+	if maxConnections > 0 {
+		imp.settings.set(newLeaf(min(maxConnections, 10_000_000)), "limits", "connections")
+	}
+}
+
+// importBinds carries over the address for clients, if there is one only.
+func (imp *importState) importBinds() {
 	var binds []*haproxy.Line
 	for _, p := range imp.withClients {
 		for _, l := range p.Lines {
@@ -32,7 +41,10 @@
 		l.MarkCarried("", row.ConfigKey)
 		imp.settings.set(newLeaf(address), "listen")
 	}
-	maxConnections := 0
+}
+
+// importGlobalLimit returns the limit of connections in the global section; 0: none.
+func (imp *importState) importGlobalLimit() (maxConnections int) {
 	for _, s := range imp.files.Sections {
 		for _, l := range s.Lines {
 			if s.Kind != "global" || l.WordAt(0) != "maxconn" || l.HasOutcome() {
@@ -47,7 +59,12 @@
 			l.MarkCarried("", "limits.connections")
 		}
 	}
-	row = lookupKeyword("proxy", "maxconn")
+	return maxConnections
+}
+
+// importFrontendLimit lowers the limit of connections (0: none) to that of the frontend, if there is one only.
+func (imp *importState) importFrontendLimit(maxConnections int) int {
+	row := lookupKeyword("proxy", "maxconn")
 	for _, p := range imp.withClients {
 		setting := p.Settings["maxconn"]
 		if setting == nil || setting.Line.HasOutcome() {
@@ -67,9 +84,7 @@
 			setting.Line.MarkCarried("", row.ConfigKey)
 		}
 	}
-	if maxConnections > 0 {
-		imp.settings.set(newLeaf(min(maxConnections, 10_000_000)), "limits", "connections")
-	}
+	return maxConnections
 }
 
 // parseBind returns the address of a bind line, or the reason why the line can't be carried over.
