--- a/internal/rulecheck/answers.go
+++ b/internal/rulecheck/answers.go
@@ -1,6 +1,45 @@
 package rulecheck
 
-import "fordusher/internal/wire"
+import (
+	"strings"
+	"time"
+
+	"fordusher/internal/wire"
+)
+
+// capacityCloseMark is the part of a recorded close reason, code and retry delay, that marks a close for lack of
+// capacity.
+const capacityCloseMark = "1013 retry-ms="
+
+// waivesAnswers reports whether the end of a client connection, as recorded, leaves its open requests without a claim
+// to an answer: the client ended it, or the director closed it with a retry delay, which counts as the answer to
+// requests that cross it.
+func (r Record) waivesAnswers() bool {
+	return r.ClosedBy == ClosedByRecorder || strings.Contains(r.Reason, capacityCloseMark)
+}
+
+// waive records that a request needs no answer from a time on, unless it needs none already.
+func (r *request) waive(at time.Duration) {
+	if r.waivedAt == 0 {
+		r.waivedAt = at
+	}
+}
+
+// recordRequest records a request, or that it is repeated.
+func (c *checker) recordRequest(r Record) {
+	k := requestKey{r.Conn, r.RequestID}
+	if req := c.requests[k]; req != nil {
+		req.duplicates++
+		return
+	}
+	req := &request{Record: r}
+	if c.killedDirectors[r.Director] {
+		req.waive(r.At)
+	}
+	c.requests[k] = req
+	c.requestOrder = append(c.requestOrder, req)
+	c.requestsByConn[r.Conn] = append(c.requestsByConn[r.Conn], req)
+}
 
 // recordAnswer records a request's answer. It checks the part of rule 1 on answers without a request and on second
 // answers, which are allowed to a duplicate request if they are of the same kind.
--- a/internal/rulecheck/counts.go
+++ b/internal/rulecheck/counts.go
@@ -1,10 +1,6 @@
 package rulecheck
 
-import (
-	"strings"
-
-	"fordusher/internal/wire"
-)
+import "fordusher/internal/wire"
 
 // OutcomeCounts count the requests in a list of records by outcome; each request has exactly one. Retries are the
 // requests that are not their client's first; Legs are the set-ups that reached nodes.
@@ -15,81 +11,99 @@
 // CountOutcomes counts requests by outcome. Abandoned are unanswered requests that the client cancelled, whose
 // connection the client ended or the director closed for lack of capacity, or whose director was killed. Unanswered
 // are all others without an answer.
-func CountOutcomes(records []Record) (c OutcomeCounts) {
-	type requestState struct {
-		answered  bool
-		abandoned bool
-		director  string
-	}
-	requests := map[requestKey]*requestState{}
-	byConn := map[uint64][]*requestState{}
-	killed := map[string]bool{}
+func CountOutcomes(records []Record) OutcomeCounts {
+	c := outcomeCounter{requests: map[requestKey]*countedRequest{}, byConn: map[uint64][]*countedRequest{}, killed: map[string]bool{}}
 	for _, r := range records {
-		k := requestKey{r.Conn, r.RequestID}
-		switch r.Kind {
-		case wire.Request:
-			if requests[k] != nil {
-				continue
-			}
-			s := &requestState{director: r.Director, abandoned: killed[r.Director]}
-			requests[k] = s
-			byConn[r.Conn] = append(byConn[r.Conn], s)
-			c.Received++
-			if r.Retry {
-				c.Retries++
-			}
-		case wire.Playing, wire.Nack, wire.Errored:
-			s := requests[k]
-			if s == nil || s.answered {
-				continue
-			}
-			s.answered = true
-			switch r.Kind {
-			case wire.Playing:
-				c.Played++
-			case wire.Nack:
-				c.Nacked++
-			default:
-				c.Errored++
-			}
-		case wire.Cancel:
-			if s := requests[k]; s != nil {
-				s.abandoned = true
-			}
-		case wire.Setup:
-			c.Legs++
-		case ConnClosed:
-			if r.Node == "" && (r.ClosedBy == ClosedByRecorder || strings.Contains(r.Reason, capacityCloseMark)) {
-				for _, s := range byConn[r.Conn] {
-					s.abandoned = true
-				}
-			}
-		case DirectorKilled:
-			killed[r.Director] = true
-			for _, s := range requests {
-				if s.director == r.Director {
-					s.abandoned = true
-				}
+		c.count(r)
+	}
+	for _, q := range c.requests {
+		switch {
+		case q.answered:
+		case q.abandoned:
+			c.counts.Abandoned++
+		default:
+			c.counts.Unanswered++
+		}
+	}
+	return c.counts
+}
+
+// A countedRequest is a request whose outcome is being counted.
+type countedRequest struct {
+	answered  bool // or counted as unanswered
+	abandoned bool
+	director  string
+}
+
+// An outcomeCounter is the state of CountOutcomes.
+type outcomeCounter struct {
+	counts   OutcomeCounts
+	requests map[requestKey]*countedRequest
+	byConn   map[uint64][]*countedRequest
+	killed   map[string]bool // directors that were killed and not started again
+}
+
+// count counts one record.
+func (c *outcomeCounter) count(r Record) {
+	q := c.requests[requestKey{r.Conn, r.RequestID}]
+	switch r.Kind {
+	case wire.Request:
+		if q == nil {
+			c.countRequest(r)
+		}
+	case wire.Playing, wire.Nack, wire.Errored:
+		if q != nil && !q.answered {
+			q.answered = true
+			c.countAnswer(r.Kind)
+		}
+	case wire.Cancel:
+		if q != nil {
+			q.abandoned = true
+		}
+	case wire.Setup:
+		c.counts.Legs++
+	case ConnClosed:
+		if r.Node == "" && r.waivesAnswers() {
+			for _, q := range c.byConn[r.Conn] {
+				q.abandoned = true
 			}
-		case DirectorStarted:
-			delete(killed, r.Director)
 		}
-		if r.Kind == ClientTimedOut {
-			if s := requests[k]; s != nil && !s.answered && !s.abandoned {
-				s.abandoned = false
-				c.Unanswered++
-				s.answered = true
+	case DirectorKilled:
+		c.killed[r.Director] = true
+		for _, q := range c.requests {
+			if q.director == r.Director {
+				q.abandoned = true
 			}
 		}
-	}
-	for _, s := range requests {
-		switch {
-		case s.answered:
-		case s.abandoned:
-			c.Abandoned++
-		default:
-			c.Unanswered++
+	case DirectorStarted:
+		delete(c.killed, r.Director)
+	case ClientTimedOut:
+		if q != nil && !q.answered && !q.abandoned {
+			c.counts.Unanswered++
+			q.answered = true
 		}
 	}
-	return c
+}
+
+// countRequest counts a request that is not a repeated one.
+func (c *outcomeCounter) countRequest(r Record) {
+	q := &countedRequest{director: r.Director, abandoned: c.killed[r.Director]}
+	c.requests[requestKey{r.Conn, r.RequestID}] = q
+	c.byConn[r.Conn] = append(c.byConn[r.Conn], q)
+	c.counts.Received++
+	if r.Retry {
+		c.counts.Retries++
+	}
+}
+
+// countAnswer counts the first answer to a request, by its kind.
+func (c *outcomeCounter) countAnswer(kind string) {
+	switch kind {
+	case wire.Playing:
+		c.counts.Played++
+	case wire.Nack:
+		c.counts.Nacked++
+	default:
+		c.counts.Errored++
+	}
 }
--- a/internal/rulecheck/replay.go
+++ b/internal/rulecheck/replay.go
@@ -1,37 +1,21 @@
 package rulecheck
 
 import (
-	"fmt"
 	"slices"
-	"strings"
 
 	"fordusher/internal/wire"
 )
 
-// capacityCloseMark is the part of a recorded close reason, code and retry delay, that marks a close for lack of
-// capacity.
-const capacityCloseMark = "1013 retry-ms="
-
+// process applies a record to the state, and checks the rules that can be checked at that moment.
 func (c *checker) process(r Record) {
 	switch r.Kind {
 	case wire.Request:
-		k := requestKey{r.Conn, r.RequestID}
-		if req := c.requests[k]; req != nil {
-			req.duplicates++
-			return
-		}
-		req := &request{Record: r}
-		if c.killedDirectors[r.Director] {
-			req.waivedAt = r.At
-		}
-		c.requests[k] = req
-		c.requestOrder = append(c.requestOrder, req)
-		c.requestsByConn[r.Conn] = append(c.requestsByConn[r.Conn], req)
+		c.recordRequest(r)
 	case wire.Playing, wire.Nack, wire.Errored:
 		c.recordAnswer(r)
 	case wire.Cancel:
-		if req := c.requests[requestKey{r.Conn, r.RequestID}]; req != nil && req.waivedAt == 0 {
-			req.waivedAt = r.At
+		if req := c.requests[requestKey{r.Conn, r.RequestID}]; req != nil {
+			req.waive(r.At)
 		}
 	case wire.Setup:
 		c.recordSetup(r)
@@ -52,45 +36,15 @@
 			c.endLeg(l, r.At)
 		}
 	case ConnClosed:
-		if r.Node != "" {
-			for _, l := range c.outstandingLegs[r.Node] {
-				if l.Conn == r.Conn {
-					c.endLeg(l, r.At)
-				}
-			}
-			return
-		}
-		for _, req := range c.requestsByConn[r.Conn] {
-			// A close that names a retry delay counts as the answer to requests that cross it.
-			if (r.ClosedBy == ClosedByRecorder || strings.Contains(r.Reason, capacityCloseMark)) && req.waivedAt == 0 {
-				req.waivedAt = r.At
-			}
-		}
-		delete(c.requestsByConn, r.Conn)
+		c.recordConnClosed(r)
 	case DirectorStarted:
 		delete(c.killedDirectors, r.Director)
 	case DirectorKilled:
-		c.killedDirectors[r.Director] = true
-		for _, req := range c.requestOrder {
-			if req.Director == r.Director && req.answeredAt == 0 && req.waivedAt == 0 {
-				req.waivedAt = r.At
-			}
-		}
+		c.recordDirectorKilled(r)
 	case ListSubscribed:
-		for k := range c.listStates {
-			if k[0] == r.Director {
-				delete(c.listStates, k)
-				c.settleDrainChecks(k, r.At)
-			}
-		}
+		c.recordSubscription(r)
 	case ListAcknowledged:
-		k := [2]string{r.Director, r.Node}
-		if c.listStates[k].state != r.State {
-			c.listStates[k] = listState{r.At, r.State}
-		}
-		if r.State == wire.Up {
-			c.settleDrainChecks(k, r.At)
-		}
+		c.recordAcknowledgement(r)
 	case NodeStarted:
 		c.nodeStarts[r.Node] = r
 		c.recentSetups[r.Node] = nil
@@ -102,6 +56,36 @@
 	}
 }
 
+// recordConnClosed records the end of a connection of a node, which ends its legs, or of a client, which may waive the
+// answers that it is owed.
+func (c *checker) recordConnClosed(r Record) {
+	if r.Node != "" {
+		for _, l := range c.outstandingLegs[r.Node] {
+			if l.Conn == r.Conn {
+				c.endLeg(l, r.At)
+			}
+		}
+		return
+	}
+	if r.waivesAnswers() {
+		for _, req := range c.requestsByConn[r.Conn] {
+			req.waive(r.At)
+		}
+	}
+	delete(c.requestsByConn, r.Conn)
+}
+
+// recordDirectorKilled records that a director was killed. Its open requests need no answer.
+func (c *checker) recordDirectorKilled(r Record) {
+	c.killedDirectors[r.Director] = true
+	for _, req := range c.requestOrder {
+		if req.Director == r.Director && req.answeredAt == 0 {
+			req.waive(r.At)
+		}
+	}
+}
+
+// recordSetup records a set-up and checks the rules that hold when one is sent.
 func (c *checker) recordSetup(r Record) {
 	l := &leg{Record: r}
 	c.legsByKey[legKey{r.Node, r.Conn, r.Leg}] = l
@@ -109,32 +93,6 @@
 	c.outstandingLegs[r.Node] = append(slices.DeleteFunc(c.outstandingLegs[r.Node], func(x *leg) bool { return x.endedAt != 0 }), l)
 	c.legsBySession[r.Session] = append(c.legsBySession[r.Session], l)
 	c.checkMinRung(r.Tariff, r)
-	// Rule 3: a director knows the node states that it has acknowledged.
-	if t, ok := c.listStates[[2]string{r.Director, r.Node}]; ok && t.state != wire.Up {
-		if r.At <= t.at+c.limits.DrainGrace+c.limits.Tolerance {
-			c.findings.recordMargin(RuleDrain, 1-float64(r.At-t.at)/float64(c.limits.DrainGrace+c.limits.Tolerance))
-			c.findings.check(RuleDrain, true, "")
-		} else {
-			k := [2]string{r.Director, r.Node}
-			c.pendingDrainChecks[k] = append(c.pendingDrainChecks[k], pendingDrainCheck{r.At,
-				fmt.Sprintf("%s: %s sent a set-up to %s %v after it received that the node is %s", formatTime(r.At), r.Director,
-					r.Node, r.At-t.at, t.state)})
-		}
-	} else {
-		c.findings.check(RuleDrain, true, "")
-	}
-	// Rule 4: the set-up rate of a node in slow start, from all directors together.
-	start, started := c.nodeStarts[r.Node]
-	if age := r.At - start.At; started && age < c.limits.Warmup {
-		c.recentSetups[r.Node] = slices.DeleteFunc(append(c.recentSetups[r.Node], r), func(x Record) bool {
-			return x.At <= r.At-c.limits.OverloadWindow
-		})
-		rampShare := c.limits.InitialShare + (1-c.limits.InitialShare)*age.Seconds()/c.limits.Warmup.Seconds()
-		budget := c.limits.OverloadMultiple * start.MaxStreams / c.limits.Warmup.Seconds() * rampShare * c.limits.OverloadWindow.Seconds()
-		// One set-up more than the budget is allowed for random variation.
-		c.findings.recordMargin(RuleSlowStart, 1-float64(len(c.recentSetups[r.Node]))/(budget+1))
-		c.findings.check(RuleSlowStart, float64(len(c.recentSetups[r.Node])) <= budget+1,
-			"%s: %d set-ups within %v on %s, %v after its start (budget %.1f)", formatTime(r.At),
-			len(c.recentSetups[r.Node]), c.limits.OverloadWindow, r.Node, age, budget)
-	}
+	c.checkDrain(r)
+	c.checkSlowStart(r)
 }
--- a/internal/rulecheck/rules.go
+++ b/internal/rulecheck/rules.go
@@ -1,11 +1,5 @@
 package rulecheck
 
-import (
-	"cmp"
-	"maps"
-	"slices"
-)
-
 // The rules, by name, in the order of their numbers.
 const (
 	RuleAnswer       = "one_answer"    // 1: each request gets exactly one final answer, before its deadline
@@ -35,13 +29,7 @@
 		c.end = max(c.end, r.At)
 		c.process(r)
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(c.pendingDrainChecks), func(x, y [2]string) int {
-		return cmp.Or(cmp.Compare(x[0], y[0]), cmp.Compare(x[1], y[1]))
-	}) {
-		for _, d := range c.pendingDrainChecks[k] {
-			c.findings.check(RuleDrain, false, "%s", d.example)
-		}
-	}
+	c.failPendingDrainChecks()
 	c.checkAnswers()
 	c.checkSetupOnce()
 	c.checkSeats()
