--- a/limits/budget_test.go
+++ b/limits/budget_test.go
@@ -12,84 +12,109 @@
 	IdleTimeout: time.Second, HandshakeTimeout: time.Second, MaxRetryAfter: time.Second,
 	DisplaceIdleAfter: time.Second, MaxDescriptors: 256, ReservedDescriptors: 40, PreHandshakeDescriptors: 32}
 
+// budgetHarness plays the caller of Limits with clients and nodes. It keeps its own record of the descriptors in use.
+type budgetHarness struct {
+	*rapid.T
+	l         *Limits
+	now       time.Duration
+	clients   map[int]bool // true: busy
+	nodes     int          // connections to nodes
+	idleNodes int          // of nodes, those that are idle
+}
+
+// step passes an event to Limits, checks that no busy client is evicted, and closes the evicted connections.
+func (h *budgetHarness) step(e Event) Plan {
+	plan := h.l.Step(h.now, e)
+	for _, x := range plan.Evict {
+		if busy, open := h.clients[x.Conn]; !open || busy {
+			h.Fatalf("connection %d is evicted: open %v, busy %v", x.Conn, open, busy)
+		}
+		delete(h.clients, x.Conn)
+	}
+	got := *plan
+	for _, x := range append([]Eviction(nil), plan.Evict...) {
+		h.l.Step(h.now, Event{Kind: Closed, Conn: x.Conn})
+	}
+	return got
+}
+
+// connect lets a client connect, which may send a request before its handshake is reported as done.
+func (h *budgetHarness) connect(conn int) {
+	if !h.step(Event{Kind: ConnectRequest, Conn: conn, NodeDescriptors: h.nodes}).Admit {
+		return
+	}
+	h.clients[conn] = false
+	if rapid.Bool().Draw(h.T, "requests before HandshakeDone") {
+		h.clients[conn] = true
+		h.step(Event{Kind: Busy, Conn: conn})
+	}
+	h.step(Event{Kind: HandshakeDone, Conn: conn})
+}
+
+// dial requests a connection to a node, which may be refused only if every client is busy.
+func (h *budgetHarness) dial() {
+	plan := h.step(Event{Kind: DialRequest, NodeDescriptors: h.nodes, IdleNodeConn: h.idleNodes > 0})
+	free := tightCapacity.MaxDescriptors - tightCapacity.ReservedDescriptors - tightCapacity.PreHandshakeDescriptors - h.nodes - len(h.clients)
+	allBusy := h.busyClients() == len(h.clients)
+	switch {
+	case plan.CloseIdleNode: // the new connection takes the place of the idle one
+		h.idleNodes--
+	case plan.Admit:
+		h.nodes++
+	case free >= dialCost || h.idleNodes > 0 || !allBusy:
+		h.Fatalf("a dial to a node is refused: %d descriptors free, %d idle nodes, all clients busy %v", free, h.idleNodes, allBusy)
+	}
+}
+
+func (h *budgetHarness) busyClients() (busy int) {
+	for _, b := range h.clients {
+		if b {
+			busy++
+		}
+	}
+	return busy
+}
+
+// act draws what happens next.
+func (h *budgetHarness) act() {
+	conn := rapid.IntRange(0, 255).Draw(h.T, "conn")
+	busy, open := h.clients[conn]
+	switch action := rapid.IntRange(0, 9).Draw(h.T, "action"); {
+	case action < 4 && !open:
+		h.connect(conn)
+	case action < 6:
+		h.dial()
+	case action == 6 && h.nodes > h.idleNodes:
+		h.idleNodes++
+	case action == 7 && open:
+		h.clients[conn] = !busy
+		if busy {
+			h.step(Event{Kind: Idle, Conn: conn})
+		} else {
+			h.step(Event{Kind: Busy, Conn: conn})
+		}
+	case action == 8 && open:
+		delete(h.clients, conn)
+		h.step(Event{Kind: Closed, Conn: conn})
+	default:
+		h.step(Event{Kind: TimerFired})
+	}
+}
+
 // For any sequence of requests by clients and nodes, their connections together stay within the budget of descriptors,
 // a busy client is never evicted, and a dial to a node is refused only if every connected client is busy.
 func TestClientsAndNodesShareDescriptors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New(1, tightCapacity)
-		var now time.Duration
-		clients, nodes, idleNodes := map[int]bool{}, 0, 0 // true: busy
-		step := func(e Event) *Plan {
-			plan := l.Step(now, e)
-			for _, x := range plan.Evict {
-				if busy, open := clients[x.Conn]; !open || busy {
-					t.Fatalf("connection %d is evicted: open %v, busy %v", x.Conn, open, busy)
-				}
-				delete(clients, x.Conn)
-			}
-			got := *plan
-			for _, x := range append([]Eviction(nil), plan.Evict...) {
-				l.Step(now, Event{Kind: Closed, Conn: x.Conn})
-			}
-			return &got
-		}
+		h := &budgetHarness{T: t, l: New(1, tightCapacity), clients: map[int]bool{}}
 		for range rapid.IntRange(1, 600).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
-			conn := rapid.IntRange(0, 255).Draw(t, "conn")
-			busy, open := clients[conn]
-			switch action := rapid.IntRange(0, 9).Draw(t, "action"); {
-			case action < 4 && !open:
-				if step(Event{Kind: ConnectRequest, Conn: conn, NodeDescriptors: nodes}).Admit {
-					clients[conn] = false
-					if rapid.Bool().Draw(t, "requests before HandshakeDone") {
-						clients[conn] = true
-						step(Event{Kind: Busy, Conn: conn})
-					}
-					step(Event{Kind: HandshakeDone, Conn: conn})
-				}
-			case action < 6:
-				plan := step(Event{Kind: DialRequest, NodeDescriptors: nodes, IdleNodeConn: idleNodes > 0})
-				free := tightCapacity.MaxDescriptors - tightCapacity.ReservedDescriptors - tightCapacity.PreHandshakeDescriptors - nodes - len(clients)
-				allBusy := true
-				for _, b := range clients {
-					allBusy = allBusy && b
-				}
-				switch {
-				case plan.CloseIdleNode:
-					nodes, idleNodes = nodes-1, idleNodes-1
-					nodes++
-				case plan.Admit:
-					nodes++
-				case free >= dialCost || idleNodes > 0 || !allBusy:
-					t.Fatalf("a dial to a node is refused: %d descriptors free, %d idle nodes, all clients busy %v", free, idleNodes, allBusy)
-				}
-			case action == 6 && nodes > idleNodes:
-				idleNodes++
-			case action == 7 && open:
-				clients[conn] = !busy
-				if busy {
-					step(Event{Kind: Idle, Conn: conn})
-				} else {
-					step(Event{Kind: Busy, Conn: conn})
-				}
-			case action == 8 && open:
-				delete(clients, conn)
-				step(Event{Kind: Closed, Conn: conn})
-			default:
-				step(Event{Kind: TimerFired})
-			}
-			if held := nodes + len(clients) + tightCapacity.ReservedDescriptors +
+			h.now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
+			h.act()
+			if held := h.nodes + len(h.clients) + tightCapacity.ReservedDescriptors +
 				tightCapacity.PreHandshakeDescriptors; held > tightCapacity.MaxDescriptors {
-				t.Fatalf("%d of %d descriptors in use: %d nodes, %d clients", held, tightCapacity.MaxDescriptors, nodes, len(clients))
-			}
-			busyClients := 0
-			for _, b := range clients {
-				if b {
-					busyClients++
-				}
+				t.Fatalf("%d of %d descriptors in use: %d nodes, %d clients", held, tightCapacity.MaxDescriptors, h.nodes, len(h.clients))
 			}
-			if used, busy, _ := l.Usage(); used != len(clients) || busy != busyClients {
-				t.Fatalf("Usage is %d used and %d busy, want %d and %d", used, busy, len(clients), busyClients)
+			if used, busy, _ := h.l.Usage(); used != len(h.clients) || busy != h.busyClients() {
+				t.Fatalf("Usage is %d used and %d busy, want %d and %d", used, busy, len(h.clients), h.busyClients())
 			}
 		}
 	})
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -117,6 +117,76 @@
 	}
 }
 
+// connect lets a client connect from one of so many addresses, and usually complete its handshake.
+func (h *limitsHarness) connect(addresses int) {
+	if len(h.free) == 0 {
+		return
+	}
+	i, a := h.free[0], rapid.IntRange(1, addresses).Draw(h.T, "address")
+	p := h.step(Event{Kind: ConnectRequest, Conn: i, Address: addr(a)})
+	if !p.Admit {
+		if p.Reason == "" || p.RetryAfter < time.Second || p.RetryAfter > testCapacity.MaxRetryAfter {
+			h.Fatal("rejected without a reason or with a retry delay out of bounds", p)
+		}
+		return
+	}
+	h.free = h.free[1:]
+	h.expected[i] = &connRecord{addr: a, state: handshaking, lastReceived: h.now}
+	if rapid.IntRange(0, 9).Draw(h.T, "slow") > 0 {
+		h.expected[i].state, h.expected[i].idleSince = idle, h.now
+		h.step(Event{Kind: HandshakeDone, Conn: i})
+	}
+}
+
+// close ends a connection.
+func (h *limitsHarness) close(i int) {
+	delete(h.expected, i)
+	h.free = append(h.free, i)
+	h.step(Event{Kind: Closed, Conn: i})
+}
+
+// act draws what happens next to one connection, or lets time pass. It reports false if no client could connect.
+func (h *limitsHarness) act(addresses int) bool {
+	switch rapid.IntRange(0, 9).Draw(h.T, "action") {
+	case 0, 1, 2, 3:
+		admitted := len(h.expected)
+		h.connect(addresses)
+		return len(h.expected) > admitted
+	case 4:
+		if i, c := h.pickConn(); c != nil && c.state == idle {
+			c.state = busy
+			h.step(Event{Kind: Busy, Conn: i})
+		}
+	case 5:
+		if i, c := h.pickConn(); c != nil && c.state == busy {
+			c.state, c.idleSince = idle, h.now
+			h.step(Event{Kind: Idle, Conn: i})
+		}
+	case 6:
+		if i, c := h.pickConn(); c != nil {
+			c.lastReceived = h.now
+			h.step(Event{Kind: Received, Conn: i})
+		}
+	case 7:
+		if i, c := h.pickConn(); c != nil {
+			h.close(i)
+		}
+	default:
+		h.advance(h.now + time.Duration(rapid.IntRange(0, 2000).Draw(h.T, "ms"))*ms)
+	}
+	return true
+}
+
+// closeOneEvicted closes the evicted connection with the least index: an evicted connection is closed sooner or later.
+func (h *limitsHarness) closeOneEvicted() {
+	for i := range 200 {
+		if c := h.expected[i]; c != nil && c.evicted {
+			h.close(i)
+			return
+		}
+	}
+}
+
 // For any sequence of events, no bound is exceeded, no busy connection is evicted unless it is dead, the longest idle
 // are evicted first, and once all connections are closed, a new client is admitted again.
 func TestLimitsStayWithinBounds(t *testing.T) {
@@ -127,64 +197,13 @@
 		}
 		addresses := rapid.IntRange(1, 20).Draw(t, "addresses")
 		for range rapid.IntRange(10, 400).Draw(t, "steps") {
-			switch rapid.IntRange(0, 9).Draw(t, "action") {
-			case 0, 1, 2, 3:
-				if len(h.free) == 0 {
-					continue
-				}
-				i, a := h.free[0], rapid.IntRange(1, addresses).Draw(t, "address")
-				p := h.step(Event{Kind: ConnectRequest, Conn: i, Address: addr(a)})
-				if !p.Admit {
-					if p.Reason == "" || p.RetryAfter < time.Second || p.RetryAfter > testCapacity.MaxRetryAfter {
-						t.Fatal("rejected without a reason or with a retry delay out of bounds", p)
-					}
-					continue
-				}
-				h.free = h.free[1:]
-				h.expected[i] = &connRecord{addr: a, state: handshaking, lastReceived: h.now}
-				if rapid.IntRange(0, 9).Draw(t, "slow") > 0 {
-					h.expected[i].state, h.expected[i].idleSince = idle, h.now
-					h.step(Event{Kind: HandshakeDone, Conn: i})
-				}
-			case 4:
-				if i, c := h.pickConn(); c != nil && c.state == idle {
-					c.state = busy
-					h.step(Event{Kind: Busy, Conn: i})
-				}
-			case 5:
-				if i, c := h.pickConn(); c != nil && c.state == busy {
-					c.state, c.idleSince = idle, h.now
-					h.step(Event{Kind: Idle, Conn: i})
-				}
-			case 6:
-				if i, c := h.pickConn(); c != nil {
-					c.lastReceived = h.now
-					h.step(Event{Kind: Received, Conn: i})
-				}
-			case 7:
-				if i, c := h.pickConn(); c != nil {
-					delete(h.expected, i)
-					h.free = append(h.free, i)
-					h.step(Event{Kind: Closed, Conn: i})
-				}
-			default:
-				h.advance(h.now + time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms"))*ms)
-			}
-			if rapid.Bool().Draw(t, "close evicted") { // an evicted connection is closed sooner or later
-				for i := range 200 {
-					if c := h.expected[i]; c != nil && c.evicted {
-						delete(h.expected, i)
-						h.free = append(h.free, i)
-						h.step(Event{Kind: Closed, Conn: i})
-						break
-					}
-				}
+			if h.act(addresses) && rapid.Bool().Draw(t, "close evicted") {
+				h.closeOneEvicted()
 			}
 		}
 		for i := range 200 {
 			if h.expected[i] != nil {
-				delete(h.expected, i)
-				h.step(Event{Kind: Closed, Conn: i})
+				h.close(i)
 			}
 		}
 		h.advance(h.now + 10*time.Second)
