--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -52,7 +52,7 @@
 
 func (t *tracer) printf(format string, args ...any) {
 	t.mu.Lock()
-	fmt.Fprintf(t.out, "%.3f "+format+"\n", append([]any{float64(t.now().UnixMilli()) / 1000}, args...)...)
+	fmt.Fprintf(t.out, "%.6f "+format+"\n", append([]any{float64(t.now().UnixMicro()) / 1e6}, args...)...)
 	t.mu.Unlock()
 }
 
