--- a/internal/platform/daemon_test.go
+++ b/internal/platform/daemon_test.go
@@ -28,7 +28,7 @@
 
 // An emulatedNode is a node that answers each set-up with the bytes that reply returns, if any.
 type emulatedNode struct {
-	t        *testing.T
+	t        testing.TB
 	ln       net.Listener
 	mu       sync.Mutex
 	conns    []net.Conn
@@ -36,7 +36,7 @@
 	reply    func(session string) string
 }
 
-func newEmulatedNode(t *testing.T) *emulatedNode {
+func newEmulatedNode(t testing.TB) *emulatedNode {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -141,7 +141,7 @@
 
 // A fixture is a director with the emulated nodes on its server list.
 type fixture struct {
-	t             *testing.T
+	t             testing.TB
 	d             *daemon.Daemon
 	nodes         []*emulatedNode
 	probeClient   *emulatedClient // sends probes beside the connection under test; made on first use
@@ -183,19 +183,19 @@
  "permissions":{"max_attempts":4,"connect_timeout_s":0.5},"report":{"fields":["x0","x1"]},
  "rules":{"cold_from":0.5,"fall_multiple":4,"ramp_time_s":0.1,"tip_after_s":0.05}}`
 
-func startFixture(t *testing.T, nodes int, discoveryAddress string) *fixture {
+func startFixture(t testing.TB, nodes int, discoveryAddress string) *fixture {
 	t.Helper()
 	return startFixtureWith(t, nodes, discoveryAddress, testSettings, nil)
 }
 
 // startFixtureWith is startFixture with other settings and, if wrap is not nil, with the decider that wrap returns.
-func startFixtureWith(t *testing.T, nodes int, discoveryAddress, settings string, wrap func(director.Decider) director.Decider) *fixture {
+func startFixtureWith(t testing.TB, nodes int, discoveryAddress, settings string, wrap func(director.Decider) director.Decider) *fixture {
 	t.Helper()
 	return startFixtureLimited(t, 512, nodes, discoveryAddress, settings, wrap)
 }
 
 // startFixtureLimited is startFixtureWith with a limit on file descriptors.
-func startFixtureLimited(t *testing.T, sockets, nodes int, discoveryAddress, settings string,
+func startFixtureLimited(t testing.TB, sockets, nodes int, discoveryAddress, settings string,
 	wrap func(director.Decider) director.Decider) *fixture {
 	t.Helper()
 	p := &fixture{t: t}
@@ -246,7 +246,7 @@
 
 // An emulatedClient is a client connection of the platform.
 type emulatedClient struct {
-	t *testing.T
+	t testing.TB
 	c net.Conn
 	r *bufio.Reader
 }
