--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -9,6 +9,7 @@
 
 import (
 	"encoding/binary"
+	"encoding/hex"
 	"errors"
 	"fmt"
 	"math"
@@ -279,7 +280,13 @@
 	return nil
 }
 
-func sessionID(session uint64) string { return fmt.Sprintf("%016x", session) }
+func sessionID(session uint64) string {
+	var number [idSize / 2]byte
+	binary.BigEndian.PutUint64(number[:], session)
+	var digits [idSize]byte
+	hex.Encode(digits[:], number[:])
+	return string(digits[:])
+}
 
 // parseSessionID is the inverse of sessionID; it returns 0 for any other text.
 func parseSessionID(text string) uint64 {
--- a/internal/platform/codec_test.go
+++ b/internal/platform/codec_test.go
@@ -121,7 +121,7 @@
 const testAnswer = "RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 9b1f03aa5c7e2d41\r\nContent-Length: 5\r\n\r\nhello"
 
 func TestParseRTSPResponse(t *testing.T) {
-	m, err := parseRTSP([]byte(testAnswer))
+	m, err := parseRTSP([]byte(testAnswer), nil)
 	if err != nil || m.status != 200 || m.seq() != 1 || m.session() != "9b1f03aa5c7e2d41" || string(m.body) != "hello" {
 		t.Fatalf("%+v, %v", m, err)
 	}
@@ -229,7 +229,7 @@
 		if err != nil || size == 0 {
 			return
 		}
-		if _, err := parseRTSP(in[:size]); err != nil {
+		if _, err := parseRTSP(in[:size], nil); err != nil {
 			t.Fatalf("the splitter accepts it, the parser does not: %v", err)
 		}
 	})
--- a/internal/platform/daemon_test.go
+++ b/internal/platform/daemon_test.go
@@ -88,7 +88,7 @@
 			if size == 0 {
 				break
 			}
-			m, _ := parseRTSP(buffered[:size])
+			m, _ := parseRTSP(buffered[:size], nil)
 			n.mu.Lock()
 			n.received = append(n.received, string(buffered[:size]))
 			reply := n.reply
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -120,7 +120,8 @@
 
 // DecodeNode decodes a node's message.
 func (p *Protocol) DecodeNode(raw []byte) (in director.LinkReceived, reply []byte, err error) {
-	m, err := parseRTSP(raw)
+	var headers [usualHeaders]rtspHeader // stays on the stack as long as no part of m is kept: what is kept is of raw
+	m, err := parseRTSP(raw, headers[:0])
 	if err != nil {
 		return in, nil, err
 	}
@@ -135,7 +136,7 @@
 		}
 		switch {
 		case m.status == 200:
-			in.Message.Type, in.Description = wire.Accepted, m.body
+			in.Message.Type, in.Description = wire.Accepted, raw[len(raw)-len(m.body):]
 			return in, nil, nil
 		case m.status == 453: // Not Enough Bandwidth
 			in.Message.Type = wire.Full
@@ -158,28 +159,28 @@
 			in.Message.Reason = wire.Lost
 		}
 		in.Message.Load, err = p.parseLoadReport(m)
-		return in, newOKResponse(m.headers["cseq"], m.headers["session"]), err
+		return in, newOKResponse(m.text("cseq"), m.text("session")), err
 	case methodAnnounce:
-		kind, known := measurementKinds[m.headers["x-cause"]]
-		value, err := strconv.ParseFloat(m.headers["x-value"], 64)
+		kind, known := measurementKinds[m.text("x-cause")]
+		value, err := strconv.ParseFloat(m.text("x-value"), 64)
 		if !known || err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
 			return in, nil, errors.New("ANNOUNCE with an unknown cause or an invalid value")
 		}
 		in.Message.Type, in.Message.MeasurementKind, in.Message.MeasurementValue = wire.Measurement, int(kind), value
 	case methodOptions:
-		return in, newOKResponse(m.headers["cseq"], m.headers["session"]), nil
+		return in, newOKResponse(m.text("cseq"), m.text("session")), nil
 	}
 	return in, nil, nil
 }
 
 // parseLoadReport parses a node's load report (the X-Group header), or returns nil if the message has none.
 func (p *Protocol) parseLoadReport(m rtspMessage) (*wire.NodeLoad, error) {
-	text, ok := m.headers["x-group"]
+	text, ok := m.header("x-group")
 	if !ok {
 		return nil, nil
 	}
 	load := policy.NoLoad
-	for part := range strings.SplitSeq(text, ";") {
+	for part := range strings.SplitSeq(string(text), ";") {
 		name, value, ok := strings.Cut(part, ":")
 		v, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
@@ -201,21 +202,16 @@
 	m := o.Message
 	switch m.Type {
 	case wire.Setup:
-		w := newRequest(methodSetup, m.Title, seqSetup, m.Session)
-		w.header("X-Service", m.Tariff)
-		w.header("X-Setup-Ms", strconv.FormatInt(m.StartWithinMS, 10))
-		w.header("X-Rung", strconv.Itoa(m.Rung))
-		return w.finish(o.Description)
+		return newRequest(methodSetup, m.Title, seqSetup, m.Session).header("X-Service", m.Tariff).
+			number("X-Setup-Ms", m.StartWithinMS).number("X-Rung", int64(m.Rung)).finish(o.Description)
 	case wire.End:
 		w := newRequest(methodTeardown, m.Session, seqTeardown, m.Session)
 		if m.Reason != "" {
-			w.header("Reason", fmt.Sprintf("cause=%d", causeMoved))
+			w = w.header("Reason", fmt.Sprintf("cause=%d", causeMoved))
 		}
 		return w.finish(nil)
 	case wire.Rung:
-		w := newRequest(methodRung, m.Session, seqOther, m.Session)
-		w.header("X-Rung", strconv.Itoa(m.Rung))
-		return w.finish(nil)
+		return newRequest(methodRung, m.Session, seqOther, m.Session).number("X-Rung", int64(m.Rung)).finish(nil)
 	}
 	return nil
 }
--- a/internal/platform/rtsp.go
+++ b/internal/platform/rtsp.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"fmt"
 	"strconv"
 	"strings"
 )
@@ -22,9 +21,11 @@
 	rtspVersion = "RTSP/1.0"
 	urlPrefix   = "rtsp://media/"
 	headerEnd   = "\r\n\r\n"
-	maxHeaders  = 64
+	maxHeaders  = 64 // lines of a header, with the first
 )
 
+var lineEnd = []byte("\r\n")
+
 // The sequence numbers of the director's requests. A response's sequence number shows which kind of request it answers;
 // requests of other kinds carry seqOther.
 const (
@@ -38,10 +39,32 @@
 type rtspMessage struct {
 	method  string // empty for a response
 	status  int
-	headers map[string]string // by lower-case name
+	headers []rtspHeader
 	body    []byte
 }
 
+// An rtspHeader is a line of a message's header. It refers to the bytes of the message.
+type rtspHeader struct{ name, value []byte }
+
+// usualHeaders is at least the number of headers in the messages that nodes usually send. More are parsed as well.
+const usualHeaders = 8
+
+// header returns the value of the header with a name, in any case of letters, and whether there is one.
+func (m rtspMessage) header(name string) (value []byte, ok bool) {
+	for _, h := range m.headers {
+		if len(h.name) == len(name) && strings.EqualFold(string(h.name), name) {
+			return h.value, true
+		}
+	}
+	return nil, false
+}
+
+// text returns the value of the header with a name, or an empty string if there is none.
+func (m rtspMessage) text(name string) string {
+	value, _ := m.header(name)
+	return string(value)
+}
+
 // messagePrefixes are the possible beginnings of a message.
 var messagePrefixes = []string{rtspVersion + " ", methodTeardown + " ", methodOptions + " ", methodAnnounce + " ", methodRedirect + " ",
 	methodSetup + " ", methodRung + " "}
@@ -78,7 +101,8 @@
 		}
 		return 0, nil
 	}
-	_, length, err := parseHeader(in[:end+2])
+	var headers [usualHeaders]rtspHeader
+	_, length, err := parseHeader(in[:end+2], headers[:0])
 	if err != nil {
 		return 0, err
 	}
@@ -95,12 +119,14 @@
 	return size, nil
 }
 
-func parseRTSP(raw []byte) (rtspMessage, error) {
+// parseRTSP parses a whole message. It appends the headers to the slice that it is given, which may be on the caller's
+// stack.
+func parseRTSP(raw []byte, headers []rtspHeader) (rtspMessage, error) {
 	end := bytes.Index(raw, []byte(headerEnd))
 	if end < 0 {
 		return rtspMessage{}, errHeader
 	}
-	m, length, err := parseHeader(raw[:end+2])
+	m, length, err := parseHeader(raw[:end+2], headers)
 	if err == nil && end+len(headerEnd)+length != len(raw) {
 		err = errContentLength
 	}
@@ -108,56 +134,72 @@
 	return m, err
 }
 
-// parseHeader parses a header whose lines all end in CR LF, and returns the length of the body.
-func parseHeader(head []byte) (m rtspMessage, length int, err error) {
-	lines := strings.Split(strings.TrimSuffix(string(head), "\r\n"), "\r\n")
-	if len(lines) > maxHeaders {
+// parseHeader parses a header whose lines all end in CR LF, and returns the length of the body. It appends the headers
+// to the slice that it is given.
+func parseHeader(head []byte, headers []rtspHeader) (m rtspMessage, length int, err error) {
+	first, rest, more := bytes.Cut(bytes.TrimSuffix(head, lineEnd), lineEnd)
+	if !isPrintable(first) {
 		return m, 0, errHeader
 	}
-	for _, line := range lines {
-		for _, c := range []byte(line) {
-			if c < ' ' || c > '~' {
-				return m, 0, errHeader
-			}
-		}
-	}
-	first := strings.SplitN(lines[0], " ", 3)
-	if len(first) < 2 {
-		return m, 0, errHeader
+	if m.method, m.status, err = parseFirstLine(first); err != nil {
+		return m, 0, err
 	}
-	if first[0] == rtspVersion {
-		if m.status, err = strconv.Atoi(first[1]); err != nil || m.status < 100 || m.status > 599 || len(first[1]) != 3 {
+	m.headers = headers
+	for more {
+		var line []byte
+		line, rest, more = bytes.Cut(rest, lineEnd)
+		name, value, ok := bytes.Cut(line, []byte(":"))
+		if !isPrintable(line) || !ok || len(name) == 0 || bytes.IndexByte(name, ' ') >= 0 || len(m.headers) >= maxHeaders-1 {
 			return m, 0, errHeader
 		}
-	} else {
-		if len(first) < 3 || first[2] != rtspVersion || !strings.HasPrefix(first[1], urlPrefix) {
-			return m, 0, errHeader
-		}
-		m.method = first[0]
-	}
-	m.headers = make(map[string]string, len(lines)-1)
-	for _, line := range lines[1:] {
-		name, value, ok := strings.Cut(line, ":")
-		name = strings.ToLower(name)
-		if _, duplicate := m.headers[name]; !ok || name == "" || strings.ContainsAny(name, " \t") || duplicate {
+		if _, duplicate := m.header(string(name)); duplicate {
 			return m, 0, errHeader
 		}
-		m.headers[name] = strings.TrimSpace(value)
+		m.headers = append(m.headers, rtspHeader{name, bytes.TrimSpace(value)})
 	}
-	text, ok := m.headers["content-length"]
+	text, ok := m.header("content-length")
 	if !ok {
 		return m, 0, errContentLength
 	}
-	n, err := parseBoundedInt(text, 0, maxMessageSize)
+	n, err := parseBoundedInt(string(text), 0, maxMessageSize)
 	if err != nil {
 		return m, 0, errContentLength
 	}
 	return m, int(n), nil
 }
 
+// isPrintable reports whether a line consists of printable ASCII characters and spaces only.
+func isPrintable(line []byte) bool {
+	for _, c := range line {
+		if c < ' ' || c > '~' {
+			return false
+		}
+	}
+	return true
+}
+
+// parseFirstLine parses the first line of a message: a response's status, or a request's method.
+func parseFirstLine(line []byte) (method string, status int, err error) {
+	first, rest, ok := bytes.Cut(line, []byte(" "))
+	second, third, hasThird := bytes.Cut(rest, []byte(" "))
+	if !ok {
+		return "", 0, errHeader
+	}
+	if string(first) == rtspVersion {
+		if status, err = strconv.Atoi(string(second)); err != nil || status < 100 || status > 599 || len(second) != 3 {
+			return "", 0, errHeader
+		}
+		return "", status, nil
+	}
+	if !hasThird || string(third) != rtspVersion || !bytes.HasPrefix(second, []byte(urlPrefix)) {
+		return "", 0, errHeader
+	}
+	return string(first), 0, nil
+}
+
 // seq returns a message's sequence number, or 0 if it has none.
 func (m rtspMessage) seq() int {
-	n, err := strconv.Atoi(m.headers["cseq"])
+	n, err := strconv.Atoi(m.text("cseq"))
 	if err != nil {
 		return 0
 	}
@@ -166,7 +208,7 @@
 
 // session returns a message's session id, or an empty string if it has no valid one.
 func (m rtspMessage) session() string {
-	id := m.headers["session"]
+	id := m.text("session")
 	if checkHexID(id) != nil {
 		return ""
 	}
@@ -175,7 +217,7 @@
 
 // cause returns the cause in a message's Reason header, or 0 if there is none.
 func (m rtspMessage) cause() int {
-	text, ok := strings.CutPrefix(m.headers["reason"], "cause=")
+	text, ok := strings.CutPrefix(m.text("reason"), "cause=")
 	if !ok {
 		return 0
 	}
@@ -187,24 +229,33 @@
 }
 
 // An rtspWriter builds a message.
-type rtspWriter struct{ bytes.Buffer }
+type rtspWriter []byte
+
+// usualMessageBytes is the size that a message without a body rarely exceeds.
+const usualMessageBytes = 192
 
-func newRequest(method, address string, seq int, session string) *rtspWriter {
-	w := &rtspWriter{}
-	fmt.Fprintf(w, "%s %s%s %s\r\nCSeq: %d\r\nSession: %s\r\n", method, urlPrefix, address, rtspVersion, seq, session)
-	return w
+func newRequest(method, address string, seq int, session string) rtspWriter {
+	w := append(make(rtspWriter, 0, usualMessageBytes), method...)
+	w = append(append(w, ' '), urlPrefix...)
+	w = append(append(append(w, address...), ' '), rtspVersion...)
+	return append(w, lineEnd...).number("CSeq", int64(seq)).header("Session", session)
 }
 
 func newOKResponse(seq string, session string) []byte {
-	w := &rtspWriter{}
-	fmt.Fprintf(w, "%s 200 OK\r\nCSeq: %s\r\nSession: %s\r\n", rtspVersion, seq, session)
-	return w.finish(nil)
+	w := append(make(rtspWriter, 0, usualMessageBytes), rtspVersion+" 200 OK\r\n"...)
+	return w.header("CSeq", seq).header("Session", session).finish(nil)
 }
 
-func (w *rtspWriter) header(name, value string) { fmt.Fprintf(w, "%s: %s\r\n", name, value) }
+func (w rtspWriter) header(name, value string) rtspWriter {
+	w = append(append(append(w, name...), ": "...), value...)
+	return append(w, lineEnd...)
+}
+
+func (w rtspWriter) number(name string, value int64) rtspWriter {
+	w = strconv.AppendInt(append(append(w, name...), ": "...), value, 10)
+	return append(w, lineEnd...)
+}
 
-func (w *rtspWriter) finish(body []byte) []byte {
-	fmt.Fprintf(w, "Content-Length: %d\r\n\r\n", len(body))
-	w.Write(body)
-	return w.Bytes()
+func (w rtspWriter) finish(body []byte) []byte {
+	return append(append(w.number("Content-Length", int64(len(body))), lineEnd...), body...)
 }
