--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -54,6 +54,7 @@
 	clockOffset        atomic.Int64  // added by AdvanceClock
 	loopLateness       lateness      // used by the loop's goroutine only
 	pauses             pauseDetector // pauses of the whole process; used by the loop's goroutine only
+	answerDelay        answerDelay   // the time that nodes' answers take through the director
 }
 
 // Start runs a director with a decider. Boot identifies this run; no other run of the same director may use it.
@@ -69,7 +70,7 @@
 		log: log, startedAt: time.Now(), seed: seed,
 		inbox: inbox{wake: make(chan struct{}, 1)},
 		quit:  make(chan struct{}), done: make(chan struct{}),
-		clients: map[uint64]*transport.Conn{}, links: map[uint64]*transport.Conn{},
+		clients: map[uint64]*transport.Conn{}, links: map[uint64]*transport.Conn{}, answerDelay: newAnswerDelay(),
 	}
 	for i := range d.malformedLogLimits {
 		d.malformedLogLimits[i] = rate.Sometimes{First: 3, Interval: malformedLogInterval}
@@ -178,6 +179,8 @@
 		i.peer.pending.Add(-1)
 	}
 	switch e := i.input.(type) {
+	case director.LinkReceived:
+		d.answerDelay.readAt = i.receivedAt
 	case director.ClientReceived:
 		if d.config.ProtocolOptions.Linger == 0 && isNewRequest(e) &&
 			(i.peer.disconnected.Load() || d.inbox.wasCancelled(i.peer, e.Message.ID)) {
@@ -198,7 +201,9 @@
 	case director.DiscoveryLost:
 		d.discovery = nil
 	}
-	return d.execute(d.loop.Step(d.now(), i.input))
+	ended = d.execute(d.loop.Step(d.now(), i.input))
+	d.answerDelay.readAt = time.Time{}
+	return ended
 }
 
 // execute carries out the loop's outputs and reports whether the loop has ended.
@@ -211,8 +216,8 @@
 			if c == nil || raw == nil {
 			} else if o.Message.Type == wire.Rung { // advice, which the next one supersedes
 				c.SendReplaceable(raw, o.CoalesceKey)
-			} else {
-				c.Send(raw, 0)
+			} else if c.Send(raw, 0) {
+				d.answerWritten(o)
 			}
 		case director.AcceptClient:
 			if c := d.clients[o.Conn]; c != nil {
--- a/internal/daemon/discovery.go
+++ b/internal/daemon/discovery.go
@@ -87,7 +87,7 @@
 		return
 	}
 	if m.Type != "" {
-		h.d.enqueueBounded(c, &h.peer, director.DiscoveryReceived{Message: m})
+		h.d.enqueueBounded(c, item{input: director.DiscoveryReceived{Message: m}, peer: &h.peer})
 	}
 }
 
--- a/internal/daemon/inbox.go
+++ b/internal/daemon/inbox.go
@@ -16,7 +16,7 @@
 	input      director.Input
 	conn       *transport.Conn
 	peer       *peer
-	receivedAt time.Time // when a client's item was added to the inbox
+	receivedAt time.Time // when a client's item was added to the inbox, or when a node's answer was read
 }
 
 // A peer is the inbox's record of one connection. It counts the connection's items that wait for the loop, because the
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -121,6 +121,7 @@
 	for rule, n := range c.Violations() {
 		ch <- prometheus.MustNewConstMetric(violations, prometheus.CounterValue, float64(n), rule)
 	}
+	d.answerDelay.histogram.Collect(ch)
 	neverRan := prometheus.NewDesc("fordusher_legs_never_ran_total",
 		"legs that provably never ran, by proof", []string{"proof"}, nil)
 	for reason, n := range c.NeverRanByReason() {
--- a/internal/daemon/misuse.go
+++ b/internal/daemon/misuse.go
@@ -5,14 +5,13 @@
 	"strings"
 	"time"
 
-	"fordusher/internal/director"
 	"fordusher/internal/transport"
 )
 
 // enqueueBounded puts a message of a node or of discovery into the inbox, unless too many items of the peer wait there.
-func (d *Daemon) enqueueBounded(c *transport.Conn, p *peer, in director.Input) {
-	if d.reserveInboxSlot(c, p) {
-		d.inbox.put(item{input: in, peer: p})
+func (d *Daemon) enqueueBounded(c *transport.Conn, i item) {
+	if d.reserveInboxSlot(c, i.peer) {
+		d.inbox.put(i)
 	}
 }
 
--- a/internal/daemon/nodes.go
+++ b/internal/daemon/nodes.go
@@ -8,6 +8,7 @@
 
 	"fordusher/internal/director"
 	"fordusher/internal/transport"
+	"fordusher/internal/wire"
 )
 
 // maxSetupWriteDelay is how long a set-up may wait to be written. A set-up states how long its client still waits,
@@ -49,10 +50,15 @@
 	if reply != nil {
 		c.Send(reply, 0)
 	}
-	if in.Message.Type != "" {
-		in.Link = h.peer.id
-		h.d.enqueueBounded(c, &h.peer, in)
+	if in.Message.Type == "" {
+		return
+	}
+	in.Link = h.peer.id
+	i := item{input: in, peer: &h.peer}
+	if in.Message.Type != wire.Measurement {
+		i.receivedAt = time.Now().Add(-c.ReadIdleTime())
 	}
+	h.d.enqueueBounded(c, i)
 }
 
 func (h *nodeHandler) Closed(_ *transport.Conn, reason error, unsent []uint64) {
