--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"bufio"
 	"fmt"
 	"io"
 	"sync"
@@ -23,37 +22,65 @@
 
 // A tracer is a protocol that logs the messages that it decodes and encodes, one per line: the Unix time in seconds,
 // the sender or receiver, and the content. The trace allows the director's state to be compared with the socket
-// traffic.
+// traffic. Lines are written by a goroutine of their own, so the goroutines that add lines never wait for the reader
+// of the trace.
 type tracer struct {
 	daemon.Protocol
 	level TraceLevel
-	mu    sync.Mutex
-	out   *bufio.Writer
+	out   io.Writer
 	now   func() time.Time
+
+	mu      sync.Mutex
+	pending []byte // lines that wait to be written
+	dropped int    // lines left out since the last write
 }
 
-// NewTracer returns a protocol that traces p's messages to out, flushed every 0.1 s, until stop is closed.
+const (
+	traceFlushInterval = 100 * time.Millisecond
+	maxPendingTrace    = 1 << 20 // bytes; later lines are left out until some have been written
+)
+
+// NewTracer returns a protocol that traces p's messages to out, written every 0.1 s, until stop is closed.
 func NewTracer(p daemon.Protocol, level TraceLevel, out io.Writer, now func() time.Time, stop <-chan struct{}) daemon.Protocol {
-	t := &tracer{Protocol: p, level: level, out: bufio.NewWriter(out), now: now}
+	t := &tracer{Protocol: p, level: level, out: out, now: now}
 	go func() {
+		var written []byte
 		for ended := false; !ended; {
 			select {
 			case <-stop:
 				ended = true
-			case <-time.After(100 * time.Millisecond):
+			case <-time.After(traceFlushInterval):
 			}
-			t.mu.Lock()
-			t.out.Flush() // write errors only cost trace lines
-			t.mu.Unlock()
+			written = t.takePending(written)
+			t.out.Write(written) // write errors only cost trace lines
 		}
 	}()
 	return t
 }
 
+// takePending returns the lines to write now. Later lines reuse the slice that the caller passes, the last lines
+// returned.
+func (t *tracer) takePending(written []byte) []byte {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	lines := t.pending
+	t.pending = written[:0]
+	if t.dropped > 0 {
+		lines = fmt.Appendf(lines, "%d lines of the trace were left out\n", t.dropped)
+		t.dropped = 0
+	}
+	return lines
+}
+
 func (t *tracer) printf(format string, args ...any) {
 	t.mu.Lock()
-	fmt.Fprintf(t.out, "%.6f "+format+"\n", append([]any{float64(t.now().UnixMicro()) / 1e6}, args...)...)
-	t.mu.Unlock()
+	defer t.mu.Unlock()
+	if len(t.pending) >= maxPendingTrace {
+		t.dropped++
+		return
+	}
+	t.pending = fmt.Appendf(t.pending, "%.6f ", float64(t.now().UnixMicro())/1e6)
+	t.pending = append(fmt.Appendf(t.pending, format, args...), '\n')
 }
 
 func (t *tracer) DecodeClient(raw []byte) (in director.ClientReceived, reply []byte, err error) {
