--- a/internal/platformtest/platformtest.go
+++ b/internal/platformtest/platformtest.go
@@ -17,7 +17,7 @@
 const pollInterval = time.Millisecond
 
 // Eventually waits until ok returns true, and fails the test with the message after the given time.
-func Eventually(t *testing.T, within time.Duration, message string, ok func() bool) {
+func Eventually(t testing.TB, within time.Duration, message string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(within); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
@@ -36,7 +36,7 @@
 
 // Serve listens at a free port and calls serve for each connection, in a goroutine of its own. The listener and the
 // connections are closed when the test ends.
-func Serve(t *testing.T, serve func(c net.Conn)) *Server {
+func Serve(t testing.TB, serve func(c net.Conn)) *Server {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -127,7 +127,7 @@
 const maxUnreadRequests = 16
 
 // ServeDiscovery listens at an address until the test ends.
-func ServeDiscovery(t *testing.T, address string) *Discovery {
+func ServeDiscovery(t testing.TB, address string) *Discovery {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -158,7 +158,7 @@
 
 // Next returns the next connection and the number of the event after which it wants events. It fails the test if there
 // is none within the given time.
-func (d *Discovery) Next(t *testing.T, within time.Duration) (after uint64, c net.Conn) {
+func (d *Discovery) Next(t testing.TB, within time.Duration) (after uint64, c net.Conn) {
 	t.Helper()
 	select {
 	case r := <-d.requests:
