--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -37,52 +37,68 @@
 	}
 }
 
-// BenchmarkEvents measures single events with the given number of nodes, four of which hold each title.
+// BenchmarkEvents measures single events with the given number of known nodes, of which only costCopies are used.
 func BenchmarkEvents(b *testing.B) {
 	for _, nodes := range []int{200, 800, 3200} {
-		start := func() (*Director, ServerList) {
-			tariffs := []Tariff{{GoalTime: time.Second, HardStop: 2 * time.Second, Credit: 1, Scale: 1, Top: 3}}
-			d := New(1, Peers{Directors: 300}, tariffs, Ladder{Rates: []float64{100, 200, 400, 800}, JoinCost: 1},
-				Topology{Cells: nodes, Racks: nodes / 7, LinkUnit: 1e9, Uplink: 1e10}, Ramp{MaxStreams: []float64{1e6}, Warmup: 10 * time.Second},
-				RetryPolicy{MaxLegs: 4}, ReportTiming{Delay: time.Second, Interval: 4 * time.Second})
-			list := ServerList{Kind: ListReplaced}
-			for i := range nodes {
-				list.Entries = append(list.Entries, NodeEntry{Node: fmt.Sprint(i), StartedAt: UnknownStart, Weight: 1, Cell: i})
-			}
-			d.Step(0, list)
-			return d, list
-		}
-		now := 20 * time.Second
-		request := func(d *Director, id uint64) {
-			d.Step(now, Request{ID: id, Title: id % 500, FirstCell: int(id) % nodes, Copies: 4, MaxRung: 3, Deadline: now + 2*time.Second})
-			d.Step(now, Accepted{ID: id})
+		run := func(event string, measure func(b *testing.B, d *Director, list ServerList)) {
+			b.Run(fmt.Sprintf("%s/nodes=%d", event, nodes), func(b *testing.B) {
+				d, list := newFleet(nodes)
+				b.ReportAllocs()
+				measure(b, d, list)
+			})
 		}
-		b.Run(fmt.Sprintf("request/nodes=%d", nodes), func(b *testing.B) {
-			d, _ := start()
-			for id := uint64(1); b.Loop(); id++ {
-				request(d, id)
-				d.Step(now, LegResult{ID: id, Final: true, Load: NoLoad})
-			}
-		})
-		b.Run(fmt.Sprintf("measurement/nodes=%d", nodes), func(b *testing.B) {
-			d, _ := start()
-			request(d, 1)
-			s := &d.sessions[0]
+		run("session", func(b *testing.B, d *Director, _ ServerList) { benchmarkSessions(b, d) })
+		run("note", func(b *testing.B, d *Director, _ ServerList) {
+			name := playOne(d)
 			for b.Loop() {
-				d.Step(now, Measurement{ID: 1, Node: d.nodes[s.node].name, Kind: LinkLoad, Value: 0.5})
+				d.Step(costStart, Measurement{ID: 1, Node: name, Kind: LinkLoad, Value: 0.5})
 			}
 		})
-		b.Run(fmt.Sprintf("tick/nodes=%d", nodes), func(b *testing.B) {
-			d, _ := start()
-			for at := now; b.Loop(); at += tickInterval {
-				d.Step(at, TimerFired{})
-			}
-		})
-		b.Run(fmt.Sprintf("listupdate/nodes=%d", nodes), func(b *testing.B) {
-			d, list := start()
-			for b.Loop() {
-				d.Step(now, ServerList{Kind: ListUpdate, Entries: list.Entries[:1]})
+		for _, changed := range []int{1, 100} {
+			run(fmt.Sprintf("listchange%d", changed), func(b *testing.B, d *Director, list ServerList) {
+				name, change := playOne(d), update(list, 0, changed-1)
+				for b.Loop() { // the note makes the rack that is in use up to date again
+					d.Step(costStart, change)
+					d.Step(costStart, Measurement{ID: 1, Node: name, Kind: DeliveredShare, Value: 1})
+				}
+			})
+		}
+		run("idlesecond", func(b *testing.B, d *Director, _ ServerList) {
+			for now := costStart; b.Loop(); {
+				for range time.Second / tickInterval {
+					now += tickInterval
+					d.Step(now, TimerFired{})
+				}
 			}
 		})
 	}
 }
+
+// playOne starts a session and returns its node.
+func playOne(d *Director) string {
+	d.Step(costStart, costRequest(1, costStart))
+	d.Step(costStart, Accepted{ID: 1})
+	return d.nodes[d.sessions[0].node].name
+}
+
+// benchmarkSessions measures set-ups, answers and ends of sessions. Bytes and allocations are those of all three.
+func benchmarkSessions(b *testing.B, d *Director) {
+	const batch = 50
+	elapsed := map[string]time.Duration{}
+	pass := func(unit string, n int, event func(id uint64) Event) {
+		start := time.Now()
+		for id := range n {
+			d.Step(costStart, event(uint64(id)))
+		}
+		elapsed[unit] += time.Since(start)
+	}
+	for done := 0; done < b.N; done += batch {
+		n := min(batch, b.N-done)
+		pass("ns/setup", n, func(id uint64) Event { return costRequest(id, costStart) })
+		pass("ns/answer", n, func(id uint64) Event { return Accepted{ID: id} })
+		pass("ns/end", n, func(id uint64) Event { return LegResult{ID: id, Final: true, Load: NoLoad} })
+	}
+	for unit, d := range elapsed {
+		b.ReportMetric(float64(d.Nanoseconds())/float64(b.N), unit)
+	}
+}
--- a/policy/load_estimate.go
+++ b/policy/load_estimate.go
@@ -117,10 +117,16 @@
 	return link, uplink
 }
 
+// meanStreamRate is the mean rate of this director's own sessions, among which the middle rung's rate counts as one
+// further session.
+func (e *loadEstimate) meanStreamRate() float64 {
+	return (e.middleRate + e.ownLoad) / float64(1+e.legs)
+}
+
 // streamCount is a node's number of streams, from its report if that is recent, else from its link use.
-func (e *loadEstimate) streamCount(n *node) float64 {
+func (e *loadEstimate) streamCount(n *node, meanStreamRate float64) float64 {
 	if n.reportedStreams < 0 || n.linkLoad.known && e.now-n.reportedAt > e.freshFor {
-		return e.linkUse(n) * n.linkCapacity / e.meanStreamRate
+		return e.linkUse(n) * n.linkCapacity / meanStreamRate
 	}
 	return max(0, n.reportedStreams+float64(n.legs-n.legsAtReport))
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -38,6 +38,7 @@
 	}
 	n := &d.nodes[chosen]
 	s.node = chosen
+	d.settleFairRates(n.rack)
 	reference := d.rungs.referenceRung(s, n.fairRate)
 	rung := payoff(tariff.Floor, d.fittingRung(s, n, reference), reference, reference)
 	if rung != s.rung {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -68,6 +68,7 @@
 	nodeIndexes    indexMap[string] // index of each node in nodes, by name; released by dropNode
 	nodes          []node
 	index          index
+	listChange     listChange
 	seats          map[seatKey]int // seats taken; an entry is deleted when its last session ends
 }
 
@@ -268,6 +269,7 @@
 
 // countLeg adds to the number of this director's legs at a node.
 func (d *Director) countLeg(n *node, delta int) {
+	d.settleFairRates(n.rack)
 	n.legs += delta
 	d.load.legs += delta
 }
@@ -283,6 +285,7 @@
 	if n.name != e.Node {
 		return
 	}
+	d.settleFairRates(n.rack)
 	switch e.Kind {
 	case CurrentRung:
 		d.bookRung(s, max(0, min(int(e.Value), len(d.rungs.ladder.Rates)-1))) // a rung off the ladder counts as the ladder's nearest end
--- a/policy/rungs.go
+++ b/policy/rungs.go
@@ -135,6 +135,7 @@
 	if d.now-s.switchedAt < switchEvery {
 		return
 	}
+	d.settleFairRates(n.rack)
 	reference := d.rungs.referenceRung(s, n.fairRate)
 	fitting := d.fittingRung(s, n, reference)
 	// A shortfall expires by itself, because the measurement that ends it is lost if its session ends first.
@@ -177,6 +178,7 @@
 		}
 	}
 	n, delta := &d.nodes[s.node], rate-s.bookedRate
+	d.settleFairRates(n.rack)
 	n.ownLoad += delta
 	d.load.racks[n.rack].ownLoad += delta
 	d.load.ownLoad += delta
--- a/policy/server_list.go
+++ b/policy/server_list.go
@@ -54,7 +54,5 @@
 	for _, i := range d.index.unlistedNodes {
 		d.dropNode(i)
 	}
-	for r := range d.load.racks {
-		d.updateFairRates(r)
-	}
+	d.beginListChange()
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -47,6 +47,7 @@
 	fullReporter   string        // node that last reported a full uplink; empty: none has
 	fullUntil      time.Duration // when that report expires
 	confirmedUntil time.Duration // when the confirmation by a second node expires
+	listChange     uint64        // the list change that its nodes' fair rates include; see fair.go
 }
 
 // recordUplinkReport records a node's report of the rack's uplink load if it says that the uplink is
@@ -246,7 +247,6 @@
 	freshFor       time.Duration // greatest age of the last observation of a node that reports regularly
 	directors      float64
 	middleRate     float64 // rate of the middle rung
-	meanStreamRate float64
 	racks          []rack
 	linkBaseline   baseline // recent mean demand of other directors on links, as a part of their capacity
 	uplinkBaseline baseline // the same for uplinks
@@ -275,6 +275,7 @@
 		return
 	}
 	if n.listed == Removed && n.legs == 0 {
+		d.settleFairRates(n.rack)
 		d.nodeIndexes.release(n.name)
 		d.index.remove(i, n)
 		*n = node{}
