--- a/internal/director/bench_test.go
+++ b/internal/director/bench_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"runtime"
 	"testing"
+	"time"
 
 	"fordusher/internal/wire"
 )
@@ -38,3 +39,50 @@
 	}
 	runtime.KeepAlive(h)
 }
+
+// BenchmarkEvents measures events of the loop with its decider, with the given number of known nodes, of which only
+// fleetUsedNodes are used. Bytes and allocations of a session are those of its set-up, answer, note and end.
+func BenchmarkEvents(b *testing.B) {
+	for _, nodes := range []int{200, 800, 3200} {
+		b.Run(fmt.Sprintf("session/nodes=%d", nodes), func(b *testing.B) {
+			f := newFleet(b, nodes)
+			elapsed := map[string]time.Duration{}
+			timed := func(unit string, event func()) {
+				start := time.Now()
+				event()
+				elapsed[unit] += time.Since(start)
+			}
+			b.ReportAllocs()
+			b.ResetTimer()
+			for range b.N {
+				f.now += fleetInterval
+				timed("ns/setup", func() { f.setUp() })
+				timed("ns/answer", f.answer)
+				timed("ns/note", f.note)
+				timed("ns/end", f.end)
+			}
+			for unit, d := range elapsed {
+				b.ReportMetric(float64(d.Nanoseconds())/float64(b.N), unit)
+			}
+		})
+		for _, count := range []int{1, 100} {
+			b.Run(fmt.Sprintf("listchange%d/nodes=%d", count, nodes), func(b *testing.B) {
+				f := newFleet(b, nodes)
+				f.session()
+				changes := []Input{f.listChange(0, count, wire.Draining), f.listChange(0, count, wire.Up)}
+				b.ReportAllocs()
+				for i := 0; b.Loop(); i++ {
+					f.step(changes[i%2])
+				}
+			})
+		}
+		b.Run(fmt.Sprintf("idlesecond/nodes=%d", nodes), func(b *testing.B) {
+			f := newFleet(b, nodes)
+			f.session()
+			b.ReportAllocs()
+			for b.Loop() {
+				f.idleSecond()
+			}
+		})
+	}
+}
--- a/internal/director/connections.go
+++ b/internal/director/connections.go
@@ -45,13 +45,7 @@
 // admitLink asks the limits whether one more connection to a node may be made. If the limits ask for it, admitLink
 // first closes the unneeded connection that was used least recently.
 func (l *Loop) admitLink() bool {
-	var idlest *node // the node whose unneeded connection was used least recently
-	for _, n := range l.links {
-		if n.connected && !n.linkNeeded && !n.connecting && n.replacedLink == 0 && l.reconnectPolicy.OnDemand &&
-			(idlest == nil || n.lastUsed < idlest.lastUsed || n.lastUsed == idlest.lastUsed && n.name < idlest.name) {
-			idlest = n
-		}
-	}
+	idlest := l.idlestNode()
 	// linkDescriptors already counts this attempt once, so 1 is subtracted.
 	plan := *l.stepLimits(limits.Event{Kind: limits.DialRequest, NodeDescriptors: l.linkDescriptors() - 1, IdleNodeConn: idlest != nil})
 	if plan.CloseIdleNode { // plan is a copy, since disconnect may step the limits again
@@ -60,6 +54,21 @@
 	return plan.Admit
 }
 
+// idlestNode returns the node whose unneeded connection was used least recently, or nil. Only connections on demand can
+// be unneeded.
+func (l *Loop) idlestNode() (idlest *node) {
+	if !l.reconnectPolicy.OnDemand {
+		return nil
+	}
+	for _, n := range l.links {
+		if n.connected && !n.linkNeeded && !n.connecting && n.replacedLink == 0 &&
+			(idlest == nil || n.lastUsed < idlest.lastUsed || n.lastUsed == idlest.lastUsed && n.name < idlest.name) {
+			idlest = n
+		}
+	}
+	return idlest
+}
+
 // connectExhausted handles a connect attempt that failed for lack of descriptors or other resources of this machine.
 func (l *Loop) connectExhausted(n *node) {
 	l.stepConnector(connector.Event{Node: n.index, Kind: connector.NoCapacity})
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -85,16 +85,18 @@
 func benchmarkSessions(b *testing.B, d *Director) {
 	const batch = 50
 	elapsed := map[string]time.Duration{}
+	now := costStart
 	pass := func(unit string, n int, event func(id uint64) Event) {
 		start := time.Now()
 		for id := range n {
-			d.Step(costStart, event(uint64(id)))
+			d.Step(now, event(uint64(id)))
 		}
 		elapsed[unit] += time.Since(start)
 	}
 	for done := 0; done < b.N; done += batch {
 		n := min(batch, b.N-done)
-		pass("ns/setup", n, func(id uint64) Event { return costRequest(id, costStart) })
+		now += batch * 100 * time.Millisecond // as many sessions as a small director has
+		pass("ns/setup", n, func(id uint64) Event { return costRequest(id, now) })
 		pass("ns/answer", n, func(id uint64) Event { return Accepted{ID: id} })
 		pass("ns/end", n, func(id uint64) Event { return LegResult{ID: id, Final: true, Load: NoLoad} })
 	}
