--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -1,9 +1,9 @@
 package transport
 
 import (
+	"errors"
 	"net"
-	"runtime"
-	"sync/atomic"
+	"sync"
 	"time"
 
 	"github.com/cloudwego/netpoll"
@@ -18,64 +18,149 @@
 	maxAcceptDelay     = 20 * time.Millisecond
 )
 
-// A listener accepts connections for netpoll, which calls Accept whenever the socket is readable until no connection is
-// waiting. When accepting fails for lack of a local resource, netpoll stops watching the socket and calls Accept from a
-// goroutine of its own with delays of up to a second. Accept delays and retries itself instead, so that the delays are
-// shorter.
+// noDescriptor takes the place of a descriptor that has been closed.
+const noDescriptor = -1
+
+// A listener accepts connections for netpoll, which calls Accept whenever the descriptor of Fd is readable. netpoll
+// goes on to use that descriptor's number after the server has stopped accepting, and gives up a listener whose Accept
+// fails. So it is given an epoll descriptor of the listener's own, which contains the socket: the socket can be closed,
+// and left unwatched for a while, without netpoll.
 type listener struct {
-	netpoll.Listener
-	calls    *systemCalls
-	retrying atomic.Bool // Accept is called from netpoll's retry goroutine
-	closed   atomic.Bool
+	address net.Addr
+	calls   *systemCalls
+	watched chan struct{} // closed when netpoll has called Accept for the first time
+
+	mu       sync.Mutex // held during each system call on the descriptors, so that none is on a closed one's number
+	epoll    int        // netpoll watches it from Serve to Shutdown, and it stays open for that time
+	starter  int        // eventfd that makes epoll readable until the first Accept
+	socket   int        // the listening socket
+	delay    time.Duration
+	resuming *time.Timer // watches the socket again after the delay; nil: accepting has never failed
 }
 
 func listen(address string) (*listener, error) {
-	ln, err := netpoll.CreateListener("tcp", address)
+	ln, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	// The runtime's own descriptor and its registration end here. A copy is used instead of netpoll's listener, because
+	// that closes its descriptor's number twice.
+	defer ln.Close()
+	socket, err := duplicate(ln.(*net.TCPListener))
 	if err != nil {
 		return nil, err
 	}
-	return &listener{Listener: ln, calls: currentCalls.Load()}, nil
+	l := &listener{address: ln.Addr(), calls: currentCalls.Load(), watched: make(chan struct{}),
+		epoll: noDescriptor, starter: noDescriptor, socket: socket}
+	if err := l.openEpoll(); err != nil {
+		l.Close()
+		return nil, err
+	}
+	return l, nil
 }
 
-// Accept returns a connection, or neither a connection nor an error if none is waiting.
-func (l *listener) Accept() (net.Conn, error) {
-	delay := initialAcceptDelay
-	for {
-		descriptor, peer, err := l.calls.accept(l.Fd())
-		switch err {
-		case nil:
-			return newAccepted(descriptor, l.Addr(), peer), nil
-		case unix.EAGAIN:
-			l.retrying.Store(false)
-			return nil, nil
-		case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM:
-			if !l.retrying.Swap(true) {
-				return nil, unix.ENFILE // the error after which netpoll retries in a goroutine; netpoll also logs it
-			}
-			internalErrors.Add(1)
-		default: // the connection was aborted, or a signal arrived: the next call may succeed
-			internalErrors.Add(1)
-			if !l.retrying.Load() {
-				return nil, nil // netpoll calls Accept again while the socket is readable
-			}
-		}
-		if l.closed.Load() {
-			// Netpoll's retry goroutine has no other way to end. It would go on to watch the descriptor, which may
-			// belong to another file by now.
-			runtime.Goexit()
+func (l *listener) openEpoll() (err error) {
+	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
+		return err
+	}
+	if l.starter, err = unix.Eventfd(1, unix.EFD_CLOEXEC); err != nil {
+		return err
+	}
+	for _, descriptor := range []int{l.starter, l.socket} {
+		if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, descriptor, &unix.EpollEvent{Events: unix.EPOLLIN}); err != nil {
+			return err
 		}
-		time.Sleep(delay)
-		delay = min(2*delay, maxAcceptDelay)
 	}
+	return nil
 }
 
-// Close closes the descriptor once: netpoll's shutdown may call it again when the descriptor already belongs to another
-// file.
+// Fd returns the descriptor that netpoll watches.
+func (l *listener) Fd() int { return l.epoll }
+
+// Addr returns the address at which the listener listens.
+func (l *listener) Addr() net.Addr { return l.address }
+
+// Accept returns a connection, or neither a connection nor an error if none can be accepted now. netpoll calls it again
+// while its descriptor is readable.
+func (l *listener) Accept() (net.Conn, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.starter != noDescriptor {
+		closeDescriptor(&l.starter)
+		close(l.watched)
+	}
+	if l.socket == noDescriptor {
+		return nil, nil
+	}
+	descriptor, peer, err := l.calls.accept(l.socket)
+	switch err {
+	case nil:
+		l.delay = 0
+		return newAccepted(descriptor, l.address, peer), nil
+	case unix.EAGAIN:
+		l.delay = 0
+	case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM:
+		internalErrors.Add(1)
+		l.pause()
+	default: // the connection was aborted, or a signal arrived: the next call may succeed
+		internalErrors.Add(1)
+	}
+	return nil, nil
+}
+
+// pause stops watching the socket for the next delay. It is called with the lock held.
+func (l *listener) pause() {
+	l.delay = min(max(2*l.delay, initialAcceptDelay), maxAcceptDelay)
+	if err := l.calls.watch(l.epoll, l.socket, 0); err != nil {
+		return // netpoll calls Accept again at once
+	}
+	if l.resuming == nil {
+		l.resuming = time.AfterFunc(l.delay, l.resume)
+	} else {
+		l.resuming.Reset(l.delay)
+	}
+}
+
+// resume watches the socket again, or tries again later if the system does not allow it now.
+func (l *listener) resume() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.socket == noDescriptor {
+		return
+	}
+	if err := l.calls.watch(l.epoll, l.socket, unix.EPOLLIN); err != nil {
+		internalErrors.Add(1)
+		l.resuming.Reset(maxAcceptDelay)
+	}
+}
+
+// stop closes the socket, so that the system refuses connections. Later calls of Accept return none.
+func (l *listener) stop() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.resuming != nil {
+		l.resuming.Stop()
+	}
+	return closeDescriptor(&l.socket)
+}
+
+// Close stops the listener and closes the descriptor that netpoll watches. netpoll calls it after its last use of the
+// number.
 func (l *listener) Close() error {
-	if l.closed.Swap(true) {
+	err := l.stop()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return errors.Join(err, closeDescriptor(&l.starter), closeDescriptor(&l.epoll))
+}
+
+// closeDescriptor closes a descriptor once.
+func closeDescriptor(descriptor *int) error {
+	number := *descriptor
+	*descriptor = noDescriptor
+	if number == noDescriptor {
 		return nil
 	}
-	return l.Listener.Close()
+	return unix.Close(number)
 }
 
 // acceptedSocket is the descriptor and the addresses of a new connection, as netpoll expects them.
@@ -86,6 +171,8 @@
 	peer       net.Addr
 }
 
+var _ netpoll.Conn = (*acceptedSocket)(nil)
+
 func newAccepted(descriptor int, local net.Addr, peer unix.Sockaddr) *acceptedSocket {
 	// Without the option the connection is slower but correct, so an error is ignored.
 	_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
--- /dev/null
+++ b/internal/transport/accept_test.go
@@ -0,0 +1,179 @@
+package transport
+
+import (
+	"io"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// Guards against a listener that is never watched again after a shortage, because the call that watches it failed too.
+func TestAcceptGoesOnAfterWatchFails(t *testing.T) {
+	for _, fault := range []error{unix.ENOMEM, unix.ENOSPC} {
+		t.Run(fault.Error(), func(t *testing.T) {
+			var acceptFailures, watchFailures atomic.Int64
+			acceptFailures.Store(3)
+			watchFailures.Store(5)
+			injectCalls(t, systemCalls{
+				accept: func(descriptor int) (int, unix.Sockaddr, error) {
+					if acceptFailures.Add(-1) >= 0 {
+						return -1, nil, unix.ENOMEM
+					}
+					return realCalls.accept(descriptor)
+				},
+				watch: func(epoll, descriptor int, events uint32) error {
+					if events != 0 && watchFailures.Add(-1) >= 0 {
+						return fault
+					}
+					return realCalls.watch(epoll, descriptor, events)
+				},
+			})
+			s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, &recordingHandler{echo: true})
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer s.Close()
+			client := &recordingHandler{}
+			c, err := DialTCP(s.Address(), time.Second, splitByLength, testTCPLimits, client)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer c.Abort()
+			c.Send([]byte("\x02a"), 0)
+			client.wait(t, "no answer", func() bool { return len(client.messages) == 1 })
+			if acceptFailures.Load() >= 0 || watchFailures.Load() >= 0 {
+				t.Fatal("not every failure was met")
+			}
+		})
+	}
+}
+
+// Guards against a server that is returned although netpoll cannot watch its listener, so that it never accepts.
+func TestServeFailsIfListenerCannotBeWatched(t *testing.T) {
+	ln, err := listen("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := ln.Addr().String()
+	closeDescriptor(&ln.epoll) // netpoll's epoll_ctl fails
+	if _, err := serveListener(ln, "", splitByLength, testTCPLimits, &recordingHandler{}); err == nil {
+		t.Fatal("no error")
+	}
+	if c, err := net.Dial("tcp", address); err == nil {
+		c.Close()
+		t.Fatal("the listening socket is still open")
+	}
+}
+
+// Guards against a connection that is accepted while its server is closed or stops accepting, and is left open.
+func TestConnectionAcceptedDuringCloseIsAborted(t *testing.T) {
+	for name, end := range map[string]func(*Server){"Close": (*Server).Close, "StopAccepting": (*Server).StopAccepting} {
+		t.Run(name, func(t *testing.T) {
+			entered, release := make(chan struct{}), make(chan struct{})
+			var calls atomic.Int64
+			injectCalls(t, systemCalls{accept: func(descriptor int) (int, unix.Sockaddr, error) {
+				accepted, peer, err := realCalls.accept(descriptor)
+				if err == nil && calls.Add(1) == 1 {
+					close(entered)
+					<-release
+				}
+				return accepted, peer, err
+			}})
+			s, err := ServeTCP("127.0.0.1:0", splitByLength, Limits{MaxMessageBytes: 64, MaxQueuedBytes: 64}, &recordingHandler{})
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer s.Close()
+			c, err := net.Dial("tcp", s.Address())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer c.Close()
+			<-entered
+			ended := make(chan struct{})
+			go func() { end(s); close(ended) }()
+			time.Sleep(20 * time.Millisecond) // the server is waiting for the accept call
+			close(release)
+			<-ended
+			c.SetReadDeadline(time.Now().Add(2 * time.Second))
+			if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+				t.Fatalf("the connection was not closed: %v", err)
+			}
+		})
+	}
+}
+
+// An echoCheck is a connection whose peer sends every message back.
+type echoCheck struct {
+	recordingHandler
+	conn *Conn
+	sent int
+}
+
+func newEchoCheck(t *testing.T) *echoCheck {
+	t.Helper()
+	s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, &recordingHandler{echo: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.Close)
+	e := &echoCheck{}
+	if e.conn, err = DialTCP(s.Address(), time.Second, splitByLength, testTCPLimits, e); err != nil {
+		t.Fatal(err)
+	}
+	e.check(t, "at first")
+	return e
+}
+
+func (e *echoCheck) check(t *testing.T, when string) {
+	t.Helper()
+	e.conn.Send([]byte("\x02a"), 0)
+	e.sent++
+	e.wait(t, "no answer on another connection "+when, func() bool { return len(e.messages) == e.sent })
+}
+
+// Guards against a listener without descriptors that holds up the reading of all other connections in the process,
+// during the shortage or after a close in it. The second shortage differs from the first one: netpoll detaches a
+// listener only once.
+func TestAcceptTroubleHoldsUpNoOtherConnection(t *testing.T) {
+	other := newEchoCheck(t)
+	var failing atomic.Bool
+	var failures atomic.Int64
+	injectCalls(t, systemCalls{accept: func(descriptor int) (int, unix.Sockaddr, error) {
+		if failing.Load() {
+			failures.Add(1)
+			return -1, nil, unix.EMFILE
+		}
+		return realCalls.accept(descriptor)
+	}})
+	s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, &recordingHandler{echo: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	startShortage := func() *recordingHandler {
+		failing.Store(true)
+		failures.Store(0)
+		client := &recordingHandler{}
+		waiting, err := DialTCP(s.Address(), time.Second, splitByLength, testTCPLimits, client)
+		if err != nil {
+			t.Fatal(err)
+		}
+		waiting.Send([]byte("\x02a"), 0)
+		client.wait(t, "accept was not tried again", func() bool { return failures.Load() > 3 })
+		return client
+	}
+	client := startShortage()
+	other.check(t, "in the first shortage")
+	failing.Store(false)
+	client.wait(t, "no answer after the shortage", func() bool { return len(client.messages) == 1 })
+	time.Sleep(2 * maxAcceptDelay) // every call of the first shortage has ended
+	startShortage()
+	other.check(t, "in the second shortage")
+	s.Close()
+	other.check(t, "after a close in the shortage")
+	time.Sleep(2 * maxAcceptDelay)
+	other.check(t, "after the last accept call")
+}
--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -132,6 +132,14 @@
 	return nil
 }
 
+// markUnusable is called when raw is closed, before its descriptor is closed.
+func (c *Conn) markUnusable(netpoll.Connection) error {
+	c.mu.Lock()
+	c.usable = false
+	c.mu.Unlock()
+	return nil
+}
+
 // finishClose reports the end of the connection to the handler, with the tags of the messages that were not sent.
 func (c *Conn) finishClose() {
 	if c.server != nil {
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -60,6 +60,7 @@
 
 // start connects a dialed connection to its handler and to netpoll, and handles the input that was already received.
 func (c *Conn) start(np netpoll.Connection, in []byte) {
+	np.AddCloseCallback(c.markUnusable) // Opened may close the connection
 	c.handler.Opened(c)
 	np.AddCloseCallback(c.onClosed)
 	c.handleInput(in)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -15,15 +14,17 @@
 // Server accepts connections: WebSocket with one sub-protocol, or a protocol with a SplitFunc.
 type Server struct {
 	protocol          string
+	split             SplitFunc // nil: WebSocket
 	limits            Limits
 	handler           Handler
-	listener          net.Listener
+	listener          *listener
 	eventLoop         netpoll.EventLoop
 	silent            atomic.Bool
 	refusing          atomic.Bool
 	pendingHandshakes atomic.Int32 // connections whose handshake is not completely received
 	mu                sync.Mutex
 	conns             map[*Conn]bool // a connection is removed when it closes
+	stopped           bool           // a connection accepted from now on is aborted
 }
 
 // Serve listens at an address and serves connections with the handler until Close is called.
@@ -36,52 +37,82 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen at %s: %w", address, err)
 	}
-	s := &Server{protocol: protocol, limits: limits, handler: handler, listener: ln, conns: map[*Conn]bool{}}
-	type key struct{}
+	return serveListener(ln, protocol, split, limits, handler)
+}
+
+func serveListener(ln *listener, protocol string, split SplitFunc, limits Limits, handler Handler) (*Server, error) {
+	var err error
+	s := &Server{protocol: protocol, split: split, limits: limits, handler: handler, listener: ln, conns: map[*Conn]bool{}}
 	s.eventLoop, err = netpoll.NewEventLoop(
-		func(ctx context.Context, np netpoll.Connection) error { return ctx.Value(key{}).(*Conn).read(ctx, np) },
-		netpoll.WithOnPrepare(func(np netpoll.Connection) context.Context {
-			c := &Conn{raw: newSocket(np), handler: handler, limits: limits, server: s, split: split,
-				handshakeDone: split != nil, acceptedAt: time.Now()}
-			n := s.pendingHandshakes.Add(1)
-			if split != nil && limits.MaxPendingHandshakes > 0 && int(n) > limits.MaxPendingHandshakes {
-				s.resetOldestPending()
-				n = 0
-			}
-			if s.refusing.Load() || limits.MaxPendingHandshakes > 0 && int(n) > limits.MaxPendingHandshakes {
-				s.pendingHandshakes.Add(-1)
-				c.server = nil
-				if f, ok := np.(netpoll.Conn); ok {
-					setResetOnClose(f.Fd())
-				}
-				np.Close()
-				return context.Background()
-			}
-			if f, ok := np.(netpoll.Conn); ok && limits.KernelBufferBytes > 0 {
-				// By default the send buffer grows to megabytes for a peer that requests much and reads nothing.
-				// On an error it keeps its default.
-				unix.SetsockoptInt(f.Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, limits.KernelBufferBytes)
-			}
-			np.AddCloseCallback(c.onClosed)
-			c.mu.Lock()
-			c.usable = true // finishClose clears it before the descriptor is closed
-			c.mu.Unlock()
-			s.mu.Lock()
-			s.conns[c] = true
-			s.mu.Unlock()
-			if limits.HandshakeTimeout > 0 {
-				c.handshakeTimer = time.AfterFunc(limits.HandshakeTimeout, func() { s.handshakeTimedOut(c) })
-			}
-			return context.WithValue(context.Background(), key{}, c)
-		}))
+		func(ctx context.Context, np netpoll.Connection) error {
+			return ctx.Value(connKey{}).(*Conn).read(ctx, np)
+		},
+		netpoll.WithOnPrepare(s.prepare))
+	if err == nil {
+		err = s.start()
+	}
 	if err != nil {
 		ln.Close()
-		return nil, err
+		return nil, fmt.Errorf("watch the listener at %s: %w", ln.Addr(), err)
 	}
-	go s.eventLoop.Serve(ln)
 	return s, nil
 }
 
+// start returns when netpoll watches the listener: before that, Close would have no effect on netpoll.
+func (s *Server) start() error {
+	ended := make(chan error, 1)
+	go func() { ended <- s.eventLoop.Serve(s.listener) }()
+	select {
+	case <-s.listener.watched:
+		return nil
+	case err := <-ended:
+		return err
+	}
+}
+
+// connKey is the key of a connection in the context that netpoll keeps for it.
+type connKey struct{}
+
+// prepare is called with each accepted connection before netpoll watches it. It returns the connection's context.
+func (s *Server) prepare(np netpoll.Connection) context.Context {
+	c := &Conn{raw: newSocket(np), handler: s.handler, limits: s.limits, server: s, split: s.split,
+		handshakeDone: s.split != nil, acceptedAt: time.Now()}
+	n := s.pendingHandshakes.Add(1)
+	if s.split != nil && s.limits.MaxPendingHandshakes > 0 && int(n) > s.limits.MaxPendingHandshakes {
+		s.resetOldestPending()
+		n = 0
+	}
+	if s.refusing.Load() || s.limits.MaxPendingHandshakes > 0 && int(n) > s.limits.MaxPendingHandshakes {
+		s.pendingHandshakes.Add(-1)
+		c.server = nil
+		if f, ok := np.(netpoll.Conn); ok {
+			setResetOnClose(f.Fd())
+		}
+		np.Close()
+		return context.Background()
+	}
+	if f, ok := np.(netpoll.Conn); ok && s.limits.KernelBufferBytes > 0 {
+		// By default the send buffer grows to megabytes for a peer that requests much and reads nothing.
+		// On an error it keeps its default.
+		unix.SetsockoptInt(f.Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, s.limits.KernelBufferBytes)
+	}
+	np.AddCloseCallback(c.onClosed)
+	c.mu.Lock()
+	c.usable = true // finishClose clears it before the descriptor is closed
+	c.mu.Unlock()
+	s.mu.Lock()
+	s.conns[c] = true
+	stopped := s.stopped
+	s.mu.Unlock()
+	switch {
+	case stopped: // accepted while the listener was being closed
+		c.Abort()
+	case s.limits.HandshakeTimeout > 0:
+		c.handshakeTimer = time.AfterFunc(s.limits.HandshakeTimeout, func() { s.handshakeTimedOut(c) })
+	}
+	return context.WithValue(context.Background(), connKey{}, c)
+}
+
 // Address returns the address at which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
@@ -95,7 +126,7 @@
 // StopAccepting closes the listener and the connections on which no input has been received. The system refuses later
 // connections.
 func (s *Server) StopAccepting() {
-	s.listener.Close()
+	s.stop()
 	s.Each(func(c *Conn) {
 		if c.lastRead.Load() == 0 {
 			c.Abort()
@@ -120,11 +151,20 @@
 func (s *Server) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
+	s.stop()
 	s.Each((*Conn).Abort)
 	s.eventLoop.Shutdown(ctx)
 	s.Each((*Conn).Abort)
 }
 
+// stop closes the listening socket, and makes prepare abort a connection that was accepted just before.
+func (s *Server) stop() {
+	s.mu.Lock()
+	s.stopped = true
+	s.mu.Unlock()
+	s.listener.stop()
+}
+
 func (s *Server) removeConn(c *Conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
--- a/internal/transport/syscalls_test.go
+++ b/internal/transport/syscalls_test.go
@@ -21,6 +21,9 @@
 	if calls.accept == nil {
 		calls.accept = realCalls.accept
 	}
+	if calls.watch == nil {
+		calls.watch = realCalls.watch
+	}
 	if calls.write == nil {
 		calls.write = realCalls.write
 	}
--- a/internal/transport/tcp.go
+++ b/internal/transport/tcp.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net"
+	"syscall"
 	"time"
 
 	"github.com/cloudwego/netpoll"
@@ -44,18 +45,10 @@
 		return nil, err
 	}
 	defer c.Close()
-	raw, err := c.(*net.TCPConn).SyscallConn()
+	fd, err := duplicate(c.(*net.TCPConn))
 	if err != nil {
 		return nil, err
 	}
-	var fd int
-	var dupErr error
-	if err := raw.Control(func(f uintptr) { fd, dupErr = unix.FcntlInt(f, unix.F_DUPFD_CLOEXEC, 0) }); err != nil {
-		return nil, err
-	}
-	if dupErr != nil {
-		return nil, dupErr
-	}
 	np, err := netpoll.NewFDConnection(fd) // closes the descriptor when it returns an error
 	if err != nil {
 		return nil, err
@@ -63,6 +56,19 @@
 	return dialedConn{np, c.RemoteAddr()}, nil
 }
 
+// duplicate returns another descriptor of a file of the standard library, which keeps its own.
+func duplicate(file syscall.Conn) (descriptor int, err error) {
+	raw, err := file.SyscallConn()
+	if err != nil {
+		return noDescriptor, err
+	}
+	controlErr := raw.Control(func(fd uintptr) { descriptor, err = unix.FcntlInt(fd, unix.F_DUPFD_CLOEXEC, 0) })
+	if controlErr != nil {
+		return noDescriptor, controlErr
+	}
+	return descriptor, err
+}
+
 // dialedConn adds the remote address to a netpoll connection: netpoll does not know it for a descriptor that it is
 // given.
 type dialedConn struct {
