--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -18,6 +18,11 @@
 	maxAcceptDelay     = 20 * time.Millisecond
 )
 
+// maxFailuresAtOnce is the number of accept calls in a row that may fail for another reason without a delay. One that
+// fails because a peer reset its connection has removed that connection, so the next call is made at once; an error
+// that persists must not take a whole core.
+const maxFailuresAtOnce = 64
+
 // noDescriptor takes the place of a descriptor that has been closed.
 const noDescriptor = -1
 
@@ -30,12 +35,13 @@
 	calls   *systemCalls
 	watched chan struct{} // closed when netpoll has called Accept for the first time
 
-	mu       sync.Mutex // held during each system call on the descriptors, so that none is on a closed one's number
-	epoll    int        // netpoll watches it from Serve to Shutdown, and it stays open for that time
-	starter  int        // eventfd that makes epoll readable until the first Accept
-	socket   int        // the listening socket
-	delay    time.Duration
-	resuming *time.Timer // watches the socket again after the delay; nil: accepting has never failed
+	mu       sync.Mutex    // held during each system call on the descriptors, so that none is on a closed one's number
+	epoll    int           // netpoll watches it from Serve to Shutdown, and it stays open for that time
+	starter  int           // eventfd that makes epoll readable until the first Accept
+	socket   int           // the listening socket
+	delay    time.Duration // the last one while a resource is lacking
+	failures int           // in a row, for other reasons
+	resuming *time.Timer   // watches the socket again after a delay; nil: there was none so far
 }
 
 func listen(address string) (*listener, error) {
@@ -95,29 +101,33 @@
 	descriptor, peer, err := l.calls.accept(l.socket)
 	switch err {
 	case nil:
-		l.delay = 0
+		l.delay, l.failures = 0, 0
 		return newAccepted(descriptor, l.address, peer), nil
 	case unix.EAGAIN:
-		l.delay = 0
+		l.delay, l.failures = 0, 0
 	case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM:
 		internalErrors.Add(1)
-		l.pause()
+		l.delay = min(max(2*l.delay, initialAcceptDelay), maxAcceptDelay)
+		l.pause(l.delay)
 	default: // the connection was aborted, or a signal arrived: the next call may succeed
 		internalErrors.Add(1)
+		if l.failures++; l.failures == maxFailuresAtOnce {
+			l.failures = 0
+			l.pause(initialAcceptDelay)
+		}
 	}
 	return nil, nil
 }
 
-// pause stops watching the socket for the next delay. It is called with the lock held.
-func (l *listener) pause() {
-	l.delay = min(max(2*l.delay, initialAcceptDelay), maxAcceptDelay)
+// pause stops watching the socket for the delay. It is called with the lock held.
+func (l *listener) pause(delay time.Duration) {
 	if err := l.calls.watch(l.epoll, l.socket, 0); err != nil {
 		return // netpoll calls Accept again at once
 	}
 	if l.resuming == nil {
-		l.resuming = time.AfterFunc(l.delay, l.resume)
+		l.resuming = time.AfterFunc(delay, l.resume)
 	} else {
-		l.resuming.Reset(l.delay)
+		l.resuming.Reset(delay)
 	}
 }
 
--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -10,6 +10,46 @@
 	"golang.org/x/sys/unix"
 )
 
+// Guards against accept calls that take a whole core while an error persists: the poller's thread then waits for a
+// processor on a busy machine, and the whole process with it.
+func TestAcceptDoesNotSpinOnErrors(t *testing.T) {
+	const failureTime = 200 * time.Millisecond
+	for _, fault := range []error{unix.ECONNABORTED, unix.EINTR, unix.ENETUNREACH, unix.EMFILE} {
+		t.Run(fault.Error(), func(t *testing.T) {
+			var failing atomic.Bool
+			var calls atomic.Int64
+			failing.Store(true)
+			injectCalls(t, systemCalls{accept: func(descriptor int) (int, unix.Sockaddr, error) {
+				if !failing.Load() {
+					return realCalls.accept(descriptor)
+				}
+				calls.Add(1)
+				return -1, nil, fault
+			}})
+			s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, &recordingHandler{echo: true})
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer s.Close()
+			start := time.Now()
+			client := &recordingHandler{}
+			c, err := DialTCP(s.Address(), time.Second, splitByLength, testTCPLimits, client)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer c.Abort()
+			c.Send([]byte("\x02a"), 0)
+			time.Sleep(failureTime)
+			made, elapsed := calls.Load(), time.Since(start)
+			if allowed := maxFailuresAtOnce * int64(elapsed/initialAcceptDelay+1); made == 0 || made > allowed {
+				t.Fatalf("%d accept calls in %v, %d allowed", made, elapsed, allowed)
+			}
+			failing.Store(false)
+			client.wait(t, "no answer after the errors ended", func() bool { return len(client.messages) == 1 })
+		})
+	}
+}
+
 // Guards against a listener that is never watched again after a shortage, because the call that watches it failed too.
 func TestAcceptGoesOnAfterWatchFails(t *testing.T) {
 	for _, fault := range []error{unix.ENOMEM, unix.ENOSPC} {
