--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -94,6 +94,7 @@
 	if l.starter != noDescriptor {
 		closeDescriptor(&l.starter)
 		close(l.watched)
+		return nil, nil
 	}
 	if l.socket == noDescriptor {
 		return nil, nil
--- a/internal/transport/syscalls_test.go
+++ b/internal/transport/syscalls_test.go
@@ -178,6 +178,30 @@
 	}
 }
 
+// A failingAccept is an accept call that fails for a while. No call is under way when that begins, since it could still
+// succeed, and take a connection that was made later.
+type failingAccept struct {
+	mu        sync.Mutex
+	fault     error
+	failUntil time.Duration // by monotonic
+}
+
+func (f *failingAccept) accept(descriptor int) (int, unix.Sockaddr, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if monotonic() < f.failUntil {
+		return -1, nil, f.fault
+	}
+	return realCalls.accept(descriptor)
+}
+
+func (f *failingAccept) start(failureTime time.Duration) (failUntil time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.failUntil = monotonic() + failureTime
+	return f.failUntil
+}
+
 // Guards against a listener that stays idle after accept errors have ended, or loses connections that wait in its
 // backlog meanwhile, whatever the error and however long it lasts.
 func TestAcceptGoesOnAfterTrouble(t *testing.T) {
@@ -185,14 +209,8 @@
 		unix.ENOBUFS, unix.ENOMEM, unix.EPERM} {
 		t.Run(fault.Error(), func(t *testing.T) {
 			const failureTime = 700 * time.Millisecond // exceeds netpoll's delays of 10, 50, 100 and 200 ms; its next delay is 500 ms
-			var failUntil atomic.Int64
-			var calls atomic.Int64
-			injectCalls(t, systemCalls{accept: func(descriptor int) (int, unix.Sockaddr, error) {
-				if calls.Add(1); int64(monotonic()) < failUntil.Load() {
-					return -1, nil, fault
-				}
-				return realCalls.accept(descriptor)
-			}})
+			faults := &failingAccept{fault: fault}
+			injectCalls(t, systemCalls{accept: faults.accept})
 			h := &recordingHandler{echo: true}
 			s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, h)
 			if err != nil {
@@ -201,7 +219,7 @@
 			defer s.Close()
 			for range 2 { // the second failure follows successful accepts
 				before := ErrorCount()
-				failUntil.Store(int64(monotonic() + failureTime))
+				failUntil := faults.start(failureTime)
 				client := &recordingHandler{}
 				c, err := DialTCP(s.Address(), time.Second, splitByLength, testTCPLimits, client)
 				if err != nil {
@@ -212,7 +230,7 @@
 				if ErrorCount() == before {
 					t.Fatal("failed accepts are not counted")
 				}
-				if late := monotonic() - time.Duration(failUntil.Load()); late > 200*time.Millisecond {
+				if late := monotonic() - failUntil; late > 200*time.Millisecond {
 					t.Fatalf("answered %v after the accept errors ended", late)
 				}
 			}
