--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 )
 
@@ -217,3 +218,40 @@
 	time.Sleep(2 * maxAcceptDelay)
 	other.check(t, "after the last accept call")
 }
+
+// A preparedConnection stands for a connection that netpoll does not watch yet. It counts its closes.
+type preparedConnection struct {
+	netpoll.Connection
+	closes atomic.Int64
+}
+
+func (p *preparedConnection) AddCloseCallback(netpoll.CloseCallback) error { return nil }
+func (p *preparedConnection) Close() error                                 { p.closes.Add(1); return nil }
+
+// Guards against a close of an accepted connection between its registration in the server and in netpoll: netpoll would
+// go on to watch the descriptor's number, which may belong to another file by then.
+func TestConnectionIsNotClosedBeforeNetpollWatchesIt(t *testing.T) {
+	for name, end := range map[string]func(*Server){
+		"StopAccepting": (*Server).StopAccepting,
+		"Abort":         func(s *Server) { s.Each((*Conn).Abort) },
+		"Reset":         func(s *Server) { s.Each((*Conn).Reset) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, &recordingHandler{})
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer s.Close()
+			np := &preparedConnection{}
+			ctx := s.prepare(np)
+			end(s)
+			if n := np.closes.Load(); n != 0 {
+				t.Fatalf("closed %d times before netpoll watched it", n)
+			}
+			s.connected(ctx, np)
+			if n := np.closes.Load(); n != 1 {
+				t.Fatalf("closed %d times when netpoll watched it", n)
+			}
+		})
+	}
+}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -47,7 +47,7 @@
 		func(ctx context.Context, np netpoll.Connection) error {
 			return ctx.Value(connKey{}).(*Conn).read(ctx, np)
 		},
-		netpoll.WithOnPrepare(s.prepare))
+		netpoll.WithOnPrepare(s.prepare), netpoll.WithOnConnect(s.connected))
 	if err == nil {
 		err = s.start()
 	}
@@ -75,7 +75,9 @@
 
 // prepare is called with each accepted connection before netpoll watches it. It returns the connection's context.
 func (s *Server) prepare(np netpoll.Connection) context.Context {
-	c := &Conn{raw: newSocket(np), handler: s.handler, limits: s.limits, server: s, split: s.split,
+	socket := newSocket(np)
+	socket.gate = &closeGate{}
+	c := &Conn{raw: socket, handler: s.handler, limits: s.limits, server: s, split: s.split,
 		handshakeDone: s.split != nil, acceptedAt: time.Now()}
 	n := s.pendingHandshakes.Add(1)
 	if s.split != nil && s.limits.MaxPendingHandshakes > 0 && int(n) > s.limits.MaxPendingHandshakes {
@@ -99,20 +101,28 @@
 	np.AddCloseCallback(c.onClosed)
 	c.mu.Lock()
 	c.usable = true // finishClose clears it before the descriptor is closed
+	if s.limits.HandshakeTimeout > 0 {
+		c.handshakeTimer = time.AfterFunc(s.limits.HandshakeTimeout, func() { s.handshakeTimedOut(c) })
+	}
 	c.mu.Unlock()
 	s.mu.Lock()
 	s.conns[c] = true
 	stopped := s.stopped
 	s.mu.Unlock()
-	switch {
-	case stopped: // accepted while the listener was being closed
+	if stopped { // accepted while the listener was being closed
 		c.Abort()
-	case s.limits.HandshakeTimeout > 0:
-		c.handshakeTimer = time.AfterFunc(s.limits.HandshakeTimeout, func() { s.handshakeTimedOut(c) })
 	}
 	return context.WithValue(context.Background(), connKey{}, c)
 }
 
+// connected is called when netpoll watches an accepted connection. It is not called for one that has ended before.
+func (s *Server) connected(ctx context.Context, np netpoll.Connection) context.Context {
+	if ctx.Value(connKey{}).(*Conn).raw.(socketConn).gate.open() {
+		np.Close()
+	}
+	return ctx
+}
+
 // Address returns the address at which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net"
 	"slices"
+	"sync"
 	"time"
 
 	"github.com/cloudwego/netpoll"
@@ -37,10 +38,43 @@
 	netpoll.Connection
 	descriptor int
 	calls      *systemCalls
+	gate       *closeGate // nil: may be closed at any time
+}
+
+// Close closes the connection, or has it closed as soon as netpoll watches it.
+func (s socketConn) Close() error {
+	if s.gate != nil && !s.gate.pass() {
+		return nil
+	}
+	return s.Connection.Close()
+}
+
+// A closeGate holds back the close of an accepted connection that other goroutines know already, until netpoll watches
+// it: netpoll would go on to watch the descriptor's number, which may belong to another file after a close.
+type closeGate struct {
+	mu      sync.Mutex
+	watched bool
+	wanted  bool // a close was held back
+}
+
+// pass reports whether the connection may be closed now.
+func (g *closeGate) pass() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.wanted = true
+	return g.watched
+}
+
+// open ends the holding back. It reports whether a close was held back.
+func (g *closeGate) open() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.watched = true
+	return g.wanted
 }
 
 func newSocket(np netpoll.Connection) socketConn {
-	s := socketConn{np, -1, currentCalls.Load()}
+	s := socketConn{Connection: np, descriptor: noDescriptor, calls: currentCalls.Load()}
 	if d, ok := np.(netpoll.Conn); ok {
 		s.descriptor = d.Fd()
 	}
