--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -1,12 +1,13 @@
 package transport
 
 import (
-	"errors"
 	"net"
+	"os"
+	"runtime"
 	"sync"
+	"syscall"
 	"time"
 
-	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 )
 
@@ -23,25 +24,23 @@
 // that persists must not take a whole core.
 const maxFailuresAtOnce = 64
 
-// noDescriptor takes the place of a descriptor that has been closed.
+// noDescriptor takes the place of a descriptor that there is not.
 const noDescriptor = -1
 
-// A listener accepts connections for netpoll, which calls Accept whenever the descriptor of Fd is readable. netpoll
-// goes on to use that descriptor's number after the server has stopped accepting, and gives up a listener whose Accept
-// fails. So it is given an epoll descriptor of the listener's own, which contains the socket: the socket can be closed,
-// and left unwatched for a while, without netpoll.
+// A listener accepts connections on a goroutine of its own. The standard library watches its socket, and keeps a close
+// from happening during a call on the descriptor, whose number belongs to another file after the close. netpoll's
+// listener is not used: it closes its descriptor's number twice, and netpoll goes on to use the number after a close.
 type listener struct {
 	address net.Addr
 	calls   *systemCalls
-	watched chan struct{} // closed when netpoll has called Accept for the first time
+	file    *os.File // the listening socket
+	raw     syscall.RawConn
+	once    sync.Once
+	closed  chan struct{}
 
-	mu       sync.Mutex    // held during each system call on the descriptors, so that none is on a closed one's number
-	epoll    int           // netpoll watches it from Serve to Shutdown, and it stays open for that time
-	starter  int           // eventfd that makes epoll readable until the first Accept
-	socket   int           // the listening socket
+	// Only the accepting goroutine uses these.
 	delay    time.Duration // the last one while a resource is lacking
 	failures int           // in a row, for other reasons
-	resuming *time.Timer   // watches the socket again after a delay; nil: there was none so far
 }
 
 func listen(address string) (*listener, error) {
@@ -49,151 +48,85 @@
 	if err != nil {
 		return nil, err
 	}
-	// The runtime's own descriptor and its registration end here. A copy is used instead of netpoll's listener, because
-	// that closes its descriptor's number twice.
 	defer ln.Close()
-	socket, err := duplicate(ln.(*net.TCPListener))
+	file, err := ln.(*net.TCPListener).File() // a copy of its own, which goes on to listen
 	if err != nil {
 		return nil, err
 	}
-	l := &listener{address: ln.Addr(), calls: currentCalls.Load(), watched: make(chan struct{}),
-		epoll: noDescriptor, starter: noDescriptor, socket: socket}
-	if err := l.openEpoll(); err != nil {
-		l.Close()
-		return nil, err
-	}
-	return l, nil
+	return newListener(file, ln.Addr())
 }
 
-func (l *listener) openEpoll() (err error) {
-	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
-		return err
-	}
-	if l.starter, err = unix.Eventfd(1, unix.EFD_CLOEXEC); err != nil {
-		return err
+// newListener takes over the file. It fails if the file cannot be watched.
+func newListener(file *os.File, address net.Addr) (*listener, error) {
+	raw, err := file.SyscallConn()
+	if err == nil {
+		err = file.SetReadDeadline(time.Time{}) // fails for a file that is not watched
 	}
-	for _, descriptor := range []int{l.starter, l.socket} {
-		if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, descriptor, &unix.EpollEvent{Events: unix.EPOLLIN}); err != nil {
-			return err
-		}
+	if err != nil {
+		file.Close()
+		return nil, err
 	}
-	return nil
+	return &listener{address: address, calls: currentCalls.Load(), file: file, raw: raw, closed: make(chan struct{})}, nil
 }
 
-// Fd returns the descriptor that netpoll watches.
-func (l *listener) Fd() int { return l.epoll }
-
-// Addr returns the address at which the listener listens.
-func (l *listener) Addr() net.Addr { return l.address }
-
-// Accept returns a connection, or neither a connection nor an error if none can be accepted now. netpoll calls it again
-// while its descriptor is readable.
-func (l *listener) Accept() (net.Conn, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.starter != noDescriptor {
-		closeDescriptor(&l.starter)
-		close(l.watched)
-		return nil, nil
-	}
-	if l.socket == noDescriptor {
-		return nil, nil
-	}
-	descriptor, peer, err := l.calls.accept(l.socket)
-	switch err {
-	case nil:
-		l.delay, l.failures = 0, 0
-		return newAccepted(descriptor, l.address, peer), nil
-	case unix.EAGAIN:
-		l.delay, l.failures = 0, 0
-	case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM:
-		internalErrors.Add(1)
-		l.delay = min(max(2*l.delay, initialAcceptDelay), maxAcceptDelay)
-		l.pause(l.delay)
-	default: // the connection was aborted, or a signal arrived: the next call may succeed
-		internalErrors.Add(1)
-		if l.failures++; l.failures == maxFailuresAtOnce {
-			l.failures = 0
-			l.pause(initialAcceptDelay)
+// serve passes each accepted connection to the handler until the listener is closed.
+func (l *listener) serve(handle func(descriptor int, peer net.Addr)) {
+	for {
+		descriptor, peer, err := l.accept()
+		if err == nil {
+			l.delay, l.failures = 0, 0
+			handle(descriptor, tcpAddress(peer))
+			runtime.Gosched() // input of the connections accepted so far is read between accepts
+			continue
 		}
+		select {
+		case <-l.closed:
+			return
+		default:
+		}
+		internalErrors.Add(1)
+		time.Sleep(l.delayAfter(err))
 	}
-	return nil, nil
 }
 
-// pause stops watching the socket for the delay. It is called with the lock held.
-func (l *listener) pause(delay time.Duration) {
-	if err := l.calls.watch(l.epoll, l.socket, 0); err != nil {
-		return // netpoll calls Accept again at once
-	}
-	if l.resuming == nil {
-		l.resuming = time.AfterFunc(delay, l.resume)
-	} else {
-		l.resuming.Reset(delay)
+// accept waits for a connection. After Close it returns an error.
+func (l *listener) accept() (descriptor int, peer unix.Sockaddr, err error) {
+	watchErr := l.raw.Read(func(fd uintptr) (done bool) {
+		descriptor, peer, err = l.calls.accept(int(fd))
+		return err != unix.EAGAIN
+	})
+	if watchErr != nil {
+		return noDescriptor, nil, watchErr
 	}
+	return descriptor, peer, err
 }
 
-// resume watches the socket again, or tries again later if the system does not allow it now.
-func (l *listener) resume() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.socket == noDescriptor {
-		return
-	}
-	if err := l.calls.watch(l.epoll, l.socket, unix.EPOLLIN); err != nil {
-		internalErrors.Add(1)
-		l.resuming.Reset(maxAcceptDelay)
+// delayAfter returns how long to wait after an error of accept.
+func (l *listener) delayAfter(err error) time.Duration {
+	switch err {
+	case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM:
+		l.delay = min(max(2*l.delay, initialAcceptDelay), maxAcceptDelay)
+		return l.delay
 	}
-}
-
-// stop closes the socket, so that the system refuses connections. Later calls of Accept return none.
-func (l *listener) stop() error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.resuming != nil {
-		l.resuming.Stop()
+	// The connection was aborted, or a signal arrived: the next call may succeed.
+	if l.failures++; l.failures < maxFailuresAtOnce {
+		return 0
 	}
-	return closeDescriptor(&l.socket)
+	l.failures = 0
+	return initialAcceptDelay
 }
 
-// Close stops the listener and closes the descriptor that netpoll watches. netpoll calls it after its last use of the
-// number.
+// Close closes the socket, after an accept call that is under way has returned. The system refuses connections from
+// then on.
 func (l *listener) Close() error {
-	err := l.stop()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return errors.Join(err, closeDescriptor(&l.starter), closeDescriptor(&l.epoll))
+	var err error
+	l.once.Do(func() {
+		close(l.closed)
+		err = l.file.Close()
+	})
+	return err
 }
 
-// closeDescriptor closes a descriptor once.
-func closeDescriptor(descriptor *int) error {
-	number := *descriptor
-	*descriptor = noDescriptor
-	if number == noDescriptor {
-		return nil
-	}
-	return unix.Close(number)
-}
-
-// acceptedSocket is the descriptor and the addresses of a new connection, as netpoll expects them.
-type acceptedSocket struct {
-	net.Conn   // nil: only the methods below are called
-	descriptor int
-	local      net.Addr
-	peer       net.Addr
-}
-
-var _ netpoll.Conn = (*acceptedSocket)(nil)
-
-func newAccepted(descriptor int, local net.Addr, peer unix.Sockaddr) *acceptedSocket {
-	// Without the option the connection is slower but correct, so an error is ignored.
-	_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	return &acceptedSocket{descriptor: descriptor, local: local, peer: tcpAddress(peer)}
-}
-
-func (a *acceptedSocket) Fd() int              { return a.descriptor }
-func (a *acceptedSocket) LocalAddr() net.Addr  { return a.local }
-func (a *acceptedSocket) RemoteAddr() net.Addr { return a.peer }
-
 func tcpAddress(address unix.Sockaddr) *net.TCPAddr {
 	switch a := address.(type) {
 	case *unix.SockaddrInet4:
--- a/internal/transport/syscalls.go
+++ b/internal/transport/syscalls.go
@@ -13,7 +13,6 @@
 // systemCalls are the system calls whose failures the package handles. Tests replace them to inject failures.
 type systemCalls struct {
 	accept func(descriptor int) (accepted int, peer unix.Sockaddr, err error)
-	watch  func(epoll, descriptor int, events uint32) error // changes the events of a descriptor in an epoll set
 	write  func(descriptor int, p []byte) (int, error)
 	dial   func(address string, timeout time.Duration) (net.Conn, error)
 }
@@ -22,9 +21,6 @@
 	accept: func(descriptor int) (int, unix.Sockaddr, error) {
 		return unix.Accept4(descriptor, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	},
-	watch: func(epoll, descriptor int, events uint32) error {
-		return unix.EpollCtl(epoll, unix.EPOLL_CTL_MOD, descriptor, &unix.EpollEvent{Events: events})
-	},
 	write: unix.Write,
 	dial: func(address string, timeout time.Duration) (net.Conn, error) {
 		return net.DialTimeout("tcp", address, timeout)
