--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -2,22 +2,16 @@
 
 import (
 	"net"
-	"os"
 	"runtime"
 	"sync"
-	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// Initial and maximum delay between attempts to accept while the system lacks a descriptor, buffer or memory for a
-// connection. The delay doubles with each attempt. It is short because clients wait in the listener's backlog
-// meanwhile.
-const (
-	initialAcceptDelay = time.Millisecond
-	maxAcceptDelay     = 20 * time.Millisecond
-)
+// acceptDelay is the delay after a call of accept that failed because the system lacks a descriptor, buffer or memory
+// for a connection. It is short because netpoll's poller waits for it, which also reads from all connections.
+const acceptDelay = time.Millisecond
 
 // maxFailuresAtOnce is the number of accept calls in a row that may fail for another reason without a delay. One that
 // fails because a peer reset its connection has removed that connection, so the next call is made at once; an error
@@ -27,20 +21,18 @@
 // noDescriptor takes the place of a descriptor that there is not.
 const noDescriptor = -1
 
-// A listener accepts connections on a goroutine of its own. The standard library watches its socket, and keeps a close
-// from happening during a call on the descriptor, whose number belongs to another file after the close. netpoll's
-// listener is not used: it closes its descriptor's number twice, and netpoll goes on to use the number after a close.
+// A listener accepts connections for netpoll, whose poller calls Accept whenever the socket is readable. It owns its
+// descriptor: netpoll's listener closes the number twice. Accept returns no errors, because netpoll would go on with a
+// goroutine that uses the number, also after a close.
 type listener struct {
 	address net.Addr
 	calls   *systemCalls
-	file    *os.File // the listening socket
-	raw     syscall.RawConn
+	known   chan struct{} // closed when netpoll asks for the descriptor
 	once    sync.Once
-	closed  chan struct{}
 
-	// Only the accepting goroutine uses these.
-	delay    time.Duration // the last one while a resource is lacking
-	failures int           // in a row, for other reasons
+	mu       sync.Mutex // held during accept and close, so that no accept is on the number of a closed descriptor
+	socket   int
+	failures int // in a row, for other reasons than a lack of resources
 }
 
 func listen(address string) (*listener, error) {
@@ -48,85 +40,108 @@
 	if err != nil {
 		return nil, err
 	}
-	defer ln.Close()
-	file, err := ln.(*net.TCPListener).File() // a copy of its own, which goes on to listen
+	defer ln.Close() // the copy goes on to listen
+	socket, err := duplicate(ln.(*net.TCPListener))
 	if err != nil {
 		return nil, err
 	}
-	return newListener(file, ln.Addr())
+	return newListener(socket, ln.Addr()), nil
 }
 
-// newListener takes over the file. It fails if the file cannot be watched.
-func newListener(file *os.File, address net.Addr) (*listener, error) {
-	raw, err := file.SyscallConn()
-	if err == nil {
-		err = file.SetReadDeadline(time.Time{}) // fails for a file that is not watched
-	}
-	if err != nil {
-		file.Close()
-		return nil, err
-	}
-	return &listener{address: address, calls: currentCalls.Load(), file: file, raw: raw, closed: make(chan struct{})}, nil
+func newListener(socket int, address net.Addr) *listener {
+	return &listener{address: address, calls: currentCalls.Load(), known: make(chan struct{}), socket: socket}
 }
 
-// serve passes each accepted connection to the handler until the listener is closed.
-func (l *listener) serve(handle func(descriptor int, peer net.Addr)) {
-	for {
-		descriptor, peer, err := l.accept()
-		if err == nil {
-			l.delay, l.failures = 0, 0
-			handle(descriptor, tcpAddress(peer))
-			runtime.Gosched() // input of the connections accepted so far is read between accepts
-			continue
-		}
-		select {
-		case <-l.closed:
-			return
-		default:
-		}
-		internalErrors.Add(1)
-		time.Sleep(l.delayAfter(err))
-	}
+// Addr returns the address at which the listener listens.
+func (l *listener) Addr() net.Addr { return l.address }
+
+// Fd returns the descriptor that netpoll is to watch. netpoll calls it once.
+func (l *listener) Fd() int {
+	l.once.Do(func() { close(l.known) })
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.socket
 }
 
-// accept waits for a connection. After Close it returns an error.
-func (l *listener) accept() (descriptor int, peer unix.Sockaddr, err error) {
-	watchErr := l.raw.Read(func(fd uintptr) (done bool) {
-		descriptor, peer, err = l.calls.accept(int(fd))
-		return err != unix.EAGAIN
-	})
-	if watchErr != nil {
-		return noDescriptor, nil, watchErr
+// Accept returns a connection, or neither a connection nor an error if none can be accepted now: netpoll calls it again
+// while the socket is readable.
+func (l *listener) Accept() (net.Conn, error) {
+	conn, delay := l.tryAccept()
+	if conn == nil {
+		time.Sleep(delay)
+		return nil, nil
 	}
-	return descriptor, peer, err
+	return conn, nil
 }
 
-// delayAfter returns how long to wait after an error of accept.
-func (l *listener) delayAfter(err error) time.Duration {
+func (l *listener) tryAccept() (conn *acceptedSocket, delay time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.socket == noDescriptor {
+		return nil, 0
+	}
+	descriptor, peer, err := l.calls.accept(l.socket)
 	switch err {
+	case nil:
+		l.failures = 0
+		return newAccepted(descriptor, l.address, peer), 0
+	case unix.EAGAIN:
+		l.failures = 0
+		return nil, 0
 	case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM:
-		l.delay = min(max(2*l.delay, initialAcceptDelay), maxAcceptDelay)
-		return l.delay
+		internalErrors.Add(1)
+		return nil, acceptDelay
 	}
 	// The connection was aborted, or a signal arrived: the next call may succeed.
+	internalErrors.Add(1)
 	if l.failures++; l.failures < maxFailuresAtOnce {
-		return 0
+		return nil, 0
 	}
 	l.failures = 0
-	return initialAcceptDelay
+	return nil, acceptDelay
 }
 
-// Close closes the socket, after an accept call that is under way has returned. The system refuses connections from
-// then on.
+// Close closes the descriptor once. The system refuses connections from then on.
 func (l *listener) Close() error {
-	var err error
-	l.once.Do(func() {
-		close(l.closed)
-		err = l.file.Close()
-	})
-	return err
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	socket := l.socket
+	l.socket = noDescriptor
+	if socket == noDescriptor {
+		return nil
+	}
+	return unix.Close(socket)
 }
 
+// A watchedListener is a listener as netpoll knows it.
+type watchedListener struct{ *listener }
+
+// Close is called by netpoll's shutdown when it no longer watches the descriptor. It ends the goroutine: netpoll would
+// go on to close the connections too.
+func (w watchedListener) Close() error {
+	_ = w.listener.Close()
+	runtime.Goexit()
+	return nil
+}
+
+// acceptedSocket is the descriptor and the addresses of a new connection, as netpoll expects them.
+type acceptedSocket struct {
+	net.Conn   // nil: only the methods below are called
+	descriptor int
+	local      net.Addr
+	peer       net.Addr
+}
+
+func newAccepted(descriptor int, local net.Addr, peer unix.Sockaddr) *acceptedSocket {
+	// Without the option the connection is slower but correct, so an error is ignored.
+	_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	return &acceptedSocket{descriptor: descriptor, local: local, peer: tcpAddress(peer)}
+}
+
+func (a *acceptedSocket) Fd() int              { return a.descriptor }
+func (a *acceptedSocket) LocalAddr() net.Addr  { return a.local }
+func (a *acceptedSocket) RemoteAddr() net.Addr { return a.peer }
+
 func tcpAddress(address unix.Sockaddr) *net.TCPAddr {
 	switch a := address.(type) {
 	case *unix.SockaddrInet4:
--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"errors"
 	"io"
 	"net"
 	"os"
@@ -45,7 +44,7 @@
 			c.Send([]byte("\x02a"), 0)
 			time.Sleep(failureTime)
 			made, elapsed := calls.Load(), time.Since(start)
-			if allowed := maxFailuresAtOnce * int64(elapsed/initialAcceptDelay+1); made == 0 || made > allowed {
+			if allowed := maxFailuresAtOnce * int64(elapsed/acceptDelay+1); made == 0 || made > allowed {
 				t.Fatalf("%d accept calls in %v, %d allowed", made, elapsed, allowed)
 			}
 			failing.Store(false)
@@ -54,17 +53,30 @@
 	}
 }
 
-// Guards against a listener that is returned although its socket cannot be watched, so that it never accepts.
-func TestListenerThatCannotBeWatchedIsAnError(t *testing.T) {
+// Guards against a server whose listener netpoll cannot watch, and which leaves clients waiting.
+func TestServerThatCannotWatchRefusesClients(t *testing.T) {
 	file, err := os.Create(filepath.Join(t.TempDir(), "file")) // epoll_ctl refuses a regular file
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := newListener(file, nil); err == nil {
-		t.Fatal("no error")
+	defer file.Close()
+	descriptor, err := duplicate(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	before := ErrorCount()
+	s, err := serveListener(newListener(descriptor, nil), "", splitByLength, testTCPLimits, &recordingHandler{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	for end := time.Now().Add(5 * time.Second); s.listener.Fd() != noDescriptor; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("the descriptor is still open")
+		}
 	}
-	if err := file.Close(); !errors.Is(err, os.ErrClosed) {
-		t.Fatalf("the file was left open: %v", err)
+	if ErrorCount() == before {
+		t.Fatal("the error is not counted")
 	}
 }
 
@@ -169,29 +181,27 @@
 	other.check(t, "in the first shortage")
 	failing.Store(false)
 	client.wait(t, "no answer after the shortage", func() bool { return len(client.messages) == 1 })
-	time.Sleep(2 * maxAcceptDelay) // every call of the first shortage has ended
+	time.Sleep(2 * acceptDelay) // every call of the first shortage has ended
 	startShortage()
 	other.check(t, "in the second shortage")
 	s.Close()
 	other.check(t, "after a close in the shortage")
-	time.Sleep(2 * maxAcceptDelay)
+	time.Sleep(2 * acceptDelay)
 	other.check(t, "after the last accept call")
 }
 
-// An enteredConnection stands for a connection whose input is not received yet. It counts its closes.
-type enteredConnection struct {
+// A preparedConnection stands for a connection that netpoll does not watch yet. It counts its closes.
+type preparedConnection struct {
 	netpoll.Connection
 	closes atomic.Int64
 }
 
-func (p *enteredConnection) AddCloseCallback(netpoll.CloseCallback) error { return nil }
-func (p *enteredConnection) SetOnRequest(netpoll.OnRequest) error         { return nil }
-func (p *enteredConnection) IsActive() bool                               { return true }
-func (p *enteredConnection) Close() error                                 { p.closes.Add(1); return nil }
+func (p *preparedConnection) AddCloseCallback(netpoll.CloseCallback) error { return nil }
+func (p *preparedConnection) Close() error                                 { p.closes.Add(1); return nil }
 
-// Guards against a close of an accepted connection while the accepting goroutine still works on it: the descriptor's
-// number may belong to another file by then.
-func TestConnectionIsNotClosedWhileItIsAccepted(t *testing.T) {
+// Guards against a close of an accepted connection between its registration in the server and in netpoll: netpoll would
+// go on to watch the descriptor's number, which may belong to another file by then.
+func TestConnectionIsNotClosedBeforeNetpollWatchesIt(t *testing.T) {
 	for name, end := range map[string]func(*Server){
 		"StopAccepting": (*Server).StopAccepting,
 		"Abort":         func(s *Server) { s.Each((*Conn).Abort) },
@@ -203,15 +213,15 @@
 				t.Fatal(err)
 			}
 			defer s.Close()
-			np := &enteredConnection{}
-			c := s.enter(np)
+			np := &preparedConnection{}
+			ctx := s.prepare(np)
 			end(s)
 			if n := np.closes.Load(); n != 0 {
-				t.Fatalf("closed %d times before input was received", n)
+				t.Fatalf("closed %d times before netpoll watched it", n)
 			}
-			c.receive()
+			s.connected(ctx, np)
 			if n := np.closes.Load(); n != 1 {
-				t.Fatalf("closed %d times when input was received", n)
+				t.Fatalf("closed %d times when netpoll watched it", n)
 			}
 		})
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -1,8 +1,8 @@
 package transport
 
 import (
+	"context"
 	"fmt"
-	"net"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -18,9 +18,11 @@
 	limits            Limits
 	handler           Handler
 	listener          *listener
+	eventLoop         netpoll.EventLoop
 	silent            atomic.Bool
 	refusing          atomic.Bool
 	pendingHandshakes atomic.Int32 // connections whose handshake is not completely received
+	stopOnce          sync.Once
 	mu                sync.Mutex
 	conns             map[*Conn]bool // a connection is removed when it closes
 	stopped           bool           // a connection accepted from now on is aborted
@@ -36,13 +38,44 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen at %s: %w", address, err)
 	}
+	return serveListener(ln, protocol, split, limits, handler)
+}
+
+func serveListener(ln *listener, protocol string, split SplitFunc, limits Limits, handler Handler) (*Server, error) {
+	var err error
 	s := &Server{protocol: protocol, split: split, limits: limits, handler: handler, listener: ln, conns: map[*Conn]bool{}}
-	go ln.serve(s.accepted)
+	s.eventLoop, err = netpoll.NewEventLoop(
+		func(ctx context.Context, np netpoll.Connection) error {
+			return ctx.Value(connKey{}).(*Conn).read(ctx, np)
+		},
+		netpoll.WithOnPrepare(s.prepare), netpoll.WithOnConnect(s.connected))
+	if err != nil {
+		ln.Close()
+		return nil, fmt.Errorf("listen at %s: %w", ln.Addr(), err)
+	}
+	go s.serveEvents()
+	<-ln.known // netpoll's shutdown has no effect before that, and waits for the rest of its start after it
 	return s, nil
 }
 
-// accepted serves a connection, or resets it if there are too many without a handshake.
-func (s *Server) accepted(descriptor int, peer net.Addr) {
+// serveEvents returns when the listener has been closed. If netpoll cannot watch it, clients are refused rather than
+// left waiting.
+func (s *Server) serveEvents() {
+	if err := s.eventLoop.Serve(watchedListener{s.listener}); err != nil {
+		internalErrors.Add(1)
+		s.stop()
+	}
+}
+
+// connKey is the key of a connection in the context that netpoll keeps for it.
+type connKey struct{}
+
+// prepare is called with each accepted connection before netpoll watches it. It returns the connection's context.
+func (s *Server) prepare(np netpoll.Connection) context.Context {
+	socket := newSocket(np)
+	socket.gate = &closeGate{}
+	c := &Conn{raw: socket, handler: s.handler, limits: s.limits, server: s, split: s.split,
+		handshakeDone: s.split != nil, acceptedAt: time.Now()}
 	n := s.pendingHandshakes.Add(1)
 	if s.split != nil && s.limits.MaxPendingHandshakes > 0 && int(n) > s.limits.MaxPendingHandshakes {
 		s.resetOldestPending()
@@ -50,30 +83,18 @@
 	}
 	if s.refusing.Load() || s.limits.MaxPendingHandshakes > 0 && int(n) > s.limits.MaxPendingHandshakes {
 		s.pendingHandshakes.Add(-1)
-		setResetOnClose(descriptor)
-		unix.Close(descriptor)
-		return
+		c.server = nil
+		if f, ok := np.(netpoll.Conn); ok {
+			setResetOnClose(f.Fd())
+		}
+		np.Close()
+		return context.Background()
 	}
-	// Without the options the connection is slower but correct, or keeps a larger buffer, so errors are ignored.
-	_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	if s.limits.KernelBufferBytes > 0 {
+	if f, ok := np.(netpoll.Conn); ok && s.limits.KernelBufferBytes > 0 {
 		// By default the send buffer grows to megabytes for a peer that requests much and reads nothing.
-		_ = unix.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_SNDBUF, s.limits.KernelBufferBytes)
+		// On an error it keeps its default.
+		unix.SetsockoptInt(f.Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, s.limits.KernelBufferBytes)
 	}
-	np, err := netpoll.NewFDConnection(descriptor) // closes the descriptor when it returns an error
-	if err != nil {
-		s.pendingHandshakes.Add(-1)
-		return
-	}
-	s.enter(addressedConn{np, peer}).receive()
-}
-
-// enter adds an accepted connection to the table, without receiving input of it yet.
-func (s *Server) enter(np netpoll.Connection) *Conn {
-	socket := newSocket(np)
-	socket.gate = &closeGate{}
-	c := &Conn{raw: socket, handler: s.handler, limits: s.limits, server: s, split: s.split,
-		handshakeDone: s.split != nil, acceptedAt: time.Now()}
 	np.AddCloseCallback(c.onClosed)
 	c.mu.Lock()
 	c.usable = true // finishClose clears it before the descriptor is closed
@@ -88,21 +109,19 @@
 	if stopped { // accepted while the listener was being closed
 		c.Abort()
 	}
-	return c
+	return context.WithValue(context.Background(), connKey{}, c)
 }
 
-// receive lets netpoll pass the input of an accepted connection to it.
-func (c *Conn) receive() {
-	socket := c.raw.(socketConn)
-	socket.SetOnRequest(c.read)
-	closeWanted := socket.gate.open()
-	if closeWanted || !socket.IsActive() { // netpoll does not clean up a connection that ended before SetOnRequest
-		socket.Connection.Close()
+// connected is called when netpoll watches an accepted connection. It is not called for one that has ended before.
+func (s *Server) connected(ctx context.Context, np netpoll.Connection) context.Context {
+	if ctx.Value(connKey{}).(*Conn).raw.(socketConn).gate.open() {
+		np.Close()
 	}
+	return ctx
 }
 
 // Address returns the address at which the server listens.
-func (s *Server) Address() string { return s.listener.address.String() }
+func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // SetSilent makes the server read input without answering handshakes and pings, so that the peer sees a half-open
 // connection.
@@ -141,12 +160,20 @@
 	s.Each((*Conn).Abort)
 }
 
-// stop closes the listening socket, and makes enter abort a connection that was accepted just before.
+// stop has netpoll detach the listening socket and close it, in this order, and makes prepare abort a connection that
+// was accepted just before. It returns when the system refuses connections.
 func (s *Server) stop() {
-	s.mu.Lock()
-	s.stopped = true
-	s.mu.Unlock()
-	s.listener.Close()
+	s.stopOnce.Do(func() {
+		s.mu.Lock()
+		s.stopped = true
+		s.mu.Unlock()
+		closed := make(chan struct{})
+		go func() {
+			defer close(closed)
+			s.eventLoop.Shutdown(context.Background()) // does not return: watchedListener's Close ends the goroutine
+		}()
+		<-closed
+	})
 }
 
 func (s *Server) removeConn(c *Conn) {
--- a/internal/transport/tcp.go
+++ b/internal/transport/tcp.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return addressedConn{np, c.RemoteAddr()}, nil
+	return dialedConn{np, c.RemoteAddr()}, nil
 }
 
 // duplicate returns another descriptor of a file of the standard library, which keeps its own.
@@ -69,16 +69,16 @@
 	return descriptor, err
 }
 
-// addressedConn adds the remote address to a netpoll connection: netpoll does not know it for a descriptor that it is
+// dialedConn adds the remote address to a netpoll connection: netpoll does not know it for a descriptor that it is
 // given.
-type addressedConn struct {
+type dialedConn struct {
 	netpoll.Connection
 	peer net.Addr
 }
 
-func (a addressedConn) RemoteAddr() net.Addr { return a.peer }
+func (d dialedConn) RemoteAddr() net.Addr { return d.peer }
 
-func (a addressedConn) Fd() int { return a.Connection.(netpoll.Conn).Fd() }
+func (d dialedConn) Fd() int { return d.Connection.(netpoll.Conn).Fd() }
 
 // closeTryAgainLater is the status code "try again later" in the registry of RFC 6455.
 const closeTryAgainLater = ws.StatusCode(1013)
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -41,7 +41,7 @@
 	gate       *closeGate // nil: may be closed at any time
 }
 
-// Close closes the connection, or has receive do so.
+// Close closes the connection, or has it closed as soon as netpoll watches it.
 func (s socketConn) Close() error {
 	if s.gate != nil && !s.gate.pass() {
 		return nil
@@ -49,12 +49,12 @@
 	return s.Connection.Close()
 }
 
-// A closeGate holds back the close of an accepted connection that other goroutines know already, until the accepting
-// goroutine has passed it to netpoll: the descriptor's number may belong to another file after a close.
+// A closeGate holds back the close of an accepted connection that other goroutines know already, until netpoll watches
+// it: netpoll would go on to watch the descriptor's number, which may belong to another file after a close.
 type closeGate struct {
-	mu       sync.Mutex
-	passable bool
-	wanted   bool // a close was held back
+	mu      sync.Mutex
+	watched bool
+	wanted  bool // a close was held back
 }
 
 // pass reports whether the connection may be closed now.
@@ -62,14 +62,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.wanted = true
-	return g.passable
+	return g.watched
 }
 
 // open ends the holding back. It reports whether a close was held back.
 func (g *closeGate) open() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.passable = true
+	g.watched = true
 	return g.wanted
 }
 
