--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -1,38 +1,38 @@
 package transport
 
 import (
-	"errors"
 	"net"
-	"os"
 	"runtime"
-	"sync/atomic"
+	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// Initial and maximum delay between attempts to accept while the system lacks a descriptor, buffer or memory for a
-// connection. The delay doubles with each attempt. It is short because clients wait in the listener's backlog
-// meanwhile.
-const (
-	initialAcceptDelay = time.Millisecond
-	maxAcceptDelay     = 20 * time.Millisecond
-)
+// acceptDelay is the delay after a call of accept that failed because the system lacks a descriptor, buffer or memory
+// for a connection. It is short because netpoll's poller waits for it, which also reads from all connections.
+const acceptDelay = time.Millisecond
+
+// maxFailuresAtOnce is the number of accept calls in a row that may fail for another reason without a delay. One that
+// fails because a peer reset its connection has removed that connection, so the next call is made at once; an error
+// that persists must not take a whole core.
+const maxFailuresAtOnce = 64
+
+// noDescriptor takes the place of a descriptor that there is not.
+const noDescriptor = -1
 
-// A listener accepts connections for netpoll, which calls Accept whenever the socket is readable until no connection is
-// waiting. When accepting fails for lack of a local resource, netpoll stops watching the socket and calls Accept from a
-// goroutine of its own with delays of up to a second. Accept delays and retries itself instead, so that the delays are
-// shorter.
-//
-// The listener owns its descriptor and closes it once. Netpoll's own listener closes the number twice, and the second
-// close may hit a file that was opened in between.
+// A listener accepts connections for netpoll, whose poller calls Accept whenever the socket is readable. It owns its
+// descriptor: netpoll's listener closes the number twice. Accept returns no errors, because netpoll would go on with a
+// goroutine that uses the number, also after a close.
 type listener struct {
-	file       *os.File // owns the descriptor
-	descriptor int
-	address    net.Addr
-	calls      *systemCalls
-	retrying   atomic.Bool // Accept is called from netpoll's retry goroutine
-	closed     atomic.Bool
+	address net.Addr
+	calls   *systemCalls
+	known   chan struct{} // closed when netpoll asks for the descriptor
+	once    sync.Once
+
+	mu       sync.Mutex // held during accept and close, so that no accept is on the number of a closed descriptor
+	socket   int
+	failures int // in a row, for other reasons than a lack of resources
 }
 
 func listen(address string) (*listener, error) {
@@ -40,63 +40,88 @@
 	if err != nil {
 		return nil, err
 	}
-	file, err := ln.(*net.TCPListener).File() // a duplicate, which listens on after ln is closed
-	if err := errors.Join(err, ln.Close()); err != nil {
-		return nil, err
-	}
-	l := &listener{file: file, descriptor: int(file.Fd()), address: ln.Addr(), calls: currentCalls.Load()}
-	if err := unix.SetNonblock(l.descriptor, true); err != nil { // Fd may have set it to blocking
-		file.Close()
+	defer ln.Close() // the copy goes on to listen
+	socket, err := duplicate(ln.(*net.TCPListener))
+	if err != nil {
 		return nil, err
 	}
-	return l, nil
+	return newListener(socket, ln.Addr()), nil
+}
+
+func newListener(socket int, address net.Addr) *listener {
+	return &listener{address: address, calls: currentCalls.Load(), known: make(chan struct{}), socket: socket}
 }
 
 // Addr returns the address at which the listener listens.
 func (l *listener) Addr() net.Addr { return l.address }
 
-// Fd returns the descriptor, which netpoll watches.
-func (l *listener) Fd() int { return l.descriptor }
+// Fd returns the descriptor that netpoll is to watch. netpoll calls it once.
+func (l *listener) Fd() int {
+	l.once.Do(func() { close(l.known) })
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.socket
+}
 
-// Accept returns a connection, or neither a connection nor an error if none is waiting.
+// Accept returns a connection, or neither a connection nor an error if none can be accepted now: netpoll calls it again
+// while the socket is readable.
 func (l *listener) Accept() (net.Conn, error) {
-	delay := initialAcceptDelay
-	for {
-		descriptor, peer, err := l.calls.accept(l.descriptor)
-		switch err {
-		case nil:
-			return newAccepted(descriptor, l.address, peer), nil
-		case unix.EAGAIN:
-			l.retrying.Store(false)
-			return nil, nil
-		case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM:
-			if !l.retrying.Swap(true) {
-				return nil, unix.ENFILE // the error after which netpoll retries in a goroutine; netpoll also logs it
-			}
-			internalErrors.Add(1)
-		default: // the connection was aborted, or a signal arrived: the next call may succeed
-			internalErrors.Add(1)
-			if !l.retrying.Load() {
-				return nil, nil // netpoll calls Accept again while the socket is readable
-			}
-		}
-		if l.closed.Load() {
-			// Netpoll's retry goroutine has no other way to end. It would go on to watch the descriptor, which may
-			// belong to another file by now.
-			runtime.Goexit()
-		}
+	conn, delay := l.tryAccept()
+	if conn == nil {
 		time.Sleep(delay)
-		delay = min(2*delay, maxAcceptDelay)
+		return nil, nil
 	}
+	return conn, nil
 }
 
-// Close closes the descriptor once: netpoll's shutdown may call it again when the descriptor already belongs to another
-// file.
+func (l *listener) tryAccept() (conn *acceptedSocket, delay time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.socket == noDescriptor {
+		return nil, 0
+	}
+	descriptor, peer, err := l.calls.accept(l.socket)
+	switch err {
+	case nil:
+		l.failures = 0
+		return newAccepted(descriptor, l.address, peer), 0
+	case unix.EAGAIN:
+		l.failures = 0
+		return nil, 0
+	case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM:
+		internalErrors.Add(1)
+		return nil, acceptDelay
+	}
+	// The connection was aborted, or a signal arrived: the next call may succeed.
+	internalErrors.Add(1)
+	if l.failures++; l.failures < maxFailuresAtOnce {
+		return nil, 0
+	}
+	l.failures = 0
+	return nil, acceptDelay
+}
+
+// Close closes the descriptor once. The system refuses connections from then on.
 func (l *listener) Close() error {
-	if l.closed.Swap(true) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	socket := l.socket
+	l.socket = noDescriptor
+	if socket == noDescriptor {
 		return nil
 	}
-	return l.file.Close()
+	return unix.Close(socket)
+}
+
+// A watchedListener is a listener as netpoll knows it.
+type watchedListener struct{ *listener }
+
+// Close is called by netpoll's shutdown when it no longer watches the descriptor. It ends the goroutine: netpoll would
+// go on to close the connections too.
+func (w watchedListener) Close() error {
+	_ = w.listener.Close()
+	runtime.Goexit()
+	return nil
 }
 
 // acceptedSocket is the descriptor and the addresses of a new connection, as netpoll expects them.
