--- a/policy/policy.go
+++ b/policy/policy.go
@@ -254,7 +254,7 @@
 			if !s.failureRecorded && d.now-s.sentAt > legTimeout(d.rungs.tariffs[s.Tariff].GoalTime) {
 				d.recordFailure(&d.nodes[s.node], s, TimedOut)
 			}
-		case d.now-s.scoredAt >= rescoreEvery:
+		case d.now-s.scoredAt >= rescoreEvery || d.scoringIsDue(s):
 			d.rescore(s)
 		}
 	}
@@ -298,6 +298,7 @@
 			} else if d.load.uplinkReported {
 				d.load.recordLink(n, demand, d.now-d.load.reportDelay)
 			}
+			d.noteOverload(n)
 		} else { // the shortfall has ended: there is capacity again
 			n.shortfallAt = -rescoreEvery
 			r, until := &d.load.racks[n.rack], d.now-d.load.reportDelay
@@ -322,5 +323,6 @@
 			d.load.recordUplink(n, e.Value, d.now-delay)
 		}
 		d.updateFairRates(n.rack)
+		d.noteOverload(n)
 	}
 }
--- a/policy/server_list.go
+++ b/policy/server_list.go
@@ -27,7 +27,7 @@
 				d.nodes = append(d.nodes, node{})
 			}
 			d.nodes[i] = node{name: entry.Node, startedAt: UnknownStart, reportedStreams: -1, suspectedAt: -1, shortfallAt: -rescoreEvery,
-				baselineAt: UnknownStart / 2, linkLoad: resourceLoad{observedAt: UnknownStart / 2}}
+				overloadedAt: -1, baselineAt: UnknownStart / 2, linkLoad: resourceLoad{observedAt: UnknownStart / 2}}
 		}
 		n := &d.nodes[i]
 		// A restart voids the node's earlier health and load.
--- a/policy/state.go
+++ b/policy/state.go
@@ -139,6 +139,7 @@
 	streams           float64 // stream count for the fair rate
 	fairRate          float64
 	shortfallAt       time.Duration // when a measurement last showed a delivery shortfall
+	overloadedAt      time.Duration // when a report last showed an overload of its link or uplink; negative: none has
 	health            health
 	sentTimes         []time.Duration // start times of set-ups within slowStart.fillTime; older ones are dropped
 	suspectedAt       time.Duration   // when a failure was last observed; negative: the node is not suspect
