--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -33,8 +33,9 @@
 
 // The parts of a fleet's day that do not depend on its size.
 const (
-	fleetCopies      = 6 // nodes that hold each title
 	fleetRackSize    = 7
+	fleetCopyShare   = 0.03 // part of the nodes that holds each title, so that a title's holders have the same part of the capacity
+	minFleetCopies   = 3
 	fleetTitles      = 500
 	fleetLoad        = 0.6 // of the links, at the middle rung's rate
 	fleetMeanLength  = 3 * time.Second
@@ -79,7 +80,7 @@
 		config.Nodes[i].Address = fmt.Sprint("10.0.0.1:", 1+i)
 	}
 	for _, title := range layout.Titles {
-		title.Copies = min(fleetCopies, f.Nodes)
+		title.Copies = min(f.Nodes, max(minFleetCopies, int(fleetCopyShare*float64(f.Nodes))))
 		config.Titles = append(config.Titles, title)
 	}
 	return Run(script, f.Seed, Options{Workers: f.Workers, Config: config, SparseLists: true,
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -54,8 +54,8 @@
 
 // A fleet with more nodes than its capacity allows is refused: it would have more capacity for each director.
 func TestFleetOfTooManyNodes(t *testing.T) {
-	for nodes, valid := range map[int]bool{320: true, 321: false} {
-		_, err := (&Fleet{Directors: 30, Nodes: nodes, RequestRate: DefaultRequestRate, Seed: 1, Workers: 2}).Run()
+	for nodes, valid := range map[int]bool{32: true, 33: false} {
+		_, err := (&Fleet{Directors: 3, Nodes: nodes, RequestRate: DefaultRequestRate, Seed: 1, Workers: 2}).Run()
 		if (err == nil) != valid {
 			t.Errorf("%d nodes: %v", nodes, err)
 		}
