--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -128,10 +128,19 @@
 
 // onClosed is called when raw is closed, by either side and possibly more than once.
 func (c *Conn) onClosed(netpoll.Connection) error {
+	defer recoverClosePanic()
 	c.closeOnce.Do(c.finishClose)
 	return nil
 }
 
+// recoverClosePanic counts a panic of a handler's Closed, which would otherwise end the program: netpoll reports the
+// hang-up of a peer on a goroutine of its own, which recovers from nothing.
+func recoverClosePanic() {
+	if r := recover(); r != nil {
+		internalErrors.Add(1)
+	}
+}
+
 // markUnusable is called when raw is closed, before its descriptor is closed.
 func (c *Conn) markUnusable(netpoll.Connection) error {
 	c.mu.Lock()
--- a/internal/transport/readers_test.go
+++ b/internal/transport/readers_test.go
@@ -76,32 +76,45 @@
 	}
 }
 
-// A handler that panics when a connection ends within the handling of its input ends neither the program nor the
-// handling of other connections, and is counted.
+// A handler that panics when a connection ends, within the handling of its input or at the hang-up of its peer, ends
+// neither the program nor the handling of other connections, and is counted.
 func TestPanicAtCloseIsCounted(t *testing.T) {
-	h := &panicOnClose{recordingHandler: recordingHandler{echo: true}}
-	s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, h)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(s.Close)
-	before := ErrorCount()
-	bad, err := net.Dial("tcp", s.Address())
-	if err != nil {
-		t.Fatal(err)
+	for name, end := range map[string]func(bad net.Conn){
+		"invalid input": func(bad net.Conn) { bad.Write([]byte("\x02a\x00")) }, // a message, and bytes that end the connection
+		"hang-up":       func(bad net.Conn) { bad.Close() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := &panicOnClose{recordingHandler: recordingHandler{echo: true}}
+			s, err := ServeTCP("127.0.0.1:0", splitByLength, testTCPLimits, h)
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(s.Close)
+			before := ErrorCount()
+			bad, err := net.Dial("tcp", s.Address())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer bad.Close()
+			end(bad)
+			h.wait(t, "the connection was not ended", func() bool { return h.closed == 1 })
+			h.wait(t, "the panic was not counted", func() bool { return ErrorCount() > before })
+			checkEcho(t, s)
+		})
 	}
-	defer bad.Close()
-	bad.Write([]byte("\x02a\x00")) // a message, and bytes that end the connection while they are handled
-	h.wait(t, "the connection was not ended", func() bool { return h.closed == 1 })
-	h.wait(t, "the panic was not counted", func() bool { return ErrorCount() > before })
-	good, err := net.Dial("tcp", s.Address())
+}
+
+// checkEcho checks that a server whose handler echoes messages serves another connection.
+func checkEcho(t *testing.T, s *Server) {
+	t.Helper()
+	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer good.Close()
-	good.SetDeadline(time.Now().Add(5 * time.Second))
-	good.Write([]byte("\x02b"))
-	if n, err := good.Read(make([]byte, 2)); n == 0 || err != nil {
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(5 * time.Second))
+	c.Write([]byte("\x02b"))
+	if n, err := c.Read(make([]byte, 2)); n == 0 || err != nil {
 		t.Fatal(n, err)
 	}
 }
