--- a/internal/platform/fixture_test.go
+++ b/internal/platform/fixture_test.go
@@ -34,6 +34,7 @@
 	mu       sync.Mutex
 	received []string // headers and bodies of all messages
 	reply    func(session string) string
+	crossing string // sent, once, on the first connection that the director closes, as if it had been on its way
 }
 
 func newEmulatedNode(t testing.TB) *emulatedNode {
@@ -49,6 +50,10 @@
 		buf := make([]byte, 4096)
 		k, err := c.Read(buf)
 		if err != nil {
+			n.mu.Lock()
+			io.WriteString(c, n.crossing)
+			n.crossing = ""
+			n.mu.Unlock()
 			return
 		}
 		buffered = append(buffered, buf[:k]...)
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -478,3 +478,26 @@
 		})
 	}
 }
+
+// A release that a node has sent on a connection which the director replaces at that moment must reach the client: the
+// node sends it on no other connection, since the new one was opened before.
+func TestReleaseThatCrossesAReplacedConnection(t *testing.T) {
+	const releaseTime = time.Second // in which a client must learn that its session is over
+	p := startFixture(t, 1, "")
+	n, client := p.nodes[0], p.newClient()
+	client.send(setupMessage(7, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
+	client.expect(kindAnswer, 7, codeDescription)
+	n.mu.Lock()
+	n.crossing = platformtest.Teardown(sessionID(7), causeEnded)
+	n.mu.Unlock()
+	n.setReply(func(string) string { return "" }) // the connection becomes suspect, and another one is made
+	other := p.newClient()
+	other.send(setupMessage(8, map[byte]string{codePlacement: "home:0;copies:1;top:1"}))
+	p.wait("the connection was not replaced", func() bool {
+		n.mu.Lock()
+		defer n.mu.Unlock()
+		return n.crossing == ""
+	})
+	client.c.SetDeadline(time.Now().Add(releaseTime))
+	client.expect(kindRelease, 7, codeCause)
+}
