--- a/cmd/fordusher/pause_test.go
+++ b/cmd/fordusher/pause_test.go
@@ -1,6 +1,9 @@
 package main
 
 import (
+	"fmt"
+	"os"
+	"strings"
 	"syscall"
 	"testing"
 	"time"
@@ -21,7 +24,7 @@
 		session := uint64(i + 1)
 		c := d.connect()
 		time.Sleep(30 * time.Millisecond) // so that the connection is accepted
-		d.cmd.Process.Signal(syscall.SIGSTOP)
+		d.stopProcess()
 		c.conn.Write(setupRequestWithin(session, 0, 1, wait))
 		sent := time.Now()
 		time.Sleep(pause)
@@ -35,3 +38,13 @@
 		}
 	}
 }
+
+// stopProcess stops the process and waits until it has stopped: the signal takes effect some time after it was sent.
+func (d *platformDirector) stopProcess() {
+	d.t.Helper()
+	d.cmd.Process.Signal(syscall.SIGSTOP)
+	eventually(d.t, "the process does not stop", func() bool {
+		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.cmd.Process.Pid))
+		return err == nil && strings.Contains(string(stat), ") T ")
+	})
+}
